--- a/crates/api/src/decode.rs
+++ b/crates/api/src/decode.rs
@@ -35,7 +35,10 @@
 pub fn json(body: &[u8]) -> Result<(Value, Vec<String>), ApiError> {
     let mut repeated = Vec::new();
     let mut deserializer = serde_json::Deserializer::from_slice(body);
-    let seed = Noting { path: String::new(), repeated: &mut repeated };
+    let seed = Noting {
+        path: String::new(),
+        repeated: &mut repeated,
+    };
     let value = seed
         .deserialize(&mut deserializer)
         .and_then(|value| deserializer.end().map(|()| value))
@@ -50,7 +53,10 @@
     validation: FieldValidation,
 ) -> Result<(Object, Vec<String>), ApiError> {
     let (value, repeated) = json(body)?;
-    let warnings = repeated.into_iter().map(|path| format!("duplicate field \"{path}\"")).collect();
+    let warnings = repeated
+        .into_iter()
+        .map(|path| format!("duplicate field \"{path}\""))
+        .collect();
     typed(resource, value, warnings, validation)
 }
 
@@ -61,7 +67,10 @@
     mut warnings: Vec<String>,
     validation: FieldValidation,
 ) -> Result<(Object, Vec<String>), ApiError> {
-    for (key, expected) in [("kind", resource.kind.to_owned()), ("apiVersion", resource.api_version())] {
+    for (key, expected) in [
+        ("kind", resource.kind.to_owned()),
+        ("apiVersion", resource.api_version()),
+    ] {
         let found = value.get(key).and_then(Value::as_str);
         if found.is_some_and(|found| found != expected) {
             let found = found.unwrap_or("");
@@ -77,10 +86,16 @@
             "{kind} in version \"{version}\" cannot be handled as a {kind}: {problem}"
         ))
     })?;
-    warnings.extend(unknown.into_iter().map(|path| format!("unknown field \"{path}\"")));
+    warnings.extend(
+        unknown
+            .into_iter()
+            .map(|path| format!("unknown field \"{path}\"")),
+    );
     if validation == FieldValidation::Strict && !warnings.is_empty() {
         let list = warnings.join(", ");
-        return Err(ApiError::bad_request(format!("strict decoding error: {list}")));
+        return Err(ApiError::bad_request(format!(
+            "strict decoding error: {list}"
+        )));
     }
     if validation == FieldValidation::Ignore {
         warnings.clear();
@@ -129,7 +144,10 @@
         let mut list = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, list.len());
-            match seq.next_element_seed(Noting { path, repeated: self.repeated })? {
+            match seq.next_element_seed(Noting {
+                path,
+                repeated: self.repeated,
+            })? {
                 Some(value) => list.push(value),
                 None => return Ok(Value::Array(list)),
             }
@@ -138,11 +156,18 @@
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Value, A::Error> {
         let mut map = Map::new();
         while let Some(key) = access.next_key::<String>()? {
-            let path = if self.path.is_empty() { key.clone() } else { format!("{}.{key}", self.path) };
+            let path = if self.path.is_empty() {
+                key.clone()
+            } else {
+                format!("{}.{key}", self.path)
+            };
             if map.contains_key(&key) && self.repeated.len() < 16 {
                 self.repeated.push(path.clone());
             }
-            let value = access.next_value_seed(Noting { path, repeated: self.repeated })?;
+            let value = access.next_value_seed(Noting {
+                path,
+                repeated: self.repeated,
+            })?;
             map.insert(key, value);
         }
         Ok(Value::Object(map))
--- a/crates/api/src/fields.rs
+++ b/crates/api/src/fields.rs
@@ -69,11 +69,17 @@
 ];
 
 /// Fields of which one value only is served.
-const JOB_ONLY: [(&str, &str); 2] =
-    [("completionMode", "NonIndexed"), ("podReplacementPolicy", "TerminatingOrFailed")];
+const JOB_ONLY: [(&str, &str); 2] = [
+    ("completionMode", "NonIndexed"),
+    ("podReplacementPolicy", "TerminatingOrFailed"),
+];
 
 fn refused(field: String, message: &str) -> Cause {
-    Cause { reason: "FieldValueNotSupported", field, message: message.to_owned() }
+    Cause {
+        reason: "FieldValueNotSupported",
+        field,
+        message: message.to_owned(),
+    }
 }
 
 const NOT_SERVED: &str = "is not served by tidespur; leave it out (docs/api.md lists what is)";
@@ -89,7 +95,11 @@
 
 /// Names each field of an object that can't be honoured.
 pub(crate) fn check(resource: &Resource, object: &Object, causes: &mut Vec<Cause>) {
-    let listed = |path: &[&str]| meta::at(object, path).as_array().is_some_and(|list| !list.is_empty());
+    let listed = |path: &[&str]| {
+        meta::at(object, path)
+            .as_array()
+            .is_some_and(|list| !list.is_empty())
+    };
     if listed(&["metadata", "finalizers"]) {
         let message = "is not served: a deletion is at once; leave it out";
         causes.push(refused("metadata.finalizers".into(), message));
@@ -101,11 +111,20 @@
             known(spec, "spec", &JOB, causes);
             for (field, only) in JOB_ONLY {
                 if spec.get(field).is_some_and(|value| value != only) {
-                    causes.push(refused(format!("spec.{field}"), &format!("only {only} is served")));
+                    causes.push(refused(
+                        format!("spec.{field}"),
+                        &format!("only {only} is served"),
+                    ));
                 }
             }
-            if spec.get("manualSelector").is_some_and(|value| value != false) {
-                causes.push(refused("spec.manualSelector".into(), "only false is served"));
+            if spec
+                .get("manualSelector")
+                .is_some_and(|value| value != false)
+            {
+                causes.push(refused(
+                    "spec.manualSelector".into(),
+                    "only false is served",
+                ));
             }
             let template = meta::at(spec, &["template"]);
             known(template, "spec.template", &["metadata", "spec"], causes);
@@ -120,9 +139,15 @@
 
 fn pod(spec: &Value, at: &str, causes: &mut Vec<Cause>) {
     known(spec, at, &POD, causes);
-    if spec.get("terminationGracePeriodSeconds").is_some_and(|grace| grace.as_i64() != Some(0)) {
+    if spec
+        .get("terminationGracePeriodSeconds")
+        .is_some_and(|grace| grace.as_i64() != Some(0))
+    {
         let message = "only 0 is served: nodes stop a Pod at once";
-        causes.push(refused(format!("{at}.terminationGracePeriodSeconds"), message));
+        causes.push(refused(
+            format!("{at}.terminationGracePeriodSeconds"),
+            message,
+        ));
     }
     let scheduler = meta::text(spec, &["schedulerName"]);
     if !["", "default-scheduler", "tidespur"].contains(&scheduler) {
@@ -134,8 +159,18 @@
         let at = format!("{at}.containers[{i}]");
         known(container, &at, &CONTAINER, causes);
         let resources = meta::at(container, &["resources"]);
-        known(resources, &format!("{at}.resources"), &["requests", "limits"], causes);
+        known(
+            resources,
+            &format!("{at}.resources"),
+            &["requests", "limits"],
+            causes,
+        );
         let requests = meta::at(resources, &["requests"]);
-        known(requests, &format!("{at}.resources.requests"), &["cpu", "memory"], causes);
+        known(
+            requests,
+            &format!("{at}.resources.requests"),
+            &["cpu", "memory"],
+            causes,
+        );
     }
 }
--- a/crates/api/src/meta.rs
+++ b/crates/api/src/meta.rs
@@ -6,7 +6,9 @@
 
 /// Follows a path of keys; null where it ends early.
 pub fn at<'a>(object: &'a Value, path: &[&str]) -> &'a Value {
-    path.iter().try_fold(object, |value, key| value.get(key)).unwrap_or(&NULL)
+    path.iter()
+        .try_fold(object, |value, key| value.get(key))
+        .unwrap_or(&NULL)
 }
 
 /// A string at a path, or "".
@@ -31,17 +33,23 @@
 
 /// `metadata.resourceVersion`, 0 where there is none or it is no number.
 pub fn version(object: &Value) -> u64 {
-    text(object, &["metadata", "resourceVersion"]).parse().unwrap_or(0)
+    text(object, &["metadata", "resourceVersion"])
+        .parse()
+        .unwrap_or(0)
 }
 
 /// One annotation.
 pub fn annotation<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
-    at(object, &["metadata", "annotations"]).get(key).and_then(Value::as_str)
+    at(object, &["metadata", "annotations"])
+        .get(key)
+        .and_then(Value::as_str)
 }
 
 /// One label.
 pub fn label<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
-    at(object, &["metadata", "labels"]).get(key).and_then(Value::as_str)
+    at(object, &["metadata", "labels"])
+        .get(key)
+        .and_then(Value::as_str)
 }
 
 /// The object's map of that key, made where it is missing or of another type.
@@ -80,12 +88,17 @@
 /// Whether the condition of that type stands at `True`.
 pub fn has_condition(object: &Value, kind: &str) -> bool {
     let list = at(object, &["status", "conditions"]).as_array();
-    list.is_some_and(|list| list.iter().any(|c| c["type"] == kind && c["status"] == "True"))
+    list.is_some_and(|list| {
+        list.iter()
+            .any(|c| c["type"] == kind && c["status"] == "True")
+    })
 }
 
 /// A point in time (Unix seconds) as published objects write it.
 pub fn timestamp(unix: f64) -> String {
-    jiff::Timestamp::from_second(unix as i64).map(|t| t.to_string()).unwrap_or_default()
+    jiff::Timestamp::from_second(unix as i64)
+        .map(|t| t.to_string())
+        .unwrap_or_default()
 }
 
 /// A point in time as the published `MicroTime` writes it.
@@ -96,5 +109,7 @@
 
 /// The Unix seconds of a published timestamp.
 pub fn unix(text: &str) -> Option<f64> {
-    text.parse::<jiff::Timestamp>().ok().map(|t| t.as_millisecond() as f64 / 1e3)
+    text.parse::<jiff::Timestamp>()
+        .ok()
+        .map(|t| t.as_millisecond() as f64 / 1e3)
 }
--- a/crates/api/src/patch.rs
+++ b/crates/api/src/patch.rs
@@ -51,7 +51,11 @@
                 ));
             }
             json_patch::patch(&mut after, &patch).map_err(|e| {
-                ApiError::new(422, "Invalid", format!("the JSON patch can't be applied: {e}"))
+                ApiError::new(
+                    422,
+                    "Invalid",
+                    format!("the JSON patch can't be applied: {e}"),
+                )
             })?;
         }
         PatchKind::Merge if patch.is_object() => json_patch::merge(&mut after, &patch),
@@ -64,9 +68,12 @@
 /// Keys by which the published types merge their lists.
 fn merge_key(list: &str) -> Option<&'static str> {
     Some(match list {
-        "containers" | "initContainers" | "ephemeralContainers" | "env" | "volumes" | "imagePullSecrets" => {
-            "name"
-        }
+        "containers"
+        | "initContainers"
+        | "ephemeralContainers"
+        | "env"
+        | "volumes"
+        | "imagePullSecrets" => "name",
         "conditions" => "type",
         "ownerReferences" => "uid",
         "ports" => "containerPort",
@@ -93,7 +100,9 @@
                     return Ok(());
                 }
                 Some(other) => {
-                    return Err(ApiError::bad_request(format!("unknown $patch directive {other:?}")));
+                    return Err(ApiError::bad_request(format!(
+                        "unknown $patch directive {other:?}"
+                    )));
                 }
             }
             if !target.is_object() {
@@ -101,7 +110,9 @@
             }
             for (key, value) in fields {
                 if let Some(list) = key.strip_prefix("$deleteFromPrimitiveList/") {
-                    if let (Some(Value::Array(old)), Value::Array(gone)) = (target.get_mut(list), value) {
+                    if let (Some(Value::Array(old)), Value::Array(gone)) =
+                        (target.get_mut(list), value)
+                    {
                         old.retain(|one| !gone.contains(one));
                     }
                 } else if key.starts_with("$setElementOrder/") || key.starts_with("$retainKeys") {
@@ -122,8 +133,9 @@
                     _ => vec![],
                 };
                 for item in items {
-                    let place =
-                        list.iter().position(|old| old.get(by) == item.get(by) && item.get(by).is_some());
+                    let place = list
+                        .iter()
+                        .position(|old| old.get(by) == item.get(by) && item.get(by).is_some());
                     match (item["$patch"].as_str(), place) {
                         (Some("delete"), Some(place)) => drop(list.remove(place)),
                         (Some("delete"), None) => {}
--- a/crates/api/src/quantity.rs
+++ b/crates/api/src/quantity.rs
@@ -39,7 +39,9 @@
 pub fn parse(text: &str) -> Result<f64, QuantityError> {
     let fail = |why: &str| Err(QuantityError(format!("quantity {text:?} {why}")));
     if text.len() > 64 {
-        return Err(QuantityError("a quantity of more than 64 characters".into()));
+        return Err(QuantityError(
+            "a quantity of more than 64 characters".into(),
+        ));
     }
     let (number, scale) = SUFFIXES
         .iter()
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -46,7 +46,8 @@
     };
     let mut note = noting;
     let ignored = serde_ignored::Deserializer::new(value, &mut note);
-    let typed: Result<T, _> = T::deserialize(serde_path_to_error::Deserializer::new(ignored, &mut track));
+    let typed: Result<T, _> =
+        T::deserialize(serde_path_to_error::Deserializer::new(ignored, &mut track));
     let typed = typed.map_err(|e| format!("{}: {e}", track.path()))?;
     serde_json::to_value(typed).map_err(|e| e.to_string())
 }
@@ -129,12 +130,18 @@
 impl Resource {
     /// `apiVersion` of its objects.
     pub fn api_version(&self) -> String {
-        if self.group.is_empty() { self.version.into() } else { format!("{}/{}", self.group, self.version) }
+        if self.group.is_empty() {
+            self.version.into()
+        } else {
+            format!("{}/{}", self.group, self.version)
+        }
     }
 
     /// The one of a group that paths call so.
     pub fn find(group: &str, plural: &str) -> Option<&'static Resource> {
-        RESOURCES.iter().find(|r| r.group == group && r.plural == plural)
+        RESOURCES
+            .iter()
+            .find(|r| r.group == group && r.plural == plural)
     }
 
     /// The one that people call so: plural, singular, kind or short name.
@@ -150,30 +157,55 @@
 
     /// Path of a collection, or of one object.
     pub fn path(&self, namespace: &str, name: &str) -> String {
-        let group = if self.group.is_empty() { "/api".into() } else { format!("/apis/{}", self.group) };
+        let group = if self.group.is_empty() {
+            "/api".into()
+        } else {
+            format!("/apis/{}", self.group)
+        };
         let space = if self.namespaced && !namespace.is_empty() {
             format!("/namespaces/{namespace}")
         } else {
             String::new()
         };
-        let name = if name.is_empty() { String::new() } else { format!("/{name}") };
+        let name = if name.is_empty() {
+            String::new()
+        } else {
+            format!("/{name}")
+        };
         format!("{group}/{}{space}/{}{name}", self.version, self.plural)
     }
 }
 
-const VERBS: [&str; 8] = ["create", "delete", "deletecollection", "get", "list", "patch", "update", "watch"];
+const VERBS: [&str; 8] = [
+    "create",
+    "delete",
+    "deletecollection",
+    "get",
+    "list",
+    "patch",
+    "update",
+    "watch",
+];
 
 /// `APIResourceList` of a group.
 pub fn resource_list(group: &str) -> Value {
     let mut list = Vec::new();
     for r in RESOURCES.iter().filter(|r| r.group == group) {
-        list.push(json!({"name": r.plural, "singularName": r.singular, "namespaced": r.namespaced,
-            "kind": r.kind, "verbs": VERBS, "shortNames": r.short}));
+        list.push(
+            json!({"name": r.plural, "singularName": r.singular, "namespaced": r.namespaced,
+            "kind": r.kind, "verbs": VERBS, "shortNames": r.short}),
+        );
         if r.status {
-            list.push(json!({"name": format!("{}/status", r.plural), "singularName": "",
-                "namespaced": r.namespaced, "kind": r.kind, "verbs": ["get", "patch", "update"]}));
+            list.push(
+                json!({"name": format!("{}/status", r.plural), "singularName": "",
+                "namespaced": r.namespaced, "kind": r.kind, "verbs": ["get", "patch", "update"]}),
+            );
         }
     }
-    let version = if group.is_empty() { "v1".into() } else { format!("{group}/v1") };
+    let version = if group.is_empty() {
+        "v1".into()
+    } else {
+        format!("{group}/v1")
+    };
     json!({"kind": "APIResourceList", "apiVersion": "v1", "groupVersion": version, "resources": list})
 }
--- a/crates/api/src/selector.rs
+++ b/crates/api/src/selector.rs
@@ -34,19 +34,28 @@
     pub fn parse(labels: Option<&str>, fields: Option<&str>) -> Result<Self, ApiError> {
         let read = |text: Option<&str>, what: &str| match text {
             None => Ok(vec![]),
-            Some(text) if text.len() > 4096 => {
-                Err(ApiError::bad_request(format!("{what} selector is too long")))
-            }
-            Some(text) => {
-                terms(text).iter().map(|t| demand(t)).collect::<Result<Vec<_>, _>>().map_err(|term| {
-                    let found =
-                        format!("unable to parse {what} selector {text:?}: {term:?} is not understood");
+            Some(text) if text.len() > 4096 => Err(ApiError::bad_request(format!(
+                "{what} selector is too long"
+            ))),
+            Some(text) => terms(text)
+                .iter()
+                .map(|t| demand(t))
+                .collect::<Result<Vec<_>, _>>()
+                .map_err(|term| {
+                    let found = format!(
+                        "unable to parse {what} selector {text:?}: {term:?} is not understood"
+                    );
                     ApiError::bad_request(found)
-                })
-            }
+                }),
         };
-        let selector = Self { labels: read(labels, "label")?, fields: read(fields, "field")? };
-        if let Some((field, _)) = selector.fields.iter().find(|(field, _)| !FIELDS.contains(&field.as_str()))
+        let selector = Self {
+            labels: read(labels, "label")?,
+            fields: read(fields, "field")?,
+        };
+        if let Some((field, _)) = selector
+            .fields
+            .iter()
+            .find(|(field, _)| !FIELDS.contains(&field.as_str()))
         {
             let known = FIELDS.join(", ");
             return Err(ApiError::bad_request(format!(
@@ -72,8 +81,13 @@
                 _ => String::new(),
             }
         };
-        self.labels.iter().all(|(key, demand)| fits(demand, meta::label(object, key)))
-            && self.fields.iter().all(|(path, demand)| fits(demand, Some(&field(path))))
+        self.labels
+            .iter()
+            .all(|(key, demand)| fits(demand, meta::label(object, key)))
+            && self
+                .fields
+                .iter()
+                .all(|(path, demand)| fits(demand, Some(&field(path))))
     }
 }
 
@@ -101,19 +115,34 @@
             _ => list.push(String::new()),
         }
     }
-    list.into_iter().map(|term| term.trim().to_owned()).filter(|term| !term.is_empty()).collect()
+    list.into_iter()
+        .map(|term| term.trim().to_owned())
+        .filter(|term| !term.is_empty())
+        .collect()
 }
 
 fn demand(term: &str) -> Result<(String, Demand), String> {
     let key = |key: &str| {
         let key = key.trim();
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-        if key.is_empty() || !key.chars().all(plain) { Err(term.to_owned()) } else { Ok(key.to_owned()) }
+        if key.is_empty() || !key.chars().all(plain) {
+            Err(term.to_owned())
+        } else {
+            Ok(key.to_owned())
+        }
     };
     let list = |text: &str| {
-        let inner = text.trim().strip_prefix('(').and_then(|text| text.strip_suffix(')'));
+        let inner = text
+            .trim()
+            .strip_prefix('(')
+            .and_then(|text| text.strip_suffix(')'));
         let inner = inner.ok_or_else(|| term.to_owned())?;
-        Ok::<_, String>(inner.split(',').map(|one| one.trim().to_owned()).collect::<Vec<_>>())
+        Ok::<_, String>(
+            inner
+                .split(',')
+                .map(|one| one.trim().to_owned())
+                .collect::<Vec<_>>(),
+        )
     };
     if let Some((left, right)) = term.split_once(" notin ") {
         return Ok((key(left)?, Demand::NotIn(list(right)?)));
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -34,7 +34,14 @@
     /// An error with a code, its published reason and a message.
     pub fn new(code: u16, reason: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
-        Self { code, reason, message, causes: vec![], retry_after: None, about: None }
+        Self {
+            code,
+            reason,
+            message,
+            causes: vec![],
+            retry_after: None,
+            about: None,
+        }
     }
     /// 400.
     pub fn bad_request(message: impl Into<String>) -> Self {
@@ -48,7 +55,11 @@
     }
     /// 404 for a path.
     pub fn no_such_path() -> Self {
-        Self::new(404, "NotFound", "the server could not find the requested resource")
+        Self::new(
+            404,
+            "NotFound",
+            "the server could not find the requested resource",
+        )
     }
     /// 405.
     pub fn method() -> Self {
@@ -57,7 +68,11 @@
     }
     /// 409 where a name is taken.
     pub fn exists(plural: &str, name: &str) -> Self {
-        let mut error = Self::new(409, "AlreadyExists", format!("{plural} \"{name}\" already exists"));
+        let mut error = Self::new(
+            409,
+            "AlreadyExists",
+            format!("{plural} \"{name}\" already exists"),
+        );
         error.about = Some((plural.to_owned(), name.to_owned()));
         error
     }
@@ -74,7 +89,10 @@
     }
     /// 422 with causes.
     pub fn invalid(kind: &str, name: &str, causes: Vec<Cause>) -> Self {
-        let list: Vec<String> = causes.iter().map(|c| format!("{}: {}", c.field, c.message)).collect();
+        let list: Vec<String> = causes
+            .iter()
+            .map(|c| format!("{}: {}", c.field, c.message))
+            .collect();
         let message = format!("{kind} \"{name}\" is invalid: {}", list.join(", "));
         let mut error = Self::new(422, "Invalid", message);
         error.causes = causes;
@@ -102,7 +120,8 @@
             details.insert("name".into(), json!(name));
         }
         if !self.causes.is_empty() {
-            let cause = |c: &Cause| json!({"reason": c.reason, "message": c.message, "field": c.field});
+            let cause =
+                |c: &Cause| json!({"reason": c.reason, "message": c.message, "field": c.field});
             details.insert("causes".into(), self.causes.iter().map(cause).collect());
         }
         if let Some(seconds) = self.retry_after {
--- a/crates/api/src/task.rs
+++ b/crates/api/src/task.rs
@@ -37,7 +37,8 @@
 pub fn requests(pod: &Object) -> (f64, f64) {
     let containers = meta::at(pod, &["spec", "containers"]).as_array();
     let sum = |key: &str| -> f64 {
-        let one = |c| quantity::parse(meta::text(c, &["resources", "requests", key])).unwrap_or(0.0);
+        let one =
+            |c| quantity::parse(meta::text(c, &["resources", "requests", key])).unwrap_or(0.0);
         containers.into_iter().flatten().map(one).sum()
     };
     (sum("cpu"), sum("memory") / names::MEMORY_UNIT)
@@ -45,7 +46,8 @@
 
 /// Whether a Pod waits for a node.
 pub fn waits(pod: &Object) -> bool {
-    meta::text(pod, &["spec", "nodeName"]).is_empty() && meta::text(pod, &["status", "phase"]) == "Pending"
+    meta::text(pod, &["spec", "nodeName"]).is_empty()
+        && meta::text(pod, &["status", "phase"]) == "Pending"
 }
 
 /// Reads a checked Pod.
@@ -53,7 +55,11 @@
     let (cores, memory) = requests(pod);
     let seconds = |key| meta::annotation(pod, key).and_then(|text| text.parse::<f64>().ok());
     let job = meta::label(pod, names::JOB_NAME);
-    let service = format!("{}/{}", meta::namespace(pod), job.unwrap_or(meta::name(pod)));
+    let service = format!(
+        "{}/{}",
+        meta::namespace(pod),
+        job.unwrap_or(meta::name(pod))
+    );
     let known_as = meta::annotation(pod, names::ADOPTS).unwrap_or(meta::name(pod));
     Ask {
         uid: meta::uid(pod).to_owned(),
@@ -66,7 +72,9 @@
         life: seconds(names::EXPECTED_SECONDS),
         within: seconds(names::GIVE_UP_SECONDS),
         returned: meta::annotation(pod, names::RETURNED).is_some(),
-        key: meta::annotation(pod, names::KEY).unwrap_or(meta::uid(pod)).to_owned(),
+        key: meta::annotation(pod, names::KEY)
+            .unwrap_or(meta::uid(pod))
+            .to_owned(),
         spec: meta::at(pod, &["spec"]).to_string().into(),
     }
 }
--- a/crates/api/src/validate.rs
+++ b/crates/api/src/validate.rs
@@ -10,7 +10,11 @@
 pub const PARALLEL_MOST: i64 = 10_000;
 
 fn cause(reason: &'static str, field: &str, message: impl Into<String>) -> Cause {
-    Cause { reason, field: field.to_owned(), message: message.into() }
+    Cause {
+        reason,
+        field: field.to_owned(),
+        message: message.into(),
+    }
 }
 
 /// A DNS subdomain of at most 253 characters (or, for `label`, a label of 63).
@@ -18,9 +22,17 @@
     let most = if label { 63 } else { 253 };
     let part = |part: &str| {
         let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-        !part.is_empty() && part.chars().all(plain) && !part.starts_with('-') && !part.ends_with('-')
+        !part.is_empty()
+            && part.chars().all(plain)
+            && !part.starts_with('-')
+            && !part.ends_with('-')
     };
-    name.len() <= most && if label { part(name) } else { name.split('.').all(part) }
+    name.len() <= most
+        && if label {
+            part(name)
+        } else {
+            name.split('.').all(part)
+        }
 }
 
 /// Checks an object that is to be created or changed; `old` is what stands.
@@ -33,9 +45,12 @@
     let mut causes = Vec::new();
     let name = meta::name(object);
     if !dns_name(name, resource.kind == "Namespace") {
-        let rule =
-            "must be lower case letters, digits, '-' and '.', 253 characters at most (63 for a namespace)";
-        causes.push(cause("FieldValueInvalid", "metadata.name", format!("{name:?} {rule}")));
+        let rule = "must be lower case letters, digits, '-' and '.', 253 characters at most (63 for a namespace)";
+        causes.push(cause(
+            "FieldValueInvalid",
+            "metadata.name",
+            format!("{name:?} {rule}"),
+        ));
     }
     for (field, most) in [("labels", 63), ("annotations", METADATA_MOST)] {
         let entries = meta::at(object, &["metadata", field]).as_object();
@@ -43,13 +58,23 @@
             let value = value.as_str().unwrap_or("");
             if key.is_empty() || key.len() > 317 || value.len() > most {
                 let at = format!("metadata.{field}");
-                causes.push(cause("FieldValueInvalid", &at, format!("{key:?} is empty or too long")));
+                causes.push(cause(
+                    "FieldValueInvalid",
+                    &at,
+                    format!("{key:?} is empty or too long"),
+                ));
             }
         }
     }
     fields::check(resource, object, &mut causes);
     match resource.kind {
-        "Pod" => pod(meta::at(object, &["spec"]), object, "spec", classes, &mut causes),
+        "Pod" => pod(
+            meta::at(object, &["spec"]),
+            object,
+            "spec",
+            classes,
+            &mut causes,
+        ),
         "Job" => job(object, old, classes, &mut causes),
         _ => {}
     }
@@ -58,20 +83,39 @@
             let path = ["spec", field];
             if meta::at(old, &path) != meta::at(object, &path) {
                 let at = format!("spec.{field}");
-                causes.push(cause("FieldValueForbidden", &at, "can't be changed once the Pod stands"));
+                causes.push(cause(
+                    "FieldValueForbidden",
+                    &at,
+                    "can't be changed once the Pod stands",
+                ));
             }
         }
     }
-    if causes.is_empty() { Ok(()) } else { Err(ApiError::invalid(resource.kind, name, causes)) }
+    if causes.is_empty() {
+        Ok(())
+    } else {
+        Err(ApiError::invalid(resource.kind, name, causes))
+    }
 }
 
 fn job(object: &Object, old: Option<&Object>, classes: &[String], causes: &mut Vec<Cause>) {
     let spec = meta::at(object, &["spec"]);
-    let fields =
-        ["parallelism", "completions", "backoffLimit", "activeDeadlineSeconds", "ttlSecondsAfterFinished"];
+    let fields = [
+        "parallelism",
+        "completions",
+        "backoffLimit",
+        "activeDeadlineSeconds",
+        "ttlSecondsAfterFinished",
+    ];
     for field in fields {
-        let most = if field == "parallelism" { PARALLEL_MOST } else { i64::from(i32::MAX) };
-        let Some(number) = spec.get(field).and_then(Value::as_i64) else { continue };
+        let most = if field == "parallelism" {
+            PARALLEL_MOST
+        } else {
+            i64::from(i32::MAX)
+        };
+        let Some(number) = spec.get(field).and_then(Value::as_i64) else {
+            continue;
+        };
         let least = i64::from(field == "activeDeadlineSeconds");
         if number < least || number > most {
             let range = format!("{number} must be from {least} to {most}");
@@ -79,21 +123,39 @@
         }
     }
     let template = meta::at(spec, &["template"]);
-    pod(meta::at(template, &["spec"]), template, "spec.template.spec", classes, causes);
+    pod(
+        meta::at(template, &["spec"]),
+        template,
+        "spec.template.spec",
+        classes,
+        causes,
+    );
     let policy = meta::text(template, &["spec", "restartPolicy"]);
     if !matches!(policy, "Never" | "OnFailure") {
         let message = format!("{policy:?} must be Never or OnFailure");
-        causes.push(cause("FieldValueNotSupported", "spec.template.spec.restartPolicy", message));
+        causes.push(cause(
+            "FieldValueNotSupported",
+            "spec.template.spec.restartPolicy",
+            message,
+        ));
     }
     if old.is_some_and(|old| meta::at(old, &["spec", "template"]) != template) {
-        causes.push(cause("FieldValueForbidden", "spec.template", "field is immutable"));
+        causes.push(cause(
+            "FieldValueForbidden",
+            "spec.template",
+            "field is immutable",
+        ));
     }
 }
 
 fn pod(spec: &Value, owner: &Value, at: &str, classes: &[String], causes: &mut Vec<Cause>) {
     let containers = meta::at(spec, &["containers"]).as_array();
     if containers.is_none_or(Vec::is_empty) {
-        causes.push(cause("FieldValueRequired", &format!("{at}.containers"), "at least one is needed"));
+        causes.push(cause(
+            "FieldValueRequired",
+            &format!("{at}.containers"),
+            "at least one is needed",
+        ));
     }
     for (i, container) in containers.into_iter().flatten().enumerate() {
         if !dns_name(meta::text(container, &["name"]), true) {
@@ -114,11 +176,20 @@
     if !class.is_empty() && !classes.iter().any(|known| known == class) {
         let known = classes.join(", ");
         let message = format!("{class:?} is no class of the settings; use one of {known}");
-        causes.push(cause("FieldValueNotSupported", &format!("{at}.priorityClassName"), message));
+        causes.push(cause(
+            "FieldValueNotSupported",
+            &format!("{at}.priorityClassName"),
+            message,
+        ));
     }
     for key in [names::EXPECTED_SECONDS, names::GIVE_UP_SECONDS] {
-        let Some(text) = meta::annotation(owner, key) else { continue };
-        if !text.parse::<f64>().is_ok_and(|seconds| seconds > 0.0 && seconds <= 1e9) {
+        let Some(text) = meta::annotation(owner, key) else {
+            continue;
+        };
+        if !text
+            .parse::<f64>()
+            .is_ok_and(|seconds| seconds > 0.0 && seconds <= 1e9)
+        {
             let field = format!("metadata.annotations[{key}]");
             causes.push(cause(
                 "FieldValueInvalid",
--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -39,7 +39,9 @@
 
 /// Reads a scenario file, or takes the built-in one.
 pub fn scenario(path: Option<&PathBuf>) -> Result<Scenario, String> {
-    let Some(path) = path else { return Scenario::parse(BAD_DAY) };
+    let Some(path) = path else {
+        return Scenario::parse(BAD_DAY);
+    };
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -48,7 +50,9 @@
 pub fn bad_day(options: BadDayOptions) -> Result<bool, String> {
     let day = scenario(options.scenario.as_ref())?;
     let settings = match &options.config {
-        Some(path) => std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
+        Some(path) => {
+            std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?
+        }
         None => tidespur_config::DEFAULT.to_owned(),
     };
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
@@ -57,11 +61,23 @@
     layout.config = options.config;
     layout.logs = Some(folder.join("logs"));
     let records = folder.join("records");
-    if records.is_dir() && std::fs::read_dir(&records).is_ok_and(|mut files| files.next().is_some()) {
-        return Err(format!("{}: holds recordings of another day; name a new folder", records.display()));
+    if records.is_dir() && std::fs::read_dir(&records).is_ok_and(|mut files| files.next().is_some())
+    {
+        return Err(format!(
+            "{}: holds recordings of another day; name a new folder",
+            records.display()
+        ));
     }
     let jobs = day.work.values().map(|work| work.jobs).sum();
-    play(&day, layout, &records, Arc::new(Progress { jobs, ..Progress::default() }))?;
+    play(
+        &day,
+        layout,
+        &records,
+        Arc::new(Progress {
+            jobs,
+            ..Progress::default()
+        }),
+    )?;
     let report = checker::judge(&records, &settings, options.seed)?;
     let told = oracle::judge(&Traffic::read(&records)?);
     match options.report {
@@ -71,7 +87,10 @@
             println!("{object}");
         }
         Form::Text => {
-            println!("seed {}: {} requests, {} offers", report.seed, report.submitted, report.offers);
+            println!(
+                "seed {}: {} requests, {} offers",
+                report.seed, report.submitted, report.offers
+            );
             println!(
                 "placed {}, refused {}, failed {}, unanswered {}, twice {}, withdrawn {}, lost with their edge {}",
                 report.placed,
--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -64,8 +64,10 @@
 pub fn node(options: NodeOptions) -> Result<(), String> {
     end_with_parent();
     let config = config(options.config.as_ref())?;
-    let kind =
-        config.kind.get(&options.kind).ok_or(format!("kind {:?} is not in the settings", options.kind))?;
+    let kind = config
+        .kind
+        .get(&options.kind)
+        .ok_or(format!("kind {:?} is not in the settings", options.kind))?;
     let safety = &config.safety;
     let settings = NodeSettings {
         name: options.name,
@@ -84,11 +86,21 @@
         seed: options.seed,
         ..NodeSettings::default()
     };
-    let priorities =
-        config.class.iter().map(|(name, class)| (name.clone(), i64::from(class.priority))).collect();
+    let priorities = config
+        .class
+        .iter()
+        .map(|(name, class)| (name.clone(), i64::from(class.priority)))
+        .collect();
     let (listen, register, record) = (options.listen, options.register, options.record);
-    let options = node::Options { settings, listen, register, record, priorities };
-    smol::block_on(node::run(options, |address| println!("ready {address}"))).map_err(|e| e.to_string())
+    let options = node::Options {
+        settings,
+        listen,
+        register,
+        record,
+        priorities,
+    };
+    smol::block_on(node::run(options, |address| println!("ready {address}")))
+        .map_err(|e| e.to_string())
 }
 
 /// The stand-in register.
@@ -106,7 +118,20 @@
 
 pub fn register(options: RegisterOptions) -> Result<(), String> {
     end_with_parent();
-    let RegisterOptions { listen, delay, gone_after, record } = options;
-    let options = register::Options { listen, delay, gone_after, record };
-    smol::block_on(register::run(options, |address| println!("ready {address}"))).map_err(|e| e.to_string())
+    let RegisterOptions {
+        listen,
+        delay,
+        gone_after,
+        record,
+    } = options;
+    let options = register::Options {
+        listen,
+        delay,
+        gone_after,
+        record,
+    };
+    smol::block_on(register::run(options, |address| {
+        println!("ready {address}")
+    }))
+    .map_err(|e| e.to_string())
 }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -17,7 +17,10 @@
 impl Target {
     pub fn new(server: &str, namespace: &str) -> Self {
         let server = server.trim_start_matches("http://").trim_end_matches('/');
-        Self { client: Client::new(server, 8, vec![]), namespace: namespace.to_owned() }
+        Self {
+            client: Client::new(server, 8, vec![]),
+            namespace: namespace.to_owned(),
+        }
     }
 
     /// One call; errors of the API come as its own words.
@@ -42,23 +45,39 @@
             return Ok(object);
         }
         let code = reply.status.as_u16();
-        let text =
-            format!("{code} {}: {}", meta::text(&object, &["reason"]), meta::text(&object, &["message"]));
+        let text = format!(
+            "{code} {}: {}",
+            meta::text(&object, &["reason"]),
+            meta::text(&object, &["message"])
+        );
         Err(Problem { code, text })
     }
 
-    pub async fn get(&self, resource: &Resource, name: &str, query: &str) -> Result<Value, Problem> {
+    pub async fn get(
+        &self,
+        resource: &Resource,
+        name: &str,
+        query: &str,
+    ) -> Result<Value, Problem> {
         let path = resource.path(self.space(resource), name);
-        self.call(Method::GET, &format!("{path}{query}"), "", None).await
+        self.call(Method::GET, &format!("{path}{query}"), "", None)
+            .await
     }
 
     pub async fn watch(&self, path: &str) -> Result<Lines, Problem> {
         let lines = self.client.lines(path, WITHIN).await;
-        lines.map_err(|e| Problem { code: 0, text: format!("{}: {e}", self.client.address()) })
+        lines.map_err(|e| Problem {
+            code: 0,
+            text: format!("{}: {e}", self.client.address()),
+        })
     }
 
     pub fn space(&self, resource: &Resource) -> &str {
-        if resource.namespaced && self.namespace != "*" { &self.namespace } else { "" }
+        if resource.namespaced && self.namespace != "*" {
+            &self.namespace
+        } else {
+            ""
+        }
     }
 }
 
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -94,15 +94,18 @@
 }
 
 fn resource(word: &str) -> Result<&'static Resource, String> {
-    Resource::called(word)
-        .ok_or(format!("{word:?} is not known: use jobs, pods, nodes, events or namespaces"))
+    Resource::called(word).ok_or(format!(
+        "{word:?} is not known: use jobs, pods, nodes, events or namespaces"
+    ))
 }
 
 fn read(file: &PathBuf) -> Result<Vec<Value>, String> {
     let problem = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut text = String::new();
     if file.as_os_str() == "-" {
-        std::io::stdin().read_to_string(&mut text).map_err(|e| problem(&e))?;
+        std::io::stdin()
+            .read_to_string(&mut text)
+            .map_err(|e| problem(&e))?;
     } else {
         text = std::fs::read_to_string(file).map_err(|e| problem(&e))?;
     }
@@ -117,7 +120,11 @@
             object => objects.push(object),
         }
     }
-    if objects.is_empty() { Err(problem(&"no object in it")) } else { Ok(objects) }
+    if objects.is_empty() {
+        Err(problem(&"no object in it"))
+    } else {
+        Ok(objects)
+    }
 }
 
 pub fn apply(target: &Target, options: ApplyOptions) -> Result<(), String> {
@@ -137,18 +144,37 @@
                 "?fieldValidation=Strict"
             };
             let path = r.path(space, "");
-            let made =
-                target.call(Method::POST, &format!("{path}{query}"), "application/json", Some(&object)).await;
+            let made = target
+                .call(
+                    Method::POST,
+                    &format!("{path}{query}"),
+                    "application/json",
+                    Some(&object),
+                )
+                .await;
             let (done, verb) = match made {
                 Ok(done) => (done, "created"),
                 Err(e) if e.code == 409 && !meta::name(&object).is_empty() => {
                     let path = r.path(space, meta::name(&object));
                     let media = "application/merge-patch+json";
-                    let done =
-                        target.call(Method::PATCH, &format!("{path}{query}"), media, Some(&object)).await?;
+                    let done = target
+                        .call(
+                            Method::PATCH,
+                            &format!("{path}{query}"),
+                            media,
+                            Some(&object),
+                        )
+                        .await?;
                     (done, "configured")
                 }
-                Err(e) => return Err(format!("{}/{}: {}", r.singular, meta::name(&object), e.text)),
+                Err(e) => {
+                    return Err(format!(
+                        "{}/{}: {}",
+                        r.singular,
+                        meta::name(&object),
+                        e.text
+                    ));
+                }
             };
             let dry = if options.dry_run { " (dry run)" } else { "" };
             say!("{}/{} {verb}{dry}", r.singular, meta::name(&done));
@@ -159,14 +185,29 @@
 
 pub fn get(target: &Target, options: GetOptions) -> Result<(), String> {
     let r = resource(&options.resource)?;
-    let space = if options.all_namespaces { "" } else { target.space(r) };
+    let space = if options.all_namespaces {
+        ""
+    } else {
+        target.space(r)
+    };
     let name = options.name.as_deref().unwrap_or("");
     if options.all_namespaces && !name.is_empty() {
         return Err("a name needs a namespace: leave out -A".into());
     }
-    let label = options.selector.as_ref().map(|s| format!("labelSelector={}", encode(s))).unwrap_or_default();
+    let label = options
+        .selector
+        .as_ref()
+        .map(|s| format!("labelSelector={}", encode(s)))
+        .unwrap_or_default();
     smol::block_on(async {
-        let found = target.call(Method::GET, &format!("{}?{label}", r.path(space, name)), "", None).await?;
+        let found = target
+            .call(
+                Method::GET,
+                &format!("{}?{label}", r.path(space, name)),
+                "",
+                None,
+            )
+            .await?;
         let mut items = match found.get("items").and_then(Value::as_array) {
             Some(items) => items.clone(),
             None => vec![found.clone()],
@@ -182,7 +223,10 @@
         }
         let wide = options.output == Output::Wide;
         match options.output {
-            Output::Json => say!("{}", serde_json::to_string_pretty(&found).unwrap_or_default()),
+            Output::Json => say!(
+                "{}",
+                serde_json::to_string_pretty(&found).unwrap_or_default()
+            ),
             Output::Yaml => say!("{}", serde_yaml_ng::to_string(&found).unwrap_or_default()),
             _ if items.is_empty() && !options.watch => say!("none found"),
             _ => say!("{}", show::table(r, &items, wide)),
@@ -191,9 +235,15 @@
             return Ok(());
         }
         let version = meta::text(&found, &["metadata", "resourceVersion"]);
-        let field =
-            if name.is_empty() { String::new() } else { format!("&fieldSelector=metadata.name%3D{name}") };
-        let path = format!("{}?watch=true&resourceVersion={version}&{label}{field}", r.path(space, ""));
+        let field = if name.is_empty() {
+            String::new()
+        } else {
+            format!("&fieldSelector=metadata.name%3D{name}")
+        };
+        let path = format!(
+            "{}?watch=true&resourceVersion={version}&{label}{field}",
+            r.path(space, "")
+        );
         let mut lines = target.watch(&path).await?;
         while let Some(line) = lines.next().await.map_err(|e| e.to_string())? {
             let event: Value = serde_json::from_slice(&line).map_err(|e| e.to_string())?;
@@ -201,7 +251,10 @@
             match (event["type"].as_str().unwrap_or(""), options.output) {
                 ("ERROR", _) => return Err(meta::text(object, &["message"]).to_owned()),
                 (_, Output::Json) => say!("{event}"),
-                (_, Output::Yaml) => say!("---\n{}", serde_yaml_ng::to_string(&event).unwrap_or_default()),
+                (_, Output::Yaml) => say!(
+                    "---\n{}",
+                    serde_yaml_ng::to_string(&event).unwrap_or_default()
+                ),
                 (kind, _) => say!("{kind:<9}{}", show::row(r, object, wide).join("  ")),
             }
         }
@@ -213,7 +266,13 @@
 fn encode(text: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     text.bytes()
-        .map(|b| if plain(b as char) { (b as char).to_string() } else { format!("%{b:02X}") })
+        .map(|b| {
+            if plain(b as char) {
+                (b as char).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
         .collect()
 }
 
@@ -228,18 +287,48 @@
         if r.kind == "Job" {
             let query = format!(
                 "?labelSelector={}",
-                encode(&format!("{}={}", tidespur_api::names::JOB_NAME, options.name))
+                encode(&format!(
+                    "{}={}",
+                    tidespur_api::names::JOB_NAME,
+                    options.name
+                ))
             );
             let pods = target.get(PODS, "", &query).await?;
-            say!("\n{}", show::table(PODS, pods["items"].as_array().map_or(&[], Vec::as_slice), true));
+            say!(
+                "\n{}",
+                show::table(
+                    PODS,
+                    pods["items"].as_array().map_or(&[], Vec::as_slice),
+                    true
+                )
+            );
         }
         if r.kind == "Node" {
-            let query = format!("?fieldSelector={}", encode(&format!("spec.nodeName={}", options.name)));
-            let pods = target.call(Method::GET, &format!("{}{query}", PODS.path("", "")), "", None).await?;
-            say!("\n{}", show::table(PODS, pods["items"].as_array().map_or(&[], Vec::as_slice), true));
+            let query = format!(
+                "?fieldSelector={}",
+                encode(&format!("spec.nodeName={}", options.name))
+            );
+            let pods = target
+                .call(
+                    Method::GET,
+                    &format!("{}{query}", PODS.path("", "")),
+                    "",
+                    None,
+                )
+                .await?;
+            say!(
+                "\n{}",
+                show::table(
+                    PODS,
+                    pods["items"].as_array().map_or(&[], Vec::as_slice),
+                    true
+                )
+            );
         }
-        let query =
-            format!("?fieldSelector={}", encode(&format!("involvedObject.uid={}", meta::uid(&object))));
+        let query = format!(
+            "?fieldSelector={}",
+            encode(&format!("involvedObject.uid={}", meta::uid(&object)))
+        );
         let events = target.get(EVENTS, "", &query).await?;
         let events = events["items"].as_array().cloned().unwrap_or_default();
         if !events.is_empty() {
@@ -258,7 +347,9 @@
     smol::block_on(async {
         let path = r.path(target.space(r), &options.name);
         let body = json!({"kind": "DeleteOptions", "apiVersion": "v1", "propagationPolicy": how});
-        target.call(Method::DELETE, &path, "application/json", Some(&body)).await?;
+        target
+            .call(Method::DELETE, &path, "application/json", Some(&body))
+            .await?;
         say!("{}/{} deleted", r.singular, options.name);
         Ok(())
     })
@@ -268,7 +359,14 @@
     smol::block_on(async {
         let body = json!({"spec": {"unschedulable": on}});
         let path = NODES.path("", node);
-        target.call(Method::PATCH, &path, "application/merge-patch+json", Some(&body)).await?;
+        target
+            .call(
+                Method::PATCH,
+                &path,
+                "application/merge-patch+json",
+                Some(&body),
+            )
+            .await?;
         say!("node/{node} {}", if on { "cordoned" } else { "uncordoned" });
         Ok(())
     })
@@ -283,19 +381,31 @@
         loop {
             let pods = target.call(Method::GET, &path, "", None).await?;
             let items = pods["items"].as_array().cloned().unwrap_or_default();
-            let over = |pod: &Value| matches!(meta::text(pod, &["status", "phase"]), "Succeeded" | "Failed");
+            let over = |pod: &Value| {
+                matches!(
+                    meta::text(pod, &["status", "phase"]),
+                    "Succeeded" | "Failed"
+                )
+            };
             let left: Vec<&Value> = items.iter().filter(|pod| !over(pod)).collect();
             if left.is_empty() {
                 say!("node/{} drained", options.node);
                 return Ok(());
             }
             if clock::now() > until {
-                return Err(format!("{} Pods are still on {}; it stays cordoned", left.len(), options.node));
+                return Err(format!(
+                    "{} Pods are still on {}; it stays cordoned",
+                    left.len(),
+                    options.node
+                ));
             }
             for pod in left {
                 let path = PODS.path(meta::namespace(pod), meta::name(pod));
                 let body = json!({"preconditions": {"uid": meta::uid(pod)}});
-                match target.call(Method::DELETE, &path, "application/json", Some(&body)).await {
+                match target
+                    .call(Method::DELETE, &path, "application/json", Some(&body))
+                    .await
+                {
                     Ok(_) => say!("pod/{} evicted", meta::name(pod)),
                     Err(e) if e.code == 404 || e.code == 409 => {}
                     Err(e) => return Err(e.text),
@@ -309,6 +419,11 @@
 pub fn check_config(options: CheckOptions) -> Result<(), String> {
     let config = children::config(Some(&options.file))?;
     config.policy(0, 0).check().map_err(|e| e.to_string())?;
-    say!("{}: good ({} classes, {} kinds)", options.file.display(), config.class.len(), config.kind.len());
+    say!(
+        "{}: good ({} classes, {} kinds)",
+        options.file.display(),
+        config.class.len(),
+        config.kind.len()
+    );
     Ok(())
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -48,7 +48,10 @@
         "a morning on {} nodes in two halls, with {} planners: {jobs} Jobs",
         options.nodes, options.planners
     );
-    let progress = Arc::new(Progress { jobs, ..Progress::default() });
+    let progress = Arc::new(Progress {
+        jobs,
+        ..Progress::default()
+    });
     let over = Arc::new(AtomicBool::new(false));
     let shown = std::thread::spawn({
         let (progress, over) = (progress.clone(), over.clone());
@@ -63,8 +66,14 @@
     println!("what became of {} tasks:", report.submitted);
     for (what, count) in [
         ("placed", report.placed),
-        ("refused (asking again is harmless; their Jobs did)", report.refused),
-        ("failed (may have run; settled before a repeat)", report.failed),
+        (
+            "refused (asking again is harmless; their Jobs did)",
+            report.refused,
+        ),
+        (
+            "failed (may have run; settled before a repeat)",
+            report.failed,
+        ),
         ("withdrawn by their owner", report.withdrawn),
         ("unanswered", report.unanswered),
         ("with two outcomes", report.twice),
@@ -73,27 +82,37 @@
     }
     println!("Jobs not complete: {}", report.jobs_open);
     match report.broken_rules.as_slice() {
-        [] => println!("all five rules were kept, judged from {} offers and their answers", report.offers),
+        [] => println!(
+            "all five rules were kept, judged from {} offers and their answers",
+            report.offers
+        ),
         broken => println!("BROKEN: {}", broken.join(", ")),
     }
     for one in &report.breaks {
         println!("  {:.3} {}: {}", one.at, one.rule, one.what);
     }
-    Ok(report.broken_rules.is_empty() && report.unanswered == 0 && report.twice == 0 && report.submitted > 0)
+    Ok(report.broken_rules.is_empty()
+        && report.unanswered == 0
+        && report.twice == 0
+        && report.submitted > 0)
 }
 
 /// Draws how far the day is, until it is over.
 fn show(progress: &Progress, over: &AtomicBool) {
     let bar = indicatif::ProgressBar::new(progress.jobs as u64);
-    if let Ok(style) =
-        indicatif::ProgressStyle::with_template("{elapsed:>4} {wide_bar} {pos}/{len} Jobs done; {msg}")
-    {
+    if let Ok(style) = indicatif::ProgressStyle::with_template(
+        "{elapsed:>4} {wide_bar} {pos}/{len} Jobs done; {msg}",
+    ) {
         bar.set_style(style);
     }
     let mut told = String::new();
     while !over.load(Ordering::Relaxed) {
         bar.set_position(progress.done.load(Ordering::Relaxed) as u64);
-        let trouble = progress.trouble.lock().map(|t| t.clone()).unwrap_or_default();
+        let trouble = progress
+            .trouble
+            .lock()
+            .map(|t| t.clone())
+            .unwrap_or_default();
         if trouble != told {
             bar.println(format!("now: {trouble}"));
             // Without a terminal nothing is drawn, and the line is printed plainly.
@@ -102,7 +121,10 @@
             }
             told = trouble;
         }
-        bar.set_message(format!("{} submitted", progress.submitted.load(Ordering::Relaxed)));
+        bar.set_message(format!(
+            "{} submitted",
+            progress.submitted.load(Ordering::Relaxed)
+        ));
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     bar.finish_and_clear();
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -35,7 +35,9 @@
         match tidespur_api::Resource::called(resource).map(|r| r.kind) {
             Some("Pod") => pod(target, name, options.json).await,
             Some("Job") => job(target, name, options.json).await,
-            _ => Err(format!("{resource}: only jobs and pods wait; use job or pod")),
+            _ => Err(format!(
+                "{resource}: only jobs and pods wait; use job or pod"
+            )),
         }
     })
 }
@@ -53,7 +55,10 @@
     let object = target.get(PODS, name, "").await?;
     let record = record(target, name).await?;
     if json {
-        say!("{}", serde_json::to_string_pretty(&record).unwrap_or_default());
+        say!(
+            "{}",
+            serde_json::to_string_pretty(&record).unwrap_or_default()
+        );
         return Ok(());
     }
     let node = meta::text(&object, &["spec", "nodeName"]);
@@ -61,13 +66,18 @@
     let waits = task::waits(&object);
     match (waits, node) {
         (true, _) => say!("pod/{name} waits"),
-        (false, "") => say!("pod/{name} is {phase}: {}", meta::text(&object, &["status", "message"])),
+        (false, "") => say!(
+            "pod/{name} is {phase}: {}",
+            meta::text(&object, &["status", "message"])
+        ),
         (false, node) => say!("pod/{name} was placed on {node} and is {phase}"),
     }
     match record {
         Some(record) => timeline(&record, waits),
         None if waits => say!("  no reason has been told yet; ask again in a second"),
-        None => say!("  it did not wait long enough for a record, or that record is no longer kept"),
+        None => {
+            say!("  it did not wait long enough for a record, or that record is no longer kept")
+        }
     }
     Ok(())
 }
@@ -91,16 +101,33 @@
         );
         if let Some(word) = record["word"].as_object() {
             let left = |key: &str| {
-                word.get(key).and_then(Value::as_f64).unwrap_or(0.0) - (now - number(record, "seen"))
+                word.get(key).and_then(Value::as_f64).unwrap_or(0.0)
+                    - (now - number(record, "seen"))
             };
-            say!("  it can be sent for {:.1} s more", left("sendable_for").max(0.0));
-            for answer in word.get("answers").and_then(Value::as_array).into_iter().flatten() {
-                say!("  {} answered: {}", answer[0].as_str().unwrap_or(""), answer[1].as_str().unwrap_or(""));
+            say!(
+                "  it can be sent for {:.1} s more",
+                left("sendable_for").max(0.0)
+            );
+            for answer in word
+                .get("answers")
+                .and_then(Value::as_array)
+                .into_iter()
+                .flatten()
+            {
+                say!(
+                    "  {} answered: {}",
+                    answer[0].as_str().unwrap_or(""),
+                    answer[1].as_str().unwrap_or("")
+                );
             }
         }
     }
     for span in record["spans"].as_array().into_iter().flatten() {
-        let until = if span["over"] == true { seconds(now, number(span, "last")) } else { "now".into() };
+        let until = if span["over"] == true {
+            seconds(now, number(span, "last"))
+        } else {
+            "now".into()
+        };
         let times = match span["count"].as_u64() {
             Some(0 | 1) | None => String::new(),
             Some(count) => format!(", {count} times"),
@@ -110,13 +137,19 @@
             Some(nodes) => format!(" ({nodes} nodes)"),
         };
         let (code, source) = (meta::text(span, &["code"]), meta::text(span, &["source"]));
-        say!("  {source:<9}{code}{nodes}: from {} to {until}{times}", seconds(now, number(span, "first")));
+        say!(
+            "  {source:<9}{code}{nodes}: from {} to {until}{times}",
+            seconds(now, number(span, "first"))
+        );
     }
 }
 
 async fn job(target: &Target, name: &str, json: bool) -> Result<(), String> {
     let job = target.get(JOBS, name, "").await?;
-    let query = format!("?labelSelector={}%3D{name}", names::JOB_NAME.replace('/', "%2F"));
+    let query = format!(
+        "?labelSelector={}%3D{name}",
+        names::JOB_NAME.replace('/', "%2F")
+    );
     let pods = target.get(PODS, "", &query).await?;
     let pods = pods["items"].as_array().cloned().unwrap_or_default();
     let waits: Vec<&Value> = pods.iter().filter(|pod| task::waits(pod)).collect();
@@ -125,7 +158,11 @@
         if meta::at(&job, &["spec", "suspend"]) == true {
             say!("  owner    it is suspended: nothing of it may run");
         }
-        for condition in meta::at(&job, &["status", "conditions"]).as_array().into_iter().flatten() {
+        for condition in meta::at(&job, &["status", "conditions"])
+            .as_array()
+            .into_iter()
+            .flatten()
+        {
             if condition["type"] == names::WAITING && condition["status"] == "True" {
                 say!("  owner    {}", meta::text(condition, &["message"]));
             }
@@ -140,10 +177,16 @@
 async fn fleet(target: &Target, json: bool) -> Result<(), String> {
     let fleet = target.call(Method::GET, "/debug/waits", "", None).await?;
     if json {
-        say!("{}", serde_json::to_string_pretty(&fleet).unwrap_or_default());
+        say!(
+            "{}",
+            serde_json::to_string_pretty(&fleet).unwrap_or_default()
+        );
         return Ok(());
     }
-    say!("{} tasks have a record; a task counts under each of its reasons, in each zone", fleet["waiting"]);
+    say!(
+        "{} tasks have a record; a task counts under each of its reasons, in each zone",
+        fleet["waiting"]
+    );
     let mut table = comfy_table::Table::new();
     table.load_preset(comfy_table::presets::NOTHING);
     table.set_header([
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -28,8 +28,10 @@
     smol::block_on(async {
         let mut shown = None;
         loop {
-            let told =
-                target.call(Method::GET, "/debug/fleet", "", None).await.map_err(|problem| problem.text)?;
+            let told = target
+                .call(Method::GET, "/debug/fleet", "", None)
+                .await
+                .map_err(|problem| problem.text)?;
             let now = standings(&told);
             if shown.as_ref() != Some(&now) {
                 show(&told, json);
@@ -46,7 +48,10 @@
 /// What a change of makes `--watch` show it again.
 fn standings(told: &Value) -> Vec<Value> {
     let members = told["members"].as_array().map_or(&[][..], Vec::as_slice);
-    let mut all: Vec<Value> = members.iter().flat_map(|m| [m["name"].clone(), m["state"].clone()]).collect();
+    let mut all: Vec<Value> = members
+        .iter()
+        .flat_map(|m| [m["name"].clone(), m["state"].clone()])
+        .collect();
     all.push(told["settled"].clone());
     all
 }
@@ -56,7 +61,13 @@
         say!("{}", serde_json::to_string_pretty(told).unwrap_or_default());
         return;
     }
-    let text = |value: &Value| value.as_str().filter(|text| !text.is_empty()).unwrap_or("-").to_owned();
+    let text = |value: &Value| {
+        value
+            .as_str()
+            .filter(|text| !text.is_empty())
+            .unwrap_or("-")
+            .to_owned()
+    };
     say!(
         "{:<20} {:<8} {:<12} {:<8} {:>17} {:>7} {:>6} {:>6}",
         "NAME",
@@ -69,7 +80,11 @@
         "FOR"
     );
     for member in told["members"].as_array().into_iter().flatten() {
-        let seconds = |key: &str| member[key].as_f64().map_or("-".into(), |age| format!("{age:.0}s"));
+        let seconds = |key: &str| {
+            member[key]
+                .as_f64()
+                .map_or("-".into(), |age| format!("{age:.0}s"))
+        };
         say!(
             "{:<20} {:<8} {:<12} {:<8} {:>17} {:>7} {:>6} {:>6}",
             text(&member["name"]),
@@ -78,10 +93,20 @@
             text(&member["state"]),
             member["incarnation"],
             seconds("factsAge"),
-            member["open"].as_u64().map_or("-".into(), |open| open.to_string()),
+            member["open"]
+                .as_u64()
+                .map_or("-".into(), |open| open.to_string()),
             seconds("for"),
         );
     }
-    let settled = if told["settled"] == true { "all live members see the same" } else { "not settled" };
-    say!("{} live, as {} sees them; {settled}", told["live"], text(&told["asked"]));
+    let settled = if told["settled"] == true {
+        "all live members see the same"
+    } else {
+        "not settled"
+    };
+    say!(
+        "{} live, as {} sees them; {settled}",
+        told["live"],
+        text(&told["asked"])
+    );
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -21,7 +21,13 @@
 )]
 struct Arguments {
     /// Address of an edge's API
-    #[arg(long, short = 's', global = true, env = "TIDESPUR_API", default_value = "127.0.0.1:8001")]
+    #[arg(
+        long,
+        short = 's',
+        global = true,
+        env = "TIDESPUR_API",
+        default_value = "127.0.0.1:8001"
+    )]
     server: String,
     /// Namespace
     #[arg(long, short, global = true, default_value = "default")]
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -36,11 +36,26 @@
 /// Column heads of a resource.
 pub fn heads(resource: &Resource, wide: bool) -> Vec<&'static str> {
     let (narrow, more): (&[&'static str], &[&'static str]) = match resource.kind {
-        "Job" => (&["NAME", "STATUS", "COMPLETIONS", "ACTIVE", "FAILED", "AGE"], &["CLASS", "READY"]),
-        "Pod" => (&["NAME", "STATUS", "NODE", "AGE"], &["CLASS", "CPU", "MEMORY", "MESSAGE"]),
-        "Node" => {
-            (&["NAME", "STATUS", "ZONE", "RACK", "KIND", "FREE-CPU", "FREE-MEMORY"], &["ADDRESS", "UP"])
-        }
+        "Job" => (
+            &["NAME", "STATUS", "COMPLETIONS", "ACTIVE", "FAILED", "AGE"],
+            &["CLASS", "READY"],
+        ),
+        "Pod" => (
+            &["NAME", "STATUS", "NODE", "AGE"],
+            &["CLASS", "CPU", "MEMORY", "MESSAGE"],
+        ),
+        "Node" => (
+            &[
+                "NAME",
+                "STATUS",
+                "ZONE",
+                "RACK",
+                "KIND",
+                "FREE-CPU",
+                "FREE-MEMORY",
+            ],
+            &["ADDRESS", "UP"],
+        ),
         "Event" => (&["LAST", "TYPE", "REASON", "OBJECT", "MESSAGE"], &[]),
         _ => (&["NAME", "STATUS", "AGE"], &[]),
     };
@@ -62,28 +77,58 @@
                 () if meta::has_condition(object, "Suspended") => "Suspended",
                 () => "Running",
             };
-            let wanted =
-                meta::at(object, &["spec", "completions"]).as_i64().map_or("1+".into(), |n| n.to_string());
+            let wanted = meta::at(object, &["spec", "completions"])
+                .as_i64()
+                .map_or("1+".into(), |n| n.to_string());
             let done = format!("{}/{wanted}", number(object, &["status", "succeeded"]));
-            let (active, failed) =
-                (number(object, &["status", "active"]), number(object, &["status", "failed"]));
+            let (active, failed) = (
+                number(object, &["status", "active"]),
+                number(object, &["status", "failed"]),
+            );
             vec![name, status.into(), done, active, failed, age(object)]
         }
         "Pod" => {
             let reason = text(&["status", "reason"]);
-            let status = if reason.is_empty() { text(&["status", "phase"]) } else { reason };
+            let status = if reason.is_empty() {
+                text(&["status", "phase"])
+            } else {
+                reason
+            };
             vec![name, status, text(&["spec", "nodeName"]), age(object)]
         }
         "Node" => {
             let off = meta::at(object, &["spec", "unschedulable"]) == true;
-            let status = if off { "Ready,SchedulingDisabled" } else { "Ready" };
-            let place = vec![name, status.into(), label(names::ZONE), label(names::RACK), label(names::KIND)];
-            [place, vec![note(names::FREE_CORES), note(names::FREE_MEMORY)]].concat()
+            let status = if off {
+                "Ready,SchedulingDisabled"
+            } else {
+                "Ready"
+            };
+            let place = vec![
+                name,
+                status.into(),
+                label(names::ZONE),
+                label(names::RACK),
+                label(names::KIND),
+            ];
+            [
+                place,
+                vec![note(names::FREE_CORES), note(names::FREE_MEMORY)],
+            ]
+            .concat()
         }
         "Event" => {
-            let about =
-                format!("{}/{}", text(&["involvedObject", "kind"]), text(&["involvedObject", "name"]));
-            vec![text(&["lastTimestamp"]), text(&["type"]), text(&["reason"]), about, text(&["message"])]
+            let about = format!(
+                "{}/{}",
+                text(&["involvedObject", "kind"]),
+                text(&["involvedObject", "name"])
+            );
+            vec![
+                text(&["lastTimestamp"]),
+                text(&["type"]),
+                text(&["reason"]),
+                about,
+                text(&["message"]),
+            ]
         }
         _ => vec![name, text(&["status", "phase"]), age(object)],
     };
@@ -97,9 +142,13 @@
             "Pod" => {
                 let class = text(&["spec", "priorityClassName"]);
                 let conditions = meta::at(object, &["status", "conditions"]).as_array();
-                let waits = conditions.into_iter().flatten().find(|c| c["reason"] == "Unschedulable");
-                let message =
-                    waits.map_or(text(&["status", "message"]), |c| meta::text(c, &["message"]).to_owned());
+                let waits = conditions
+                    .into_iter()
+                    .flatten()
+                    .find(|c| c["reason"] == "Unschedulable");
+                let message = waits.map_or(text(&["status", "message"]), |c| {
+                    meta::text(c, &["message"]).to_owned()
+                });
                 vec![class, format!("{cores}"), format!("{memory}Gi"), message]
             }
             "Node" => vec![note(names::ADDRESS), note(names::UP_SINCE)],
@@ -112,7 +161,9 @@
 /// A table of objects.
 pub fn table(resource: &Resource, objects: &[Value], wide: bool) -> String {
     let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_content_arrangement(ContentArrangement::Disabled);
+    table
+        .load_preset(presets::NOTHING)
+        .set_content_arrangement(ContentArrangement::Disabled);
     table.set_header(heads(resource, wide));
     for object in objects {
         table.add_row(row(resource, object, wide));
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -40,8 +40,8 @@
 }
 
 pub fn layout(nodes: usize, planners: usize, seed: u64) -> Result<Layout, String> {
-    let program =
-        std::env::current_exe().map_err(|e| format!("the path of this program is not known: {e}"))?;
+    let program = std::env::current_exe()
+        .map_err(|e| format!("the path of this program is not known: {e}"))?;
     if nodes == 0 || planners == 0 || nodes > 500 || planners > 100 {
         return Err("--nodes must be from 1 to 500 and --planners from 1 to 100".into());
     }
@@ -60,7 +60,8 @@
     smol::block_on(async {
         // Before anything is started, so that no signal is missed.
         let signals = [async_signal::Signal::Int, async_signal::Signal::Term];
-        let mut signals = async_signal::Signals::new(signals).map_err(|e| format!("signals: {e}"))?;
+        let mut signals =
+            async_signal::Signals::new(signals).map_err(|e| format!("signals: {e}"))?;
         let starting = async {
             let cluster = smol::unblock(move || Cluster::start(layout)).await?;
             cluster.wait_ready(60.0).await?;
@@ -70,11 +71,14 @@
             signals.next().await;
             Ok(None)
         };
-        let Some(cluster) = futures_lite::future::or(starting, stopped).await? else { return Ok(()) };
+        let Some(cluster) = futures_lite::future::or(starting, stopped).await? else {
+            return Ok(());
+        };
         if let Some(path) = &options.ready_file {
             // Written whole and then named, so that nobody reads half an address.
             let part = path.with_extension("part");
-            let written = std::fs::write(&part, cluster.api(0)).and_then(|()| std::fs::rename(&part, path));
+            let written =
+                std::fs::write(&part, cluster.api(0)).and_then(|()| std::fs::rename(&part, path));
             written.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         println!("the API is at http://{}; end with Ctrl-C", cluster.api(0));
@@ -103,9 +107,15 @@
             match action {
                 Action::Wait(name, pause) => {
                     let gone = name.starts_with("edge") && !keeps;
-                    let lost = if gone { "; the objects that it held are gone" } else { "" };
+                    let lost = if gone {
+                        "; the objects that it held are gone"
+                    } else {
+                        ""
+                    };
                     let how = ended.get(&name).map_or("", String::as_str);
-                    eprintln!("tidespur: {name} has ended ({how}){lost}; it is started again in {pause} s");
+                    eprintln!(
+                        "tidespur: {name} has ended ({how}){lost}; it is started again in {pause} s"
+                    );
                 }
                 Action::Start(name) => {
                     let done;
@@ -119,13 +129,18 @@
                     .await;
                     match done {
                         Ok(()) => {
-                            let id = cluster.children().into_iter().find(|(child, _)| *child == name);
+                            let id = cluster
+                                .children()
+                                .into_iter()
+                                .find(|(child, _)| *child == name);
                             println!("{name} runs as process {}", id.map_or(0, |(_, id)| id));
                         }
                         Err(problem) => eprintln!("tidespur: {problem}"),
                     }
                 }
-                Action::GiveUp(name) => return Err(format!("{name} ends again and again; see its log")),
+                Action::GiveUp(name) => {
+                    return Err(format!("{name} ends again and again; see its log"));
+                }
             }
         }
     }
@@ -155,13 +170,20 @@
     let mut layout = layout(options.nodes, options.planners, 1)?;
     layout.logs = Some(scratch.path().join("logs"));
     let (watchers, each) = (options.watchers.max(1), options.each.max(1));
-    let mut all = vec![tidespur_rig::measure::measure(layout.clone(), watchers, each)?];
+    let mut all = vec![tidespur_rig::measure::measure(
+        layout.clone(),
+        watchers,
+        each,
+    )?];
     if let Some(folder) = options.data {
         layout.data = Some(folder);
         all.push(tidespur_rig::measure::measure(layout, watchers, each)?);
     }
     for figures in all {
-        println!("{}", serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?
+        );
     }
     Ok(())
 }
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -55,18 +55,45 @@
         check(r, "GET", path, "", "", 200, "");
     }
     check(r, "GET", "/nothing", "", "", 404, "NotFound");
-    check(r, "GET", "/apis/apps/v1/deployments", "", "", 404, "NotFound");
+    check(
+        r,
+        "GET",
+        "/apis/apps/v1/deployments",
+        "",
+        "",
+        404,
+        "NotFound",
+    );
     check(r, "PUT", PODS, JSON, "{}", 405, "MethodNotAllowed");
-    check(r, "POST", "/api/v1/nodes", JSON, r#"{"metadata":{"name":"x"}}"#, 405, "MethodNotAllowed");
+    check(
+        r,
+        "POST",
+        "/api/v1/nodes",
+        JSON,
+        r#"{"metadata":{"name":"x"}}"#,
+        405,
+        "MethodNotAllowed",
+    );
     check(r, "GET", &format!("{JOBS}/none"), "", "", 404, "NotFound");
-    check(r, "POST", "/api/v1/namespaces/none/pods", JSON, &pod("a").to_string(), 404, "NotFound");
+    check(
+        r,
+        "POST",
+        "/api/v1/namespaces/none/pods",
+        JSON,
+        &pod("a").to_string(),
+        404,
+        "NotFound",
+    );
 
     let quiet = job_value("quiet", "termin-web", 1, 1.0)
         .to_string()
         .replace("\"spec\":{\"comp", "\"spec\":{\"suspend\":true,\"comp");
     let made = check(r, "POST", JOBS, JSON, &quiet, 201, "");
     assert_eq!(
-        (made["spec"]["backoffLimit"].as_i64(), made["metadata"]["generation"].as_i64()),
+        (
+            made["spec"]["backoffLimit"].as_i64(),
+            made["metadata"]["generation"].as_i64()
+        ),
         (Some(6), Some(1))
     );
     check(r, "POST", JOBS, JSON, &quiet, 409, "AlreadyExists");
@@ -81,7 +108,15 @@
         "",
     );
     assert_eq!(dry["metadata"]["labels"]["a"], "dry");
-    check(r, "PATCH", &one, MERGE, r#"{"metadata":{"labels":{"a":"1","b":"2"}}}"#, 200, "");
+    check(
+        r,
+        "PATCH",
+        &one,
+        MERGE,
+        r#"{"metadata":{"labels":{"a":"1","b":"2"}}}"#,
+        200,
+        "",
+    );
     let patched = check(
         r,
         "PATCH",
@@ -101,7 +136,15 @@
         422,
         "Invalid",
     );
-    check(r, "PATCH", &one, "text/plain", "{}", 415, "UnsupportedMediaType");
+    check(
+        r,
+        "PATCH",
+        &one,
+        "text/plain",
+        "{}",
+        415,
+        "UnsupportedMediaType",
+    );
     check(
         r,
         "PATCH",
@@ -111,15 +154,47 @@
         200,
         "",
     );
-    check(r, "PATCH", &one, MERGE, r#"{"spec":{"template":{"spec":{"containers":null}}}}"#, 422, "Invalid");
-    check(r, "PATCH", &one, MERGE, r#"{"metadata":{"resourceVersion":"1"}}"#, 409, "Conflict");
+    check(
+        r,
+        "PATCH",
+        &one,
+        MERGE,
+        r#"{"spec":{"template":{"spec":{"containers":null}}}}"#,
+        422,
+        "Invalid",
+    );
+    check(
+        r,
+        "PATCH",
+        &one,
+        MERGE,
+        r#"{"metadata":{"resourceVersion":"1"}}"#,
+        409,
+        "Conflict",
+    );
     let mut stale = patched.clone();
     stale["spec"]["parallelism"] = json!(3);
     check(r, "PUT", &one, JSON, &stale.to_string(), 409, "Conflict");
     let body = r#"{"preconditions":{"uid":"other"}}"#;
     check(r, "DELETE", &one, JSON, body, 409, "Conflict");
-    check(r, "DELETE", &one, JSON, r#"{"propagationPolicy":"Sideways"}"#, 400, "BadRequest");
-    let list = check(r, "GET", &format!("{JOBS}?labelSelector=a%3D1,!c"), "", "", 200, "");
+    check(
+        r,
+        "DELETE",
+        &one,
+        JSON,
+        r#"{"propagationPolicy":"Sideways"}"#,
+        400,
+        "BadRequest",
+    );
+    let list = check(
+        r,
+        "GET",
+        &format!("{JOBS}?labelSelector=a%3D1,!c"),
+        "",
+        "",
+        200,
+        "",
+    );
     assert_eq!(list["items"].as_array().unwrap().len(), 1);
     for (query, reason) in [
         ("labelSelector=a%3D%3D%3D(", ""),
@@ -130,24 +205,58 @@
         ("continue=zzz", "BadRequest"),
     ] {
         let (status, object) = r.send("GET", &format!("{JOBS}?{query}"), "", "");
-        assert!(reason.is_empty() || (status == 400 && object["reason"] == reason), "{query}: {object}");
+        assert!(
+            reason.is_empty() || (status == 400 && object["reason"] == reason),
+            "{query}: {object}"
+        );
     }
-    check(r, "GET", &format!("{JOBS}?watch=1&resourceVersion=1"), "", "", 410, "Expired");
-    check(r, "GET", &format!("{JOBS}?resourceVersion=99999999999999999"), "", "", 504, "Timeout");
+    check(
+        r,
+        "GET",
+        &format!("{JOBS}?watch=1&resourceVersion=1"),
+        "",
+        "",
+        410,
+        "Expired",
+    );
+    check(
+        r,
+        "GET",
+        &format!("{JOBS}?resourceVersion=99999999999999999"),
+        "",
+        "",
+        504,
+        "Timeout",
+    );
     check(r, "DELETE", &one, JSON, "", 200, "");
     check(r, "DELETE", &one, JSON, "", 404, "NotFound");
 
     let generated =
-        json!({"metadata": {"generateName": "g-"}, "spec": {"containers": [{"name": "m"}]}}).to_string();
+        json!({"metadata": {"generateName": "g-"}, "spec": {"containers": [{"name": "m"}]}})
+            .to_string();
     let names: std::collections::BTreeSet<String> = (0..3)
         .map(|_| {
-            check(r, "POST", PODS, JSON, &generated, 201, "")["metadata"]["name"].as_str().unwrap().to_owned()
+            check(r, "POST", PODS, JSON, &generated, 201, "")["metadata"]["name"]
+                .as_str()
+                .unwrap()
+                .to_owned()
         })
         .collect();
     assert_eq!(names.len(), 3);
     let first = check(r, "GET", &format!("{PODS}?limit=2"), "", "", 200, "");
-    let token = first["metadata"]["continue"].as_str().unwrap().replace('/', "%2F");
-    let rest = check(r, "GET", &format!("{PODS}?limit=2&continue={token}"), "", "", 200, "");
+    let token = first["metadata"]["continue"]
+        .as_str()
+        .unwrap()
+        .replace('/', "%2F");
+    let rest = check(
+        r,
+        "GET",
+        &format!("{PODS}?limit=2&continue={token}"),
+        "",
+        "",
+        200,
+        "",
+    );
     assert_eq!(rest["items"].as_array().unwrap().len(), 1);
     check(r, "DELETE", PODS, JSON, "", 200, "");
     assert_eq!(check(r, "GET", PODS, "", "", 200, "")["items"], json!([]));
@@ -173,15 +282,30 @@
         ("{", 400, "BadRequest", "JSON"),
         ("", 400, "BadRequest", "JSON"),
         (deep.as_str(), 400, "BadRequest", "recursion"),
-        (r#"{"metadata":{"name":"a"},"spec":{"containers":"none"}}"#, 400, "BadRequest", "spec.containers"),
-        (r#"{"kind":"Job","metadata":{"name":"a"}}"#, 400, "BadRequest", "kind"),
+        (
+            r#"{"metadata":{"name":"a"},"spec":{"containers":"none"}}"#,
+            400,
+            "BadRequest",
+            "spec.containers",
+        ),
+        (
+            r#"{"kind":"Job","metadata":{"name":"a"}}"#,
+            400,
+            "BadRequest",
+            "kind",
+        ),
         (
             r#"{"metadata":{"name":"A_"},"spec":{"containers":[{"name":"m"}]}}"#,
             422,
             "Invalid",
             "metadata.name",
         ),
-        (r#"{"metadata":{"name":"a"},"spec":{"containers":[]}}"#, 422, "Invalid", "spec.containers"),
+        (
+            r#"{"metadata":{"name":"a"},"spec":{"containers":[]}}"#,
+            422,
+            "Invalid",
+            "spec.containers",
+        ),
         (
             r#"{"metadata":{"name":"a"},"spec":{"nodeName":"n","containers":[{"name":"m"}]}}"#,
             422,
@@ -196,49 +320,92 @@
         ),
     ] {
         let error = check(r, "POST", PODS, JSON, body, code, reason);
-        assert!(error["message"].as_str().unwrap().contains(says), "{says}: {error}");
+        assert!(
+            error["message"].as_str().unwrap().contains(says),
+            "{says}: {error}"
+        );
     }
     for quantity in ["-1", "1e400", "9E", "1.2.3", "NaN", "", "1 Gi", "infinity"] {
         let body = json!({"metadata": {"name": "a"}, "spec": {"containers": [{"name": "m", "resources": {"requests": {"cpu": quantity}}}]}});
         let error = check(r, "POST", PODS, JSON, &body.to_string(), 422, "Invalid");
-        assert_eq!(error["details"]["causes"][0]["field"], "spec.containers[0].resources.requests[cpu]");
+        assert_eq!(
+            error["details"]["causes"][0]["field"],
+            "spec.containers[0].resources.requests[cpu]"
+        );
     }
-    let twice = r#"{"metadata":{"name":"a","name":"b"},"spec":{"containers":[{"name":"m"}],"colour":1}}"#;
-    let error = check(r, "POST", &format!("{PODS}?fieldValidation=Strict"), JSON, twice, 400, "BadRequest");
+    let twice =
+        r#"{"metadata":{"name":"a","name":"b"},"spec":{"containers":[{"name":"m"}],"colour":1}}"#;
+    let error = check(
+        r,
+        "POST",
+        &format!("{PODS}?fieldValidation=Strict"),
+        JSON,
+        twice,
+        400,
+        "BadRequest",
+    );
     let message = error["message"].as_str().unwrap();
-    assert!(message.contains("metadata.name") && message.contains("spec.colour"), "{message}");
+    assert!(
+        message.contains("metadata.name") && message.contains("spec.colour"),
+        "{message}"
+    );
     let request = format!(
         "POST {PODS}?dryRun=All HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{twice}",
         twice.len()
     );
     let warned = r.raw(request.as_bytes());
     assert!(
-        warned.starts_with("HTTP/1.1 201") && warned.contains("299 - \"unknown field 'spec.colour'\""),
+        warned.starts_with("HTTP/1.1 201")
+            && warned.contains("299 - \"unknown field 'spec.colour'\""),
         "{warned}"
     );
 
-    let huge =
-        format!("{{\"metadata\":{{\"name\":\"a\",\"annotations\":{{\"x\":\"{}\"}}}}}}", "x".repeat(10 << 20));
+    let huge = format!(
+        "{{\"metadata\":{{\"name\":\"a\",\"annotations\":{{\"x\":\"{}\"}}}}}}",
+        "x".repeat(10 << 20)
+    );
     check(r, "POST", PODS, JSON, &huge, 413, "RequestEntityTooLarge");
     let request = |rest: &str| format!("POST {PODS} HTTP/1.1\r\nhost: x\r\n{rest}");
     // A body that never comes whole, and a head that never does.
-    assert!(r.raw(request("content-length: 100\r\n\r\n{").as_bytes()).starts_with("HTTP/1.1 408"));
+    assert!(
+        r.raw(request("content-length: 100\r\n\r\n{").as_bytes())
+            .starts_with("HTTP/1.1 408")
+    );
     let trickled = r.raw(b"GET /api HTTP/1.1\r\nhost:");
-    assert!(trickled.is_empty() || trickled.starts_with("HTTP/1.1 4"), "{trickled}");
+    assert!(
+        trickled.is_empty() || trickled.starts_with("HTTP/1.1 4"),
+        "{trickled}"
+    );
     let flood: String = (0..500).map(|i| format!("x-{i}: y\r\n")).collect();
-    assert!(r.raw(request(&format!("{flood}\r\n")).as_bytes()).starts_with("HTTP/1.1 431"));
-    assert!(r.raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n").starts_with("HTTP/1.1 400"));
+    assert!(
+        r.raw(request(&format!("{flood}\r\n")).as_bytes())
+            .starts_with("HTTP/1.1 431")
+    );
+    assert!(
+        r.raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")
+            .starts_with("HTTP/1.1 400")
+    );
 
     // A frame of another version, and garbage, on the link: the planner that is there keeps its place.
     use std::io::{Read, Write};
     for bytes in [&[0, 0, 0, 1, 0, 9, 0][..], &[0xff; 64][..]] {
-        let mut link = std::net::TcpStream::connect(&running.cluster.edges[0].addresses[1]).unwrap();
-        link.set_read_timeout(Some(std::time::Duration::from_secs(30))).unwrap();
+        let mut link =
+            std::net::TcpStream::connect(&running.cluster.edges[0].addresses[1]).unwrap();
+        link.set_read_timeout(Some(std::time::Duration::from_secs(30)))
+            .unwrap();
         link.write_all(bytes).unwrap();
         // Closed, by end or reset, without a word.
         assert!(matches!(link.read(&mut [0; 16]), Ok(0) | Err(_)));
     }
-    check(r, "POST", JOBS, JSON, &job_value("good", "termin-web", 1, 0.2).to_string(), 201, "");
+    check(
+        r,
+        "POST",
+        JOBS,
+        JSON,
+        &job_value("good", "termin-web", 1, 0.2).to_string(),
+        201,
+        "",
+    );
     running.until("the Job is complete", async || {
         let (_, job) = r.send("GET", &format!("{JOBS}/good"), "", "");
         (job["status"]["succeeded"] == 1).then_some(())
@@ -267,7 +434,10 @@
             429 => {
                 refused += 1;
                 assert_eq!(
-                    (object["reason"].as_str(), object["details"]["retryAfterSeconds"].as_i64()),
+                    (
+                        object["reason"].as_str(),
+                        object["details"]["retryAfterSeconds"].as_i64()
+                    ),
                     (Some("TooManyRequests"), Some(1))
                 );
             }
@@ -285,7 +455,10 @@
     let (_, version) = running.send("GET", "/version", "", "");
     let info: k8s_openapi::apimachinery::pkg::version::Info =
         serde_json::from_value(version.clone()).unwrap();
-    assert_eq!((info.major.as_str(), info.compiler.as_str()), ("1", "rustc"));
+    assert_eq!(
+        (info.major.as_str(), info.compiler.as_str()),
+        ("1", "rustc")
+    );
     let fields = [
         "major",
         "minor",
@@ -298,7 +471,10 @@
         "platform",
     ];
     for field in fields {
-        assert!(version[field].as_str().is_some_and(|text| !text.is_empty()), "{field} in {version}");
+        assert!(
+            version[field].as_str().is_some_and(|text| !text.is_empty()),
+            "{field} in {version}"
+        );
     }
     let mut one = pod("whole");
     one["spec"]["containers"][0]["image"] = "registry.example/web:7".into();
@@ -306,7 +482,13 @@
     check(&running, "POST", PODS, JSON, &one.to_string(), 201, "");
     let node = tidespur_net::Client::new(&running.cluster.nodes[0].addresses[0], 1, vec![]);
     running.until("the node has it", async || {
-        let held = smol::block_on(node.send(hyper::Method::GET, "/api/v1/pods", "", Default::default(), 5.0));
+        let held = smol::block_on(node.send(
+            hyper::Method::GET,
+            "/api/v1/pods",
+            "",
+            Default::default(),
+            5.0,
+        ));
         let spec = held.ok()?.json()["items"].as_array()?.first()?["spec"]["containers"][0].clone();
         assert_eq!(spec["image"], "registry.example/web:7");
         (spec["args"] == json!(["--port", "80"])).then_some(())
@@ -317,9 +499,20 @@
 fn a_field_that_is_not_honoured_is_refused_by_its_name() {
     let running = start(1, 1, |_, _| {});
     let refused = |path: &str, body: Value, field: &str| {
-        let status = check(&running, "POST", path, JSON, &body.to_string(), 422, "Invalid");
+        let status = check(
+            &running,
+            "POST",
+            path,
+            JSON,
+            &body.to_string(),
+            422,
+            "Invalid",
+        );
         let causes = status["details"]["causes"].as_array().unwrap();
-        assert!(causes.iter().any(|cause| cause["field"] == field), "{field}: {status}");
+        assert!(
+            causes.iter().any(|cause| cause["field"] == field),
+            "{field}: {status}"
+        );
     };
     let with = |mut object: Value, path: &[&str], value: Value| {
         let (last, way) = path.split_last().unwrap();
@@ -327,23 +520,95 @@
         object
     };
     let job = || job_value("j", "termin-web", 1, 1.0);
-    refused(JOBS, with(job(), &["spec", "completionMode"], "Indexed".into()), "spec.completionMode");
-    refused(JOBS, with(job(), &["spec", "maxFailedIndexes"], 3.into()), "spec.maxFailedIndexes");
-    refused(JOBS, with(job(), &["metadata", "finalizers"], json!(["x.example/wait"])), "metadata.finalizers");
+    refused(
+        JOBS,
+        with(job(), &["spec", "completionMode"], "Indexed".into()),
+        "spec.completionMode",
+    );
+    refused(
+        JOBS,
+        with(job(), &["spec", "maxFailedIndexes"], 3.into()),
+        "spec.maxFailedIndexes",
+    );
+    refused(
+        JOBS,
+        with(
+            job(),
+            &["metadata", "finalizers"],
+            json!(["x.example/wait"]),
+        ),
+        "metadata.finalizers",
+    );
     let selector = json!({"zone": "a"});
     let at = ["spec", "template", "spec", "nodeSelector"];
-    refused(JOBS, with(job(), &at, selector.clone()), "spec.template.spec.nodeSelector");
-    refused(PODS, with(pod("p"), &["spec", "nodeSelector"], selector), "spec.nodeSelector");
+    refused(
+        JOBS,
+        with(job(), &at, selector.clone()),
+        "spec.template.spec.nodeSelector",
+    );
+    refused(
+        PODS,
+        with(pod("p"), &["spec", "nodeSelector"], selector),
+        "spec.nodeSelector",
+    );
     let grace = "terminationGracePeriodSeconds";
-    refused(PODS, with(pod("p"), &["spec", grace], 30.into()), "spec.terminationGracePeriodSeconds");
+    refused(
+        PODS,
+        with(pod("p"), &["spec", grace], 30.into()),
+        "spec.terminationGracePeriodSeconds",
+    );
     let mut large = pod("p");
     large["spec"]["containers"][0]["resources"]["requests"]["example.com/gpu"] = "1".into();
-    refused(PODS, large, "spec.containers[0].resources.requests.example.com/gpu");
+    refused(
+        PODS,
+        large,
+        "spec.containers[0].resources.requests.example.com/gpu",
+    );
     // What is honoured passes: the one value that is served, and nothing left behind by a refusal.
-    check(&running, "POST", PODS, JSON, &with(pod("p"), &["spec", grace], 0.into()).to_string(), 201, "");
+    check(
+        &running,
+        "POST",
+        PODS,
+        JSON,
+        &with(pod("p"), &["spec", grace], 0.into()).to_string(),
+        201,
+        "",
+    );
     let one = format!("{PODS}/p");
-    check(&running, "DELETE", &format!("{one}?gracePeriodSeconds=30"), "", "", 422, "Invalid");
-    check(&running, "DELETE", &one, JSON, r#"{"gracePeriodSeconds":5}"#, 422, "Invalid");
-    check(&running, "DELETE", &one, JSON, r#"{"gracePeriodSeconds":0}"#, 200, "");
-    check(&running, "GET", &format!("{JOBS}/j"), "", "", 404, "NotFound");
+    check(
+        &running,
+        "DELETE",
+        &format!("{one}?gracePeriodSeconds=30"),
+        "",
+        "",
+        422,
+        "Invalid",
+    );
+    check(
+        &running,
+        "DELETE",
+        &one,
+        JSON,
+        r#"{"gracePeriodSeconds":5}"#,
+        422,
+        "Invalid",
+    );
+    check(
+        &running,
+        "DELETE",
+        &one,
+        JSON,
+        r#"{"gracePeriodSeconds":0}"#,
+        200,
+        "",
+    );
+    check(
+        &running,
+        "GET",
+        &format!("{JOBS}/j"),
+        "",
+        "",
+        404,
+        "NotFound",
+    );
 }
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -73,6 +73,9 @@
     let count = |key: &str| report[key].as_u64().unwrap();
     assert!(count("placed") >= 40, "{text}");
     let answered = count("placed") + count("refused") + count("failed");
-    assert_eq!(count("submitted"), answered + count("withdrawn") + count("lost_with_edge"));
+    assert_eq!(
+        count("submitted"),
+        answered + count("withdrawn") + count("lost_with_edge")
+    );
     assert_eq!(report["seed"], 4);
 }
--- a/crates/cli/tests/common/fleet.rs
+++ b/crates/cli/tests/common/fleet.rs
@@ -31,18 +31,35 @@
 fn own_address() -> String {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let ip = [127, 177 + (process / 250 % 70) as u8, n, 1 + (process % 250) as u8];
-    TcpListener::bind(SocketAddr::from((ip, 0))).unwrap().local_addr().unwrap().to_string()
+    let ip = [
+        127,
+        177 + (process / 250 % 70) as u8,
+        n,
+        1 + (process % 250) as u8,
+    ];
+    TcpListener::bind(SocketAddr::from((ip, 0)))
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string()
 }
 
 pub fn fleet(running: &Running) -> Fleet {
     let folder = tempfile::tempdir().unwrap();
     let at: Vec<String> = (0..3).map(|_| own_address()).collect();
     let links: Vec<String> = (0..3).map(|_| own_address()).collect();
-    let voters: String = at.iter().enumerate().map(|(i, at)| format!("    edge-{i} = \"{at}\"\n")).collect();
+    let voters: String = at
+        .iter()
+        .enumerate()
+        .map(|(i, at)| format!("    edge-{i} = \"{at}\"\n"))
+        .collect();
     let config = folder.path().join("config.hcl");
     let block = format!("ledger {{\n  term = 2\n  voters = {{\n{voters}  }}\n}}\n");
-    std::fs::write(&config, format!("{}\n{block}", patient(tidespur_config::DEFAULT))).unwrap();
+    std::fs::write(
+        &config,
+        format!("{}\n{block}", patient(tidespur_config::DEFAULT)),
+    )
+    .unwrap();
     let mut relays = BTreeMap::new();
     for i in 0..3 {
         let mut routes = String::new();
@@ -55,12 +72,29 @@
     }
     let register = running.cluster.register.addresses[0].clone();
     let edge = |i: usize| {
-        let line = format!("edge --api 127.0.0.1:0 --link {} --register {register}", links[i]);
-        process(folder.path(), &format!("edge-{i}"), &line, &format!("routes-{i}"), true)
+        let line = format!(
+            "edge --api 127.0.0.1:0 --link {} --register {register}",
+            links[i]
+        );
+        process(
+            folder.path(),
+            &format!("edge-{i}"),
+            &line,
+            &format!("routes-{i}"),
+            true,
+        )
     };
     let edges = (0..3).map(edge).collect();
     let (planners, of_planners) = (Vec::new(), BTreeMap::new());
-    Fleet { edges, relays, planners, links: of_planners, at: links, register, folder }
+    Fleet {
+        edges,
+        relays,
+        planners,
+        links: of_planners,
+        at: links,
+        register,
+        folder,
+    }
 }
 
 /// Links bear silence for half a minute: a word that a relay holds comes late and not never.
@@ -69,24 +103,44 @@
         Some((key @ ("planner_patience" | "edge_patience"), _)) => format!("  {key} = 30"),
         _ => line.to_owned(),
     };
-    settings.lines().map(patience).collect::<Vec<_>>().join("\n")
+    settings
+        .lines()
+        .map(patience)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 fn process(folder: &Path, name: &str, line: &str, routes: &str, ready: bool) -> Process {
     let at = |name: &str| folder.join(name).display().to_string();
-    let rest =
-        format!("--name {name} --config {} --data {} --routes {}", at("config.hcl"), at("data"), at(routes));
-    let words = format!("{line} {rest}").split_whitespace().map(str::to_owned).collect();
+    let rest = format!(
+        "--name {name} --config {} --data {} --routes {}",
+        at("config.hcl"),
+        at("data"),
+        at(routes)
+    );
+    let words = format!("{line} {rest}")
+        .split_whitespace()
+        .map(str::to_owned)
+        .collect();
     let log = Some(folder.join(format!("{name}.log")));
-    Process::start(name, env!("CARGO_BIN_EXE_tidespur").into(), words, log, ready).unwrap()
+    Process::start(
+        name,
+        env!("CARGO_BIN_EXE_tidespur").into(),
+        words,
+        log,
+        ready,
+    )
+    .unwrap()
 }
 
 impl Fleet {
     /// Starts one more planner, with a relay on its link to each edge.
     pub fn planner(&mut self) {
         let n = self.planners.len();
-        let (mut routes, mut line) =
-            (String::new(), format!("planner --register {} --ordinal {n}", self.register));
+        let (mut routes, mut line) = (
+            String::new(),
+            format!("planner --register {} --ordinal {n}", self.register),
+        );
         for (j, at) in self.at.iter().enumerate() {
             let relay = smol::block_on(Relay::start(at)).unwrap();
             routes.push_str(&format!("{at} {}\n", relay.address));
@@ -95,7 +149,13 @@
         }
         let file = format!("planner-routes-{n}");
         std::fs::write(self.folder.path().join(&file), routes).unwrap();
-        self.planners.push(process(self.folder.path(), &format!("planner-{n}"), &line, &file, false));
+        self.planners.push(process(
+            self.folder.path(),
+            &format!("planner-{n}"),
+            &line,
+            &file,
+            false,
+        ));
     }
 
     /// What a process has logged.
@@ -107,11 +167,16 @@
 pub fn ask(edge: &Process, method: Method, path: &str) -> Option<(u16, String)> {
     let client = tidespur_net::Client::new(edge.addresses.first()?, 1, vec![]);
     let reply = smol::block_on(client.send(method, path, "", Default::default(), 2.0)).ok()?;
-    Some((reply.status.as_u16(), String::from_utf8_lossy(&reply.body).into_owned()))
+    Some((
+        reply.status.as_u16(),
+        String::from_utf8_lossy(&reply.body).into_owned(),
+    ))
 }
 
 pub fn ledger(edge: &Process) -> Value {
-    let told = ask(edge, Method::GET, "/debug/ledger").map(|(_, text)| text).unwrap_or_default();
+    let told = ask(edge, Method::GET, "/debug/ledger")
+        .map(|(_, text)| text)
+        .unwrap_or_default();
     serde_json::from_str(&told).unwrap_or(Value::Null)
 }
 
@@ -121,7 +186,10 @@
 
 pub fn all_vote_and_one_acts(running: &Running, fleet: &Fleet, what: &str) {
     running.until(what, async || {
-        let votes = fleet.edges.iter().all(|edge| ledger(edge)["standing"] == "voting");
+        let votes = fleet
+            .edges
+            .iter()
+            .all(|edge| ledger(edge)["standing"] == "voting");
         (votes && fleet.edges.iter().filter_map(acts).count() == 1).then_some(())
     });
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -20,18 +20,36 @@
     _one: MutexGuard<'static, ()>,
 }
 
-pub fn start(nodes: usize, planners: usize, change: impl FnOnce(&mut Layout, &std::path::Path)) -> Running {
+pub fn start(
+    nodes: usize,
+    planners: usize,
+    change: impl FnOnce(&mut Layout, &std::path::Path),
+) -> Running {
     let one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = tempfile::tempdir().unwrap();
-    let mut layout = Layout::new(PathBuf::from(env!("CARGO_BIN_EXE_tidespur")), nodes, planners, 5);
+    let mut layout = Layout::new(
+        PathBuf::from(env!("CARGO_BIN_EXE_tidespur")),
+        nodes,
+        planners,
+        5,
+    );
     layout.records = Some(folder.path().join("records"));
     layout.logs = Some(folder.path().join("logs"));
     layout.delay = 0.1;
     change(&mut layout, folder.path());
     let cluster = Cluster::start(layout).unwrap();
     smol::block_on(cluster.wait_ready(60.0)).unwrap();
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    Running { cluster, folder, runtime, _one: one }
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .unwrap();
+    Running {
+        cluster,
+        folder,
+        runtime,
+        _one: one,
+    }
 }
 
 impl Running {
@@ -54,9 +72,17 @@
         let mut lines = Vec::new();
         for entry in std::fs::read_dir(self.folder.path().join("records")).unwrap() {
             let text = std::fs::read_to_string(entry.unwrap().path()).unwrap();
-            lines.extend(text.lines().filter_map(|line| serde_json::from_str(line).ok()));
+            lines.extend(
+                text.lines()
+                    .filter_map(|line| serde_json::from_str(line).ok()),
+            );
         }
-        lines.sort_by(|a: &Value, b: &Value| a["t"].as_f64().unwrap().total_cmp(&b["t"].as_f64().unwrap()));
+        lines.sort_by(|a: &Value, b: &Value| {
+            a["t"]
+                .as_f64()
+                .unwrap()
+                .total_cmp(&b["t"].as_f64().unwrap())
+        });
         lines
     }
 
@@ -67,7 +93,10 @@
             if let Some(found) = self.runtime.block_on(holds()) {
                 return found;
             }
-            assert!(start.elapsed() < Duration::from_secs(60), "still not so: {what}");
+            assert!(
+                start.elapsed() < Duration::from_secs(60),
+                "still not so: {what}"
+            );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -76,7 +105,9 @@
     pub fn raw(&self, bytes: &[u8]) -> String {
         use std::io::{Read, Write};
         let mut socket = std::net::TcpStream::connect(self.cluster.api(0)).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(30)))
+            .unwrap();
         // The edge may close before it has read all of a bad request.
         let _ = socket.write_all(bytes);
         let mut answer = Vec::new();
@@ -109,7 +140,11 @@
             )
             .as_bytes(),
         );
-        let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+        let status = text
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0);
         let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         (status, serde_json::from_str(body).unwrap_or(Value::Null))
     }
@@ -129,15 +164,26 @@
 
 pub fn complete(job: &Job) -> bool {
     let conditions = job.status.as_ref().and_then(|s| s.conditions.as_ref());
-    conditions.is_some_and(|list| list.iter().any(|c| c.type_ == "Complete" && c.status == "True"))
+    conditions.is_some_and(|list| {
+        list.iter()
+            .any(|c| c.type_ == "Complete" && c.status == "True")
+    })
 }
 
 /// How a Pod was answered: `None` where it was not yet.
 pub fn outcome(pod: &Pod) -> Option<&'static str> {
-    let reason = pod.status.as_ref().and_then(|s| s.reason.as_deref()).unwrap_or("");
+    let reason = pod
+        .status
+        .as_ref()
+        .and_then(|s| s.reason.as_deref())
+        .unwrap_or("");
     match reason {
         "PlacementRefused" => Some("refused"),
         "PlacementUnknown" => Some("failed"),
-        _ => pod.spec.as_ref().and_then(|s| s.node_name.as_ref()).map(|_| "placed"),
+        _ => pod
+            .spec
+            .as_ref()
+            .and_then(|s| s.node_name.as_ref())
+            .map(|_| "placed"),
     }
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -31,7 +31,14 @@
         let register = Process::start("register", program, words, log, true).unwrap();
         let at = register.addresses[0].clone();
         let (all, apis) = (BTreeMap::new(), BTreeMap::new());
-        let mut fleet = Self { _register: register, all, apis, seeds: String::new(), register: at, logs };
+        let mut fleet = Self {
+            _register: register,
+            all,
+            apis,
+            seeds: String::new(),
+            register: at,
+            logs,
+        };
         for i in 0..edges {
             fleet.launch(&format!("edge-{i}"));
         }
@@ -50,7 +57,10 @@
         } else {
             format!("planner --ordinal {number} --planners 4")
         };
-        let line = format!("{line} --name {name} --register {}{}", self.register, self.seeds);
+        let line = format!(
+            "{line} --name {name} --register {}{}",
+            self.register, self.seeds
+        );
         let words = line.split(' ').map(str::to_owned).collect();
         let log = Some(self.logs.path().join(format!("{name}.log")));
         let program = PathBuf::from(env!("CARGO_BIN_EXE_tidespur"));
@@ -73,12 +83,17 @@
     fn settle(&self, edges: &[&str], live: &[&str]) {
         let until = clock::now() + WITHIN;
         loop {
-            let views: Vec<Value> =
-                edges.iter().filter_map(|edge| Some(self.ask(edge, "/debug/fleet")?.json())).collect();
+            let views: Vec<Value> = edges
+                .iter()
+                .filter_map(|edge| Some(self.ask(edge, "/debug/fleet")?.json()))
+                .collect();
             let names = |view: &Value| -> Vec<String> {
                 let members = view["members"].as_array().cloned().unwrap_or_default();
-                let live = members.iter().filter(|m| m["state"] == "live" || m["state"] == "doubted");
-                live.map(|m| m["name"].as_str().unwrap_or("").to_owned()).collect()
+                let live = members
+                    .iter()
+                    .filter(|m| m["state"] == "live" || m["state"] == "doubted");
+                live.map(|m| m["name"].as_str().unwrap_or("").to_owned())
+                    .collect()
             };
             let good = |view: &Value| view["settled"] == true && names(view) == live;
             if views.len() == edges.len() && views.iter().all(good) {
@@ -92,7 +107,10 @@
     /// Waits until so many planners are linked to this edge.
     fn linked(&self, edge: &str, planners: usize) {
         let (until, wanted) = (clock::now() + WITHIN, format!("ok, planners: {planners}"));
-        while self.ask(edge, "/readyz").is_none_or(|reply| reply.body != wanted.as_bytes()) {
+        while self
+            .ask(edge, "/readyz")
+            .is_none_or(|reply| reply.body != wanted.as_bytes())
+        {
             assert!(clock::now() < until, "{edge} has not {planners} planners");
             smol::block_on(clock::sleep(0.1));
         }
@@ -103,21 +121,36 @@
 fn edges_and_planners_find_each_other_and_settle_after_kills_and_stops() {
     let mut fleet = Fleet::start(2, 4);
     let both = ["edge-0", "edge-1"];
-    let whole = ["edge-0", "edge-1", "planner-0", "planner-1", "planner-2", "planner-3"];
+    let whole = [
+        "edge-0",
+        "edge-1",
+        "planner-0",
+        "planner-1",
+        "planner-2",
+        "planner-3",
+    ];
     fleet.settle(&both, &whole);
     // Planners were told no edge: the links come from the view.
     both.iter().for_each(|edge| fleet.linked(edge, 4));
 
     // A planner dies.
     fleet.all.get_mut("planner-2").unwrap().kill();
-    let rest: Vec<&str> = whole.iter().copied().filter(|name| *name != "planner-2").collect();
+    let rest: Vec<&str> = whole
+        .iter()
+        .copied()
+        .filter(|name| *name != "planner-2")
+        .collect();
     fleet.settle(&both, &rest);
     both.iter().for_each(|edge| fleet.linked(edge, 3));
 
     // Another stands still for ten seconds, and the dead one comes back under its name meanwhile.
     fleet.all["planner-1"].pause(true);
     fleet.launch("planner-2");
-    let rest: Vec<&str> = whole.iter().copied().filter(|name| *name != "planner-1").collect();
+    let rest: Vec<&str> = whole
+        .iter()
+        .copied()
+        .filter(|name| *name != "planner-1")
+        .collect();
     fleet.settle(&both, &rest);
     smol::block_on(clock::sleep(5.0));
     fleet.all["planner-1"].pause(false);
@@ -127,12 +160,19 @@
     // One is told to end: it says so, and is not called lost.
     let mut leaves = fleet.all.remove("planner-0").unwrap();
     leaves.terminate();
-    let rest: Vec<&str> = whole.iter().copied().filter(|name| *name != "planner-0").collect();
+    let rest: Vec<&str> = whole
+        .iter()
+        .copied()
+        .filter(|name| *name != "planner-0")
+        .collect();
     fleet.settle(&both, &rest);
     for edge in both {
         let view = fleet.ask(edge, "/debug/fleet").unwrap().json();
         let members = view["members"].as_array().cloned().unwrap_or_default();
-        let state = members.iter().find(|member| member["name"] == "planner-0").map(|m| m["state"].clone());
+        let state = members
+            .iter()
+            .find(|member| member["name"] == "planner-0")
+            .map(|m| m["state"].clone());
         assert_eq!(state, Some("left".into()), "{view:#?}");
     }
     let until = clock::now() + WITHIN;
@@ -150,9 +190,18 @@
     // The first seed dies for good; an edge that joins after that is linked to by all.
     fleet.all.remove("edge-0");
     fleet.launch("edge-2");
-    let after = ["edge-1", "edge-2", "planner-0", "planner-1", "planner-2", "planner-3"];
+    let after = [
+        "edge-1",
+        "edge-2",
+        "planner-0",
+        "planner-1",
+        "planner-2",
+        "planner-3",
+    ];
     fleet.settle(&["edge-1", "edge-2"], &after);
-    ["edge-1", "edge-2"].iter().for_each(|edge| fleet.linked(edge, 4));
+    ["edge-1", "edge-2"]
+        .iter()
+        .for_each(|edge| fleet.linked(edge, 4));
 }
 
 /// Two processes of one name: the older ends by itself.
@@ -183,10 +232,17 @@
     let edge = Process::start("edge", program.clone(), words(line), None, true).unwrap();
     assert_eq!(edge.addresses.len(), 2, "no datagram socket");
     let client = Client::new(&edge.addresses[0], 1, vec![]);
-    let reply = smol::block_on(client.send(Method::GET, "/debug/fleet", "", Bytes::new(), 5.0)).unwrap();
+    let reply =
+        smol::block_on(client.send(Method::GET, "/debug/fleet", "", Bytes::new(), 5.0)).unwrap();
     assert_eq!(reply.status.as_u16(), 404);
-    let mut planner =
-        Process::start("planner", program, words("planner --register 127.0.0.1:1"), None, false).unwrap();
+    let mut planner = Process::start(
+        "planner",
+        program,
+        words("planner --register 127.0.0.1:1"),
+        None,
+        false,
+    )
+    .unwrap();
     let until = clock::now() + WITHIN;
     while planner.ended().is_none() {
         assert!(clock::now() < until, "it goes on without an edge");
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -13,7 +13,9 @@
 
 /// Runs it with this list: whether it passes, and all that it prints.
 fn ci(name: &str, list: Option<&str>) -> (bool, String) {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("known-red").join(name);
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join("known-red")
+        .join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let (cargo, red): (PathBuf, PathBuf) = (folder.join("cargo"), folder.join("KNOWN-RED.txt"));
     std::fs::write(&cargo, CARGO).unwrap();
@@ -24,14 +26,23 @@
     }
     let path = format!("{}:{}", folder.display(), std::env::var("PATH").unwrap());
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test");
-    let ran = Command::new("bash").arg(script).arg(&red).env("PATH", path).output().unwrap();
+    let ran = Command::new("bash")
+        .arg(script)
+        .arg(&red)
+        .env("PATH", path)
+        .output()
+        .unwrap();
     let said = [ran.stdout, ran.stderr].concat();
     (ran.status.success(), String::from_utf8(said).unwrap())
 }
 
 #[test]
 fn without_a_list_or_with_an_empty_one_it_is_the_plain_command() {
-    for (name, list) in [("none", None), ("empty", Some("")), ("comment", Some("# nothing is red\n\n"))] {
+    for (name, list) in [
+        ("none", None),
+        ("empty", Some("")),
+        ("comment", Some("# nothing is red\n\n")),
+    ] {
         assert_eq!(ci(name, list), (true, "called: test --locked\n".into()));
     }
 }
@@ -40,8 +51,14 @@
 fn just_the_listed_tests_are_passed_over_and_printed() {
     let (passes, said) = ci("listed", Some("other::two, a fault, not mended, #39\n"));
     assert!(passes, "{said}");
-    assert!(said.contains("called: test --locked -- --exact --skip other::two\n"), "{said}");
-    assert!(said.contains("known to fail: other::two, a fault, not mended, #39"), "{said}");
+    assert!(
+        said.contains("called: test --locked -- --exact --skip other::two\n"),
+        "{said}"
+    );
+    assert!(
+        said.contains("known to fail: other::two, a fault, not mended, #39"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -54,6 +71,9 @@
         ("no-issue", "one, a fault\n", "not of the form"),
     ] {
         let (passes, said) = ci(name, Some(list));
-        assert!(!passes && said.contains(why) && !said.contains("called"), "{name}: {said}");
+        assert!(
+            !passes && said.contains(why) && !said.contains("called"),
+            "{name}: {said}"
+        );
     }
 }
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -27,8 +27,10 @@
         for line in log.lines() {
             start += u32::from(line.contains("keeps the ledger"));
             if line.contains("holds a lease voter") {
-                let token =
-                    line.split("token=").nth(1).and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+                let token = line
+                    .split("token=")
+                    .nth(1)
+                    .and_then(|rest| rest.split_whitespace().next()?.parse().ok());
                 all.extend(token.map(|token: u64| (token, format!("edge-{i}, start {start}"))));
             }
         }
@@ -46,13 +48,22 @@
     let mut rng = rand_pcg::Pcg32::seed_from_u64(SEED);
     let pairs: Vec<(usize, usize)> = fleet.relays.keys().copied().collect();
     let mut highest = 0;
-    let rounds = std::env::var("LEDGER_ROUNDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
+    let rounds = std::env::var("LEDGER_ROUNDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(4);
     println!("seed {SEED}");
     for round in 0..rounds {
         // Whoever acts now meets it, where one does.
         let holder = fleet.edges.iter().position(|edge| acts(edge).is_some());
         let i = holder.unwrap_or_else(|| rng.random_range(0..3));
-        let ways = [Way::Cut, Way::HoldThere, Way::HoldBack, Way::Late(0.3), Way::Trickle(400.0)];
+        let ways = [
+            Way::Cut,
+            Way::HoldThere,
+            Way::HoldBack,
+            Way::Late(0.3),
+            Way::Trickle(400.0),
+        ];
         let pair = pairs[rng.random_range(0..pairs.len())];
         fleet.relays[&pair].set(ways[rng.random_range(0..ways.len())]);
         match round % 4 {
@@ -63,10 +74,22 @@
         }
         // Seen from outside, at any time: no two of them, whichever is asked first.
         for _ in 0..15 {
-            let asked: Vec<Option<u64>> =
-                fleet.edges.iter().map(|edge| if edge.id().is_some() { acts(edge) } else { None }).collect();
+            let asked: Vec<Option<u64>> = fleet
+                .edges
+                .iter()
+                .map(|edge| {
+                    if edge.id().is_some() {
+                        acts(edge)
+                    } else {
+                        None
+                    }
+                })
+                .collect();
             let newest = asked.iter().flatten().max().copied().unwrap_or(0);
-            assert!(newest >= highest || newest == 0, "seed {SEED}, round {round}: {newest} after {highest}");
+            assert!(
+                newest >= highest || newest == 0,
+                "seed {SEED}, round {round}: {newest} after {highest}"
+            );
             highest = highest.max(newest);
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -77,13 +100,20 @@
             }
         }
         fleet.relays.values().for_each(|relay| relay.set(Way::Open));
-        all_vote_and_one_acts(&running, &fleet, &format!("seed {SEED}, round {round} is over"));
+        all_vote_and_one_acts(
+            &running,
+            &fleet,
+            &format!("seed {SEED}, round {round} is over"),
+        );
     }
     let tokens = tokens(fleet.folder.path());
     // All were killed at once in one round, so nobody holds what was held before it.
     assert!(tokens.len() >= 2, "{tokens:?}");
     for two in tokens.windows(2) {
-        assert!(two[0].0 < two[1].0, "seed {SEED}: a token was given twice: {tokens:?}");
+        assert!(
+            two[0].0 < two[1].0,
+            "seed {SEED}: a token was given twice: {tokens:?}"
+        );
     }
 }
 
@@ -100,12 +130,27 @@
     fleet.edges[2].kill();
     std::fs::write(&file, older).unwrap();
     fleet.edges[2].restart(&[], true).unwrap();
-    running.until("it is barred", async || (ledger(&fleet.edges[2])["standing"] == "barred").then_some(()));
+    running.until("it is barred", async || {
+        (ledger(&fleet.edges[2])["standing"] == "barred").then_some(())
+    });
     let (status, told) = ask(&fleet.edges[2], Method::GET, "/readyz?verbose").unwrap();
-    assert!(status == 200 && told.contains("[-]ledger") && told.contains("taken in again"), "{told}");
+    assert!(
+        status == 200 && told.contains("[-]ledger") && told.contains("taken in again"),
+        "{told}"
+    );
     // The others go on without it, and know of it.
-    running
-        .until("the others know", async || (ledger(&fleet.edges[0])["asking"][0] == "edge-2").then_some(()));
-    assert_eq!(ask(&fleet.edges[0], Method::POST, "/debug/ledger/readmit/edge-2").unwrap().0, 200);
+    running.until("the others know", async || {
+        (ledger(&fleet.edges[0])["asking"][0] == "edge-2").then_some(())
+    });
+    assert_eq!(
+        ask(
+            &fleet.edges[0],
+            Method::POST,
+            "/debug/ledger/readmit/edge-2"
+        )
+        .unwrap()
+        .0,
+        200
+    );
     all_vote_and_one_acts(&running, &fleet, "it votes again");
 }
--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -14,13 +14,27 @@
 /// What a planner goes by now: how many share, and the token under which that was said.
 fn shares(fleet: &Fleet, planner: usize) -> Option<(u32, u64)> {
     let log = fleet.log(&format!("planner-{planner}"));
-    let line = log.lines().rev().find(|line| line.contains("shares cold nodes with all of "))?;
-    let number = |after: &str| line.split(after).nth(1)?.split(' ').next()?.parse::<u64>().ok();
+    let line = log
+        .lines()
+        .rev()
+        .find(|line| line.contains("shares cold nodes with all of "))?;
+    let number = |after: &str| {
+        line.split(after)
+            .nth(1)?
+            .split(' ')
+            .next()?
+            .parse::<u64>()
+            .ok()
+    };
     Some((number("all of ")? as u32, number("token ")?))
 }
 
 fn holder(fleet: &Fleet) -> Option<(usize, u64)> {
-    fleet.edges.iter().enumerate().find_map(|(i, edge)| Some((i, acts(edge)?)))
+    fleet
+        .edges
+        .iter()
+        .enumerate()
+        .find_map(|(i, edge)| Some((i, acts(edge)?)))
 }
 
 #[test]
@@ -42,8 +56,16 @@
     running.until("the second knows of the third", async || {
         (shares(&fleet, 1)? == (3, token) && shares(&fleet, 2)? == (3, token)).then_some(())
     });
-    assert_eq!(shares(&fleet, 0), Some((2, token)), "that word is on its way");
-    for (_, relay) in fleet.relays.iter().filter(|((i, j), _)| *i == old || *j == old) {
+    assert_eq!(
+        shares(&fleet, 0),
+        Some((2, token)),
+        "that word is on its way"
+    );
+    for (_, relay) in fleet
+        .relays
+        .iter()
+        .filter(|((i, j), _)| *i == old || *j == old)
+    {
         relay.set(Way::Cut);
     }
     let newer = running.until("another acts, and has told the first", async || {
@@ -58,12 +80,19 @@
     });
     assert_eq!(shares(&fleet, 0), Some((3, newer)), "and changes nothing");
     running.until("its sender is told", async || {
-        fleet.log(&format!("edge-{old}")).contains("a planner refused a word").then_some(())
+        fleet
+            .log(&format!("edge-{old}"))
+            .contains("a planner refused a word")
+            .then_some(())
     });
     // A planner is killed and power is lost everywhere else: who is away goes on counting, and tokens go on rising.
     fleet.relays.values().for_each(|relay| relay.set(Way::Open));
     fleet.planners[2].kill();
-    fleet.edges.iter_mut().chain(&mut fleet.planners[..2]).for_each(Process::kill);
+    fleet
+        .edges
+        .iter_mut()
+        .chain(&mut fleet.planners[..2])
+        .for_each(Process::kill);
     for edge in &mut fleet.edges {
         edge.restart(&[], true).unwrap();
     }
@@ -72,6 +101,8 @@
     }
     running.until("both are told anew", async || {
         let told = [shares(&fleet, 0)?, shares(&fleet, 1)?];
-        told.iter().all(|(planners, token)| *planners == 3 && *token > newer).then_some(())
+        told.iter()
+            .all(|(planners, token)| *planners == 3 && *token > newer)
+            .then_some(())
     });
 }
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -7,7 +7,9 @@
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::{Node, Pod};
 use kube::ResourceExt;
-use kube::api::{Api, DeleteParams, ListParams, Patch, PatchParams, PostParams, WatchEvent, WatchParams};
+use kube::api::{
+    Api, DeleteParams, ListParams, Patch, PatchParams, PostParams, WatchEvent, WatchParams,
+};
 use kube::runtime::{WatchStreamExt, reflector, watcher};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -20,7 +22,9 @@
     running.runtime.block_on(async {
         let seen = watcher(pods.clone(), watcher::Config::default()).applied_objects();
         let mut seen = std::pin::pin!(seen);
-        jobs.create(&PostParams::default(), &job("web", "termin-web", 4, 0.5)).await.unwrap();
+        jobs.create(&PostParams::default(), &job("web", "termin-web", 4, 0.5))
+            .await
+            .unwrap();
         let mut outcomes: BTreeMap<String, Vec<&str>> = BTreeMap::new();
         let mut done = 0;
         while done < 4 {
@@ -34,9 +38,14 @@
             done += usize::from(pod.status.unwrap().phase.as_deref() == Some("Succeeded"));
         }
         assert_eq!(outcomes.len(), 4);
-        assert!(outcomes.values().all(|list| *list == ["placed"]), "{outcomes:?}");
+        assert!(
+            outcomes.values().all(|list| *list == ["placed"]),
+            "{outcomes:?}"
+        );
+    });
+    running.until("the Job is complete", async || {
+        complete(&jobs.get("web").await.unwrap()).then_some(())
     });
-    running.until("the Job is complete", async || complete(&jobs.get("web").await.unwrap()).then_some(()));
 }
 
 #[test]
@@ -44,21 +53,38 @@
     let running = start(4, 1, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
     running.runtime.block_on(async {
-        let from = pods.list(&ListParams::default()).await.unwrap().metadata.resource_version.unwrap();
+        let from = pods
+            .list(&ListParams::default())
+            .await
+            .unwrap()
+            .metadata
+            .resource_version
+            .unwrap();
         for i in 0..6 {
-            jobs.create(&PostParams::default(), &job(&format!("w{i}"), "termin-web", 4, 0.3)).await.unwrap();
+            jobs.create(
+                &PostParams::default(),
+                &job(&format!("w{i}"), "termin-web", 4, 0.3),
+            )
+            .await
+            .unwrap();
         }
         // One watcher that never breaks, and one that is cut after every third event.
         let read = async |breaks: usize| {
             let (mut version, mut all) = (from.clone(), Vec::new());
             let mut ended = std::collections::BTreeSet::new();
             'whole: loop {
-                let stream = pods.watch(&WatchParams::default().timeout(20), &version).await.unwrap();
+                let stream = pods
+                    .watch(&WatchParams::default().timeout(20), &version)
+                    .await
+                    .unwrap();
                 let mut stream = std::pin::pin!(stream);
                 for _ in 0..breaks {
-                    let Some(event) = stream.try_next().await.unwrap() else { break };
-                    let (WatchEvent::Added(pod) | WatchEvent::Modified(pod) | WatchEvent::Deleted(pod)) =
-                        event
+                    let Some(event) = stream.try_next().await.unwrap() else {
+                        break;
+                    };
+                    let (WatchEvent::Added(pod)
+                    | WatchEvent::Modified(pod)
+                    | WatchEvent::Deleted(pod)) = event
                     else {
                         continue;
                     };
@@ -84,19 +110,31 @@
 fn a_compacted_version_is_gone_and_a_relist_converges() {
     let running = start(2, 1, |layout, folder| {
         let file = folder.join("small.hcl");
-        let text = tidespur_config::DEFAULT.replace("history          = 16384", "history          = 16");
+        let text =
+            tidespur_config::DEFAULT.replace("history          = 16384", "history          = 16");
         assert_ne!(text, tidespur_config::DEFAULT);
         std::fs::write(&file, text).unwrap();
         layout.config = Some(file);
     });
     let (jobs, pods) = (running.jobs(), running.pods());
     running.runtime.block_on(async {
-        let old = pods.list(&ListParams::default()).await.unwrap().metadata.resource_version.unwrap();
+        let old = pods
+            .list(&ListParams::default())
+            .await
+            .unwrap()
+            .metadata
+            .resource_version
+            .unwrap();
         let (reader, writer) = reflector::store();
         let cache = reflector(writer, watcher(pods.clone(), watcher::Config::default()));
         let kept = tokio::spawn(cache.default_backoff().for_each(|_| async {}));
         for i in 0..5 {
-            jobs.create(&PostParams::default(), &job(&format!("w{i}"), "termin-web", 5, 0.2)).await.unwrap();
+            jobs.create(
+                &PostParams::default(),
+                &job(&format!("w{i}"), "termin-web", 5, 0.2),
+            )
+            .await
+            .unwrap();
         }
         loop {
             let list = jobs.list(&ListParams::default()).await.unwrap();
@@ -113,11 +151,17 @@
             Ok(_) => panic!("a compacted version was served"),
         }
         let listed = pods.list(&ListParams::default()).await.unwrap();
-        let truth: BTreeMap<String, Option<String>> =
-            listed.items.iter().map(|p| (p.name_any(), p.resource_version())).collect();
+        let truth: BTreeMap<String, Option<String>> = listed
+            .items
+            .iter()
+            .map(|p| (p.name_any(), p.resource_version()))
+            .collect();
         loop {
-            let held: BTreeMap<String, Option<String>> =
-                reader.state().iter().map(|p| (p.name_any(), p.resource_version())).collect();
+            let held: BTreeMap<String, Option<String>> = reader
+                .state()
+                .iter()
+                .map(|p| (p.name_any(), p.resource_version()))
+                .collect();
             if held == truth {
                 break;
             }
@@ -139,7 +183,11 @@
     let jobs = running.jobs();
     for i in 0..3 {
         let node = format!("node-{i:02}");
-        let fault = Fault::LoseAnswers { share: 1.0, reset, seconds: 4.0 };
+        let fault = Fault::LoseAnswers {
+            share: 1.0,
+            reset,
+            seconds: 4.0,
+        };
         smol::block_on(running.cluster.fault(&node, &fault)).unwrap();
         if mute {
             smol::block_on(running.cluster.fault(&node, &Fault::Mute { seconds: 4.0 })).unwrap();
@@ -151,14 +199,17 @@
             "2".into();
         jobs.create(&PostParams::default(), &serde_json::from_value(job).unwrap()).await.unwrap();
     });
-    running.until("the Job is complete", async || complete(&jobs.get("lost").await.unwrap()).then_some(()));
+    running.until("the Job is complete", async || {
+        complete(&jobs.get("lost").await.unwrap()).then_some(())
+    });
     let records = running.records();
     (running, records)
 }
 
 fn accepted(records: &[serde_json::Value]) -> usize {
-    let taken =
-        |r: &&serde_json::Value| r["what"] == "answer" && r["said"] == "accepted" && !r["way"].is_null();
+    let taken = |r: &&serde_json::Value| {
+        r["what"] == "answer" && r["said"] == "accepted" && !r["way"].is_null()
+    };
     records.iter().filter(taken).count()
 }
 
@@ -166,21 +217,41 @@
 fn an_unsafe_task_whose_answer_was_lost_is_found_and_taken_over_not_started_twice() {
     for reset in [true, false] {
         let (running, records) = answers_lost("slot-abgleich", reset, true);
-        let pods = running.runtime.block_on(running.pods().list(&ListParams::default())).unwrap();
+        let pods = running
+            .runtime
+            .block_on(running.pods().list(&ListParams::default()))
+            .unwrap();
         let outcomes: Vec<_> = pods.items.iter().map(|p| outcome(p).unwrap()).collect();
-        assert!(outcomes.contains(&"failed") && outcomes.contains(&"placed"), "{outcomes:?}");
+        assert!(
+            outcomes.contains(&"failed") && outcomes.contains(&"placed"),
+            "{outcomes:?}"
+        );
         assert_eq!(accepted(&records), 1, "it ran once");
-        let adopted =
-            pods.items.iter().find(|p| p.annotations().contains_key("placement.tidespur.dev/adopts"));
-        assert_eq!(adopted.unwrap().status.as_ref().unwrap().phase.as_deref(), Some("Succeeded"));
+        let adopted = pods.items.iter().find(|p| {
+            p.annotations()
+                .contains_key("placement.tidespur.dev/adopts")
+        });
+        assert_eq!(
+            adopted.unwrap().status.as_ref().unwrap().phase.as_deref(),
+            Some("Succeeded")
+        );
     }
 }
 
 #[test]
 fn an_answer_that_was_lost_is_known_by_what_the_node_shows() {
     let (running, records) = answers_lost("slot-abgleich", false, false);
-    let pods = running.runtime.block_on(running.pods().list(&ListParams::default())).unwrap();
-    assert_eq!(pods.items.iter().map(|p| outcome(p).unwrap()).collect::<Vec<_>>(), ["placed"]);
+    let pods = running
+        .runtime
+        .block_on(running.pods().list(&ListParams::default()))
+        .unwrap();
+    assert_eq!(
+        pods.items
+            .iter()
+            .map(|p| outcome(p).unwrap())
+            .collect::<Vec<_>>(),
+        ["placed"]
+    );
     assert_eq!(accepted(&records), 1);
 }
 
@@ -196,7 +267,10 @@
     let (running, records) = answers_lost("termin-web", false, true);
     assert!(accepted(&records) >= 2, "it was sent again");
     let held = |phase: &str| {
-        records.iter().filter(|r| r["who"] != "rig" && r["what"] == "pod" && r["phase"] == phase).count()
+        records
+            .iter()
+            .filter(|r| r["who"] != "rig" && r["what"] == "pod" && r["phase"] == phase)
+            .count()
     };
     // Every copy but the one that counted was deleted, so that it holds no room.
     assert_eq!(held("Succeeded"), 1);
@@ -215,9 +289,11 @@
     drop(socket);
     let jobs = running.jobs();
     // Gone before it was read, or run to its end: nothing between.
-    let seen = running.until("it is decided", async || match jobs.get_opt("orphan").await.unwrap() {
-        Some(job) => complete(&job).then_some(true),
-        None => Some(false),
+    let seen = running.until("it is decided", async || {
+        match jobs.get_opt("orphan").await.unwrap() {
+            Some(job) => complete(&job).then_some(true),
+            None => Some(false),
+        }
     });
     if !seen {
         running
@@ -234,13 +310,21 @@
     let wins = running.runtime.block_on(async {
         let tries = (0..16).map(|_| {
             let jobs = jobs.clone();
-            async move { jobs.create(&PostParams::default(), &job("same", "termin-web", 1, 0.2)).await }
+            async move {
+                jobs.create(&PostParams::default(), &job("same", "termin-web", 1, 0.2))
+                    .await
+            }
         });
         let results = futures::future::join_all(tries).await;
         let lost = results.iter().filter_map(|r| r.as_ref().err());
         for error in lost {
-            let kube::Error::Api(status) = error else { panic!("{error}") };
-            assert_eq!((status.code, status.reason.as_str()), (409, "AlreadyExists"));
+            let kube::Error::Api(status) = error else {
+                panic!("{error}")
+            };
+            assert_eq!(
+                (status.code, status.reason.as_str()),
+                (409, "AlreadyExists")
+            );
         }
         results.iter().filter(|r| r.is_ok()).count()
     });
@@ -252,26 +336,48 @@
     let running = start(1, 1, |_, _| {});
     let pods = running.pods();
     // The node looks at an offer for half a second.
-    smol::block_on(running.cluster.fault("node-00", &Fault::Slow { factor: 50.0, seconds: 20.0 })).unwrap();
+    smol::block_on(running.cluster.fault(
+        "node-00",
+        &Fault::Slow {
+            factor: 50.0,
+            seconds: 20.0,
+        },
+    ))
+    .unwrap();
     let pod: Pod = serde_json::from_value(
         json!({"metadata": {"name": "gone"}, "spec": {"containers": [{"name": "m"}]}}),
     )
     .unwrap();
-    running.runtime.block_on(pods.create(&PostParams::default(), &pod)).unwrap();
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &pod))
+        .unwrap();
     let offered = |records: &[serde_json::Value]| records.iter().any(|r| r["what"] == "offer");
-    running.until("the offer is out", async || offered(&running.records()).then_some(()));
-    running.runtime.block_on(pods.delete("gone", &DeleteParams::default())).unwrap();
+    running.until("the offer is out", async || {
+        offered(&running.records()).then_some(())
+    });
+    running
+        .runtime
+        .block_on(pods.delete("gone", &DeleteParams::default()))
+        .unwrap();
     let node = running.cluster.nodes[0].addresses[0].clone();
     let client = tidespur_net::Client::new(&node, 1, vec![]);
     running.until("the node holds nothing", async || {
-        let answered = running.records().iter().any(|r| r["what"] == "answer" && r["who"] == "planner-0");
-        let held =
-            smol::block_on(client.send(hyper::Method::GET, "/api/v1/pods", "", Default::default(), 5.0));
-        let pods = held.ok()?.json();
-        let live = pods["items"]
-            .as_array()?
+        let answered = running
+            .records()
             .iter()
-            .any(|p| !["Failed", "Succeeded"].contains(&p["status"]["phase"].as_str().unwrap_or("")));
+            .any(|r| r["what"] == "answer" && r["who"] == "planner-0");
+        let held = smol::block_on(client.send(
+            hyper::Method::GET,
+            "/api/v1/pods",
+            "",
+            Default::default(),
+            5.0,
+        ));
+        let pods = held.ok()?.json();
+        let live = pods["items"].as_array()?.iter().any(|p| {
+            !["Failed", "Succeeded"].contains(&p["status"]["phase"].as_str().unwrap_or(""))
+        });
         (answered && !live).then_some(())
     });
 }
@@ -281,16 +387,29 @@
     let running = start(4, 2, |_, _| {});
     let jobs = running.jobs();
     let left = running.runtime.block_on(async {
-        jobs.create(&PostParams::default(), &job("shrinks", "termin-web", 12, 30.0)).await.unwrap();
+        jobs.create(
+            &PostParams::default(),
+            &job("shrinks", "termin-web", 12, 30.0),
+        )
+        .await
+        .unwrap();
         let patch = json!({"spec": {"parallelism": 3}});
-        jobs.patch("shrinks", &PatchParams::default(), &Patch::Merge(patch)).await.unwrap();
+        jobs.patch("shrinks", &PatchParams::default(), &Patch::Merge(patch))
+            .await
+            .unwrap();
         running.pods()
     });
     running.until("three Pods are left and run", async || {
         let list = left.list(&ListParams::default()).await.unwrap();
-        let live: Vec<_> = list.items.iter().filter(|p| outcome(p) != Some("refused")).collect();
-        let run =
-            live.iter().filter(|p| p.status.as_ref().unwrap().phase.as_deref() == Some("Running")).count();
+        let live: Vec<_> = list
+            .items
+            .iter()
+            .filter(|p| outcome(p) != Some("refused"))
+            .collect();
+        let run = live
+            .iter()
+            .filter(|p| p.status.as_ref().unwrap().phase.as_deref() == Some("Running"))
+            .count();
         (live.len() == 3 && run == 3).then_some(())
     });
 }
@@ -302,7 +421,15 @@
     let nodes: Api<Node> = Api::all(running.client());
     running.runtime.block_on(nodes.cordon("node-00")).unwrap();
     running.until("the list tells", async || {
-        nodes.get("node-00").await.unwrap().spec.unwrap().unschedulable.unwrap_or(false).then_some(())
+        nodes
+            .get("node-00")
+            .await
+            .unwrap()
+            .spec
+            .unwrap()
+            .unschedulable
+            .unwrap_or(false)
+            .then_some(())
     });
     std::thread::sleep(std::time::Duration::from_millis(300));
     running
@@ -311,7 +438,11 @@
         .unwrap();
     running.until("both run", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
-        let on: Vec<_> = list.items.iter().filter_map(|p| p.spec.as_ref()?.node_name.clone()).collect();
+        let on: Vec<_> = list
+            .items
+            .iter()
+            .filter_map(|p| p.spec.as_ref()?.node_name.clone())
+            .collect();
         assert!(on.iter().all(|node| node == "node-01"), "{on:?}");
         (on.len() == 2).then_some(())
     });
@@ -331,17 +462,25 @@
     });
     let api: Api<k8s_openapi::api::core::v1::Event> = Api::namespaced(running.client(), "default");
     let mut slow = std::net::TcpStream::connect(running.cluster.api(0)).unwrap();
-    write!(slow, "GET /api/v1/namespaces/default/events?watch=true HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+    write!(
+        slow,
+        "GET /api/v1/namespaces/default/events?watch=true HTTP/1.1\r\nhost: x\r\n\r\n"
+    )
+    .unwrap();
     let filler = "x".repeat(60_000);
     running.runtime.block_on(async {
-        let reading = api.watch(&WatchParams::default().timeout(60), "0").await.unwrap();
+        let reading = api
+            .watch(&WatchParams::default().timeout(60), "0")
+            .await
+            .unwrap();
         let mut reading = std::pin::pin!(reading);
         // Far more than sockets and pipe hold, and than the history keeps.
         for i in 0..400 {
-            let event =
-                serde_json::from_value(json!({"metadata": {"name": format!("e{i}")}, "message": filler,
-                "involvedObject": {}}))
-                .unwrap();
+            let event = serde_json::from_value(
+                json!({"metadata": {"name": format!("e{i}")}, "message": filler,
+                "involvedObject": {}}),
+            )
+            .unwrap();
             api.create(&PostParams::default(), &event).await.unwrap();
             // The other watcher gets each one at once.
             loop {
@@ -355,7 +494,8 @@
     });
     // Now it reads: what was on its way, and then that its place is gone.
     let mut all = Vec::new();
-    slow.set_read_timeout(Some(std::time::Duration::from_secs(30))).unwrap();
+    slow.set_read_timeout(Some(std::time::Duration::from_secs(30)))
+        .unwrap();
     let _ = slow.read_to_end(&mut all);
     let text = String::from_utf8_lossy(&all);
     let got = text.matches("\"type\":\"ADDED\"").count();
@@ -375,20 +515,29 @@
         serde_json::from_value(json!({"metadata": {"name": name, "annotations": {"placement.tidespur.dev/give-up-seconds": "1.5"}},
             "spec": {"containers": [{"name": "m"}]}})).unwrap()
     };
-    running.runtime.block_on(pods.create(&PostParams::default(), &pod("alone"))).unwrap();
-    let answer = running
-        .until("it is answered", async || outcome(&pods.get("alone").await.unwrap()).map(str::to_owned));
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &pod("alone")))
+        .unwrap();
+    let answer = running.until("it is answered", async || {
+        outcome(&pods.get("alone").await.unwrap()).map(str::to_owned)
+    });
     assert_eq!(answer, "refused");
     running.cluster.restart_planner("planner-0").unwrap();
     let api = running.cluster.api(0).to_owned();
     running.until("the planner is here", async || {
         let client = tidespur_net::Client::new(&api, 1, vec![]);
-        let ready = smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
+        let ready =
+            smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
         ready.ok().filter(|r| r.status.is_success()).map(drop)
     });
-    running.runtime.block_on(pods.create(&PostParams::default(), &pod("again"))).unwrap();
-    let answer = running
-        .until("it is answered", async || outcome(&pods.get("again").await.unwrap()).map(str::to_owned));
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &pod("again")))
+        .unwrap();
+    let answer = running.until("it is answered", async || {
+        outcome(&pods.get("again").await.unwrap()).map(str::to_owned)
+    });
     assert_eq!(answer, "placed");
 }
 
@@ -398,7 +547,10 @@
     let jobs = running.jobs();
     running
         .runtime
-        .block_on(jobs.create(&PostParams::default(), &job("long", "slot-abgleich", 4, 4.0)))
+        .block_on(jobs.create(
+            &PostParams::default(),
+            &job("long", "slot-abgleich", 4, 4.0),
+        ))
         .unwrap();
     let pods = running.pods();
     running.until("all run", async || {
@@ -407,7 +559,9 @@
         (list.items.iter().filter(run).count() == 4).then_some(())
     });
     running.cluster.process("planner-0").unwrap().kill();
-    running.until("the Job is complete", async || complete(&jobs.get("long").await.unwrap()).then_some(()));
+    running.until("the Job is complete", async || {
+        complete(&jobs.get("long").await.unwrap()).then_some(())
+    });
     assert_eq!(accepted(&running.records()), 4, "nothing was started again");
 }
 
@@ -415,7 +569,10 @@
 fn a_node_that_dies_loses_its_tasks_and_they_come_again() {
     let mut running = start(2, 1, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
-    running.runtime.block_on(jobs.create(&PostParams::default(), &job("web", "termin-web", 4, 5.0))).unwrap();
+    running
+        .runtime
+        .block_on(jobs.create(&PostParams::default(), &job("web", "termin-web", 4, 5.0)))
+        .unwrap();
     running.until("all run", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
         let run = |p: &&Pod| p.status.as_ref().unwrap().phase.as_deref() == Some("Running");
@@ -428,7 +585,9 @@
         (list.items.iter().filter(lost).count() == 2).then_some(())
     });
     running.cluster.restart_node("node-00").unwrap();
-    running.until("the Job is complete", async || complete(&jobs.get("web").await.unwrap()).then_some(()));
+    running.until("the Job is complete", async || {
+        complete(&jobs.get("web").await.unwrap()).then_some(())
+    });
 }
 
 #[test]
@@ -443,22 +602,31 @@
     let api = running.cluster.api(0).to_owned();
     running.until("the planner is here", async || {
         let client = tidespur_net::Client::new(&api, 1, vec![]);
-        let ready = smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
+        let ready =
+            smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
         ready.ok().filter(|r| r.status.is_success()).map(drop)
     });
-    running.runtime.block_on(pods.create(&PostParams::default(), &pod)).unwrap();
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &pod))
+        .unwrap();
     let message = running.until("it is refused", async || {
         let pod = pods.get("early").await.unwrap();
         (outcome(&pod) == Some("refused")).then(|| pod.status.unwrap().message.unwrap_or_default())
     });
-    assert!(message.contains("register has listed no nodes"), "{message}");
+    assert!(
+        message.contains("register has listed no nodes"),
+        "{message}"
+    );
     running.cluster.register.pause(false);
     let jobs: Api<Job> = running.jobs();
     running
         .runtime
         .block_on(jobs.create(&PostParams::default(), &job("later", "termin-web", 1, 0.2)))
         .unwrap();
-    running.until("the Job is complete", async || complete(&jobs.get("later").await.unwrap()).then_some(()));
+    running.until("the Job is complete", async || {
+        complete(&jobs.get("later").await.unwrap()).then_some(())
+    });
 }
 
 #[test]
@@ -469,11 +637,16 @@
         "spec": {"priorityClassName": "slot-abgleich", "containers": [{"name": "m",
             "resources": {"requests": {"cpu": "400", "memory": "1Gi"}}}]}});
     let large: Pod = serde_json::from_value(large).unwrap();
-    running.runtime.block_on(pods.create(&PostParams::default(), &large)).unwrap();
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &large))
+        .unwrap();
     let message = async || {
         let pod = pods.get("large").await.unwrap();
         let conditions = pod.status?.conditions?;
-        let waits = conditions.into_iter().find(|c| c.type_ == "PodScheduled" && c.status == "False")?;
+        let waits = conditions
+            .into_iter()
+            .find(|c| c.type_ == "PodScheduled" && c.status == "False")?;
         assert_eq!(waits.reason.as_deref(), Some("Unschedulable"));
         waits.message
     };
@@ -485,27 +658,56 @@
         (told == "0/2 nodes are available: 1 draining, 1 no cores").then_some(())
     });
     // One Event, whose count has grown.
-    let events: Api<k8s_openapi::api::core::v1::Event> = Api::namespaced(running.client(), "default");
+    let events: Api<k8s_openapi::api::core::v1::Event> =
+        Api::namespaced(running.client(), "default");
     let about = ListParams::default().fields("reason=FailedScheduling");
     let list = running.runtime.block_on(events.list(&about)).unwrap().items;
     assert_eq!(list.len(), 1);
-    assert!(list[0].count.unwrap() >= 2 && list[0].series.is_some(), "{:?}", list[0]);
+    assert!(
+        list[0].count.unwrap() >= 2 && list[0].series.is_some(),
+        "{:?}",
+        list[0]
+    );
     // The record: the reasons over time, and the nearest node.
     let (code, record) = running.send("GET", "/debug/waits/default/large", "", "");
     assert_eq!(code, 200);
-    let cores = record["spans"].as_array().unwrap().iter().find(|span| span["code"] == "Cores").unwrap();
-    assert_eq!((&cores["source"], &cores["over"]), (&json!("policy"), &json!(false)));
-    assert!(record["hint"].as_str().unwrap().contains("cores more free on node-01"), "{record}");
+    let cores = record["spans"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|span| span["code"] == "Cores")
+        .unwrap();
+    assert_eq!(
+        (&cores["source"], &cores["over"]),
+        (&json!("policy"), &json!(false))
+    );
+    assert!(
+        record["hint"]
+            .as_str()
+            .unwrap()
+            .contains("cores more free on node-01"),
+        "{record}"
+    );
     let (_, fleet) = running.send("GET", "/debug/waits", "", "");
-    let reasons: Vec<&str> =
-        fleet["reasons"].as_array().unwrap().iter().map(|line| line["reason"].as_str().unwrap()).collect();
+    let reasons: Vec<&str> = fleet["reasons"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|line| line["reason"].as_str().unwrap())
+        .collect();
     assert_eq!(reasons, ["Draining", "Cores"]);
-    assert!(!fleet.to_string().contains("large"), "the fleet's view has no names of Pods");
+    assert!(
+        !fleet.to_string().contains("large"),
+        "the fleet's view has no names of Pods"
+    );
     let metrics = running.raw(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     let line = r#"tidespur_waiting_tasks{class="slot-abgleich",namespace="default",zone="halle-b",reason="Cores",source="policy"} 1"#;
     assert!(metrics.contains(line), "{metrics}");
     // Deleted while it is asked about: the last record still answers, as past.
-    running.runtime.block_on(pods.delete("large", &DeleteParams::default())).unwrap();
+    running
+        .runtime
+        .block_on(pods.delete("large", &DeleteParams::default()))
+        .unwrap();
     running.until("it waits no longer", async || {
         let (code, record) = running.send("GET", "/debug/waits/default/large", "", "");
         (code == 200 && record["codes"] == json!([])).then_some(())
@@ -520,15 +722,26 @@
         "spec": {"containers": [{"name": "m"}]}});
     let pods = running.pods();
     let pod: Pod = serde_json::from_value(pod).unwrap();
-    running.runtime.block_on(pods.create(&PostParams::default(), &pod)).unwrap();
-    let codes = async || running.send("GET", "/debug/waits/default/early", "", "").1["codes"].clone();
-    running.until("silence is told", async || (codes().await == json!(["PlannersSilent"])).then_some(()));
-    running.until("loss is told", async || (codes().await == json!(["NoPlanner"])).then_some(()));
+    running
+        .runtime
+        .block_on(pods.create(&PostParams::default(), &pod))
+        .unwrap();
+    let codes =
+        async || running.send("GET", "/debug/waits/default/early", "", "").1["codes"].clone();
+    running.until("silence is told", async || {
+        (codes().await == json!(["PlannersSilent"])).then_some(())
+    });
+    running.until("loss is told", async || {
+        (codes().await == json!(["NoPlanner"])).then_some(())
+    });
     running.cluster.planners[0].pause(false);
     // Never offered, so it was kept, and it is placed now: not answered as unknown.
     running.until("it is placed", async || {
         let pod = pods.get("early").await.unwrap();
-        assert!(!matches!(outcome(&pod), Some("refused" | "failed")), "{pod:?}");
+        assert!(
+            !matches!(outcome(&pod), Some("refused" | "failed")),
+            "{pod:?}"
+        );
         outcome(&pod)
     });
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -36,7 +36,10 @@
     if value.is_finite() && value >= least && value <= most {
         return Ok(());
     }
-    Err((path.to_owned(), format!("{value} is out of range: allowed is {least} to {most}")))
+    Err((
+        path.to_owned(),
+        format!("{value} is out of range: allowed is {least} to {most}"),
+    ))
 }
 
 impl Config {
@@ -50,7 +53,12 @@
         }
         for (name, t) in &self.tenant {
             range(&format!("tenant.{name}.share"), t.share, 0.0, 1.0)?;
-            range(&format!("tenant.{name}.quota_per_s"), t.quota_per_s, 0.0, 1e6)?;
+            range(
+                &format!("tenant.{name}.quota_per_s"),
+                t.quota_per_s,
+                0.0,
+                1e6,
+            )?;
         }
         let shares: f64 = self.tenant.values().map(|t| t.share).sum();
         if shares > 1.0 + 1e-6 {
@@ -69,22 +77,36 @@
             range(&at("calm"), c.calm, 0.01, 1.0)?;
             range(&at("fade"), c.fade, 0.01, 100.0)?;
             range(&at("priority"), f64::from(c.priority), 0.0, 1000.0)?;
-            if c.kind.as_ref().is_some_and(|kind| !self.kind.contains_key(kind)) {
+            if c.kind
+                .as_ref()
+                .is_some_and(|kind| !self.kind.contains_key(kind))
+            {
                 return fail(at("kind"), "is no kind of these settings");
             }
             match (c.effect, c.group, c.window) {
-                (Effect::Keyed, Some(_), Some(window)) => range(&at("window"), window, 0.0, 86_400.0)?,
-                (Effect::Keyed, None, _) => return fail(at("effect"), "a keyed class needs a group"),
-                (Effect::Keyed, _, None) => return fail(at("effect"), "a keyed class needs a window"),
+                (Effect::Keyed, Some(_), Some(window)) => {
+                    range(&at("window"), window, 0.0, 86_400.0)?
+                }
+                (Effect::Keyed, None, _) => {
+                    return fail(at("effect"), "a keyed class needs a group");
+                }
+                (Effect::Keyed, _, None) => {
+                    return fail(at("effect"), "a keyed class needs a window");
+                }
                 (_, None, None) => {}
                 (_, Some(_), _) => return fail(at("group"), "only a keyed class has a group"),
                 (_, _, Some(_)) => return fail(at("window"), "only a keyed class has a window"),
             }
             match (c.spread, c.spread_most) {
                 (Some(_), 0) => {
-                    return fail(at("spread_most"), "0 would let nothing start: allowed is 1 to 4294967295");
+                    return fail(
+                        at("spread_most"),
+                        "0 would let nothing start: allowed is 1 to 4294967295",
+                    );
+                }
+                (None, most) if most > 0 => {
+                    return fail(at("spread_most"), "has no meaning without spread");
                 }
-                (None, most) if most > 0 => return fail(at("spread_most"), "has no meaning without spread"),
                 _ => {}
             }
         }
@@ -104,8 +126,18 @@
         let e = &self.edge;
         range("edge.open_most", f64::from(e.open_most), 1.0, 1e6)?;
         range("edge.planner_most", f64::from(e.planner_most), 1.0, 1e6)?;
-        range("edge.connections_most", f64::from(e.connections_most), 1.0, 1e6)?;
-        range("edge.body_most", f64::from(e.body_most), 1024.0, 64.0 * 1024.0 * 1024.0)?;
+        range(
+            "edge.connections_most",
+            f64::from(e.connections_most),
+            1.0,
+            1e6,
+        )?;
+        range(
+            "edge.body_most",
+            f64::from(e.body_most),
+            1024.0,
+            64.0 * 1024.0 * 1024.0,
+        )?;
         range("edge.head_timeout", e.head_timeout, 0.05, 600.0)?;
         range("edge.body_timeout", e.body_timeout, 0.05, 600.0)?;
         range("edge.history", f64::from(e.history), 16.0, 1e7)?;
@@ -113,16 +145,25 @@
         range("edge.bookmark_every", e.bookmark_every, 0.05, 600.0)?;
         range("edge.planner_patience", e.planner_patience, 0.2, 600.0)?;
         let p = &self.planner;
-        range("planner.node_connections", f64::from(p.node_connections), 1.0, 1024.0)?;
+        range(
+            "planner.node_connections",
+            f64::from(p.node_connections),
+            1.0,
+            1024.0,
+        )?;
         range("planner.step_most", f64::from(p.step_most), 1.0, 1e6)?;
         range("planner.edge_patience", p.edge_patience, 0.2, 600.0)?;
         range("planner.planners", f64::from(p.planners), 1.0, 1e4)?;
         if let Some(fleet) = &self.fleet {
             if !tidespur_fleet::name_is_sound(&fleet.cluster) {
-                return fail("fleet.cluster".into(), "1 to 48 letters, digits, '-', '_' or '.' are needed");
+                return fail(
+                    "fleet.cluster".into(),
+                    "1 to 48 letters, digits, '-', '_' or '.' are needed",
+                );
             }
-            for (key, address) in
-                [("listen", &fleet.listen)].into_iter().chain(fleet.join.iter().map(|a| ("join", a)))
+            for (key, address) in [("listen", &fleet.listen)]
+                .into_iter()
+                .chain(fleet.join.iter().map(|a| ("join", a)))
             {
                 let Ok(at) = address.parse::<std::net::SocketAddr>() else {
                     let what = "an address and a port are needed, as 127.0.0.1:7001";
@@ -134,10 +175,22 @@
                     return fail("fleet.listen".into(), what);
                 }
             }
-            range("fleet.members_most", f64::from(fleet.members_most), 2.0, 4096.0)?;
+            range(
+                "fleet.members_most",
+                f64::from(fleet.members_most),
+                2.0,
+                4096.0,
+            )?;
         }
-        if self.durable.as_ref().is_some_and(|durable| durable.dir.is_empty()) {
-            return fail("durable.dir".into(), "the folder beneath which each process has its own is needed");
+        if self
+            .durable
+            .as_ref()
+            .is_some_and(|durable| durable.dir.is_empty())
+        {
+            return fail(
+                "durable.dir".into(),
+                "the folder beneath which each process has its own is needed",
+            );
         }
         if let Some(ledger) = &self.ledger {
             if ![1, 3, 5].contains(&ledger.voters.len()) {
@@ -145,7 +198,9 @@
                 return fail("ledger.voters".into(), what);
             }
             for (name, address) in &ledger.voters {
-                let sound = address.parse::<std::net::SocketAddr>().is_ok_and(|at| !at.ip().is_unspecified());
+                let sound = address
+                    .parse::<std::net::SocketAddr>()
+                    .is_ok_and(|at| !at.ip().is_unspecified());
                 if !sound || !tidespur_fleet::name_is_sound(name) {
                     let what = "a name and the address that the others reach are needed, as edge-0 = \"127.0.0.1:7101\"";
                     return fail("ledger.voters".into(), what);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -37,8 +37,12 @@
 
 /// Checks a text; `file` is for messages.
 pub fn parse(file: &str, text: &str) -> Result<Config, Problem> {
-    let problem =
-        |line: usize, key: &str, what: String| Problem { file: file.into(), line, key: key.into(), what };
+    let problem = |line: usize, key: &str, what: String| Problem {
+        file: file.into(),
+        line,
+        key: key.into(),
+        what,
+    };
     let deserializer = hcl::de::Deserializer::from_str(text).map_err(|e| match &e {
         hcl::Error::Parse(p) => problem(p.location().line(), "", p.to_string()),
         other => problem(0, "", other.to_string()),
@@ -47,7 +51,9 @@
         let what = e.inner().to_string();
         let mut path: Vec<String> = e.path().iter().map(|s| s.to_string()).collect();
         // An unknown key is named in the message alone.
-        if let Some(key) = what.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next())
+        if let Some(key) = what
+            .strip_prefix("unknown field `")
+            .and_then(|rest| rest.split('`').next())
             && path.last().is_none_or(|last| last != key)
         {
             path.push(key.to_owned());
@@ -63,13 +69,18 @@
 
 /// The folder beneath which processes keep what outlives them: as the command line names it, else the settings.
 pub fn data(config: &Config, named: Option<&Path>) -> Option<std::path::PathBuf> {
-    let block = config.durable.as_ref().map(|durable| std::path::PathBuf::from(&durable.dir));
+    let block = config
+        .durable
+        .as_ref()
+        .map(|durable| std::path::PathBuf::from(&durable.dir));
     named.map(Path::to_owned).or(block)
 }
 
 impl Config {
     /// The cluster that a process belongs to.
     pub fn cluster(&self) -> &str {
-        self.fleet.as_ref().map_or(FleetBlock::CLUSTER, |fleet| &fleet.cluster)
+        self.fleet
+            .as_ref()
+            .map_or(FleetBlock::CLUSTER, |fleet| &fleet.cluster)
     }
 }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -25,23 +25,31 @@
             deadline: c.deadline,
             effect: match (c.effect, c.group, c.window) {
                 (Effect::Safe, ..) => policy::Effect::Safe,
-                (Effect::Keyed, Some(group), Some(window)) => {
-                    policy::Effect::Keyed { group: place(group), window }
-                }
+                (Effect::Keyed, Some(group), Some(window)) => policy::Effect::Keyed {
+                    group: place(group),
+                    window,
+                },
                 _ => policy::Effect::Unsafe,
             },
             worth: c.worth,
             start_worth: c.start_worth,
             calm: c.calm,
             fade: c.fade,
-            kind: c.kind.as_ref().and_then(|kind| self.kind.get_index_of(kind)),
+            kind: c
+                .kind
+                .as_ref()
+                .and_then(|kind| self.kind.get_index_of(kind)),
             priority: c.priority,
             spread: c.spread.map(place),
             spread_most: c.spread_most,
         };
         let (n, s, p) = (&self.nodes, &self.safety, &self.prices);
         // Where the ledger counts planners, one that was not told yet takes the smallest part: one offer in a window.
-        let uncounted = if self.ledger.is_some() { s.cold_bears as u32 } else { 0 };
+        let uncounted = if self.ledger.is_some() {
+            s.cold_bears as u32
+        } else {
+            0
+        };
         policy::Settings {
             ordinal,
             schedulers: self.planner.planners.max(ordinal as u32 + 1).max(uncounted) as usize,
@@ -50,16 +58,30 @@
             tenants: self
                 .tenant
                 .values()
-                .map(|t| policy::Tenant { share: t.share, quota_per_s: t.quota_per_s })
+                .map(|t| policy::Tenant {
+                    share: t.share,
+                    quota_per_s: t.quota_per_s,
+                })
+                .collect(),
+            kinds: self
+                .kind
+                .values()
+                .map(|k| policy::Kind {
+                    cores: k.cores,
+                    memory: k.memory,
+                })
                 .collect(),
-            kinds: self.kind.values().map(|k| policy::Kind { cores: k.cores, memory: k.memory }).collect(),
             admit_cores: n.admit_cores,
             admit_memory: n.admit_memory,
             one_home: self.edge.one_home,
             confirm_when_running: false,
             subscribe: true,
             lists_free: n.lists_free,
-            reports: if n.reports { policy::Reports::Answers } else { policy::Reports::None },
+            reports: if n.reports {
+                policy::Reports::Answers
+            } else {
+                policy::Reports::None
+            },
             reports_use: n.reports_use,
             probes: n.probes,
             messages: false,
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -5,18 +5,34 @@
 #[test]
 fn the_example_is_taken_and_says_what_holds_anyway() {
     let config = parse("default.hcl", DEFAULT).unwrap();
-    assert_eq!(config.class.keys().collect::<Vec<_>>(), ["termin-web", "slot-abgleich"]);
+    assert_eq!(
+        config.class.keys().collect::<Vec<_>>(),
+        ["termin-web", "slot-abgleich"]
+    );
     config.policy(0, 0).check().unwrap();
     let short: String = DEFAULT.split("\nnodes {").next().unwrap().to_owned();
     let bare = parse("short.hcl", &short).unwrap();
-    assert_eq!(format!("{bare:?}"), format!("{config:?}"), "the example's values are the defaults");
+    assert_eq!(
+        format!("{bare:?}"),
+        format!("{config:?}"),
+        "the example's values are the defaults"
+    );
 }
 
 #[test]
 fn where_the_ledger_counts_planners_one_that_was_not_told_takes_the_smallest_part() {
     let of = |text: &str| parse("settings", text).unwrap().policy(0, 0);
-    let counted = of(&format!("{DEFAULT}\nledger {{\n  voters = {{ edge-0 = \"127.0.0.1:7301\" }}\n}}\n"));
-    assert_eq!((of(DEFAULT).schedulers, counted.schedulers, counted.safety.cold_bears), (1, 8, 8.0));
+    let counted = of(&format!(
+        "{DEFAULT}\nledger {{\n  voters = {{ edge-0 = \"127.0.0.1:7301\" }}\n}}\n"
+    ));
+    assert_eq!(
+        (
+            of(DEFAULT).schedulers,
+            counted.schedulers,
+            counted.safety.cold_bears
+        ),
+        (1, 8, 8.0)
+    );
     let many = DEFAULT.replace("planners         = 1 ", "planners         = 30 ");
     assert_eq!(of(&many).schedulers, 30);
 }
@@ -24,25 +40,57 @@
 #[test]
 fn bad_settings_name_file_line_key_and_range() {
     for (from, to, key, says) in [
-        ("deadline    = 6 ", "deadline    = -1 ", "class.termin-web.deadline", "allowed is 0.7 to 86400"),
-        ("spread_most = 3", "spread_least = 3", "class.slot-abgleich.spread_least", "unknown field"),
-        ("admit_cores  = 2.5", "admit_cores  = \"much\"", "nodes.admit_cores", "invalid type"),
+        (
+            "deadline    = 6 ",
+            "deadline    = -1 ",
+            "class.termin-web.deadline",
+            "allowed is 0.7 to 86400",
+        ),
+        (
+            "spread_most = 3",
+            "spread_least = 3",
+            "class.slot-abgleich.spread_least",
+            "unknown field",
+        ),
+        (
+            "admit_cores  = 2.5",
+            "admit_cores  = \"much\"",
+            "nodes.admit_cores",
+            "invalid type",
+        ),
         (
             "effect      = \"unsafe\"",
             "effect      = \"keyed\"",
             "class.slot-abgleich.effect",
             "needs a group",
         ),
-        ("share       = 1.0", "share       = 1.5", "tenant.default.share", "allowed is 0 to 1"),
-        ("settle      = 3", "settle      = 1e9", "owner.settle", "allowed is 0 to 3600"),
+        (
+            "share       = 1.0",
+            "share       = 1.5",
+            "tenant.default.share",
+            "allowed is 0 to 1",
+        ),
+        (
+            "settle      = 3",
+            "settle      = 1e9",
+            "owner.settle",
+            "allowed is 0 to 3600",
+        ),
     ] {
         assert!(DEFAULT.contains(from), "{from}");
         let text = DEFAULT.replace(from, to);
         let line = text.lines().position(|l| l.contains(to.trim())).unwrap() + 1;
         let problem = parse("site.hcl", &text).unwrap_err();
-        assert_eq!((problem.line, problem.key.as_str()), (line, key), "{problem}");
+        assert_eq!(
+            (problem.line, problem.key.as_str()),
+            (line, key),
+            "{problem}"
+        );
         let shown = problem.to_string();
-        assert!(shown.starts_with(&format!("site.hcl:{line}: ")) && shown.contains(says), "{shown}");
+        assert!(
+            shown.starts_with(&format!("site.hcl:{line}: ")) && shown.contains(says),
+            "{shown}"
+        );
     }
 }
 
@@ -56,8 +104,14 @@
 fn a_fleet_is_off_unless_it_is_named_and_bad_ones_name_their_key() {
     assert!(parse("built-in", DEFAULT).unwrap().fleet.is_none());
     let with = |block: &str| parse("site.hcl", &format!("{DEFAULT}\nfleet {{\n  {block}\n}}\n"));
-    let good = with("join = [\"127.0.0.1:7001\"]").unwrap().fleet.expect("it is named");
-    assert_eq!((good.cluster.as_str(), good.members_most), ("tidespur", 1_024));
+    let good = with("join = [\"127.0.0.1:7001\"]")
+        .unwrap()
+        .fleet
+        .expect("it is named");
+    assert_eq!(
+        (good.cluster.as_str(), good.members_most),
+        ("tidespur", 1_024)
+    );
     for (block, key) in [
         ("cluster = \"two words\"", "fleet.cluster"),
         ("listen = \"here\"", "fleet.listen"),
@@ -68,6 +122,10 @@
     ] {
         let problem = with(block).unwrap_err();
         let line = DEFAULT.lines().count() + 3;
-        assert_eq!((problem.key.as_str(), problem.line), (key, line), "{problem}");
+        assert_eq!(
+            (problem.key.as_str(), problem.line),
+            (key, line),
+            "{problem}"
+        );
     }
 }
--- a/crates/controller/src/job.rs
+++ b/crates/controller/src/job.rs
@@ -93,13 +93,20 @@
     }
 
     fn guarded(&self, set: &Settings) -> bool {
-        let class = if self.view.class.is_empty() { &set.default_class } else { &self.view.class };
+        let class = if self.view.class.is_empty() {
+            &set.default_class
+        } else {
+            &self.view.class
+        };
         set.guarded.contains(class)
     }
 
     fn slot_of(&self, uid: &str) -> Option<u32> {
         let of = |slot: &Slot| slot.pod().is_some_and(|pod| pod.uid == uid);
-        self.slots.iter().find(|(_, slot)| of(slot)).map(|(number, _)| *number)
+        self.slots
+            .iter()
+            .find(|(_, slot)| of(slot))
+            .map(|(number, _)| *number)
     }
 
     pub(crate) fn created(&mut self, number: u32, pod: &PodView) {
@@ -108,11 +115,21 @@
         }
     }
 
-    pub(crate) fn not_created(&mut self, now: f64, number: u32, set: &Settings, rng: &mut impl Rng) {
+    pub(crate) fn not_created(
+        &mut self,
+        now: f64,
+        number: u32,
+        set: &Settings,
+        rng: &mut impl Rng,
+    ) {
         if let Some(slot) = self.slots.get_mut(&number) {
             let at = now + set.pauses.draw(slot.troubles, rng);
             slot.troubles += 1;
-            slot.state = State::Idle { at, returned: slot.troubles > 1, adopt: None };
+            slot.state = State::Idle {
+                at,
+                returned: slot.troubles > 1,
+                adopt: None,
+            };
         }
     }
 
@@ -126,8 +143,12 @@
         out: &mut Vec<Action>,
     ) {
         let guarded = self.guarded(set);
-        let Some(number) = self.slot_of(&pod.uid) else { return };
-        let Some(slot) = self.slots.get_mut(&number) else { return };
+        let Some(number) = self.slot_of(&pod.uid) else {
+            return;
+        };
+        let Some(slot) = self.slots.get_mut(&number) else {
+            return;
+        };
         if !matches!(slot.state, State::Active { .. }) {
             return;
         }
@@ -136,7 +157,9 @@
                 let verdict = slot.ended(now, pod, end, guarded, set, rng);
                 if end == PodEnd::Unknown && !guarded {
                     // A second run does no harm, but what nobody waits for must not hold room.
-                    out.push(Action::Reap { uid: pod.uid.clone() });
+                    out.push(Action::Reap {
+                        uid: pod.uid.clone(),
+                    });
                 }
                 if end != PodEnd::Succeeded {
                     self.leftovers.push_back(pod.clone());
@@ -151,7 +174,10 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments, reason = "one call site; the pieces are borrowed from one owner")]
+    #[allow(
+        clippy::too_many_arguments,
+        reason = "one call site; the pieces are borrowed from one owner"
+    )]
     pub(crate) fn located(
         &mut self,
         now: f64,
@@ -162,13 +188,19 @@
         pods: &mut BTreeMap<String, String>,
         out: &mut Vec<Action>,
     ) {
-        let Some(number) = self.slot_of(uid) else { return };
-        let Some(slot) = self.slots.get_mut(&number) else { return };
+        let Some(number) = self.slot_of(uid) else {
+            return;
+        };
+        let Some(slot) = self.slots.get_mut(&number) else {
+            return;
+        };
         let unwanted = matches!(slot.state, State::Settling { unwanted: true, .. });
         let over = self.ended.is_some();
         if (over || unwanted) && matches!(found, Found::At(_)) {
             // The Job is over or the Pod was deleted: what still runs is not wanted.
-            out.push(Action::Reap { uid: uid.to_owned() });
+            out.push(Action::Reap {
+                uid: uid.to_owned(),
+            });
             if over {
                 self.settle(number, Verdict::Done, uid, pods);
             } else {
@@ -180,7 +212,13 @@
         self.settle(number, verdict, uid, pods);
     }
 
-    fn settle(&mut self, number: u32, verdict: Verdict, uid: &str, pods: &mut BTreeMap<String, String>) {
+    fn settle(
+        &mut self,
+        number: u32,
+        verdict: Verdict,
+        uid: &str,
+        pods: &mut BTreeMap<String, String>,
+    ) {
         match verdict {
             Verdict::Open => return,
             Verdict::Done => {
@@ -199,16 +237,32 @@
     /// only once no node holds the old one any more. True where the Pod is still to be heard of.
     pub(crate) fn pod_gone(&mut self, now: f64, pod: &PodView, set: &Settings) -> bool {
         let guarded = self.guarded(set);
-        let Some(number) = self.slot_of(&pod.uid) else { return false };
-        let Some(slot) = self.slots.get_mut(&number) else { return false };
+        let Some(number) = self.slot_of(&pod.uid) else {
+            return false;
+        };
+        let Some(slot) = self.slots.get_mut(&number) else {
+            return false;
+        };
         match &slot.state {
             State::Settling { .. } => return true,
             State::Active { pod } if guarded && !matches!(pod.phase, PodPhase::Ended(_)) => {
                 let (pod, ask_at) = (pod.clone(), now + set.settle);
-                slot.state = State::Settling { pod, ask_at, asked: false, unclear: 0, unwanted: true };
+                slot.state = State::Settling {
+                    pod,
+                    ask_at,
+                    asked: false,
+                    unclear: 0,
+                    unwanted: true,
+                };
                 return true;
             }
-            _ => slot.state = State::Idle { at: now, returned: true, adopt: None },
+            _ => {
+                slot.state = State::Idle {
+                    at: now,
+                    returned: true,
+                    adopt: None,
+                }
+            }
         }
         false
     }
--- a/crates/controller/src/job/shape.rs
+++ b/crates/controller/src/job/shape.rs
@@ -28,7 +28,10 @@
             Some(completions) => self.succeeded >= completions,
             None => self.succeeded > 0 && self.slots.is_empty(),
         };
-        let late = self.view.active_deadline.is_some_and(|most| now >= self.started + most);
+        let late = self
+            .view
+            .active_deadline
+            .is_some_and(|most| now >= self.started + most);
         self.phase = match () {
             () if all => Phase::Complete,
             () if self.failed > self.view.backoff_limit => Phase::BackoffLimitExceeded,
@@ -41,7 +44,12 @@
         }
     }
 
-    pub(crate) fn act(&mut self, now: f64, pods: &mut BTreeMap<String, String>, out: &mut Vec<Action>) {
+    pub(crate) fn act(
+        &mut self,
+        now: f64,
+        pods: &mut BTreeMap<String, String>,
+        out: &mut Vec<Action>,
+    ) {
         if self.phase == Phase::Suspended && !self.view.suspend {
             self.started = now;
         }
@@ -53,7 +61,11 @@
             if let Some(pod) = self.leftovers.pop_front()
                 && self.slot_of(&pod.uid).is_none()
             {
-                out.push(Action::DeletePod { namespace: pod.namespace, name: pod.name, uid: pod.uid });
+                out.push(Action::DeletePod {
+                    namespace: pod.namespace,
+                    name: pod.name,
+                    uid: pod.uid,
+                });
             }
         }
         let status = self.status();
@@ -61,27 +73,46 @@
         if self.told.as_ref() != Some(&status) {
             self.told = Some(status.clone());
             let (uid, namespace, name) = whose(&self.view);
-            out.push(Action::Status { uid, namespace, name, status });
+            out.push(Action::Status {
+                uid,
+                namespace,
+                name,
+                status,
+            });
         }
         self.keep(out);
-        let over = self.ended.zip(self.view.ttl).is_some_and(|(ended, ttl)| now >= ended + ttl);
+        let over = self
+            .ended
+            .zip(self.view.ttl)
+            .is_some_and(|(ended, ttl)| now >= ended + ttl);
         if over && !self.deleted {
             self.deleted = true;
             let (uid, namespace, name) = whose(&self.view);
-            out.push(Action::DeleteJob { namespace, name, uid });
+            out.push(Action::DeleteJob {
+                namespace,
+                name,
+                uid,
+            });
         }
     }
 
     fn shrink(&mut self, pods: &mut BTreeMap<String, String>, out: &mut Vec<Action>) {
         let beyond = self.slots.len().saturating_sub(self.wanted());
-        let rank = |(&number, slot): (&u32, &Slot)| slot.keep_rank().map(|rank| (rank, Reverse(number)));
+        let rank =
+            |(&number, slot): (&u32, &Slot)| slot.keep_rank().map(|rank| (rank, Reverse(number)));
         let mut order: Vec<(u32, Reverse<u32>)> = self.slots.iter().filter_map(rank).collect();
         order.sort_unstable();
         for (_, Reverse(number)) in order.into_iter().take(beyond) {
-            let Some(slot) = self.slots.remove(&number) else { continue };
+            let Some(slot) = self.slots.remove(&number) else {
+                continue;
+            };
             if let State::Active { pod } = slot.state {
                 pods.remove(&pod.uid);
-                out.push(Action::DeletePod { namespace: pod.namespace, name: pod.name, uid: pod.uid });
+                out.push(Action::DeletePod {
+                    namespace: pod.namespace,
+                    name: pod.name,
+                    uid: pod.uid,
+                });
             }
         }
     }
@@ -93,13 +124,23 @@
             self.next_slot += 1;
         }
         for (&number, slot) in &mut self.slots {
-            let State::Idle { at, returned, adopt } = &slot.state else { continue };
+            let State::Idle {
+                at,
+                returned,
+                adopt,
+            } = &slot.state
+            else {
+                continue;
+            };
             // What runs already is taken over even where nothing new may start.
             if *at > now || (wanted == 0 && adopt.is_none()) {
                 continue;
             }
             out.push(Action::Create {
-                slot: SlotId { job: self.view.uid.clone(), number },
+                slot: SlotId {
+                    job: self.view.uid.clone(),
+                    number,
+                },
                 namespace: self.view.namespace.clone(),
                 job: self.view.name.clone(),
                 returned: *returned,
@@ -111,7 +152,12 @@
 
     fn ask(&mut self, now: f64, out: &mut Vec<Action>) {
         for slot in self.slots.values_mut() {
-            let State::Settling { pod, ask_at, asked, .. } = &mut slot.state else { continue };
+            let State::Settling {
+                pod, ask_at, asked, ..
+            } = &mut slot.state
+            else {
+                continue;
+            };
             if *asked || *ask_at > now {
                 continue;
             }
@@ -132,24 +178,52 @@
                     active += 1;
                     ready += u32::from(pod.phase == PodPhase::Running);
                 }
-                State::Idle { returned, adopt: None, .. } => backing_off += u32::from(*returned),
+                State::Idle {
+                    returned,
+                    adopt: None,
+                    ..
+                } => backing_off += u32::from(*returned),
                 State::Settling { .. } => settling += 1,
                 State::Idle { .. } | State::Making => {}
             }
         }
         let (succeeded, failed, phase) = (self.succeeded, self.failed, self.phase);
         let (started, ended) = (self.started, self.ended);
-        JobStatus { active, ready, succeeded, failed, backing_off, settling, phase, started, ended }
+        JobStatus {
+            active,
+            ready,
+            succeeded,
+            failed,
+            backing_off,
+            settling,
+            phase,
+            started,
+            ended,
+        }
     }
 
     pub(crate) fn next_wake(&self) -> Option<f64> {
         let slots = self.slots.values().filter_map(|slot| match &slot.state {
             State::Idle { at, .. } if self.ended.is_none() && !self.view.suspend => Some(*at),
-            State::Settling { ask_at, asked: false, .. } => Some(*ask_at),
+            State::Settling {
+                ask_at,
+                asked: false,
+                ..
+            } => Some(*ask_at),
             _ => None,
         });
-        let deadline = self.view.active_deadline.filter(|_| self.ended.is_none() && !self.view.suspend);
-        let ttl = self.ended.zip(self.view.ttl).filter(|_| !self.deleted).map(|(ended, ttl)| ended + ttl);
-        slots.chain(deadline.map(|most| self.started + most)).chain(ttl).min_by(f64::total_cmp)
+        let deadline = self
+            .view
+            .active_deadline
+            .filter(|_| self.ended.is_none() && !self.view.suspend);
+        let ttl = self
+            .ended
+            .zip(self.view.ttl)
+            .filter(|_| !self.deleted)
+            .map(|(ended, ttl)| ended + ttl);
+        slots
+            .chain(deadline.map(|most| self.started + most))
+            .chain(ttl)
+            .min_by(f64::total_cmp)
     }
 }
--- a/crates/controller/src/kept.rs
+++ b/crates/controller/src/kept.rs
@@ -62,12 +62,20 @@
     pub(crate) fn kept(&self) -> Option<Kept> {
         let troubles = self.troubles;
         match &self.state {
-            State::Idle { at, returned, adopt } if *returned || adopt.is_some() => {
-                Some(Kept::Again { at: *at, adopt: adopt.clone(), troubles })
-            }
-            State::Settling { pod, unwanted, .. } => {
-                Some(Kept::Settling { pod: pod.clone(), unwanted: *unwanted, troubles })
-            }
+            State::Idle {
+                at,
+                returned,
+                adopt,
+            } if *returned || adopt.is_some() => Some(Kept::Again {
+                at: *at,
+                adopt: adopt.clone(),
+                troubles,
+            }),
+            State::Settling { pod, unwanted, .. } => Some(Kept::Settling {
+                pod: pod.clone(),
+                unwanted: *unwanted,
+                troubles,
+            }),
             State::Idle { .. } | State::Making | State::Active { .. } => None,
         }
     }
@@ -76,14 +84,39 @@
     /// that lies too far ahead comes of a clock that was wrong. What may run is asked for soon, whatever the clock.
     fn recalled(kept: Kept, now: f64, set: &Settings, rng: &mut impl Rng) -> Self {
         match kept {
-            Kept::Again { at, adopt, troubles } => {
+            Kept::Again {
+                at,
+                adopt,
+                troubles,
+            } => {
                 let latest = now + set.pauses.most;
-                let at = if at > now && at <= latest { at } else { now + set.pauses.draw_lost(rng) };
-                Self { state: State::Idle { at, returned: true, adopt }, troubles }
+                let at = if at > now && at <= latest {
+                    at
+                } else {
+                    now + set.pauses.draw_lost(rng)
+                };
+                Self {
+                    state: State::Idle {
+                        at,
+                        returned: true,
+                        adopt,
+                    },
+                    troubles,
+                }
             }
-            Kept::Settling { pod, unwanted, troubles } => {
+            Kept::Settling {
+                pod,
+                unwanted,
+                troubles,
+            } => {
                 let ask_at = now + set.settle * rng.random_range(0.5..=1.0);
-                let state = State::Settling { pod, ask_at, asked: false, unclear: 0, unwanted };
+                let state = State::Settling {
+                    pod,
+                    ask_at,
+                    asked: false,
+                    unclear: 0,
+                    unwanted,
+                };
                 Self { state, troubles }
             }
         }
@@ -96,11 +129,20 @@
         (job.succeeded, job.failed) = (past.succeeded, past.failed);
         (job.phase, job.ended) = (past.phase, past.ended.map(|ended| ended.min(now)));
         job.next_slot = past.next_slot;
-        let active = |pod| Slot { state: State::Active { pod }, troubles: 0 };
-        job.slots.extend(past.pods.into_iter().map(|(number, pod)| (number, active(pod))));
+        let active = |pod| Slot {
+            state: State::Active { pod },
+            troubles: 0,
+        };
+        job.slots.extend(
+            past.pods
+                .into_iter()
+                .map(|(number, pod)| (number, active(pod))),
+        );
         for (number, kept) in past.kept {
             job.kept.insert(number, kept.clone());
-            job.slots.entry(number).or_insert_with(|| Slot::recalled(kept, now, set, rng));
+            job.slots
+                .entry(number)
+                .or_insert_with(|| Slot::recalled(kept, now, set, rng));
         }
         let above = job.slots.keys().next_back().map_or(0, |last| last + 1);
         job.next_slot = job.next_slot.max(above);
@@ -111,7 +153,10 @@
 
     /// Pods that slots of it know, for those who look them up by uid.
     pub(crate) fn known_pods(&self) -> impl Iterator<Item = &str> {
-        self.slots.values().filter_map(Slot::pod).map(|pod| pod.uid.as_str())
+        self.slots
+            .values()
+            .filter_map(Slot::pod)
+            .map(|pod| pod.uid.as_str())
     }
 
     /// Tells what has come to differ from what is kept of it.
@@ -119,12 +164,24 @@
         let job = || self.view.uid.clone();
         if self.kept_next != self.next_slot {
             self.kept_next = self.next_slot;
-            out.push(Action::KeepJob { job: job(), next_slot: Some(self.next_slot) });
+            out.push(Action::KeepJob {
+                job: job(),
+                next_slot: Some(self.next_slot),
+            });
         }
-        let gone: Vec<u32> = self.kept.keys().filter(|n| !self.slots.contains_key(n)).copied().collect();
+        let gone: Vec<u32> = self
+            .kept
+            .keys()
+            .filter(|n| !self.slots.contains_key(n))
+            .copied()
+            .collect();
         for number in gone {
             self.kept.remove(&number);
-            out.push(Action::KeepSlot { job: job(), number, kept: None });
+            out.push(Action::KeepSlot {
+                job: job(),
+                number,
+                kept: None,
+            });
         }
         for (&number, slot) in &self.slots {
             // One that is being made is something else before the step is over.
@@ -139,15 +196,26 @@
                 Some(kept) => drop(self.kept.insert(number, kept.clone())),
                 None => drop(self.kept.remove(&number)),
             }
-            out.push(Action::KeepSlot { job: job(), number, kept });
+            out.push(Action::KeepSlot {
+                job: job(),
+                number,
+                kept,
+            });
         }
     }
 
     /// The Job is gone: nothing is kept of it any more.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
         for number in std::mem::take(&mut self.kept).into_keys() {
-            out.push(Action::KeepSlot { job: self.view.uid.clone(), number, kept: None });
+            out.push(Action::KeepSlot {
+                job: self.view.uid.clone(),
+                number,
+                kept: None,
+            });
         }
-        out.push(Action::KeepJob { job: self.view.uid.clone(), next_slot: None });
+        out.push(Action::KeepJob {
+            job: self.view.uid.clone(),
+            next_slot: None,
+        });
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -52,7 +52,13 @@
     /// A controller that knows no Job yet; `seed` is all the chance it has.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let rng = rand_pcg::Pcg32::seed_from_u64(seed);
-        Self { settings, rng, jobs: BTreeMap::new(), pods: BTreeMap::new(), strays: BTreeMap::new() }
+        Self {
+            settings,
+            rng,
+            jobs: BTreeMap::new(),
+            pods: BTreeMap::new(),
+            strays: BTreeMap::new(),
+        }
     }
 
     /// Takes in `events`, all of time `now`, and appends what is to be done.
@@ -61,11 +67,18 @@
         for job in self.jobs.values_mut() {
             job.act(now, &mut self.pods, out);
         }
-        let due = self.strays.iter().filter(|(_, at)| **at <= now).map(|(uid, _)| uid.clone());
+        let due = self
+            .strays
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(uid, _)| uid.clone());
         let due: Vec<String> = due.collect();
         for uid in due {
             self.strays.remove(&uid);
-            out.push(Action::KeepStray { uid: uid.clone(), stands: false });
+            out.push(Action::KeepStray {
+                uid: uid.clone(),
+                stands: false,
+            });
             out.push(Action::Reap { uid });
         }
     }
@@ -80,7 +93,8 @@
     /// When to step next though nothing happens.
     pub fn next_wake(&self) -> Option<f64> {
         let jobs = self.jobs.values().filter_map(Job::next_wake);
-        jobs.chain(self.strays.values().copied()).min_by(f64::total_cmp)
+        jobs.chain(self.strays.values().copied())
+            .min_by(f64::total_cmp)
     }
 
     /// How many Jobs stand.
@@ -97,7 +111,8 @@
             Event::Recall(past) => {
                 let uid = past.view.uid.clone();
                 let job = Job::recalled(*past, now, &self.settings, &mut self.rng);
-                self.pods.extend(job.known_pods().map(|pod| (pod.to_owned(), uid.clone())));
+                self.pods
+                    .extend(job.known_pods().map(|pod| (pod.to_owned(), uid.clone())));
                 self.jobs.insert(uid, job);
             }
             Event::RecallStray(uid) => drop(self.strays.insert(uid, now + self.settings.settle)),
@@ -113,30 +128,61 @@
                 Some(job) => {
                     self.pods.insert(pod.uid.clone(), slot.job.clone());
                     job.created(slot.number, &pod);
-                    job.pod(now, &pod, &self.settings, &mut self.rng, &mut self.pods, out);
-                }
-                None => {
-                    out.push(Action::DeletePod { namespace: pod.namespace, name: pod.name, uid: pod.uid })
+                    job.pod(
+                        now,
+                        &pod,
+                        &self.settings,
+                        &mut self.rng,
+                        &mut self.pods,
+                        out,
+                    );
                 }
+                None => out.push(Action::DeletePod {
+                    namespace: pod.namespace,
+                    name: pod.name,
+                    uid: pod.uid,
+                }),
             },
             Event::NotCreated(slot) => {
                 if let Some(job) = self.jobs.get_mut(&slot.job) {
                     job.not_created(now, slot.number, &self.settings, &mut self.rng);
                 }
             }
-            Event::Pod(pod) => match self.pods.get(&pod.uid).and_then(|job| self.jobs.get_mut(job)) {
-                Some(job) => job.pod(now, &pod, &self.settings, &mut self.rng, &mut self.pods, out),
+            Event::Pod(pod) => match self
+                .pods
+                .get(&pod.uid)
+                .and_then(|job| self.jobs.get_mut(job))
+            {
+                Some(job) => job.pod(
+                    now,
+                    &pod,
+                    &self.settings,
+                    &mut self.rng,
+                    &mut self.pods,
+                    out,
+                ),
                 None => self.foreign(now, &pod, out),
             },
             Event::PodGone(pod) => {
-                let job = self.pods.get(&pod.uid).and_then(|job| self.jobs.get_mut(job));
+                let job = self
+                    .pods
+                    .get(&pod.uid)
+                    .and_then(|job| self.jobs.get_mut(job));
                 if !job.is_some_and(|job| job.pod_gone(now, &pod, &self.settings)) {
                     self.pods.remove(&pod.uid);
                 }
             }
             Event::Located { uid, found } => {
                 if let Some(job) = self.pods.get(&uid).and_then(|job| self.jobs.get_mut(job)) {
-                    job.located(now, &uid, found, &self.settings, &mut self.rng, &mut self.pods, out);
+                    job.located(
+                        now,
+                        &uid,
+                        found,
+                        &self.settings,
+                        &mut self.rng,
+                        &mut self.pods,
+                        out,
+                    );
                 }
             }
         }
@@ -151,7 +197,10 @@
     }
 
     fn stray(&mut self, now: f64, uid: String, out: &mut Vec<Action>) {
-        out.push(Action::KeepStray { uid: uid.clone(), stands: true });
+        out.push(Action::KeepStray {
+            uid: uid.clone(),
+            stands: true,
+        });
         self.strays.insert(uid, now + self.settings.settle);
     }
 }
