--- a/crates/controller/src/slot.rs
+++ b/crates/controller/src/slot.rs
@@ -27,13 +27,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum State {
     /// A Pod is due at this time.
-    Idle { at: f64, returned: bool, adopt: Option<Adopt> },
+    Idle {
+        at: f64,
+        returned: bool,
+        adopt: Option<Adopt>,
+    },
     /// A Pod is being made.
     Making,
     /// This Pod stands for it.
     Active { pod: PodView },
     /// This Pod may run though it was answered as unknown or lost; nothing may be sent before that is settled.
-    Settling { pod: PodView, ask_at: f64, asked: bool, unclear: u32, unwanted: bool },
+    Settling {
+        pod: PodView,
+        ask_at: f64,
+        asked: bool,
+        unclear: u32,
+        unwanted: bool,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -61,7 +71,14 @@
 
 impl Slot {
     pub(crate) fn new(now: f64) -> Self {
-        Self { state: State::Idle { at: now, returned: false, adopt: None }, troubles: 0 }
+        Self {
+            state: State::Idle {
+                at: now,
+                returned: false,
+                adopt: None,
+            },
+            troubles: 0,
+        }
     }
 
     /// The Pod that stands for it.
@@ -87,28 +104,62 @@
             PodEnd::Succeeded => return Verdict::Done,
             PodEnd::Unknown | PodEnd::Lost if guarded => {
                 let (pod, ask_at) = (pod.clone(), now + set.settle);
-                self.state = State::Settling { pod, ask_at, asked: false, unclear: 0, unwanted: false };
+                self.state = State::Settling {
+                    pod,
+                    ask_at,
+                    asked: false,
+                    unclear: 0,
+                    unwanted: false,
+                };
                 return Verdict::Open;
             }
             PodEnd::Lost | PodEnd::Moved => set.pauses.draw_lost(rng),
             _ => set.pauses.draw(self.troubles, rng),
         };
         self.troubles += 1;
-        self.state = State::Idle { at: now + pause, returned: true, adopt: None };
-        if end == PodEnd::Failed { Verdict::RunFailed } else { Verdict::Again }
+        self.state = State::Idle {
+            at: now + pause,
+            returned: true,
+            adopt: None,
+        };
+        if end == PodEnd::Failed {
+            Verdict::RunFailed
+        } else {
+            Verdict::Again
+        }
     }
 
     /// What was found of a Pod that was being settled. Only a clear word ends the settling: a slot of a guarded
     /// class waits for as long as a node that may hold its Pod can't be heard. Harm: a node that is cut off for
     /// good and stays listed holds the slot until it leaves the list.
-    pub(crate) fn found(&mut self, now: f64, found: Found, set: &Settings, rng: &mut impl Rng) -> Verdict {
-        let State::Settling { pod, ask_at, asked, unclear, .. } = &mut self.state else {
+    pub(crate) fn found(
+        &mut self,
+        now: f64,
+        found: Found,
+        set: &Settings,
+        rng: &mut impl Rng,
+    ) -> Verdict {
+        let State::Settling {
+            pod,
+            ask_at,
+            asked,
+            unclear,
+            ..
+        } = &mut self.state
+        else {
             return Verdict::Open;
         };
         match found {
             Found::At(node) => {
-                let adopt = Some(Adopt { node, name: pod.known_as.clone() });
-                self.state = State::Idle { at: now, returned: true, adopt };
+                let adopt = Some(Adopt {
+                    node,
+                    name: pod.known_as.clone(),
+                });
+                self.state = State::Idle {
+                    at: now,
+                    returned: true,
+                    adopt,
+                };
                 Verdict::Again
             }
             Found::Ended(End::Succeeded) => Verdict::Done,
@@ -132,7 +183,11 @@
 
     fn again(&mut self, at: f64) {
         self.troubles += 1;
-        self.state = State::Idle { at, returned: true, adopt: None };
+        self.state = State::Idle {
+            at,
+            returned: true,
+            adopt: None,
+        };
     }
 
     /// In which order slots are given up when a Job shrinks: what has not begun first. One that is being settled
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -34,18 +34,26 @@
     /// Reads a checked Job.
     pub fn read(job: &Object) -> Self {
         let spec = meta::at(job, &["spec"]);
-        let number = |key: &str| spec.get(key).and_then(|v| v.as_i64()).map(|n| n.max(0) as u32);
+        let number = |key: &str| {
+            spec.get(key)
+                .and_then(|v| v.as_i64())
+                .map(|n| n.max(0) as u32)
+        };
         Self {
             uid: meta::uid(job).to_owned(),
             namespace: meta::namespace(job).to_owned(),
             name: meta::name(job).to_owned(),
             class: meta::text(spec, &["template", "spec", "priorityClassName"]).to_owned(),
             parallelism: number("parallelism").unwrap_or(1),
-            completions: number("completions").or_else(|| number("parallelism").is_none().then_some(1)),
+            completions: number("completions")
+                .or_else(|| number("parallelism").is_none().then_some(1)),
             backoff_limit: number("backoffLimit").unwrap_or(6),
             active_deadline: number("activeDeadlineSeconds").map(f64::from),
             ttl: number("ttlSecondsAfterFinished").map(f64::from),
-            suspend: spec.get("suspend").and_then(|v| v.as_bool()).unwrap_or(false),
+            suspend: spec
+                .get("suspend")
+                .and_then(|v| v.as_bool())
+                .unwrap_or(false),
             deleting: !meta::at(job, &["metadata", "deletionTimestamp"]).is_null(),
         }
     }
@@ -128,7 +136,9 @@
             uid: meta::uid(pod).to_owned(),
             namespace: meta::namespace(pod).to_owned(),
             name: meta::name(pod).to_owned(),
-            known_as: meta::annotation(pod, names::ADOPTS).unwrap_or(meta::name(pod)).to_owned(),
+            known_as: meta::annotation(pod, names::ADOPTS)
+                .unwrap_or(meta::name(pod))
+                .to_owned(),
             phase,
         }
     }
--- a/crates/controller/tests/owner.rs
+++ b/crates/controller/tests/owner.rs
@@ -32,8 +32,17 @@
 impl World {
     fn new(guarded: bool, job: JobView) -> Self {
         let guarded: BTreeSet<String> = guarded.then(|| "run".to_owned()).into_iter().collect();
-        let pauses = Pauses { first: 1.0, most: 8.0, lost: 0.2 };
-        let settings = Settings { pauses, settle: 3.0, guarded, default_class: "web".into() };
+        let pauses = Pauses {
+            first: 1.0,
+            most: 8.0,
+            lost: 0.2,
+        };
+        let settings = Settings {
+            pauses,
+            settle: 3.0,
+            guarded,
+            default_class: "web".into(),
+        };
         let mut world = World {
             controller: Controller::new(settings, 3),
             now: 0.0,
@@ -55,10 +64,23 @@
                 self.next += 1;
                 let name = format!("p{}", self.next);
                 let known_as = adopt.as_ref().map_or(name.clone(), |a| a.name.clone());
-                let phase = if adopt.is_some() { PodPhase::Placed } else { PodPhase::Waiting };
-                let pod = PodView { uid: name.clone(), namespace: "default".into(), name, known_as, phase };
+                let phase = if adopt.is_some() {
+                    PodPhase::Placed
+                } else {
+                    PodPhase::Waiting
+                };
+                let pod = PodView {
+                    uid: name.clone(),
+                    namespace: "default".into(),
+                    name,
+                    known_as,
+                    phase,
+                };
                 self.made.push(pod.clone());
-                back.push(Event::Created { slot: slot.clone(), pod });
+                back.push(Event::Created {
+                    slot: slot.clone(),
+                    pod,
+                });
             }
         }
         self.actions.extend(out);
@@ -73,22 +95,36 @@
     }
 
     fn ends(&mut self, pod: usize, end: PodEnd) {
-        let view = PodView { phase: PodPhase::Ended(end), ..self.made[pod].clone() };
+        let view = PodView {
+            phase: PodPhase::Ended(end),
+            ..self.made[pod].clone()
+        };
         self.step(vec![Event::Pod(view)]);
     }
 
     fn found(&mut self, pod: usize, found: Found) {
-        self.step(vec![Event::Located { uid: self.made[pod].uid.clone(), found }]);
+        self.step(vec![Event::Located {
+            uid: self.made[pod].uid.clone(),
+            found,
+        }]);
     }
 
     fn status(&self) -> JobStatus {
-        let status =
-            |a: &Action| if let Action::Status { status, .. } = a { Some(status.clone()) } else { None };
+        let status = |a: &Action| {
+            if let Action::Status { status, .. } = a {
+                Some(status.clone())
+            } else {
+                None
+            }
+        };
         self.actions.iter().rev().find_map(status).unwrap()
     }
 
     fn asked_where(&self) -> usize {
-        self.actions.iter().filter(|a| matches!(a, Action::Locate { .. })).count()
+        self.actions
+            .iter()
+            .filter(|a| matches!(a, Action::Locate { .. }))
+            .count()
     }
 }
 
@@ -120,7 +156,11 @@
         assert_eq!((world.asked_where(), world.made.len()), (1, 1));
         world.found(0, Found::Unclear);
         world.at(60.0);
-        assert_eq!((world.asked_where(), world.made.len()), (2, 1), "doubt never makes a second one");
+        assert_eq!(
+            (world.asked_where(), world.made.len()),
+            (2, 1),
+            "doubt never makes a second one"
+        );
         world.found(0, Found::Nowhere);
         world.at(61.0);
         assert_eq!(world.made.len(), 2);
@@ -134,9 +174,22 @@
     world.at(3.0);
     world.found(0, Found::At("n7".into()));
     let adopt = world.actions.iter().find_map(|a| {
-        if let Action::Create { adopt: Some(adopt), .. } = a { Some(adopt.clone()) } else { None }
+        if let Action::Create {
+            adopt: Some(adopt), ..
+        } = a
+        {
+            Some(adopt.clone())
+        } else {
+            None
+        }
     });
-    assert_eq!(adopt, Some(Adopt { node: "n7".into(), name: "p1".into() }));
+    assert_eq!(
+        adopt,
+        Some(Adopt {
+            node: "n7".into(),
+            name: "p1".into()
+        })
+    );
     world.ends(1, PodEnd::Succeeded);
     assert_eq!(world.status().phase, Phase::Complete);
     assert_eq!(world.made.len(), 2);
@@ -145,7 +198,10 @@
 #[test]
 fn a_guarded_pod_that_was_deleted_is_stopped_before_another_is_made() {
     let mut world = World::new(true, job(1));
-    let running = PodView { phase: PodPhase::Running, ..world.made[0].clone() };
+    let running = PodView {
+        phase: PodPhase::Running,
+        ..world.made[0].clone()
+    };
     world.step(vec![Event::Pod(running.clone()), Event::PodGone(running)]);
     world.at(3.0);
     world.found(0, Found::At("n1".into()));
@@ -169,31 +225,60 @@
 #[test]
 fn failed_runs_count_against_the_limit_and_nothing_else_does() {
     let mut world = World::new(false, job(1));
-    for (i, end) in [PodEnd::Evicted, PodEnd::Lost, PodEnd::Failed, PodEnd::Failed].into_iter().enumerate() {
+    for (i, end) in [
+        PodEnd::Evicted,
+        PodEnd::Lost,
+        PodEnd::Failed,
+        PodEnd::Failed,
+    ]
+    .into_iter()
+    .enumerate()
+    {
         assert_eq!(world.status().phase, Phase::Open);
         world.ends(i, end);
         world.at(world.now + 20.0);
     }
-    assert_eq!((world.status().phase, world.status().failed), (Phase::BackoffLimitExceeded, 2));
+    assert_eq!(
+        (world.status().phase, world.status().failed),
+        (Phase::BackoffLimitExceeded, 2)
+    );
     assert_eq!(world.made.len(), 4);
 }
 
 #[test]
 fn a_job_shrinks_by_what_has_not_begun_and_suspends_wholly() {
     let mut world = World::new(false, job(4));
-    let running = PodView { phase: PodPhase::Running, ..world.made[0].clone() };
+    let running = PodView {
+        phase: PodPhase::Running,
+        ..world.made[0].clone()
+    };
     world.step(vec![Event::Pod(running)]);
-    world.step(vec![Event::Job(JobView { parallelism: 1, ..job(4) })]);
+    world.step(vec![Event::Job(JobView {
+        parallelism: 1,
+        ..job(4)
+    })]);
     let deleted = |world: &World| -> Vec<String> {
         world
             .actions
             .iter()
-            .filter_map(|a| if let Action::DeletePod { name, .. } = a { Some(name.clone()) } else { None })
+            .filter_map(|a| {
+                if let Action::DeletePod { name, .. } = a {
+                    Some(name.clone())
+                } else {
+                    None
+                }
+            })
             .collect()
     };
     assert_eq!(deleted(&world).len(), 3);
-    assert!(!deleted(&world).contains(&"p1".to_owned()), "the one that runs is kept");
-    world.step(vec![Event::Job(JobView { suspend: true, ..job(4) })]);
+    assert!(
+        !deleted(&world).contains(&"p1".to_owned()),
+        "the one that runs is kept"
+    );
+    world.step(vec![Event::Job(JobView {
+        suspend: true,
+        ..job(4)
+    })]);
     assert_eq!(deleted(&world).len(), 4);
     assert_eq!(world.status().phase, Phase::Suspended);
     world.step(vec![Event::Job(job(4))]);
@@ -202,11 +287,28 @@
 
 #[test]
 fn a_job_ends_by_its_deadline_and_is_removed_after_its_time() {
-    let mut world = World::new(false, JobView { active_deadline: Some(5.0), ttl: Some(2.0), ..job(1) });
+    let mut world = World::new(
+        false,
+        JobView {
+            active_deadline: Some(5.0),
+            ttl: Some(2.0),
+            ..job(1)
+        },
+    );
     assert_eq!(world.controller.next_wake(), Some(5.0));
     world.at(5.0);
     assert_eq!(world.status().phase, Phase::DeadlineExceeded);
-    assert!(world.actions.iter().any(|a| matches!(a, Action::DeletePod { .. })));
+    assert!(
+        world
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::DeletePod { .. }))
+    );
     world.at(7.0);
-    assert!(world.actions.iter().any(|a| matches!(a, Action::DeleteJob { .. })));
+    assert!(
+        world
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::DeleteJob { .. }))
+    );
 }
--- a/crates/durable/src/batch.rs
+++ b/crates/durable/src/batch.rs
@@ -20,9 +20,13 @@
     pub fn put(&mut self, kind: &str, key: &str, value: Vec<u8>) -> Result<(), Error> {
         let bytes = kind.len() + key.len() + value.len();
         if bytes > RECORD_MOST {
-            return Err(Error::TooLarge { record: format!("{kind} {key}"), bytes });
+            return Err(Error::TooLarge {
+                record: format!("{kind} {key}"),
+                bytes,
+            });
         }
-        self.changes.insert((kind.to_owned(), key.to_owned()), Some(value));
+        self.changes
+            .insert((kind.to_owned(), key.to_owned()), Some(value));
         Ok(())
     }
 
@@ -43,7 +47,9 @@
 
     /// The changes, in order of kind and key; `None` removes.
     pub fn changes(&self) -> impl Iterator<Item = (&Record, Option<&[u8]>)> {
-        self.changes.iter().map(|(record, value)| (record, value.as_deref()))
+        self.changes
+            .iter()
+            .map(|(record, value)| (record, value.as_deref()))
     }
 
     /// Takes in a later batch: of each record the later word holds.
--- a/crates/durable/src/error.rs
+++ b/crates/durable/src/error.rs
@@ -17,7 +17,9 @@
         why: std::io::Error,
     },
     /// Another process has it open.
-    #[error("{file}: another process has it open; end that process, or give each its own folder with --data")]
+    #[error(
+        "{file}: another process has it open; end that process, or give each its own folder with --data"
+    )]
     InUse {
         /// The file.
         file: PathBuf,
@@ -105,7 +107,9 @@
         why: String,
     },
     /// A record is beyond the bound.
-    #[error("{record}: {bytes} bytes, which is more than a record may have; make the object smaller")]
+    #[error(
+        "{record}: {bytes} bytes, which is more than a record may have; make the object smaller"
+    )]
     TooLarge {
         /// Kind and key.
         record: String,
@@ -119,26 +123,39 @@
     let file = file.to_owned();
     match problem {
         redb::Error::DatabaseAlreadyOpen => Error::InUse { file },
-        redb::Error::UpgradeRequired(found) => {
-            Error::Damaged { file, why: format!("an old format of its library, {found}") }
-        }
+        redb::Error::UpgradeRequired(found) => Error::Damaged {
+            file,
+            why: format!("an old format of its library, {found}"),
+        },
         // Its library tells the two apart by its words alone; unknown words count as the worse one.
         redb::Error::Corrupted(why) if why.contains("truncated") => Error::Torn { file, why },
         redb::Error::Corrupted(why) => Error::Damaged { file, why },
         redb::Error::Io(why) => by_kind(file, &why),
-        redb::Error::RepairAborted => {
-            Error::Damaged { file, why: "what a power loss left could not be put right".into() }
-        }
-        other => Error::Disk { file, why: other.to_string() },
+        redb::Error::RepairAborted => Error::Damaged {
+            file,
+            why: "what a power loss left could not be put right".into(),
+        },
+        other => Error::Disk {
+            file,
+            why: other.to_string(),
+        },
     }
 }
 
 fn by_kind(file: PathBuf, why: &std::io::Error) -> Error {
     use std::io::ErrorKind;
     match why.kind() {
-        ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => Error::Full { file },
-        ErrorKind::UnexpectedEof => Error::Torn { file, why: "a page lies beyond its end".into() },
+        ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
+            Error::Full { file }
+        }
+        ErrorKind::UnexpectedEof => Error::Torn {
+            file,
+            why: "a page lies beyond its end".into(),
+        },
         ErrorKind::InvalidData => Error::Foreign { file },
-        _ => Error::Disk { file, why: why.to_string() },
+        _ => Error::Disk {
+            file,
+            why: why.to_string(),
+        },
     }
 }
--- a/crates/durable/src/export.rs
+++ b/crates/durable/src/export.rs
@@ -23,7 +23,10 @@
 pub fn export(folder: &Path) -> Result<Export, Error> {
     let file = folder.join(FILE);
     let copy = folder.join(format!("{FILE}.export"));
-    let system = |why: std::io::Error| Error::Disk { file: file.clone(), why: why.to_string() };
+    let system = |why: std::io::Error| Error::Disk {
+        file: file.clone(),
+        why: why.to_string(),
+    };
     std::fs::copy(&file, &copy).map_err(system)?;
     let read = read(&copy);
     std::fs::remove_file(&copy).map_err(system)?;
@@ -31,20 +34,31 @@
 }
 
 fn read(copy: &Path) -> Result<Export, Error> {
-    let disk = Builder::new().create(copy).map_err(|e| told(copy, e.into()))?;
+    let disk = Builder::new()
+        .create(copy)
+        .map_err(|e| told(copy, e.into()))?;
     if let Ok(records) = records(&disk) {
-        return Ok(Export { records, missing: vec![] });
+        return Ok(Export {
+            records,
+            missing: vec![],
+        });
     }
     let mut export = Export::default();
     let mut walk = || -> Result<(), redb::Error> {
         let table = disk.begin_read()?.open_table(RECORDS)?;
         for backwards in [false, true] {
             let mut all = table.iter()?;
-            while let Some(entry) = if backwards { all.next_back() } else { all.next() } {
+            while let Some(entry) = if backwards {
+                all.next_back()
+            } else {
+                all.next()
+            } {
                 match entry {
                     Ok((key, value)) => {
                         let (kind, key) = key.value();
-                        export.records.insert((kind.to_owned(), key.to_owned()), value.value().to_owned());
+                        export
+                            .records
+                            .insert((kind.to_owned(), key.to_owned()), value.value().to_owned());
                     }
                     Err(problem) => {
                         export.missing.push(problem.to_string());
--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -37,14 +37,19 @@
     /// # Errors
     /// Each says what an operator can do. Nothing is changed where it fails.
     pub fn open(folder: &Path, who: &Identity) -> Result<(Self, Recalled), Error> {
-        let told = |why| Error::Folder { folder: folder.to_owned(), why };
+        let told = |why| Error::Folder {
+            folder: folder.to_owned(),
+            why,
+        };
         std::fs::create_dir_all(folder).map_err(told)?;
         let file = folder.join(FILE);
         let new = !file.try_exists().map_err(told)?;
         let disk = open(&file)?;
         if new {
             // The name of a new file is safe only once its folder is.
-            std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(told)?;
+            std::fs::File::open(folder)
+                .and_then(|folder| folder.sync_all())
+                .map_err(told)?;
         }
         Self::begin(file, disk, who)
     }
@@ -55,23 +60,42 @@
     /// As [`Memory::open`].
     pub fn over(disk: impl StorageBackend, who: &Identity) -> Result<(Self, Recalled), Error> {
         let file = PathBuf::from("(simulated)");
-        let disk = builder().create_with_backend(disk).map_err(|e| told(&file, e.into()))?;
+        let disk = builder()
+            .create_with_backend(disk)
+            .map_err(|e| told(&file, e.into()))?;
         Self::begin(file, disk, who)
     }
 
     fn begin(file: PathBuf, mut disk: Database, who: &Identity) -> Result<(Self, Recalled), Error> {
         // What a power loss left half done was rolled back while it was opened; now every page must be what it was.
         if !disk.check_integrity().map_err(|e| told(&file, e.into()))? {
-            return Err(Error::Damaged { file, why: "pages do not match their checksums".into() });
+            return Err(Error::Damaged {
+                file,
+                why: "pages do not match their checksums".into(),
+            });
         }
-        let mut memory = Self { file, who: who.clone(), disk: Some(disk) };
+        let mut memory = Self {
+            file,
+            who: who.clone(),
+            disk: Some(disk),
+        };
         let (turn, begun) = memory.check()?;
         let turn = turn + 1;
         let records = memory.read()?;
-        let held: u64 = records.iter().map(|((a, b), v)| (a.len() + b.len() + v.len()) as u64).sum();
+        let held: u64 = records
+            .iter()
+            .map(|((a, b), v)| (a.len() + b.len() + v.len()) as u64)
+            .sum();
         memory.compact(held)?;
         memory.notes(&[("turn", &turn.to_string())])?;
-        Ok((memory, Recalled { records, turn, begun }))
+        Ok((
+            memory,
+            Recalled {
+                records,
+                turn,
+                begun,
+            },
+        ))
     }
 
     /// Whose it is, how often it was opened and when it was begun; writes that into a new one.
@@ -80,26 +104,48 @@
         let about = self.about()?;
         let Some(found) = about.get("format") else {
             if !self.read()?.is_empty() {
-                return Err(Error::Foreign { file: self.file.clone() });
+                return Err(Error::Foreign {
+                    file: self.file.clone(),
+                });
             }
             let cluster = self.who.cluster.clone();
-            let begun = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+            let begun = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_micros() as u64;
             let (format, at) = (FORMAT.to_string(), begun.to_string());
-            self.notes(&[("format", &format), ("name", &role), ("cluster", &cluster), ("begun", &at)])?;
+            self.notes(&[
+                ("format", &format),
+                ("name", &role),
+                ("cluster", &cluster),
+                ("begun", &at),
+            ])?;
             return Ok((0, begun));
         };
         let file = || self.file.clone();
         let found: u64 = found.parse().map_err(|_| Error::Foreign { file: file() })?;
         if found > FORMAT {
-            return Err(Error::Newer { file: file(), found, known: FORMAT });
+            return Err(Error::Newer {
+                file: file(),
+                found,
+                known: FORMAT,
+            });
         }
         let of = |key: &str| about.get(key).cloned().unwrap_or_default();
         if of("cluster") != self.who.cluster {
             let wanted = self.who.cluster.clone();
-            return Err(Error::OtherCluster { file: file(), found: of("cluster"), wanted });
+            return Err(Error::OtherCluster {
+                file: file(),
+                found: of("cluster"),
+                wanted,
+            });
         }
         if of("name") != role {
-            return Err(Error::OtherName { file: file(), found: of("name"), wanted: role });
+            return Err(Error::OtherName {
+                file: file(),
+                found: of("name"),
+                wanted: role,
+            });
         }
         let number = |key: &str| match about.get(key).map(|text| text.parse()) {
             None => Ok(0),
@@ -109,7 +155,10 @@
     }
 
     fn disk(&self) -> Result<&Database, Error> {
-        let closed = || Error::Disk { file: self.file.clone(), why: "it is closed after an error".into() };
+        let closed = || Error::Disk {
+            file: self.file.clone(),
+            why: "it is closed after an error".into(),
+        };
         self.disk.as_ref().ok_or_else(closed)
     }
 
@@ -190,7 +239,9 @@
         if size < COMPACT_FROM || size < held.saturating_mul(COMPACT_AT) {
             return Ok(());
         }
-        let Some(disk) = &mut self.disk else { return Ok(()) };
+        let Some(disk) = &mut self.disk else {
+            return Ok(());
+        };
         match disk.compact() {
             Ok(_) => Ok(()),
             Err(problem) => Err(told(&self.file, problem.into())),
@@ -208,7 +259,9 @@
     builder().create(file).map_err(|e| told(file, e.into()))
 }
 
-pub(crate) fn records(disk: &impl ReadableDatabase) -> Result<BTreeMap<Record, Vec<u8>>, redb::Error> {
+pub(crate) fn records(
+    disk: &impl ReadableDatabase,
+) -> Result<BTreeMap<Record, Vec<u8>>, redb::Error> {
     let read = disk.begin_read()?;
     let table = match read.open_table(RECORDS) {
         Ok(table) => table,
--- a/crates/durable/src/outbox.rs
+++ b/crates/durable/src/outbox.rs
@@ -14,7 +14,9 @@
 
 impl<T> Default for Outbox<T> {
     fn default() -> Self {
-        Self { held: VecDeque::new() }
+        Self {
+            held: VecDeque::new(),
+        }
     }
 }
 
@@ -26,13 +28,19 @@
 
     /// The words that may be said once all batches up to this one are safe.
     pub fn release(&mut self, safe: u64) -> Vec<T> {
-        let ready = self.held.iter().take_while(|(batch, _)| *batch <= safe).count();
+        let ready = self
+            .held
+            .iter()
+            .take_while(|(batch, _)| *batch <= safe)
+            .count();
         self.held.drain(..ready).map(|(_, word)| word).collect()
     }
 
     /// Takes back words that need not, or must not, be said any more.
     pub fn take_back(&mut self, which: impl Fn(&T) -> bool) -> Vec<T> {
-        let (back, held) = std::mem::take(&mut self.held).into_iter().partition(|(_, word)| which(word));
+        let (back, held) = std::mem::take(&mut self.held)
+            .into_iter()
+            .partition(|(_, word)| which(word));
         self.held = held;
         let back: VecDeque<(u64, T)> = back;
         back.into_iter().map(|(_, word)| word).collect()
--- a/crates/durable/src/process.rs
+++ b/crates/durable/src/process.rs
@@ -75,7 +75,10 @@
     /// A word comes here each time the disk has come further, or has failed.
     pub fn subscribe(&self) -> Receiver<()> {
         let (send, came) = async_channel::bounded(1);
-        self.told.lock().unwrap_or_else(PoisonError::into_inner).push(send);
+        self.told
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(send);
         came
     }
 
--- a/crates/durable/src/recalled.rs
+++ b/crates/durable/src/recalled.rs
@@ -35,7 +35,10 @@
     /// The records of a kind: key and value.
     pub fn of<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = (kind.to_owned(), String::new());
-        let all = self.records.range(from..).take_while(move |((k, _), _)| k == kind);
+        let all = self
+            .records
+            .range(from..)
+            .take_while(move |((k, _), _)| k == kind);
         all.map(|((_, key), value)| (key.as_str(), value.as_slice()))
     }
 }
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -55,12 +55,23 @@
     /// # Errors
     /// Where the system gives no thread.
     pub fn start(memory: Memory, told: impl Fn(&Progress) + Send + 'static) -> Result<Self, Error> {
-        let shared = Arc::new(Shared { state: Mutex::default(), bell: Condvar::new() });
+        let shared = Arc::new(Shared {
+            state: Mutex::default(),
+            bell: Condvar::new(),
+        });
         let its = shared.clone();
         let run = move || write_all(&its, memory, told);
-        let thread = std::thread::Builder::new().name("durable".into()).spawn(run);
-        let thread = thread.map_err(|e| Error::Disk { file: "".into(), why: format!("no thread: {e}") })?;
-        Ok(Self { shared, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("durable".into())
+            .spawn(run);
+        let thread = thread.map_err(|e| Error::Disk {
+            file: "".into(),
+            why: format!("no thread: {e}"),
+        })?;
+        Ok(Self {
+            shared,
+            thread: Some(thread),
+        })
     }
 
     /// Hands in a batch; its number. An empty one rests on all that was handed in before it.
@@ -89,7 +100,12 @@
             if left.is_zero() {
                 return false;
             }
-            state = self.shared.bell.wait_timeout(state, left).unwrap_or_else(PoisonError::into_inner).0;
+            state = self
+                .shared
+                .bell
+                .wait_timeout(state, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         true
     }
@@ -115,7 +131,10 @@
                 if state.closing {
                     return;
                 }
-                state = shared.bell.wait(state).unwrap_or_else(PoisonError::into_inner);
+                state = shared
+                    .bell
+                    .wait(state)
+                    .unwrap_or_else(PoisonError::into_inner);
             }
             (std::mem::take(&mut state.waiting), state.progress.last)
         };
--- a/crates/durable/tests/cuts.rs
+++ b/crates/durable/tests/cuts.rs
@@ -75,7 +75,11 @@
 }
 
 fn who() -> Identity {
-    Identity { role: "edge".into(), name: "edge-0".into(), cluster: "c".into() }
+    Identity {
+        role: "edge".into(),
+        name: "edge-0".into(),
+        cluster: "c".into(),
+    }
 }
 
 /// A run of batches: the operations of the disk, and after how many of them each batch was acknowledged as what.
@@ -108,7 +112,10 @@
 
 /// What a disk holds after a cut: all that was synced, and of what was not a part, in some order, one of it torn.
 fn after_cut(ops: &[Op], how: u32, rng: &mut impl Rng) -> Vec<u8> {
-    let synced = ops.iter().rposition(|op| matches!(op, Op::Sync)).map_or(0, |at| at + 1);
+    let synced = ops
+        .iter()
+        .rposition(|op| matches!(op, Op::Sync))
+        .map_or(0, |at| at + 1);
     let mut bytes = Vec::new();
     ops[..synced].iter().for_each(|op| apply(&mut bytes, op));
     let mut loose: Vec<Op> = ops[synced..].to_vec();
@@ -147,18 +154,27 @@
                     Ok(opened) => opened,
                     Err(problem) => panic!("seed {seed}, cut {cut}, {how}: {problem}"),
                 };
-                let known = acknowledged.iter().rposition(|(done, _)| *done <= cut).unwrap();
+                let known = acknowledged
+                    .iter()
+                    .rposition(|(done, _)| *done <= cut)
+                    .unwrap();
                 // The batch that was under way may have come through, but only as a whole.
                 let next = acknowledged.get(known + 1).map(|(_, truth)| truth);
                 let whole = back.records == acknowledged[known].1 || Some(&back.records) == next;
-                assert!(whole, "seed {seed}, cut {cut}, {how}: what came back is no batch's end");
+                assert!(
+                    whole,
+                    "seed {seed}, cut {cut}, {how}: what came back is no batch's end"
+                );
                 assert_eq!(back.turn, 2, "the turn rises over a cut");
                 (cuts, rolled) = (cuts + 1, rolled + usize::from(Some(&back.records) != next));
             }
         }
     }
     // Both kinds must have been seen, else the cuts are not where they should be.
-    assert!(cuts > 500 && rolled > 100 && rolled < cuts, "{cuts} cuts, {rolled} rolled back");
+    assert!(
+        cuts > 500 && rolled > 100 && rolled < cuts,
+        "{cuts} cuts, {rolled} rolled back"
+    );
 }
 
 #[test]
@@ -166,7 +182,11 @@
     let mut rng = rand_pcg::Pcg32::seed_from_u64(99);
     let (ops, acknowledged) = run(&mut rng);
     let cut = ops.len() - 2;
-    let known = &acknowledged.iter().rfind(|(done, _)| *done <= cut).unwrap().1;
+    let known = &acknowledged
+        .iter()
+        .rfind(|(done, _)| *done <= cut)
+        .unwrap()
+        .1;
     let bytes = after_cut(&ops[..cut], 0, &mut rng);
     let disk = Disk::of(bytes.clone());
     drop(Memory::over(disk.clone(), &who()).unwrap());
@@ -175,6 +195,9 @@
         let mut all = vec![Op::Write(0, bytes.clone()), Op::Sync];
         all.extend_from_slice(&returning[..again]);
         let (_, back) = Memory::over(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
-        assert_eq!(&back.records, known, "after {again} operations of the first return");
+        assert_eq!(
+            &back.records, known,
+            "after {again} operations of the first return"
+        );
     }
 }
--- a/crates/durable/tests/folder.rs
+++ b/crates/durable/tests/folder.rs
@@ -7,20 +7,28 @@
 use tidespur_durable::{Batch, Error, FILE, Identity, Memory, Outbox, Writer, export};
 
 fn who(name: &str, cluster: &str) -> Identity {
-    Identity { role: "edge".into(), name: name.into(), cluster: cluster.into() }
+    Identity {
+        role: "edge".into(),
+        name: name.into(),
+        cluster: cluster.into(),
+    }
 }
 
 fn filled(folder: &Path, records: usize) {
     let (mut memory, _) = Memory::open(folder, &who("a", "c")).unwrap();
     let mut batch = Batch::default();
     for i in 0..records {
-        batch.put("object", &format!("{i:05}"), vec![7; 500]).unwrap();
+        batch
+            .put("object", &format!("{i:05}"), vec![7; 500])
+            .unwrap();
     }
     memory.write(&batch).unwrap();
 }
 
 fn opened(folder: &Path) -> Error {
-    Memory::open(folder, &who("a", "c")).map(|_| ()).expect_err("it must not open")
+    Memory::open(folder, &who("a", "c"))
+        .map(|_| ())
+        .expect_err("it must not open")
 }
 
 #[test]
@@ -39,8 +47,14 @@
     filled(folder.path(), 1);
     let open = |who: &Identity| Memory::open(folder.path(), who).map(|_| ());
     assert!(matches!(open(&who("b", "c")), Err(Error::OtherName { .. })));
-    assert!(matches!(open(&who("a", "d")), Err(Error::OtherCluster { .. })));
-    let planner = Identity { role: "planner".into(), ..who("a", "c") };
+    assert!(matches!(
+        open(&who("a", "d")),
+        Err(Error::OtherCluster { .. })
+    ));
+    let planner = Identity {
+        role: "planner".into(),
+        ..who("a", "c")
+    };
     assert!(matches!(open(&planner), Err(Error::OtherName { .. })));
     let held = Memory::open(folder.path(), &who("a", "c")).unwrap();
     assert!(matches!(opened(folder.path()), Error::InUse { .. }));
@@ -49,15 +63,29 @@
     let file = redb::Database::create(folder.path().join(FILE)).unwrap();
     let write = file.begin_write().unwrap();
     let about = redb::TableDefinition::<&str, &str>::new("about");
-    write.open_table(about).unwrap().insert("format", "9").unwrap();
+    write
+        .open_table(about)
+        .unwrap()
+        .insert("format", "9")
+        .unwrap();
     write.commit().unwrap();
     drop(file);
-    assert!(matches!(opened(folder.path()), Error::Newer { found: 9, known: 1, .. }));
+    assert!(matches!(
+        opened(folder.path()),
+        Error::Newer {
+            found: 9,
+            known: 1,
+            ..
+        }
+    ));
     fs::write(folder.path().join(FILE), b"something else altogether").unwrap();
     assert!(matches!(opened(folder.path()), Error::Foreign { .. }));
     // A file where the folder should be.
     fs::write(folder.path().join("plain"), b"").unwrap();
-    assert!(matches!(opened(&folder.path().join("plain")), Error::Folder { .. }));
+    assert!(matches!(
+        opened(&folder.path().join("plain")),
+        Error::Folder { .. }
+    ));
 }
 
 #[test]
@@ -71,10 +99,15 @@
     for page in (0..whole.len() / 4096).step_by(3) {
         fs::write(&path, &whole).unwrap();
         let file = fs::File::options().write(true).open(&path).unwrap();
-        file.write_all_at(&[0xa5; 64], page as u64 * 4096 + 1_000).unwrap();
+        file.write_all_at(&[0xa5; 64], page as u64 * 4096 + 1_000)
+            .unwrap();
         drop(file);
         match Memory::open(folder.path(), &who("a", "c")) {
-            Ok((_, back)) => assert_eq!(back.of("object").count(), 2_000, "page {page} took records with it"),
+            Ok((_, back)) => assert_eq!(
+                back.of("object").count(),
+                2_000,
+                "page {page} took records with it"
+            ),
             Err(Error::Damaged { .. }) => {
                 found += 1;
                 if let Ok(export) = export(folder.path()) {
@@ -84,10 +117,17 @@
             Err(other) => panic!("page {page}: {other}"),
         }
     }
-    assert!(found > 10 && exported > 0, "{found} found, {exported} exported");
+    assert!(
+        found > 10 && exported > 0,
+        "{found} found, {exported} exported"
+    );
     for part in [4, 2] {
         fs::write(&path, &whole[..whole.len() * (part - 1) / part]).unwrap();
-        assert!(matches!(opened(folder.path()), Error::Torn { .. }), "{}", opened(folder.path()));
+        assert!(
+            matches!(opened(folder.path()), Error::Torn { .. }),
+            "{}",
+            opened(folder.path())
+        );
     }
 }
 
@@ -97,24 +137,62 @@
     let why = || std::io::Error::other("why");
     let (found, wanted) = ("edge a".to_owned(), "edge b".to_owned());
     let all = [
-        Error::Folder { folder: file(), why: why() },
+        Error::Folder {
+            folder: file(),
+            why: why(),
+        },
         Error::InUse { file: file() },
-        Error::OtherName { file: file(), found: found.clone(), wanted: wanted.clone() },
-        Error::OtherCluster { file: file(), found, wanted },
-        Error::Newer { file: file(), found: 2, known: 1 },
+        Error::OtherName {
+            file: file(),
+            found: found.clone(),
+            wanted: wanted.clone(),
+        },
+        Error::OtherCluster {
+            file: file(),
+            found,
+            wanted,
+        },
+        Error::Newer {
+            file: file(),
+            found: 2,
+            known: 1,
+        },
         Error::Foreign { file: file() },
-        Error::Torn { file: file(), why: "why".into() },
-        Error::Damaged { file: file(), why: "why".into() },
+        Error::Torn {
+            file: file(),
+            why: "why".into(),
+        },
+        Error::Damaged {
+            file: file(),
+            why: "why".into(),
+        },
         Error::Full { file: file() },
-        Error::Disk { file: file(), why: "why".into() },
-        Error::TooLarge { record: "object x".into(), bytes: 9 },
+        Error::Disk {
+            file: file(),
+            why: "why".into(),
+        },
+        Error::TooLarge {
+            record: "object x".into(),
+            bytes: 9,
+        },
+    ];
+    let verbs = [
+        "make",
+        "end that",
+        "start",
+        "name another",
+        "move it away",
+        "look at",
+        "restore",
+        "goes on",
     ];
-    let verbs =
-        ["make", "end that", "start", "name another", "move it away", "look at", "restore", "goes on"];
     for error in all {
         let text = error.to_string();
         assert!(verbs.iter().any(|verb| text.contains(verb)), "{text}");
-        assert!(text.contains("/var/lib/x") || text.contains("object x"), "{text}");
+        assert!(
+            text.contains("/var/lib/x") || text.contains("object x"),
+            "{text}"
+        );
     }
     let mut batch = Batch::default();
     let large = batch.put("object", "x", vec![0; tidespur_durable::RECORD_MOST]);
@@ -129,11 +207,20 @@
     let mut sizes = vec![];
     for round in 0..120_u32 {
         let mut batch = Batch::default();
-        (0..200).for_each(|i| batch.put("object", &i.to_string(), vec![round as u8; 400]).unwrap());
+        (0..200).for_each(|i| {
+            batch
+                .put("object", &i.to_string(), vec![round as u8; 400])
+                .unwrap()
+        });
         memory.write(&batch).unwrap();
         sizes.push(size());
     }
-    assert!(sizes[119] <= 2 * sizes[20], "{} after 20 rounds, {} after 120", sizes[20], sizes[119]);
+    assert!(
+        sizes[119] <= 2 * sizes[20],
+        "{} after 20 rounds, {} after 120",
+        sizes[20],
+        sizes[119]
+    );
 }
 
 #[test]
@@ -156,5 +243,12 @@
     assert_eq!(said, (0..50).collect::<Vec<_>>());
     assert!(writer.flush(Duration::from_secs(30)));
     drop(writer);
-    assert_eq!(Memory::open(folder.path(), &who("a", "c")).unwrap().1.of("object").count(), 50);
+    assert_eq!(
+        Memory::open(folder.path(), &who("a", "c"))
+            .unwrap()
+            .1
+            .of("object")
+            .count(),
+        50
+    );
 }
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -8,10 +8,17 @@
 use tidespur_store::{Limits, Store};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("{:>8} {:>10} {:>12} {:>12}", "pods", "MB", "opened in s", "taken up in s");
+    println!(
+        "{:>8} {:>10} {:>12} {:>12}",
+        "pods", "MB", "opened in s", "taken up in s"
+    );
     for count in [1_000, 10_000, 100_000] {
         let folder = tempfile::tempdir()?;
-        let who = Identity { role: "edge".into(), name: "e".into(), cluster: "c".into() };
+        let who = Identity {
+            role: "edge".into(),
+            name: "e".into(),
+            cluster: "c".into(),
+        };
         let (mut memory, _) = Memory::open(folder.path(), &who)?;
         let mut batch = Batch::default();
         for i in 0..count {
@@ -21,11 +28,16 @@
                 "spec": {"nodeName": format!("node-{}", i % 500), "priorityClassName": "termin-web",
                     "containers": [{"name": "main", "resources": {"requests": {"cpu": "500m", "memory": "1Gi"}}}]},
                 "status": {"phase": "Running", "conditions": [{"type": "PodScheduled", "status": "True"}]}});
-            batch.put("object", &format!("pods/default/p{i}"), pod.to_string().into_bytes())?;
+            batch.put(
+                "object",
+                &format!("pods/default/p{i}"),
+                pod.to_string().into_bytes(),
+            )?;
         }
         memory.write(&batch)?;
         drop(memory);
-        let size = std::fs::metadata(folder.path().join(tidespur_durable::FILE))?.len() as f64 / 1e6;
+        let size =
+            std::fs::metadata(folder.path().join(tidespur_durable::FILE))?.len() as f64 / 1e6;
         let start = Instant::now();
         let (_memory, back) = Memory::open(folder.path(), &who)?;
         let opened = start.elapsed().as_secs_f64();
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -97,7 +97,10 @@
             seed,
         );
         let (jobs, pods) = (Follower::new(JOBS), Follower::new(PODS));
-        let (ended, events) = (Garbage::new(PODS, ENDED_MOST), Garbage::new(EVENTS, EVENTS_MOST));
+        let (ended, events) = (
+            Garbage::new(PODS, ENDED_MOST),
+            Garbage::new(EVENTS, EVENTS_MOST),
+        );
         Self {
             config,
             desk,
@@ -135,10 +138,14 @@
 
     /// When to step next though nothing happens.
     pub fn next_wake(&self) -> Option<f64> {
-        [self.desk.next_wake(), self.controller.next_wake(), self.waits.next_wake(&self.desk)]
-            .into_iter()
-            .flatten()
-            .min_by(f64::total_cmp)
+        [
+            self.desk.next_wake(),
+            self.controller.next_wake(),
+            self.waits.next_wake(&self.desk),
+        ]
+        .into_iter()
+        .flatten()
+        .min_by(f64::total_cmp)
     }
 
     /// Takes in what came and all that changed in the store, until nothing more follows from it.
@@ -155,9 +162,23 @@
                 Input::Kick => {}
                 Input::PlannerUp(id) => desk_events.push(desk::Event::PlannerUp(id)),
                 Input::PlannerLost(id) => desk_events.push(desk::Event::PlannerLost(id)),
-                Input::Said(id, ToEdge::Waits(words)) => self.waits.told(now, id, words, &self.desk),
-                Input::Said(_, ToEdge::Stale { lease, token, newest }) => {
-                    tracing::warn!(lease, token, newest, "a planner refused a word: another acts by now");
+                Input::Said(id, ToEdge::Waits(words)) => {
+                    self.waits.told(now, id, words, &self.desk)
+                }
+                Input::Said(
+                    _,
+                    ToEdge::Stale {
+                        lease,
+                        token,
+                        newest,
+                    },
+                ) => {
+                    tracing::warn!(
+                        lease,
+                        token,
+                        newest,
+                        "a planner refused a word: another acts by now"
+                    );
                 }
                 Input::Said(id, message) => desk_events.push(desk::Event::Said(id, message)),
                 Input::Nodes(list) => nodes_whole(list, store, now),
@@ -165,18 +186,21 @@
                 Input::Sent(_) => {}
             }
         }
-        self.waits.look(now, &self.desk, &self.known, store, &mut self.events);
+        self.waits
+            .look(now, &self.desk, &self.known, store, &mut self.events);
         let mut owner_events = VecDeque::new();
         loop {
             self.read_jobs(store, &mut owner_events);
             self.read_pods(now, store, &mut owner_events, &mut desk_events);
             let mut actions = Vec::new();
-            self.desk.step(now, std::mem::take(&mut desk_events), &mut actions);
+            self.desk
+                .step(now, std::mem::take(&mut desk_events), &mut actions);
             for action in actions {
                 self.desk_says(now, action, store, &mut owner_events, out);
             }
             let mut actions = Vec::new();
-            self.controller.step(now, std::mem::take(&mut owner_events).into(), &mut actions);
+            self.controller
+                .step(now, std::mem::take(&mut owner_events).into(), &mut actions);
             let quiet = actions.is_empty() && self.pods.current(store) && self.jobs.current(store);
             for action in actions {
                 self.owner_says(now, action, store, &mut owner_events, &mut desk_events);
@@ -191,6 +215,9 @@
 /// Uid of the controlling owner.
 pub(crate) fn owner_uid(pod: &Object) -> &str {
     let owners = meta::at(pod, &["metadata", "ownerReferences"]).as_array();
-    let owner = owners.into_iter().flatten().find(|owner| owner["controller"] == true);
+    let owner = owners
+        .into_iter()
+        .flatten()
+        .find(|owner| owner["controller"] == true);
     owner.map_or("", |owner| meta::text(owner, &["uid"]))
 }
--- a/crates/edge/src/core/nodes.rs
+++ b/crates/edge/src/core/nodes.rs
@@ -8,12 +8,16 @@
 
 pub(super) fn nodes_whole(list: Vec<Object>, store: &mut Store, now: f64) {
     let listed: BTreeSet<&str> = list.iter().map(meta::name).collect();
-    let gone: Vec<Arc<Object>> =
-        store.all(NODES, "").filter(|node| !listed.contains(meta::name(node))).cloned().collect();
+    let gone: Vec<Arc<Object>> = store
+        .all(NODES, "")
+        .filter(|node| !listed.contains(meta::name(node)))
+        .cloned()
+        .collect();
     for node in gone {
         drop(store.delete(NODES, "", meta::name(&node), &Expect::default()));
     }
-    list.into_iter().for_each(|node| node_change(node, false, store, now));
+    list.into_iter()
+        .for_each(|node| node_change(node, false, store, now));
 }
 
 pub(super) fn node_change(node: Object, deleted: bool, store: &mut Store, now: f64) {
--- a/crates/edge/src/core/read.rs
+++ b/crates/edge/src/core/read.rs
@@ -20,10 +20,18 @@
             let uid = meta::uid(&change.object);
             owner.push_back(controller::Event::JobGone(uid.to_owned()));
             let owned = |pod: &&Arc<Object>| owner_uid(pod) == uid;
-            let pods: Vec<Arc<Object>> =
-                store.all(PODS, meta::namespace(&change.object)).filter(owned).cloned().collect();
+            let pods: Vec<Arc<Object>> = store
+                .all(PODS, meta::namespace(&change.object))
+                .filter(owned)
+                .cloned()
+                .collect();
             for pod in pods {
-                drop(store.delete(PODS, meta::namespace(&pod), meta::name(&pod), &Expect::default()));
+                drop(store.delete(
+                    PODS,
+                    meta::namespace(&pod),
+                    meta::name(&pod),
+                    &Expect::default(),
+                ));
             }
         }
     }
@@ -47,7 +55,10 @@
                 owner.push_back(controller::Event::PodGone(view));
                 continue;
             }
-            let before = change.before.as_ref().map(|before| PodView::read(before).phase);
+            let before = change
+                .before
+                .as_ref()
+                .map(|before| PodView::read(before).phase);
             if before != Some(view.phase) {
                 if change.kind != ChangeKind::Added {
                     owner.push_back(controller::Event::Pod(view.clone()));
@@ -66,7 +77,10 @@
                     desk.push(desk::Event::Adopt(ask, node));
                 } else {
                     let class = self.config.class_called(&ask.class);
-                    let within = ask.within.or(class.map(|class| class.deadline)).unwrap_or(0.0);
+                    let within = ask
+                        .within
+                        .or(class.map(|class| class.deadline))
+                        .unwrap_or(0.0);
                     self.waits.open(now, &ask, meta::name(pod));
                     let safe = class.is_some_and(|class| class.effect == Effect::Safe);
                     self.notes.open(&ask.uid, now + within, false);
--- a/crates/edge/src/core/says.rs
+++ b/crates/edge/src/core/says.rs
@@ -32,9 +32,18 @@
                 self.notes.closed(&uid);
                 self.waits.close(&uid);
                 self.change(&uid, store, |pod| pods::placed(pod, &node, now));
-                self.tell(&uid, store, "Normal", "Scheduled", &format!("assigned to {node}"), now);
+                self.tell(
+                    &uid,
+                    store,
+                    "Normal",
+                    "Scheduled",
+                    &format!("assigned to {node}"),
+                    now,
+                );
+            }
+            desk::Action::Refused(uid, why) => {
+                self.unplaced(&uid, names::REFUSED, &why, store, now)
             }
-            desk::Action::Refused(uid, why) => self.unplaced(&uid, names::REFUSED, &why, store, now),
             desk::Action::Failed(uid, why) => self.unplaced(&uid, names::UNKNOWN, &why, store, now),
             desk::Action::Runs(uid) => self.change(&uid, store, |pod| pods::runs(pod, now)),
             desk::Action::Ended(uid, end) => {
@@ -58,8 +67,12 @@
     }
 
     fn change(&self, uid: &str, store: &mut Store, change: impl FnOnce(&mut Object)) {
-        let Some((space, name)) = self.known.get(uid) else { return };
-        let Some(mut pod) = store.get(PODS, space, name).map(|pod| (**pod).clone()) else { return };
+        let Some((space, name)) = self.known.get(uid) else {
+            return;
+        };
+        let Some(mut pod) = store.get(PODS, space, name).map(|pod| (**pod).clone()) else {
+            return;
+        };
         if meta::uid(&pod) != uid {
             return;
         }
@@ -69,10 +82,29 @@
         }
     }
 
-    fn tell(&mut self, uid: &str, store: &mut Store, kind: &str, reason: &str, message: &str, now: f64) {
-        let Some((space, name)) = self.known.get(uid) else { return };
-        let Some(pod) = store.get(PODS, space, name).cloned() else { return };
-        let event = pods::event(&pod, format!("{name}.{}", store.suffix()), kind, reason, message, now);
+    fn tell(
+        &mut self,
+        uid: &str,
+        store: &mut Store,
+        kind: &str,
+        reason: &str,
+        message: &str,
+        now: f64,
+    ) {
+        let Some((space, name)) = self.known.get(uid) else {
+            return;
+        };
+        let Some(pod) = store.get(PODS, space, name).cloned() else {
+            return;
+        };
+        let event = pods::event(
+            &pod,
+            format!("{name}.{}", store.suffix()),
+            kind,
+            reason,
+            message,
+            now,
+        );
         tracing::debug!(uid, reason, message);
         if let Ok(event) = store.create(EVENTS, event, now) {
             self.events.add(&event, store);
@@ -89,26 +121,70 @@
     ) {
         use controller::Action;
         match action {
-            Action::Create { slot, namespace, job, returned, adopt } => {
+            Action::Create {
+                slot,
+                namespace,
+                job,
+                returned,
+                adopt,
+            } => {
                 owner.push_back(self.make(now, slot, &namespace, &job, returned, adopt, store));
             }
-            Action::DeletePod { namespace, name, uid } => {
-                drop(store.delete(PODS, &namespace, &name, &Expect { uid: Some(uid), version: None }));
+            Action::DeletePod {
+                namespace,
+                name,
+                uid,
+            } => {
+                drop(store.delete(
+                    PODS,
+                    &namespace,
+                    &name,
+                    &Expect {
+                        uid: Some(uid),
+                        version: None,
+                    },
+                ));
             }
-            Action::Status { uid, namespace, name, status } => {
-                let Some(job) = store.get(JOBS, &namespace, &name).filter(|job| meta::uid(job) == uid) else {
+            Action::Status {
+                uid,
+                namespace,
+                name,
+                status,
+            } => {
+                let Some(job) = store
+                    .get(JOBS, &namespace, &name)
+                    .filter(|job| meta::uid(job) == uid)
+                else {
                     return;
                 };
                 let mut job = (**job).clone();
                 job["status"] = pods::job_status(&job, &status, now);
                 drop(store.update(JOBS, job, &Expect::default()));
             }
-            Action::DeleteJob { namespace, name, uid } => {
-                drop(store.delete(JOBS, &namespace, &name, &Expect { uid: Some(uid), version: None }));
-            }
-            Action::Locate { uid, namespace, name } => {
-                desk.push(desk::Event::Locate { uid, tenant: namespace, name })
+            Action::DeleteJob {
+                namespace,
+                name,
+                uid,
+            } => {
+                drop(store.delete(
+                    JOBS,
+                    &namespace,
+                    &name,
+                    &Expect {
+                        uid: Some(uid),
+                        version: None,
+                    },
+                ));
             }
+            Action::Locate {
+                uid,
+                namespace,
+                name,
+            } => desk.push(desk::Event::Locate {
+                uid,
+                tenant: namespace,
+                name,
+            }),
             Action::Reap { uid } => desk.push(desk::Event::Reap(uid)),
             Action::KeepSlot { job, number, kept } => self.notes.slot(&job, number, kept.as_ref()),
             Action::KeepJob { job, next_slot } => self.notes.job(&job, next_slot),
@@ -116,7 +192,10 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments, reason = "one action of the controller, taken apart")]
+    #[allow(
+        clippy::too_many_arguments,
+        reason = "one action of the controller, taken apart"
+    )]
     fn make(
         &self,
         now: f64,
@@ -127,7 +206,10 @@
         adopt: Option<controller::Adopt>,
         store: &mut Store,
     ) -> controller::Event {
-        let Some(job) = store.get(JOBS, namespace, job).filter(|job| meta::uid(job) == slot.job).cloned()
+        let Some(job) = store
+            .get(JOBS, namespace, job)
+            .filter(|job| meta::uid(job) == slot.job)
+            .cloned()
         else {
             return controller::Event::NotCreated(slot);
         };
@@ -142,7 +224,10 @@
             pods::placed(&mut pod, &adopt.node, now);
         }
         match store.create(PODS, pod, now) {
-            Ok(pod) => controller::Event::Created { slot, pod: PodView::read(&pod) },
+            Ok(pod) => controller::Event::Created {
+                slot,
+                pod: PodView::read(&pod),
+            },
             Err(problem) => {
                 tracing::warn!(%problem, "a Pod of a Job can't be made");
                 controller::Event::NotCreated(slot)
--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -18,12 +18,17 @@
 impl Loop {
     /// Ends at once where this edge keeps no ledger.
     pub(crate) async fn count_planners(self: Arc<Self>) {
-        let Some(voter) = self.api.hooks.voter.clone() else { return };
+        let Some(voter) = self.api.hooks.voter.clone() else {
+            return;
+        };
         let mut sharers = Sharers::default();
         loop {
             clock::sleep(LOOK).await;
             let linked: BTreeMap<u64, String> = match self.planners.lock() {
-                Ok(planners) => planners.iter().map(|(&id, linked)| (id, linked.name.clone())).collect(),
+                Ok(planners) => planners
+                    .iter()
+                    .map(|(&id, linked)| (id, linked.name.clone()))
+                    .collect(),
                 Err(_) => return,
             };
             let token = voter.may_act(FLEET);
@@ -31,19 +36,38 @@
                 Some(_) => (voter.noted(COUNTED), self.left()),
                 None => Default::default(),
             };
-            let seen = Seen { token, linked: &linked, counted: &counted, left: &left };
+            let seen = Seen {
+                token,
+                linked: &linked,
+                counted: &counted,
+                left: &left,
+            };
             let mut out = Vec::new();
             sharers.step(clock::now(), &seen, &mut out);
             for output in out {
-                let note =
-                    |name, value| Input::Note { lease: FLEET.into(), key: format!("{COUNTED}{name}"), value };
+                let note = |name, value| Input::Note {
+                    lease: FLEET.into(),
+                    key: format!("{COUNTED}{name}"),
+                    value,
+                };
                 match output {
                     Output::Count(name) => voter.tell(note(name, b"1".to_vec())),
                     Output::Forget(name) => voter.tell(note(name, Vec::new())),
                     // Asked at the moment of the act: the step may have been long. What comes late all the same, the
                     // planner's fence refuses.
-                    Output::Tell { link, token, planners } if voter.may_act(FLEET) == Some(token) => {
-                        self.tell(link, ToPlanner::Sharers { lease: FLEET.into(), token, planners });
+                    Output::Tell {
+                        link,
+                        token,
+                        planners,
+                    } if voter.may_act(FLEET) == Some(token) => {
+                        self.tell(
+                            link,
+                            ToPlanner::Sharers {
+                                lease: FLEET.into(),
+                                token,
+                                planners,
+                            },
+                        );
                     }
                     Output::Tell { link, .. } => sharers.unsaid(link),
                 }
@@ -53,11 +77,19 @@
 
     /// Planners that said to the fleet that they left: silence or a lost member is none.
     fn left(&self) -> BTreeSet<String> {
-        let Some(member) = &self.api.hooks.member else { return BTreeSet::new() };
+        let Some(member) = &self.api.hooks.member else {
+            return BTreeSet::new();
+        };
         let view = member.view();
-        let left = view.members.iter().filter(|seen| seen.standing == Standing::Left);
-        let planners =
-            left.filter(|seen| seen.facts.as_ref().is_some_and(|facts| facts.role == Role::Planner));
+        let left = view
+            .members
+            .iter()
+            .filter(|seen| seen.standing == Standing::Left);
+        let planners = left.filter(|seen| {
+            seen.facts
+                .as_ref()
+                .is_some_and(|facts| facts.role == Role::Planner)
+        });
         planners.map(|seen| seen.id.name.clone()).collect()
     }
 }
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -95,7 +95,9 @@
 
     /// Whether this planner has the task and may offer it.
     pub fn is_with(&self, uid: &str, planner: PlannerId) -> bool {
-        self.tasks.get(uid).is_some_and(|task| task.stage == Stage::With(planner))
+        self.tasks
+            .get(uid)
+            .is_some_and(|task| task.stage == Stage::With(planner))
     }
 
     /// Tasks that no planner has taken, and why. One that was asked of a planner just now is on its way.
@@ -105,13 +107,15 @@
             () if self.planners.values().all(|planner| planner.silent) => Code::PlannersSilent,
             () => Code::PlannersFull,
         };
-        self.tasks.iter().filter_map(move |(uid, task)| match task.stage {
-            Stage::Queued => Some((uid.as_str(), code)),
-            Stage::Asked(_, at) if now - at >= self.settings.take_within / 2.0 => {
-                Some((uid.as_str(), Code::PlannersSilent))
-            }
-            _ => None,
-        })
+        self.tasks
+            .iter()
+            .filter_map(move |(uid, task)| match task.stage {
+                Stage::Queued => Some((uid.as_str(), code)),
+                Stage::Asked(_, at) if now - at >= self.settings.take_within / 2.0 => {
+                    Some((uid.as_str(), Code::PlannersSilent))
+                }
+                _ => None,
+            })
     }
 
     /// Planners that are here.
@@ -139,7 +143,8 @@
             Stage::With(_) => Some(task.deadline + slack),
             Stage::Placed(..) => None,
         });
-        due.chain(self.questions.values().map(|q| q.until)).min_by(f64::total_cmp)
+        due.chain(self.questions.values().map(|q| q.until))
+            .min_by(f64::total_cmp)
     }
 
     fn take(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
@@ -149,14 +154,26 @@
                 if self.tasks.contains_key(&uid) {
                     return;
                 }
-                self.tasks.insert(uid.clone(), Task { ask, deadline, safe, stage: Stage::Queued });
+                self.tasks.insert(
+                    uid.clone(),
+                    Task {
+                        ask,
+                        deadline,
+                        safe,
+                        stage: Stage::Queued,
+                    },
+                );
                 self.queue.push_back(uid);
                 self.open += 1;
             }
             Event::Adopt(ask, node) => {
                 let uid = ask.uid.clone();
-                let task =
-                    Task { ask, deadline: f64::INFINITY, safe: false, stage: Stage::Placed(None, node) };
+                let task = Task {
+                    ask,
+                    deadline: f64::INFINITY,
+                    safe: false,
+                    stage: Stage::Placed(None, node),
+                };
                 if self.tasks.insert(uid.clone(), task).is_none() {
                     self.bind(&uid, out);
                 }
@@ -165,7 +182,9 @@
                 let Some(task) = self.close(&uid) else { return };
                 match task.stage {
                     Stage::Queued => {}
-                    Stage::Asked(planner, _) | Stage::With(planner) | Stage::Placed(Some(planner), _) => {
+                    Stage::Asked(planner, _)
+                    | Stage::With(planner)
+                    | Stage::Placed(Some(planner), _) => {
                         out.push(Action::Tell(planner, ToPlanner::Stop { uid }));
                     }
                     Stage::Placed(None, _) => self.tell_all(&ToPlanner::Stop { uid }, out),
@@ -178,28 +197,58 @@
                 out.push(Action::Refused(ask.uid, why.into()));
             }
             Event::Cut(ask, false) => {
-                out.push(Action::Failed(ask.uid, "the edge ended while a planner had it".into()));
+                out.push(Action::Failed(
+                    ask.uid,
+                    "the edge ended while a planner had it".into(),
+                ));
             }
             Event::Locate { uid, tenant, name } => {
                 let waiting: Vec<PlannerId> = self.planners.keys().copied().collect();
-                let ask = ToPlanner::Locate { uid: uid.clone(), tenant: tenant.clone(), name: name.clone() };
+                let ask = ToPlanner::Locate {
+                    uid: uid.clone(),
+                    tenant: tenant.clone(),
+                    name: name.clone(),
+                };
                 self.tell_all(&ask, out);
                 let until = now + self.settings.locate_for;
-                self.questions.insert(uid, Question { tenant, name, waiting, best: Found::Nowhere, until });
+                self.questions.insert(
+                    uid,
+                    Question {
+                        tenant,
+                        name,
+                        waiting,
+                        best: Found::Nowhere,
+                        until,
+                    },
+                );
             }
             Event::PlannerUp(planner) => {
                 self.planners.insert(planner, Planner::default());
-                let unwanted = self.unwanted.keys().map(|uid| ToPlanner::Stop { uid: uid.clone() });
+                let unwanted = self
+                    .unwanted
+                    .keys()
+                    .map(|uid| ToPlanner::Stop { uid: uid.clone() });
                 out.extend(unwanted.map(|stop| Action::Tell(planner, stop)));
                 let unheard = |task: &Task| matches!(task.stage, Stage::Placed(None, _));
-                let orphans: Vec<String> =
-                    self.tasks.iter().filter(|(_, task)| unheard(task)).map(|(uid, _)| uid.clone()).collect();
+                let orphans: Vec<String> = self
+                    .tasks
+                    .iter()
+                    .filter(|(_, task)| unheard(task))
+                    .map(|(uid, _)| uid.clone())
+                    .collect();
                 orphans.iter().for_each(|uid| self.bind(uid, out));
                 for (uid, question) in &mut self.questions {
                     // One more that may know.
                     question.waiting.push(planner);
                     let (tenant, name) = (question.tenant.clone(), question.name.clone());
-                    out.push(Action::Tell(planner, ToPlanner::Locate { uid: uid.clone(), tenant, name }));
+                    out.push(Action::Tell(
+                        planner,
+                        ToPlanner::Locate {
+                            uid: uid.clone(),
+                            tenant,
+                            name,
+                        },
+                    ));
                 }
             }
             Event::PlannerLost(planner) => self.lost(now, planner, out),
--- a/crates/edge/src/desk/deal.rs
+++ b/crates/edge/src/desk/deal.rs
@@ -11,7 +11,11 @@
     pub(super) fn hand_out(&mut self, now: f64, out: &mut Vec<Action>) {
         let mut kept = VecDeque::new();
         while let Some(uid) = self.queue.pop_front() {
-            let Some(task) = self.tasks.get(&uid).filter(|task| task.stage == Stage::Queued) else {
+            let Some(task) = self
+                .tasks
+                .get(&uid)
+                .filter(|task| task.stage == Stage::Queued)
+            else {
                 continue;
             };
             if now >= task.deadline {
@@ -28,9 +32,14 @@
             if let Some(p) = self.planners.get_mut(&planner) {
                 p.open += 1;
             }
-            let Some(task) = self.tasks.get_mut(&uid) else { continue };
+            let Some(task) = self.tasks.get_mut(&uid) else {
+                continue;
+            };
             task.stage = Stage::Asked(planner, now);
-            let ask = Ask { within: Some(task.deadline - now), ..task.ask.clone() };
+            let ask = Ask {
+                within: Some(task.deadline - now),
+                ..task.ask.clone()
+            };
             out.push(Action::Tell(planner, ToPlanner::Place(ask)));
         }
         self.queue = kept;
@@ -48,21 +57,39 @@
             return Some(*home.0).filter(|_| room(&home.1));
         }
         let open = speaking().filter(|(_, p)| room(p));
-        open.min_by_key(|(id, p)| (p.open, rank(uid, **id))).map(|(id, _)| *id)
+        open.min_by_key(|(id, p)| (p.open, rank(uid, **id)))
+            .map(|(id, _)| *id)
     }
 
     /// Finds a planner that tells of a task that runs.
     pub(super) fn bind(&mut self, uid: &str, out: &mut Vec<Action>) {
-        let Some(task) = self.tasks.get(uid) else { return };
+        let Some(task) = self.tasks.get(uid) else {
+            return;
+        };
         let planner = match self.settings.one_home {
-            true => self.planners.keys().max_by_key(|id| rank(&task.ask.service, **id)),
+            true => self
+                .planners
+                .keys()
+                .max_by_key(|id| rank(&task.ask.service, **id)),
             false => self.planners.keys().max_by_key(|id| rank(uid, **id)),
         };
-        let Some(planner) = planner.copied() else { return };
-        let Some(task) = self.tasks.get_mut(uid) else { return };
-        let Stage::Placed(by, node) = &mut task.stage else { return };
+        let Some(planner) = planner.copied() else {
+            return;
+        };
+        let Some(task) = self.tasks.get_mut(uid) else {
+            return;
+        };
+        let Stage::Placed(by, node) = &mut task.stage else {
+            return;
+        };
         *by = Some(planner);
-        out.push(Action::Tell(planner, ToPlanner::InPlace { ask: task.ask.clone(), node: node.clone() }));
+        out.push(Action::Tell(
+            planner,
+            ToPlanner::InPlace {
+                ask: task.ask.clone(),
+                node: node.clone(),
+            },
+        ));
     }
 }
 
--- a/crates/edge/src/desk/due.rs
+++ b/crates/edge/src/desk/due.rs
@@ -14,10 +14,19 @@
             Stage::With(_) => now >= task.deadline + slack,
             Stage::Placed(..) => false,
         };
-        let due: Vec<String> =
-            self.tasks.iter().filter(|(_, task)| due(task)).map(|(uid, _)| uid.clone()).collect();
+        let due: Vec<String> = self
+            .tasks
+            .iter()
+            .filter(|(_, task)| due(task))
+            .map(|(uid, _)| uid.clone())
+            .collect();
         for uid in due {
-            if let Some(Task { stage: Stage::Asked(planner, _), deadline, .. }) = self.tasks.get(&uid) {
+            if let Some(Task {
+                stage: Stage::Asked(planner, _),
+                deadline,
+                ..
+            }) = self.tasks.get(&uid)
+            {
                 let (planner, late) = (*planner, now >= *deadline);
                 out.push(Action::Tell(planner, ToPlanner::Stop { uid: uid.clone() }));
                 if let Some(planner) = self.planners.get_mut(&planner) {
@@ -34,12 +43,18 @@
                 }
                 Some(Stage::With(planner)) => {
                     out.push(Action::Tell(planner, ToPlanner::Stop { uid: uid.clone() }));
-                    out.push(Action::Failed(uid, "its planner gave no answer in time".into()));
+                    out.push(Action::Failed(
+                        uid,
+                        "its planner gave no answer in time".into(),
+                    ));
                 }
                 _ if self.planners.is_empty() => {
                     out.push(Action::Refused(uid, "no planner is connected".into()))
                 }
-                _ => out.push(Action::Refused(uid, "no planner had room for it in time".into())),
+                _ => out.push(Action::Refused(
+                    uid,
+                    "no planner had room for it in time".into(),
+                )),
             }
         }
     }
@@ -47,17 +62,31 @@
     pub(super) fn close_questions(&mut self, now: f64, out: &mut Vec<Action>) {
         let sure = |q: &Question| matches!(q.best, Found::At(_) | Found::Ended(End::Succeeded));
         let done = |q: &Question| q.waiting.is_empty() || sure(q) || now >= q.until;
-        let due: Vec<String> =
-            self.questions.iter().filter(|(_, q)| done(q)).map(|(uid, _)| uid.clone()).collect();
+        let due: Vec<String> = self
+            .questions
+            .iter()
+            .filter(|(_, q)| done(q))
+            .map(|(uid, _)| uid.clone())
+            .collect();
         for uid in due {
-            let Some(question) = self.questions.remove(&uid) else { continue };
+            let Some(question) = self.questions.remove(&uid) else {
+                continue;
+            };
             let silent = !question.waiting.is_empty() || self.planners.is_empty();
-            let found = if silent && !sure(&question) { Found::Unclear } else { question.best };
+            let found = if silent && !sure(&question) {
+                Found::Unclear
+            } else {
+                question.best
+            };
             out.push(Action::Located(uid, found));
         }
     }
 
     pub(super) fn tell_all(&self, message: &ToPlanner, out: &mut Vec<Action>) {
-        out.extend(self.planners.keys().map(|planner| Action::Tell(*planner, message.clone())));
+        out.extend(
+            self.planners
+                .keys()
+                .map(|planner| Action::Tell(*planner, message.clone())),
+        );
     }
 }
--- a/crates/edge/src/desk/planners.rs
+++ b/crates/edge/src/desk/planners.rs
@@ -28,7 +28,10 @@
                 let why = "the planner that had it was lost; a second start does no harm";
                 out.push(Action::Refused(uid, why.into()));
             } else {
-                out.push(Action::Failed(uid, "the planner that had it was lost".into()));
+                out.push(Action::Failed(
+                    uid,
+                    "the planner that had it was lost".into(),
+                ));
             }
         }
         for uid in placed {
@@ -50,8 +53,12 @@
 
     /// A task that its planner was not told to place stands first in the queue again.
     pub(super) fn take_back(&mut self, uid: &str) {
-        let Some(task) = self.tasks.get_mut(uid) else { return };
-        let Stage::Asked(planner, _) = task.stage else { return };
+        let Some(task) = self.tasks.get_mut(uid) else {
+            return;
+        };
+        let Stage::Asked(planner, _) = task.stage else {
+            return;
+        };
         task.stage = Stage::Queued;
         self.queue.push_front(uid.to_owned());
         if let Some(planner) = self.planners.get_mut(&planner) {
@@ -59,14 +66,26 @@
         }
     }
 
-    pub(super) fn said(&mut self, now: f64, planner: PlannerId, message: ToEdge, out: &mut Vec<Action>) {
+    pub(super) fn said(
+        &mut self,
+        now: f64,
+        planner: PlannerId,
+        message: ToEdge,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(planner) = self.planners.get_mut(&planner) {
             planner.silent = false;
         }
-        let (with, placed) = match self.tasks.get(message_uid(&message)).map(|task| &task.stage) {
+        let (with, placed) = match self
+            .tasks
+            .get(message_uid(&message))
+            .map(|task| &task.stage)
+        {
             Some(Stage::With(p)) => (*p == planner, false),
             // It may turn away at once what it can't read as a task.
-            Some(Stage::Asked(p, _)) if matches!(message, ToEdge::Refused { .. }) => (*p == planner, false),
+            Some(Stage::Asked(p, _)) if matches!(message, ToEdge::Refused { .. }) => {
+                (*p == planner, false)
+            }
             Some(Stage::Placed(by, _)) => (false, *by == Some(planner)),
             _ => (false, false),
         };
@@ -89,7 +108,9 @@
                 out.push(Action::Placed(uid, node));
             }
             // An answer that comes too late has been given already; what it placed nobody waits for.
-            ToEdge::Placed { uid, .. } if !placed => out.push(Action::Tell(planner, ToPlanner::Stop { uid })),
+            ToEdge::Placed { uid, .. } if !placed => {
+                out.push(Action::Tell(planner, ToPlanner::Stop { uid }))
+            }
             ToEdge::Refused { uid, why, .. } if with => {
                 self.close(&uid);
                 out.push(Action::Refused(uid, why));
@@ -104,7 +125,9 @@
                 out.push(Action::Ended(uid, end));
             }
             ToEdge::Located { uid, found } => {
-                let Some(question) = self.questions.get_mut(&uid) else { return };
+                let Some(question) = self.questions.get_mut(&uid) else {
+                    return;
+                };
                 if let Some(place) = question.waiting.iter().position(|p| *p == planner) {
                     question.waiting.swap_remove(place);
                     question.best = worse(question.best.clone(), found);
--- a/crates/edge/src/garbage.rs
+++ b/crates/edge/src/garbage.rs
@@ -14,17 +14,36 @@
 
 impl Garbage {
     pub(crate) fn new(resource: &'static Resource, most: usize) -> Self {
-        Self { resource, most, order: VecDeque::new() }
+        Self {
+            resource,
+            most,
+            order: VecDeque::new(),
+        }
     }
 
     /// Takes note of an object; removes the oldest beyond the bound.
     pub(crate) fn add(&mut self, object: &Object, store: &mut Store) {
-        let (space, name, uid) = (meta::namespace(object), meta::name(object), meta::uid(object));
-        self.order.push_back((space.to_owned(), name.to_owned(), uid.to_owned()));
+        let (space, name, uid) = (
+            meta::namespace(object),
+            meta::name(object),
+            meta::uid(object),
+        );
+        self.order
+            .push_back((space.to_owned(), name.to_owned(), uid.to_owned()));
         while self.order.len() > self.most {
-            let Some((space, name, uid)) = self.order.pop_front() else { return };
+            let Some((space, name, uid)) = self.order.pop_front() else {
+                return;
+            };
             // Gone already, or another of that name stands: then there is nothing to remove.
-            drop(store.delete(self.resource, &space, &name, &Expect { uid: Some(uid), version: None }));
+            drop(store.delete(
+                self.resource,
+                &space,
+                &name,
+                &Expect {
+                    uid: Some(uid),
+                    version: None,
+                },
+            ));
         }
     }
 }
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -45,7 +45,11 @@
 impl EdgeHooks {
     /// Whether a new Pod of this class is taken, as far as the edge keeps up with its work.
     fn keeps_up(&self, class: &str) -> bool {
-        let class = self.classes.iter().position(|name| name == class).unwrap_or(0);
+        let class = self
+            .classes
+            .iter()
+            .position(|name| name == class)
+            .unwrap_or(0);
         lock(&self.shedder).admits(class)
     }
 }
@@ -55,9 +59,17 @@
         &self.classes
     }
 
-    fn admit(&self, store: &Store, resource: &Resource, object: &mut Object) -> Result<(), ApiError> {
+    fn admit(
+        &self,
+        store: &Store,
+        resource: &Resource,
+        object: &mut Object,
+    ) -> Result<(), ApiError> {
         if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.trouble()) {
-            return Err(ApiError::unavailable(format!("nothing can be kept now: {trouble}"), 5));
+            return Err(ApiError::unavailable(
+                format!("nothing can be kept now: {trouble}"),
+                5,
+            ));
         }
         if resource.namespaced && store.get(NAMESPACES, "", meta::namespace(object)).is_none() {
             return Err(ApiError::not_found("namespaces", meta::namespace(object)));
@@ -66,17 +78,25 @@
             "Pod" => {
                 if !meta::text(object, &["spec", "nodeName"]).is_empty() {
                     let message = "nodes are chosen by the scheduler; leave it out".to_owned();
-                    let cause =
-                        Cause { reason: "FieldValueForbidden", field: "spec.nodeName".into(), message };
+                    let cause = Cause {
+                        reason: "FieldValueForbidden",
+                        field: "spec.nodeName".into(),
+                        message,
+                    };
                     return Err(ApiError::invalid("Pod", meta::name(object), vec![cause]));
                 }
                 if self.open.load(Ordering::Relaxed) >= self.open_most {
-                    let text =
-                        format!("{} tasks wait for an answer, which is the most; try again", self.open_most);
+                    let text = format!(
+                        "{} tasks wait for an answer, which is the most; try again",
+                        self.open_most
+                    );
                     return Err(ApiError::too_many(text, 1));
                 }
                 if !self.keeps_up(meta::text(object, &["spec", "priorityClassName"])) {
-                    return Err(ApiError::too_many("the edge is behind its work; try again", 1));
+                    return Err(ApiError::too_many(
+                        "the edge is behind its work; try again",
+                        1,
+                    ));
                 }
                 // These speak for the Job controller alone.
                 if let Some(annotations) = object["metadata"]["annotations"].as_object_mut() {
@@ -94,7 +114,8 @@
                     spec.entry(key).or_insert_with(|| value.into());
                 }
                 spec.entry("suspend").or_insert_with(|| false.into());
-                spec.entry("completionMode").or_insert_with(|| "NonIndexed".into());
+                spec.entry("completionMode")
+                    .or_insert_with(|| "NonIndexed".into());
                 object["status"] = json!({});
             }
             "Namespace" => object["status"] = json!({"phase": "Active"}),
@@ -118,9 +139,19 @@
             return Some(Err(ApiError::method()));
         }
         let path = resource.path("", meta::name(object));
-        let patch = json!({"spec": {"unschedulable": meta::at(object, &["spec", "unschedulable"])}});
+        let patch =
+            json!({"spec": {"unschedulable": meta::at(object, &["spec", "unschedulable"])}});
         let body = patch.to_string().into_bytes().into();
-        let sent = self.register.send(Method::PATCH, &path, "application/merge-patch+json", body, 2.0).await;
+        let sent = self
+            .register
+            .send(
+                Method::PATCH,
+                &path,
+                "application/merge-patch+json",
+                body,
+                2.0,
+            )
+            .await;
         Some(match sent {
             Ok(reply) if reply.status.is_success() => Ok(object.clone()),
             Ok(reply) => {
@@ -133,9 +164,10 @@
                 "Timeout",
                 "the register does not answer; look whether it took the change",
             )),
-            Err(problem) => {
-                Err(ApiError::unavailable(format!("the register can't be reached: {problem}"), 1))
-            }
+            Err(problem) => Err(ApiError::unavailable(
+                format!("the register can't be reached: {problem}"),
+                1,
+            )),
         })
     }
 
@@ -178,7 +210,10 @@
 
     fn ready(&self) -> Result<String, ApiError> {
         if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.trouble()) {
-            return Err(ApiError::unavailable(format!("nothing can be kept now: {trouble}"), 5));
+            return Err(ApiError::unavailable(
+                format!("nothing can be kept now: {trouble}"),
+                5,
+            ));
         }
         match self.planners.load(Ordering::Relaxed) {
             0 => Err(ApiError::unavailable("no planner is connected", 1)),
@@ -207,10 +242,13 @@
         }
         if let (["debug", "fleet"], "GET") = (parts.as_slice(), method) {
             let off = || ApiError::not_found("fleet", "none: this edge has joined no fleet");
-            let report = |member: &Arc<Member>| tidespur_fleet_net::report(&member.view(), clock::now());
+            let report =
+                |member: &Arc<Member>| tidespur_fleet_net::report(&member.view(), clock::now());
             return Some(self.member.as_ref().map(report).ok_or_else(off));
         }
-        let ["debug", "waits", rest @ ..] = parts.as_slice() else { return None };
+        let ["debug", "waits", rest @ ..] = parts.as_slice() else {
+            return None;
+        };
         if method != "GET" {
             return Some(Err(ApiError::method()));
         }
@@ -218,7 +256,10 @@
     }
 
     fn text(&self, path: &str) -> Option<String> {
-        let (open, planners) = (self.open.load(Ordering::Relaxed), self.planners.load(Ordering::Relaxed));
+        let (open, planners) = (
+            self.open.load(Ordering::Relaxed),
+            self.planners.load(Ordering::Relaxed),
+        );
         let behind = self.behind.load(Ordering::Relaxed);
         (path == "/metrics").then(|| {
             let disk = self.disk.as_ref().map(|disk| &*disk.disk);
--- a/crates/edge/src/hooks/parts.rs
+++ b/crates/edge/src/hooks/parts.rs
@@ -11,28 +11,52 @@
 pub(super) fn all(edge: &EdgeHooks) -> Vec<(&'static str, Result<String, String>)> {
     let planners = edge.planners.load(Ordering::Relaxed);
     let none = "no planner is connected: nothing is placed; start planners, or look at their --edge or fleet";
-    let mut parts =
-        vec![("planners", if planners > 0 { Ok(planners.to_string()) } else { Err(none.into()) })];
+    let mut parts = vec![(
+        "planners",
+        if planners > 0 {
+            Ok(planners.to_string())
+        } else {
+            Err(none.into())
+        },
+    )];
     let memory = edge.disk.as_ref().map(|disk| match disk.disk.trouble() {
         Some(trouble) => Err(trouble),
         None => Ok(format!("{} syncs", disk.disk.syncs())),
     });
-    parts.push(("memory", memory.unwrap_or_else(|| Ok("none: all ends with this process".into()))));
+    parts.push((
+        "memory",
+        memory.unwrap_or_else(|| Ok("none: all ends with this process".into())),
+    ));
     parts.extend(edge.voter.as_ref().map(|voter| ("ledger", voter.ready())));
     parts
 }
 
 /// Waits until all up to this version is safe. A reader is not kept waiting by a disk that takes nothing: it is warned.
-pub(super) async fn lasting(edge: &EdgeHooks, version: u64, wrote: bool) -> Result<Option<String>, ApiError> {
-    let Some(disk) = &edge.disk else { return Ok(None) };
-    let within = if wrote || disk.disk.trouble().is_none() { LASTING } else { 0.0 };
+pub(super) async fn lasting(
+    edge: &EdgeHooks,
+    version: u64,
+    wrote: bool,
+) -> Result<Option<String>, ApiError> {
+    let Some(disk) = &edge.disk else {
+        return Ok(None);
+    };
+    let within = if wrote || disk.disk.trouble().is_none() {
+        LASTING
+    } else {
+        0.0
+    };
     if disk.lasting(version, within).await {
         return Ok(None);
     }
-    let why = disk.disk.trouble().unwrap_or_else(|| "the disk is slow".into());
+    let why = disk
+        .disk
+        .trouble()
+        .unwrap_or_else(|| "the disk is slow".into());
     if wrote {
         let text = format!("the write is not safe yet: {why}; look later whether it stands");
         return Err(ApiError::new(504, "Timeout", text));
     }
-    Ok(Some(format!("some of this is not safe yet and may be gone after a power loss: {why}")))
+    Ok(Some(format!(
+        "some of this is not safe yet and may be gone after a power loss: {why}"
+    )))
 }
--- a/crates/edge/src/hooks/tests.rs
+++ b/crates/edge/src/hooks/tests.rs
@@ -25,11 +25,15 @@
     let hooks = hooks();
     let mut store = Store::new(tidespur_store::Limits::default(), 1, 1);
     let object = json!({"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": "default"}});
-    store.create(NAMESPACES, object, 0.0).expect("an empty store takes a namespace");
+    store
+        .create(NAMESPACES, object, 0.0)
+        .expect("an empty store takes a namespace");
     let create = |class: &str| {
         let mut pod = json!({"kind": "Pod", "metadata": {"name": "a", "namespace": "default"},
             "spec": {"priorityClassName": class}});
-        hooks.admit(&store, PODS, &mut pod).map_err(|problem| problem.code)
+        hooks
+            .admit(&store, PODS, &mut pod)
+            .map_err(|problem| problem.code)
     };
     let refused = |class| (0..100).filter(|_| create(class) == Err(429)).count();
     assert_eq!((refused("cheap"), refused("dear")), (0, 0));
--- a/crates/edge/src/hooks/waits.rs
+++ b/crates/edge/src/hooks/waits.rs
@@ -14,8 +14,10 @@
                     "words": code.words(), "tasks": held.tasks, "cores": held.cores, "memory": held.memory,
                     "oldest": held.oldest})
             };
-            Ok(json!({"reasons": ledger.fleet().into_iter().map(line).collect::<Vec<_>>(),
-                "waiting": ledger.len(), "withoutRecord": ledger.without_record()}))
+            Ok(
+                json!({"reasons": ledger.fleet().into_iter().map(line).collect::<Vec<_>>(),
+                "waiting": ledger.len(), "withoutRecord": ledger.without_record()}),
+            )
         }
         [space] => {
             let mut all: Vec<&Record> = ledger.all(space).map(|(_, record)| record).collect();
--- a/crates/edge/src/keep.rs
+++ b/crates/edge/src/keep.rs
@@ -102,7 +102,9 @@
 
 /// Whether objects of this resource are kept.
 pub(crate) fn kept(resource: &Resource) -> bool {
-    [NAMESPACES, JOBS, PODS].iter().any(|kept| kept.index == resource.index)
+    [NAMESPACES, JOBS, PODS]
+        .iter()
+        .any(|kept| kept.index == resource.index)
 }
 
 impl Core {
--- a/crates/edge/src/keep/recall.rs
+++ b/crates/edge/src/keep/recall.rs
@@ -8,7 +8,9 @@
 use tidespur_api::resource::{JOBS, PODS, RESOURCES};
 use tidespur_api::{Object, meta, names, task};
 use tidespur_config::Effect;
-use tidespur_controller::{self as controller, JobView, Kept, Past, Phase, PodEnd, PodPhase, PodView};
+use tidespur_controller::{
+    self as controller, JobView, Kept, Past, Phase, PodEnd, PodPhase, PodView,
+};
 use tidespur_durable::Recalled;
 use tidespur_store::{Follower, Store};
 
@@ -40,10 +42,18 @@
 }
 
 fn wrong(kind: &str, key: &str, why: impl ToString) -> RecallError {
-    RecallError { kind: kind.into(), key: key.into(), why: why.to_string() }
+    RecallError {
+        kind: kind.into(),
+        key: key.into(),
+        why: why.to_string(),
+    }
 }
 
-fn read<T: serde::de::DeserializeOwned>(kind: &str, key: &str, bytes: &[u8]) -> Result<T, RecallError> {
+fn read<T: serde::de::DeserializeOwned>(
+    kind: &str,
+    key: &str,
+    bytes: &[u8],
+) -> Result<T, RecallError> {
     serde_json::from_slice(bytes).map_err(|e| wrong(kind, key, e))
 }
 
@@ -52,7 +62,9 @@
 /// # Errors
 /// [`RecallError`].
 pub fn version(memory: &Recalled) -> Result<u64, RecallError> {
-    memory.of(VERSION).try_fold(0, |most: u64, (key, bytes)| Ok(most.max(read(VERSION, key, bytes)?)))
+    memory.of(VERSION).try_fold(0, |most: u64, (key, bytes)| {
+        Ok(most.max(read(VERSION, key, bytes)?))
+    })
 }
 
 impl Core {
@@ -80,7 +92,10 @@
         for (uid, bytes) in memory.of(OPEN) {
             open.insert(uid, read(OPEN, uid, bytes)?);
         }
-        (self.jobs, self.pods) = (Follower::standing(JOBS, store), Follower::standing(PODS, store));
+        (self.jobs, self.pods) = (
+            Follower::standing(JOBS, store),
+            Follower::standing(PODS, store),
+        );
         let (mut pods, mut events): (Vec<Arc<Object>>, Vec<desk::Event>) =
             (store.all(PODS, "").cloned().collect(), vec![]);
         pods.sort_by_key(|pod| meta::version(pod));
@@ -88,14 +103,20 @@
         for pod in &pods {
             let view = PodView::read(pod);
             if let Some(number) = slot_number(pod) {
-                owned.entry(owner_uid(pod)).or_default().push((number, view.clone()));
+                owned
+                    .entry(owner_uid(pod))
+                    .or_default()
+                    .push((number, view.clone()));
             }
             if matches!(view.phase, PodPhase::Ended(_)) {
                 self.ended.add(pod, store);
                 continue;
             }
             let ask = task::ask(pod);
-            self.known.insert(view.uid.clone(), (view.namespace.clone(), view.name.clone()));
+            self.known.insert(
+                view.uid.clone(),
+                (view.namespace.clone(), view.name.clone()),
+            );
             let class = self.config.class_called(&ask.class);
             let safe = class.is_some_and(|class| class.effect == Effect::Safe);
             if view.phase != PodPhase::Waiting {
@@ -104,7 +125,10 @@
                 returned.placed += 1;
                 continue;
             }
-            let within = ask.within.or(class.map(|class| class.deadline)).unwrap_or(0.0);
+            let within = ask
+                .within
+                .or(class.map(|class| class.deadline))
+                .unwrap_or(0.0);
             match open.get(view.uid.as_str()) {
                 Some(Open { gone: true, .. }) => {
                     events.push(desk::Event::Cut(ask, safe));
@@ -112,7 +136,8 @@
                 }
                 known => {
                     // A clock that was set back must not make its owner wait longer than it asked for.
-                    let deadline = known.map_or(now + within, |open| open.deadline.min(now + within));
+                    let deadline =
+                        known.map_or(now + within, |open| open.deadline.min(now + within));
                     self.waits.open(now, &ask, &view.name);
                     events.push(desk::Event::Submit(ask, deadline, safe));
                     returned.waiting += 1;
@@ -133,9 +158,14 @@
     ) -> Result<(), RecallError> {
         let mut slots: BTreeMap<&str, Vec<(u32, Kept)>> = BTreeMap::new();
         for (key, bytes) in memory.of(SLOT) {
-            let (job, number) = key.rsplit_once('/').ok_or_else(|| wrong(SLOT, key, "no number"))?;
+            let (job, number) = key
+                .rsplit_once('/')
+                .ok_or_else(|| wrong(SLOT, key, "no number"))?;
             let number = number.parse().map_err(|e| wrong(SLOT, key, e))?;
-            slots.entry(job).or_default().push((number, read(SLOT, key, bytes)?));
+            slots
+                .entry(job)
+                .or_default()
+                .push((number, read(SLOT, key, bytes)?));
         }
         let mut numbers: BTreeMap<&str, u32> = BTreeMap::new();
         for (job, bytes) in memory.of(JOB) {
@@ -145,11 +175,13 @@
         for job in store.all(JOBS, "") {
             let uid = meta::uid(job);
             let all = owned.remove(uid).unwrap_or_default();
-            let (over, pods) =
-                all.into_iter().partition::<Vec<_>, _>(|(_, pod)| matches!(pod.phase, PodPhase::Ended(_)));
+            let (over, pods) = all
+                .into_iter()
+                .partition::<Vec<_>, _>(|(_, pod)| matches!(pod.phase, PodPhase::Ended(_)));
             let leftovers = over.into_iter().map(|(_, pod)| pod);
-            let leftovers =
-                leftovers.filter(|pod| pod.phase != PodPhase::Ended(PodEnd::Succeeded)).collect::<Vec<_>>();
+            let leftovers = leftovers
+                .filter(|pod| pod.phase != PodPhase::Ended(PodEnd::Succeeded))
+                .collect::<Vec<_>>();
             let past = Past {
                 next_slot: numbers.get(uid).copied().unwrap_or(0),
                 kept: slots.remove(uid).unwrap_or_default(),
@@ -159,7 +191,11 @@
             };
             events.push(controller::Event::Recall(Box::new(past)));
         }
-        events.extend(memory.of(STRAY).map(|(uid, _)| controller::Event::RecallStray(uid.to_owned())));
+        events.extend(
+            memory
+                .of(STRAY)
+                .map(|(uid, _)| controller::Event::RecallStray(uid.to_owned())),
+        );
         let mut none = Vec::new();
         self.controller.observe_all(now, events, &mut none);
         Ok(())
@@ -175,7 +211,12 @@
 /// What a Job's status tells of its past.
 fn past(job: &Object, now: f64) -> Past {
     let status = meta::at(job, &["status"]);
-    let count = |key: &str| status[key].as_u64().and_then(|n| u32::try_from(n).ok()).unwrap_or(0);
+    let count = |key: &str| {
+        status[key]
+            .as_u64()
+            .and_then(|n| u32::try_from(n).ok())
+            .unwrap_or(0)
+    };
     let time = |key: &str| meta::unix(meta::text(status, &[key]));
     let conditions = status["conditions"].as_array();
     let on = |kind: &str| {
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -40,18 +40,34 @@
         socket.set_nodelay(true).map_err(|e| e.to_string())?;
         let patience = self.config.edge.planner_patience;
         let mut reader = frames::FrameReader::new(socket.clone());
-        let first = clock::within(patience, reader.next::<ToEdge>()).await.ok_or("no Hello in time")??;
+        let first = clock::within(patience, reader.next::<ToEdge>())
+            .await
+            .ok_or("no Hello in time")??;
         let Some(ToEdge::Hello { planner, ordinal }) = first else {
             return Err(format!("its first message is no Hello: {first:?}"));
         };
-        tracing::info!(edge = self.options.name, planner, ordinal, "a planner is here");
+        tracing::info!(
+            edge = self.options.name,
+            planner,
+            ordinal,
+            "a planner is here"
+        );
         let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
-        send.try_send(ToPlanner::Welcome { edge: self.options.name.clone() }).map_err(|e| e.to_string())?;
-        self.planners
-            .lock()
-            .map_err(|e| e.to_string())?
-            .insert(id, Linked { name: planner.clone(), send: send.clone() });
-        self.inputs.send(Input::PlannerUp(id)).await.map_err(|e| e.to_string())?;
+        send.try_send(ToPlanner::Welcome {
+            edge: self.options.name.clone(),
+        })
+        .map_err(|e| e.to_string())?;
+        self.planners.lock().map_err(|e| e.to_string())?.insert(
+            id,
+            Linked {
+                name: planner.clone(),
+                send: send.clone(),
+            },
+        );
+        self.inputs
+            .send(Input::PlannerUp(id))
+            .await
+            .map_err(|e| e.to_string())?;
         let read = |message| {
             if message == ToEdge::Ping {
                 return None;
@@ -59,17 +75,28 @@
             if matches!(message, ToEdge::Waits(_)) {
                 return Some(Input::Said(id, message));
             }
-            self.recorder.note("planner", || json!({"planner": planner, "message": format!("{message:?}")}));
+            self.recorder.note(
+                "planner",
+                || json!({"planner": planner, "message": format!("{message:?}")}),
+            );
             Some(Input::Said(id, message))
         };
-        let link = frames::Link { queue, send, ping: ToPlanner::Ping };
+        let link = frames::Link {
+            queue,
+            send,
+            ping: ToPlanner::Ping,
+        };
         frames::keep(socket, reader, link, patience, read, &self.inputs).await
     }
 
     pub(crate) async fn follow_register(self: Arc<Self>) {
         loop {
             let why = self.watch_register().await;
-            tracing::warn!(edge = self.options.name, why, "the watch on the register ended");
+            tracing::warn!(
+                edge = self.options.name,
+                why,
+                "the watch on the register ended"
+            );
             clock::sleep(0.5).await;
         }
     }
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -26,14 +26,26 @@
 ///
 /// # Errors
 /// Why it can't be used, and what an operator can do.
-pub(crate) fn open(config: &Config, options: &crate::Options) -> Result<Option<(Memory, Recalled)>, String> {
+pub(crate) fn open(
+    config: &Config,
+    options: &crate::Options,
+) -> Result<Option<(Memory, Recalled)>, String> {
     let name = options.name.clone();
     let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
-        tracing::warn!(edge = name, "keeps all in memory only: whatever it holds ends with it (see --data)");
+        tracing::warn!(
+            edge = name,
+            "keeps all in memory only: whatever it holds ends with it (see --data)"
+        );
         return Ok(None);
     };
-    let who = Identity { role: "edge".into(), name, cluster: config.cluster().to_owned() };
-    tidespur_durable::Disk::open(&folder, &who).map(Some).map_err(|e| e.to_string())
+    let who = Identity {
+        role: "edge".into(),
+        name,
+        cluster: config.cluster().to_owned(),
+    };
+    tidespur_durable::Disk::open(&folder, &who)
+        .map(Some)
+        .map_err(|e| e.to_string())
 }
 
 /// A store that begins above all versions that an earlier process may have told.
@@ -46,11 +58,23 @@
     now: f64,
     memory: Option<&Recalled>,
 ) -> Result<Store, String> {
-    let known = memory.map(keep::version).transpose().map_err(|e| e.to_string())?.unwrap_or(0);
+    let known = memory
+        .map(keep::version)
+        .transpose()
+        .map_err(|e| e.to_string())?
+        .unwrap_or(0);
     // Without a memory versions begin at the clock: a watch that comes back with an old one is told 410 and lists anew.
-    let version = if known > 0 { known } else { (now * 1000.0) as u64 };
+    let version = if known > 0 {
+        known
+    } else {
+        (now * 1000.0) as u64
+    };
     let turn = memory.map_or(0, |memory| memory.turn);
-    Ok(Store::new(limits, seed ^ now.to_bits() ^ turn.rotate_left(32), version))
+    Ok(Store::new(
+        limits,
+        seed ^ now.to_bits() ^ turn.rotate_left(32),
+        version,
+    ))
 }
 
 impl Disk {
@@ -65,12 +89,18 @@
         core: &mut Core,
         store: &mut Store,
     ) -> Result<Self, String> {
-        let back = core.recall(now, recalled, store).map_err(|e| e.to_string())?;
+        let back = core
+            .recall(now, recalled, store)
+            .map_err(|e| e.to_string())?;
         tracing::info!(?back, "returned");
         let disk = Arc::new(tidespur_durable::Disk::start(memory).map_err(|e| e.to_string())?);
         store.keep();
         store.show(store.version());
-        Ok(Self { disk, safe: AtomicU64::new(store.version()), bell: Event::new() })
+        Ok(Self {
+            disk,
+            safe: AtomicU64::new(store.version()),
+            bell: Event::new(),
+        })
     }
 
     /// All up to this version is safe: whoever waits for it may be answered.
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -40,15 +40,34 @@
         tasks.clone(),
     );
     registry.register("waiting_cores", "Cores that they ask for", cores.clone());
-    registry.register("waiting_memory_units", "Memory units that they ask for", memory.clone());
+    registry.register(
+        "waiting_memory_units",
+        "Memory units that they ask for",
+        memory.clone(),
+    );
     let plain = |registry: &mut Registry, name: &str, help: &str, value: f64| {
         let gauge: Gauge<f64, AtomicU64> = Gauge::default();
         gauge.set(value);
         registry.register(name, help, gauge);
     };
-    plain(&mut registry, "open_tasks", "Tasks without an answer", open as f64);
-    plain(&mut registry, "planners", "Planners that are connected", planners as f64);
-    plain(&mut registry, "behind", "Times the edge fell behind its own history", behind as f64);
+    plain(
+        &mut registry,
+        "open_tasks",
+        "Tasks without an answer",
+        open as f64,
+    );
+    plain(
+        &mut registry,
+        "planners",
+        "Planners that are connected",
+        planners as f64,
+    );
+    plain(
+        &mut registry,
+        "behind",
+        "Times the edge fell behind its own history",
+        behind as f64,
+    );
     if let Some(disk) = disk {
         let trouble = f64::from(u8::from(disk.trouble().is_some()));
         plain(
@@ -57,11 +76,22 @@
             "Times that the memory was synced to the disk",
             disk.syncs() as f64,
         );
-        plain(&mut registry, "memory_trouble", "1 while nothing can be written to the memory", trouble);
+        plain(
+            &mut registry,
+            "memory_trouble",
+            "1 while nothing can be written to the memory",
+            trouble,
+        );
     }
     let unrecorded = ledger.without_record() as f64;
-    plain(&mut registry, "waiting_without_record", "Tasks beyond the most records that are kept", unrecorded);
-    let mut sums: BTreeMap<(String, String, String, tidespur_waiting::Code), [f64; 3]> = BTreeMap::new();
+    plain(
+        &mut registry,
+        "waiting_without_record",
+        "Tasks beyond the most records that are kept",
+        unrecorded,
+    );
+    let mut sums: BTreeMap<(String, String, String, tidespur_waiting::Code), [f64; 3]> =
+        BTreeMap::new();
     let (mut namespaces, mut zones) = (BTreeSet::new(), BTreeSet::new());
     let bounded = |named: &mut BTreeSet<String>, name: String, most: usize| {
         let shown = named.contains(&name) || named.len() < most;
@@ -74,11 +104,19 @@
         let zone = bounded(&mut zones, zone, ZONES_MOST);
         let sum = sums.entry((class, namespace, zone, code)).or_default();
         let held = [f64::from(held.tasks), held.cores, held.memory];
-        sum.iter_mut().zip(held).for_each(|(sum, held)| *sum += held);
+        sum.iter_mut()
+            .zip(held)
+            .for_each(|(sum, held)| *sum += held);
     }
     for ((class, namespace, zone, code), sum) in sums {
         let source = format!("{:?}", code.source()).to_lowercase();
-        let labels = Labels { class, namespace, zone, reason: code.name().to_owned(), source };
+        let labels = Labels {
+            class,
+            namespace,
+            zone,
+            reason: code.name().to_owned(),
+            source,
+        };
         for (family, value) in [&tasks, &cores, &memory].into_iter().zip(sum) {
             family.get_or_create(&labels).set(value);
         }
--- a/crates/edge/src/pods.rs
+++ b/crates/edge/src/pods.rs
@@ -6,19 +6,33 @@
 use tidespur_link::End;
 
 /// A Pod of a Job's slot.
-pub(crate) fn make(job: &Object, name: &str, slot: &SlotId, returned: bool, adopt: Option<&Adopt>) -> Object {
+pub(crate) fn make(
+    job: &Object,
+    name: &str,
+    slot: &SlotId,
+    returned: bool,
+    adopt: Option<&Adopt>,
+) -> Object {
     let template = meta::at(job, &["spec", "template"]);
-    let mut labels = meta::at(template, &["metadata", "labels"]).as_object().cloned().unwrap_or_default();
+    let mut labels = meta::at(template, &["metadata", "labels"])
+        .as_object()
+        .cloned()
+        .unwrap_or_default();
     labels.insert(names::JOB_NAME.into(), meta::name(job).into());
     labels.insert(names::JOB_UID.into(), meta::uid(job).into());
-    let mut annotations =
-        meta::at(template, &["metadata", "annotations"]).as_object().cloned().unwrap_or_default();
+    let mut annotations = meta::at(template, &["metadata", "annotations"])
+        .as_object()
+        .cloned()
+        .unwrap_or_default();
     for key in [names::EXPECTED_SECONDS, names::GIVE_UP_SECONDS] {
         if let Some(text) = meta::annotation(job, key) {
             annotations.entry(key).or_insert_with(|| text.into());
         }
     }
-    annotations.insert(names::KEY.into(), format!("{}/{}", slot.job, slot.number).into());
+    annotations.insert(
+        names::KEY.into(),
+        format!("{}/{}", slot.job, slot.number).into(),
+    );
     if returned {
         annotations.insert(names::RETURNED.into(), "true".into());
     }
@@ -65,7 +79,10 @@
 
 /// It waits, for this reason.
 pub(crate) fn waits(pod: &mut Object, message: &str, now: f64) {
-    meta::set_condition(pod, condition("PodScheduled", false, now, "Unschedulable", message));
+    meta::set_condition(
+        pod,
+        condition("PodScheduled", false, now, "Unschedulable", message),
+    );
 }
 
 /// It was not placed.
@@ -83,7 +100,11 @@
         End::Succeeded => ("Succeeded", "", ""),
         End::Failed => ("Failed", "Error", "the program failed"),
         End::Evicted => ("Failed", "Evicted", "the node was low on memory"),
-        End::PushedOut => ("Failed", "Preempting", "a Pod of higher priority took its place"),
+        End::PushedOut => (
+            "Failed",
+            "Preempting",
+            "a Pod of higher priority took its place",
+        ),
         End::SentAway => ("Failed", "Terminated", "the node drains"),
         End::Lost => ("Failed", "NodeLost", "the node is gone"),
         End::Stopped => ("Failed", "Moved", "it was stopped to be placed anew"),
@@ -95,9 +116,16 @@
         status.insert("message".into(), message.into());
     }
     if end != End::Succeeded && end != End::Failed {
-        meta::set_condition(pod, condition("DisruptionTarget", true, now, reason, message));
+        meta::set_condition(
+            pod,
+            condition("DisruptionTarget", true, now, reason, message),
+        );
     }
-    let why = if end == End::Succeeded { "PodCompleted" } else { reason };
+    let why = if end == End::Succeeded {
+        "PodCompleted"
+    } else {
+        reason
+    };
     meta::set_condition(pod, condition("Ready", false, now, why, ""));
 }
 
@@ -128,7 +156,10 @@
     }
     match status.phase {
         Phase::Open if meta::has_condition(job, "Suspended") => {
-            meta::set_condition(&mut object, condition("Suspended", false, now, "JobResumed", "Job resumed"));
+            meta::set_condition(
+                &mut object,
+                condition("Suspended", false, now, "JobResumed", "Job resumed"),
+            );
         }
         Phase::Open => {}
         Phase::Suspended => {
@@ -140,17 +171,32 @@
         Phase::Complete => {
             object["status"]["completionTime"] = meta::timestamp(ended).into();
             let reason = "CompletionsReached";
-            meta::set_condition(&mut object, condition("SuccessCriteriaMet", true, ended, reason, ""));
+            meta::set_condition(
+                &mut object,
+                condition("SuccessCriteriaMet", true, ended, reason, ""),
+            );
             meta::set_condition(&mut object, condition("Complete", true, ended, reason, ""));
         }
         Phase::BackoffLimitExceeded => {
-            let (reason, why) = ("BackoffLimitExceeded", "Job has reached the specified backoff limit");
-            meta::set_condition(&mut object, condition("FailureTarget", true, ended, reason, why));
+            let (reason, why) = (
+                "BackoffLimitExceeded",
+                "Job has reached the specified backoff limit",
+            );
+            meta::set_condition(
+                &mut object,
+                condition("FailureTarget", true, ended, reason, why),
+            );
             meta::set_condition(&mut object, condition("Failed", true, ended, reason, why));
         }
         Phase::DeadlineExceeded => {
-            let (reason, why) = ("DeadlineExceeded", "Job was active longer than specified deadline");
-            meta::set_condition(&mut object, condition("FailureTarget", true, ended, reason, why));
+            let (reason, why) = (
+                "DeadlineExceeded",
+                "Job was active longer than specified deadline",
+            );
+            meta::set_condition(
+                &mut object,
+                condition("FailureTarget", true, ended, reason, why),
+            );
             meta::set_condition(&mut object, condition("Failed", true, ended, reason, why));
         }
     }
@@ -166,7 +212,14 @@
 }
 
 /// An Event about a Pod.
-pub(crate) fn event(pod: &Object, name: String, kind: &str, reason: &str, message: &str, now: f64) -> Object {
+pub(crate) fn event(
+    pod: &Object,
+    name: String,
+    kind: &str,
+    reason: &str,
+    message: &str,
+    now: f64,
+) -> Object {
     let at = meta::timestamp(now);
     json!({"kind": "Event", "apiVersion": "v1",
         "metadata": {"name": name, "namespace": meta::namespace(pod)},
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -45,15 +45,27 @@
 
 /// Runs the edge until the process ends. `ready` is called with the addresses of API, link and, where it joins a
 /// fleet, of its datagrams.
-pub async fn run(config: Config, options: Options, ready: impl FnOnce(&[String])) -> Result<(), String> {
+pub async fn run(
+    config: Config,
+    options: Options,
+    ready: impl FnOnce(&[String]),
+) -> Result<(), String> {
     let bind = async |address: &str| {
-        TcpListener::bind(address).await.map_err(|e| format!("{address}: can't listen: {e}"))
+        TcpListener::bind(address)
+            .await
+            .map_err(|e| format!("{address}: can't listen: {e}"))
     };
     let (api_listener, link_listener) = (bind(&options.api).await?, bind(&options.link).await?);
-    let address = |l: &TcpListener| l.local_addr().map(|a| a.to_string()).map_err(|e| e.to_string());
+    let address = |l: &TcpListener| {
+        l.local_addr()
+            .map(|a| a.to_string())
+            .map_err(|e| e.to_string())
+    };
     let (api_address, link_address) = (address(&api_listener)?, address(&link_listener)?);
     let recorder = match &options.record {
-        Some(path) => Recorder::to(path, &options.name).map_err(|e| format!("{}: {e}", path.display()))?,
+        Some(path) => {
+            Recorder::to(path, &options.name).map_err(|e| format!("{}: {e}", path.display()))?
+        }
         None => Recorder::default(),
     };
     let limits = tidespur_store::Limits {
@@ -62,21 +74,31 @@
         ..tidespur_store::Limits::default()
     };
     let remembered = memory::open(&config, &options)?;
-    let mut store =
-        memory::store(limits, options.seed, clock::now(), remembered.as_ref().map(|(_, back)| back))?;
+    let mut store = memory::store(
+        limits,
+        options.seed,
+        clock::now(),
+        remembered.as_ref().map(|(_, back)| back),
+    )?;
     let (memory, back) = remembered.unzip();
     let incarnation = back.as_ref().map(tidespur_durable::Recalled::incarnation);
     let mut core = Core::new(config.clone(), options.seed);
     let disk = match (memory, &back) {
-        (Some(memory), Some(back)) => {
-            Some(Arc::new(Disk::start(memory, back, clock::now(), &mut core, &mut store)?))
-        }
+        (Some(memory), Some(back)) => Some(Arc::new(Disk::start(
+            memory,
+            back,
+            clock::now(),
+            &mut core,
+            &mut store,
+        )?)),
         _ => {
             core.forgetful();
             None
         }
     };
-    let spaces = ["default".to_owned()].into_iter().chain(config.tenant.keys().cloned());
+    let spaces = ["default".to_owned()]
+        .into_iter()
+        .chain(config.tenant.keys().cloned());
     for space in spaces {
         let object = json!({"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": space},
             "spec": {}, "status": {"phase": "Active"}});
@@ -92,9 +114,19 @@
         routes,
     );
     let voter = voter.await?.map(Arc::new);
-    let facts = Facts { api: api_address.clone(), link: link_address.clone(), ..Facts::of(Role::Edge) };
-    let member =
-        Member::join(&config, &options.fleet, &options.name, facts.clone(), options.seed, incarnation);
+    let facts = Facts {
+        api: api_address.clone(),
+        link: link_address.clone(),
+        ..Facts::of(Role::Edge)
+    };
+    let member = Member::join(
+        &config,
+        &options.fleet,
+        &options.name,
+        facts.clone(),
+        options.seed,
+        incarnation,
+    );
     let member = member.await?;
     let member = member.map(Arc::new);
     let (send, receive) = async_channel::bounded(INPUTS_MOST);
@@ -111,7 +143,9 @@
         member: member.clone(),
         disk: disk.clone(),
         voter,
-        shedder: Mutex::new(LoadShedder::of(config.class.values().map(|class| (class.aim, class.worth)))),
+        shedder: Mutex::new(LoadShedder::of(
+            config.class.values().map(|class| (class.aim, class.worth)),
+        )),
     };
     let limits = Limits {
         body: config.edge.body_most as usize,
@@ -137,8 +171,14 @@
     smol::spawn(this.clone().follow_register()).detach();
     smol::spawn(this.clone().mark()).detach();
     smol::spawn(this.clone().count_planners()).detach();
-    smol::spawn(async move { server::serve(api_listener, served, Arc::new(Served(api))).await }).detach();
-    tracing::info!(edge = this.options.name, api = api_address, link = link_address, "started");
+    smol::spawn(async move { server::serve(api_listener, served, Arc::new(Served(api))).await })
+        .detach();
+    tracing::info!(
+        edge = this.options.name,
+        api = api_address,
+        link = link_address,
+        "started"
+    );
     let mut addresses = vec![api_address, link_address];
     addresses.extend(member.as_ref().map(|member| member.address.to_string()));
     ready(&addresses);
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -62,13 +62,23 @@
             let mut store = self.api.store();
             core.step(clock::now(), batch, &mut store, &mut out);
             let version = store.version();
-            let kept = self.disk.as_ref().map(|disk| (disk, core.remember(&mut store)));
+            let kept = self
+                .disk
+                .as_ref()
+                .map(|disk| (disk, core.remember(&mut store)));
             drop(store);
             self.api.hooks.open.store(core.open(), Ordering::Relaxed);
-            self.api.hooks.behind.store(core.behind(), Ordering::Relaxed);
-            self.api.hooks.planners.store(core.planners(), Ordering::Relaxed);
+            self.api
+                .hooks
+                .behind
+                .store(core.behind(), Ordering::Relaxed);
+            self.api
+                .hooks
+                .planners
+                .store(core.planners(), Ordering::Relaxed);
             let Some((disk, (batch, problems))) = kept else {
-                out.into_iter().for_each(|(planner, message)| self.tell(planner, message));
+                out.into_iter()
+                    .for_each(|(planner, message)| self.tell(planner, message));
                 if std::mem::replace(&mut shown, version) != version {
                     self.api.ring();
                 }
@@ -121,7 +131,11 @@
     }
 
     /// Tells the fleet how this edge stands; ends with the member.
-    pub(crate) async fn keep_fleet(self: Arc<Self>, member: Arc<Member>, mut facts: Facts) -> Ending {
+    pub(crate) async fn keep_fleet(
+        self: Arc<Self>,
+        member: Arc<Member>,
+        mut facts: Facts,
+    ) -> Ending {
         loop {
             if let Some(ending) = member.news_within(TELL).await {
                 return ending;
--- a/crates/edge/src/waits.rs
+++ b/crates/edge/src/waits.rs
@@ -30,7 +30,11 @@
 impl Waits {
     pub(crate) fn new() -> Self {
         let ledger = Arc::new(Mutex::new(Ledger::new(Settings::default())));
-        Self { ledger, look_at: 0.0, events: BTreeMap::new() }
+        Self {
+            ledger,
+            look_at: 0.0,
+            events: BTreeMap::new(),
+        }
     }
 
     pub(crate) fn ledger(&self) -> Arc<Mutex<Ledger>> {
@@ -95,12 +99,18 @@
         self.look_at = now + LOOK_EVERY;
         let due = {
             let mut ledger = lock(&self.ledger);
-            desk.untaken(now).for_each(|(uid, code)| ledger.edge(now, uid, code));
+            desk.untaken(now)
+                .for_each(|(uid, code)| ledger.edge(now, uid, code));
             ledger.due(now)
         };
         for write in due {
-            let Some((space, name)) = names.get(&write.uid) else { continue };
-            let Some(pod) = store.get(PODS, space, name).filter(|pod| meta::uid(pod) == write.uid).cloned()
+            let Some((space, name)) = names.get(&write.uid) else {
+                continue;
+            };
+            let Some(pod) = store
+                .get(PODS, space, name)
+                .filter(|pod| meta::uid(pod) == write.uid)
+                .cloned()
             else {
                 continue;
             };
@@ -114,9 +124,20 @@
     }
 
     /// One Event for the whole wait: its count and series grow, as published ones do.
-    fn event(&mut self, now: f64, pod: &Object, write: &Write, store: &mut Store, kept: &mut Garbage) {
+    fn event(
+        &mut self,
+        now: f64,
+        pod: &Object,
+        write: &Write,
+        store: &mut Store,
+        kept: &mut Garbage,
+    ) {
         let space = meta::namespace(pod);
-        let known = self.events.get(&write.uid).and_then(|name| store.get(EVENTS, space, name)).cloned();
+        let known = self
+            .events
+            .get(&write.uid)
+            .and_then(|name| store.get(EVENTS, space, name))
+            .cloned();
         let done = match known {
             Some(event) => {
                 let mut event = (*event).clone();
@@ -126,8 +147,17 @@
             None => {
                 let name = format!("{}.{}", meta::name(pod), store.suffix());
                 self.events.insert(write.uid.clone(), name.clone());
-                let event = pods::event(pod, name, "Warning", "FailedScheduling", &write.message, now);
-                store.create(EVENTS, event, now).inspect(|event| kept.add(event, store))
+                let event = pods::event(
+                    pod,
+                    name,
+                    "Warning",
+                    "FailedScheduling",
+                    &write.message,
+                    now,
+                );
+                store
+                    .create(EVENTS, event, now)
+                    .inspect(|event| kept.add(event, store))
             }
         };
         if let Err(problem) = done {
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -17,11 +17,18 @@
 impl World {
     /// An edge whose store keeps four changes of each resource.
     fn new() -> Self {
-        let limits = Limits { history: 4, ..Limits::default() };
+        let limits = Limits {
+            history: 4,
+            ..Limits::default()
+        };
         let mut store = Store::new(limits, 1, 1000);
-        let space = json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
+        let space =
+            json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
         store.create(NAMESPACES, space, 0.0).unwrap();
-        Self { core: Core::new(parse("built-in", DEFAULT).unwrap(), 1), store }
+        Self {
+            core: Core::new(parse("built-in", DEFAULT).unwrap(), 1),
+            store,
+        }
     }
 
     fn step(&mut self, now: f64, inputs: Vec<Input>) -> Vec<ToPlanner> {
@@ -42,7 +49,9 @@
 }
 
 fn asked(out: &[ToPlanner]) -> usize {
-    out.iter().filter(|m| matches!(m, ToPlanner::Place(_))).count()
+    out.iter()
+        .filter(|m| matches!(m, ToPlanner::Place(_)))
+        .count()
 }
 
 #[test]
@@ -58,7 +67,10 @@
     // Those that nobody answers are answered at their deadline all the same.
     world.step(60.0, vec![Input::PlannerLost(1)]);
     for i in 0..40 {
-        assert_eq!(meta::text(&world.pod(&format!("p{i}")), &["status", "phase"]), "Failed");
+        assert_eq!(
+            meta::text(&world.pod(&format!("p{i}")), &["status", "phase"]),
+            "Failed"
+        );
     }
 }
 
@@ -69,7 +81,10 @@
     let (gone, again) = (world.make("gone"), world.make("again"));
     world.step(0.1, vec![Input::Kick]);
     for name in ["gone", "again"] {
-        world.store.delete(PODS, "default", name, &Expect::default()).unwrap();
+        world
+            .store
+            .delete(PODS, "default", name, &Expect::default())
+            .unwrap();
     }
     for i in 0..20 {
         world.make(&format!("p{i}"));
@@ -77,14 +92,25 @@
     let second = world.make("again");
     let out = world.step(0.2, vec![Input::Kick]);
     for pod in [&gone, &again] {
-        let stop = ToPlanner::Stop { uid: meta::uid(pod).to_owned() };
+        let stop = ToPlanner::Stop {
+            uid: meta::uid(pod).to_owned(),
+        };
         assert!(out.contains(&stop), "{out:?}");
     }
     let placed: Vec<&str> = out
         .iter()
-        .filter_map(|m| if let ToPlanner::Place(ask) = m { Some(ask.uid.as_str()) } else { None })
+        .filter_map(|m| {
+            if let ToPlanner::Place(ask) = m {
+                Some(ask.uid.as_str())
+            } else {
+                None
+            }
+        })
         .collect();
-    assert!(placed.contains(&meta::uid(&second)) && placed.len() == 21, "{placed:?}");
+    assert!(
+        placed.contains(&meta::uid(&second)) && placed.len() == 21,
+        "{placed:?}"
+    );
 }
 
 #[test]
@@ -97,13 +123,23 @@
     world.store.create(JOBS, job("j"), 0.0).unwrap();
     world.step(0.1, vec![Input::Kick]);
     assert_eq!(world.store.count(PODS), 2);
-    world.store.delete(JOBS, "default", "j", &Expect::default()).unwrap();
+    world
+        .store
+        .delete(JOBS, "default", "j", &Expect::default())
+        .unwrap();
     for i in 0..20 {
-        world.store.create(JOBS, job(&format!("k{i}")), 0.0).unwrap();
+        world
+            .store
+            .create(JOBS, job(&format!("k{i}")), 0.0)
+            .unwrap();
     }
     world.step(0.2, vec![Input::Kick]);
     assert!(world.core.behind() > 0);
-    assert_eq!(world.store.count(PODS), 40, "the pods of the twenty, none of the one that is gone");
+    assert_eq!(
+        world.store.count(PODS),
+        40,
+        "the pods of the twenty, none of the one that is gone"
+    );
 }
 
 #[test]
@@ -112,7 +148,15 @@
     world.step(0.0, vec![Input::PlannerUp(1)]);
     let pod = world.make("p");
     let ledger = world.core.ledger();
-    let codes = || ledger.lock().unwrap().of("default", "p").unwrap().codes.clone();
+    let codes = || {
+        ledger
+            .lock()
+            .unwrap()
+            .of("default", "p")
+            .unwrap()
+            .codes
+            .clone()
+    };
     let mut now = 0.0;
     while now < 0.45 {
         now += 0.05;
@@ -126,15 +170,32 @@
     }
     assert_eq!(codes(), [Code::PlannersSilent]);
     // The planner speaks, is asked again and takes it.
-    let taken = Input::Said(1, ToEdge::Taken { uid: meta::uid(&pod).to_owned() });
+    let taken = Input::Said(
+        1,
+        ToEdge::Taken {
+            uid: meta::uid(&pod).to_owned(),
+        },
+    );
     let out = world.step(now, vec![taken.clone()]);
     let out = if out.iter().any(|m| matches!(m, ToPlanner::Go { .. })) {
         out
     } else {
         world.step(now, vec![taken])
     };
-    assert!(out.iter().any(|m| matches!(m, ToPlanner::Go { .. })), "{out:?}");
+    assert!(
+        out.iter().any(|m| matches!(m, ToPlanner::Go { .. })),
+        "{out:?}"
+    );
     assert_eq!(codes(), []);
-    let spans = ledger.lock().unwrap().of("default", "p").unwrap().spans.clone();
-    assert!(spans.len() == 1 && spans[0].over, "the history keeps it: {spans:?}");
+    let spans = ledger
+        .lock()
+        .unwrap()
+        .of("default", "p")
+        .unwrap()
+        .spans
+        .clone();
+    assert!(
+        spans.len() == 1 && spans[0].over,
+        "the history keeps it: {spans:?}"
+    );
 }
--- a/crates/edge/tests/desk.rs
+++ b/crates/edge/tests/desk.rs
@@ -17,7 +17,11 @@
 }
 
 fn ask(uid: &str) -> Ask {
-    Ask { uid: uid.into(), service: format!("s/{uid}"), ..Ask::default() }
+    Ask {
+        uid: uid.into(),
+        service: format!("s/{uid}"),
+        ..Ask::default()
+    }
 }
 
 fn step(desk: &mut Desk, now: f64, events: Vec<Event>) -> Vec<Action> {
@@ -36,29 +40,58 @@
 
 /// The planner takes these and is told to go.
 fn take(desk: &mut Desk, now: f64, planner: u64, uids: &[&str]) {
-    let events = uids.iter().map(|uid| Event::Said(planner, taken(uid))).collect();
+    let events = uids
+        .iter()
+        .map(|uid| Event::Said(planner, taken(uid)))
+        .collect();
     let out = step(desk, now, events);
-    let gone = out.iter().filter(|a| matches!(a, Action::Tell(p, ToPlanner::Go { .. }) if *p == planner));
+    let gone = out
+        .iter()
+        .filter(|a| matches!(a, Action::Tell(p, ToPlanner::Go { .. }) if *p == planner));
     assert_eq!(gone.count(), uids.len(), "{out:?}");
 }
 
 fn placed(uid: &str) -> ToEdge {
-    ToEdge::Placed { uid: uid.into(), node: "n1".into() }
+    ToEdge::Placed {
+        uid: uid.into(),
+        node: "n1".into(),
+    }
 }
 
 #[test]
 fn tasks_of_a_lost_planner_fail_and_what_runs_goes_to_another() {
     let mut desk = desk();
-    step(&mut desk, 0.0, vec![Event::PlannerUp(1), submit("a", 5.0), submit("b", 5.0)]);
+    step(
+        &mut desk,
+        0.0,
+        vec![Event::PlannerUp(1), submit("a", 5.0), submit("b", 5.0)],
+    );
     take(&mut desk, 0.05, 1, &["a", "b"]);
-    step(&mut desk, 0.1, vec![Event::Said(1, placed("a")), Event::PlannerUp(2)]);
+    step(
+        &mut desk,
+        0.1,
+        vec![Event::Said(1, placed("a")), Event::PlannerUp(2)],
+    );
     let out = step(&mut desk, 0.2, vec![Event::PlannerLost(1)]);
-    assert!(out.iter().any(|a| matches!(a, Action::Failed(uid, _) if uid == "b")), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Failed(uid, _) if uid == "b")),
+        "{out:?}"
+    );
     assert!(out.iter().any(
         |a| matches!(a, Action::Tell(2, ToPlanner::InPlace { ask, node }) if ask.uid == "a" && node == "n1")
     ));
-    let out =
-        step(&mut desk, 1.0, vec![Event::Said(2, ToEdge::Ended { uid: "a".into(), end: End::Succeeded })]);
+    let out = step(
+        &mut desk,
+        1.0,
+        vec![Event::Said(
+            2,
+            ToEdge::Ended {
+                uid: "a".into(),
+                end: End::Succeeded,
+            },
+        )],
+    );
     assert_eq!(out, [Action::Ended("a".into(), End::Succeeded)]);
 }
 
@@ -70,7 +103,10 @@
     step(&mut desk, 0.1, vec![Event::Said(1, placed("a"))]);
     assert_eq!(step(&mut desk, 0.2, vec![Event::PlannerLost(1)]), []);
     let out = step(&mut desk, 9.0, vec![Event::PlannerUp(2)]);
-    assert!(matches!(&out[..], [Action::Tell(2, ToPlanner::InPlace { .. })]), "{out:?}");
+    assert!(
+        matches!(&out[..], [Action::Tell(2, ToPlanner::InPlace { .. })]),
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -80,7 +116,13 @@
     take(&mut desk, 0.05, 1, &["a"]);
     assert_eq!(desk.next_wake(), Some(1.05));
     let out = step(&mut desk, 1.05, vec![]);
-    assert!(matches!(&out[..], [Action::Tell(1, ToPlanner::Stop { .. }), Action::Failed(..)]), "{out:?}");
+    assert!(
+        matches!(
+            &out[..],
+            [Action::Tell(1, ToPlanner::Stop { .. }), Action::Failed(..)]
+        ),
+        "{out:?}"
+    );
     let out = step(&mut desk, 1.2, vec![Event::Said(1, placed("a"))]);
     assert_eq!(out, [Action::Tell(1, ToPlanner::Stop { uid: "a".into() })]);
 }
@@ -88,7 +130,10 @@
 #[test]
 fn without_room_tasks_queue_and_are_refused_at_their_deadline() {
     let mut desk = desk();
-    let events = (0..5).map(|i| submit(&format!("t{i}"), 2.0)).chain([Event::PlannerUp(1)]).collect();
+    let events = (0..5)
+        .map(|i| submit(&format!("t{i}"), 2.0))
+        .chain([Event::PlannerUp(1)])
+        .collect();
     let out = step(&mut desk, 0.0, events);
     assert_eq!(out.len(), 3, "the planner holds three: {out:?}");
     take(&mut desk, 0.2, 1, &["t0", "t1", "t2"]);
@@ -98,59 +143,118 @@
     );
     take(&mut desk, 0.6, 1, &["t3"]);
     let out = step(&mut desk, 2.0, vec![]);
-    assert!(matches!(&out[..], [Action::Refused(uid, _)] if uid == "t4"), "{out:?}");
+    assert!(
+        matches!(&out[..], [Action::Refused(uid, _)] if uid == "t4"),
+        "{out:?}"
+    );
 }
 
 #[test]
 fn what_a_silent_planner_has_not_taken_goes_to_another_and_what_it_has_is_answered_truthfully() {
     let mut desk = desk();
     let safe = Event::Submit(ask("safe"), 6.0, true);
-    step(&mut desk, 0.0, vec![Event::PlannerUp(1), safe, submit("unsafe", 6.0)]);
+    step(
+        &mut desk,
+        0.0,
+        vec![Event::PlannerUp(1), safe, submit("unsafe", 6.0)],
+    );
     take(&mut desk, 0.1, 1, &["safe", "unsafe"]);
     // It stands still from here on; what comes now lies in its socket.
     step(&mut desk, 0.2, vec![submit("late", 6.0)]);
     let out = step(&mut desk, 0.7, vec![]);
-    assert_eq!(out, [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })], "nobody else is there");
+    assert_eq!(
+        out,
+        [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })],
+        "nobody else is there"
+    );
     let out = step(&mut desk, 0.8, vec![Event::PlannerUp(2)]);
-    assert!(matches!(&out[..], [Action::Tell(2, ToPlanner::Place(ask))] if ask.uid == "late"), "{out:?}");
+    assert!(
+        matches!(&out[..], [Action::Tell(2, ToPlanner::Place(ask))] if ask.uid == "late"),
+        "{out:?}"
+    );
     // It comes back and reads: its word on a task that was taken back gets no Go.
     let out = step(&mut desk, 0.9, vec![Event::Said(1, taken("late"))]);
-    assert_eq!(out, [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })]);
+    assert_eq!(
+        out,
+        [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })]
+    );
     let out = step(&mut desk, 1.0, vec![Event::PlannerLost(1)]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refused(uid, _) if uid == "safe")), "{out:?}");
-    assert!(out.iter().any(|a| matches!(a, Action::Failed(uid, _) if uid == "unsafe")), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Refused(uid, _) if uid == "safe")),
+        "{out:?}"
+    );
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Failed(uid, _) if uid == "unsafe")),
+        "{out:?}"
+    );
     let reap = Action::Tell(2, ToPlanner::Stop { uid: "safe".into() });
-    assert!(out.contains(&reap), "what may run of it holds no room: {out:?}");
+    assert!(
+        out.contains(&reap),
+        "what may run of it holds no room: {out:?}"
+    );
 }
 
 #[test]
 fn while_all_planners_stand_still_nothing_is_answered_as_unknown_that_was_not_offered() {
     let mut desk = desk();
-    let events = (0..3).map(|i| submit(&format!("t{i}"), 2.0)).chain([Event::PlannerUp(1)]).collect();
+    let events = (0..3)
+        .map(|i| submit(&format!("t{i}"), 2.0))
+        .chain([Event::PlannerUp(1)])
+        .collect();
     step(&mut desk, 0.0, events);
     step(&mut desk, 0.6, vec![]);
     step(&mut desk, 1.9, vec![Event::PlannerLost(1)]);
     let out = step(&mut desk, 2.0, vec![]);
-    assert_eq!(out.iter().filter(|a| matches!(a, Action::Refused(..))).count(), 3, "{out:?}");
+    assert_eq!(
+        out.iter()
+            .filter(|a| matches!(a, Action::Refused(..)))
+            .count(),
+        3,
+        "{out:?}"
+    );
 }
 
 #[test]
 fn a_task_is_nowhere_only_if_every_planner_is_sure() {
     let located = |desk: &mut Desk, words: Vec<(u64, Found)>| {
-        let locate = Event::Locate { uid: "x".into(), tenant: "t".into(), name: "n".into() };
-        step(desk, 0.0, vec![Event::PlannerUp(1), Event::PlannerUp(2), locate]);
-        let said = |(p, found)| Event::Said(p, ToEdge::Located { uid: "x".into(), found });
+        let locate = Event::Locate {
+            uid: "x".into(),
+            tenant: "t".into(),
+            name: "n".into(),
+        };
+        step(
+            desk,
+            0.0,
+            vec![Event::PlannerUp(1), Event::PlannerUp(2), locate],
+        );
+        let said = |(p, found)| {
+            Event::Said(
+                p,
+                ToEdge::Located {
+                    uid: "x".into(),
+                    found,
+                },
+            )
+        };
         step(desk, 0.1, words.into_iter().map(said).collect())
     };
     let at = Found::At("n1".into());
     let both = located(&mut desk(), vec![(1, Found::Nowhere), (2, Found::Nowhere)]);
     assert_eq!(both, [Action::Located("x".into(), Found::Nowhere)]);
-    assert_eq!(located(&mut desk(), vec![(1, at.clone())]), [Action::Located("x".into(), at)]);
+    assert_eq!(
+        located(&mut desk(), vec![(1, at.clone())]),
+        [Action::Located("x".into(), at)]
+    );
     let doubt = located(&mut desk(), vec![(1, Found::Unclear), (2, Found::Nowhere)]);
     assert_eq!(doubt, [Action::Located("x".into(), Found::Unclear)]);
     let mut silent = desk();
     assert_eq!(located(&mut silent, vec![(1, Found::Nowhere)]), []);
-    assert_eq!(step(&mut silent, 1.0, vec![]), [Action::Located("x".into(), Found::Unclear)]);
+    assert_eq!(
+        step(&mut silent, 1.0, vec![]),
+        [Action::Located("x".into(), Found::Unclear)]
+    );
 }
 
 #[derive(Clone, Debug)]
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -33,7 +33,10 @@
 }
 
 fn limits() -> Limits {
-    Limits { history: 64, ..Limits::default() }
+    Limits {
+        history: 64,
+        ..Limits::default()
+    }
 }
 
 impl World {
@@ -46,7 +49,14 @@
         store.keep();
         let space = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
         drop(store.create(NAMESPACES, space, now));
-        Self { core, store, now, taken: BTreeMap::new(), pending: vec![], batches: vec![] }
+        Self {
+            core,
+            store,
+            now,
+            taken: BTreeMap::new(),
+            pending: vec![],
+            batches: vec![],
+        }
     }
 
     fn step(&mut self, inputs: Vec<Input>) -> Vec<ToPlanner> {
@@ -69,18 +79,29 @@
                     ToEdge::Taken { uid }
                 }
                 ToPlanner::Go { uid, .. } => {
-                    let Some(ask) = self.taken.remove(&uid) else { continue };
+                    let Some(ask) = self.taken.remove(&uid) else {
+                        continue;
+                    };
                     *truth.starts.entry(ask.key).or_default() += 1;
                     truth.running.insert(uid.clone(), ask.name);
-                    self.pending.push(ToEdge::Placed { uid: uid.clone(), node: "node-0".into() });
+                    self.pending.push(ToEdge::Placed {
+                        uid: uid.clone(),
+                        node: "node-0".into(),
+                    });
                     ToEdge::Runs { uid }
                 }
                 ToPlanner::InPlace { ask, node } => {
                     let runs = truth.running.values().any(|name| *name == ask.name);
-                    self.pending.push(ToEdge::Placed { uid: ask.uid.clone(), node });
+                    self.pending.push(ToEdge::Placed {
+                        uid: ask.uid.clone(),
+                        node,
+                    });
                     match runs {
                         true => ToEdge::Runs { uid: ask.uid },
-                        false => ToEdge::Ended { uid: ask.uid, end: End::Lost },
+                        false => ToEdge::Ended {
+                            uid: ask.uid,
+                            end: End::Lost,
+                        },
                     }
                 }
                 ToPlanner::Locate { uid, .. } => {
@@ -104,14 +125,21 @@
     fn run(&mut self, steps: usize, truth: &mut Truth) {
         for _ in 0..steps {
             self.now += 0.1;
-            let inputs = self.pending.drain(..).map(|message| Input::Said(1, message)).collect();
+            let inputs = self
+                .pending
+                .drain(..)
+                .map(|message| Input::Said(1, message))
+                .collect();
             let said = self.step(inputs);
             self.hears(said, truth);
         }
     }
 
     fn pods(&self) -> Vec<Object> {
-        self.store.all(PODS, "").map(|pod| (**pod).clone()).collect()
+        self.store
+            .all(PODS, "")
+            .map(|pod| (**pod).clone())
+            .collect()
     }
 }
 
@@ -130,8 +158,15 @@
     truths.push(truth.clone());
     for i in 0..14 {
         if i == 2 || i == 4 {
-            let class = if i == 2 { "slot-abgleich" } else { "termin-web" };
-            world.store.create(JOBS, job(class, class), world.now).unwrap();
+            let class = if i == 2 {
+                "slot-abgleich"
+            } else {
+                "termin-web"
+            };
+            world
+                .store
+                .create(JOBS, job(class, class), world.now)
+                .unwrap();
         }
         world.run(1, &mut truth);
         truths.push(truth.clone());
@@ -140,7 +175,10 @@
 }
 
 fn records(batches: &[(Batch, Vec<ToPlanner>)]) -> Recalled {
-    let mut back = Recalled { turn: 1, ..Recalled::default() };
+    let mut back = Recalled {
+        turn: 1,
+        ..Recalled::default()
+    };
     for (batch, _) in batches {
         for (record, value) in batch.changes() {
             match value {
@@ -159,15 +197,25 @@
     let mut world = World::new(now, &back);
     for (key, bytes) in back.of("object") {
         let object: Object = serde_json::from_slice(bytes).unwrap();
-        let resource = [PODS, JOBS, NAMESPACES].into_iter().find(|r| key.starts_with(r.plural)).unwrap();
-        let stands = world.store.get(resource, meta::namespace(&object), meta::name(&object));
+        let resource = [PODS, JOBS, NAMESPACES]
+            .into_iter()
+            .find(|r| key.starts_with(r.plural))
+            .unwrap();
+        let stands = world
+            .store
+            .get(resource, meta::namespace(&object), meta::name(&object));
         if stands.is_none_or(|stands| **stands != object) {
             wrong.push(format!("{key} is not what it was"));
         }
     }
     let placed = |world: &World| -> BTreeSet<String> {
         let node = |pod: &&Object| !meta::text(pod, &["spec", "nodeName"]).is_empty();
-        world.pods().iter().filter(node).map(|pod| meta::uid(pod).to_owned()).collect()
+        world
+            .pods()
+            .iter()
+            .filter(node)
+            .map(|pod| meta::uid(pod).to_owned())
+            .collect()
     };
     let before = placed(&world);
     world.run(3, &mut truth);
@@ -180,7 +228,11 @@
         wrong.push("a Pod that was told as placed is not placed any more".into());
     }
     // Whatever runs is known, and each Job has all it wants, once.
-    let known: BTreeSet<String> = world.pods().iter().map(|pod| tidespur_api::task::ask(pod).name).collect();
+    let known: BTreeSet<String> = world
+        .pods()
+        .iter()
+        .map(|pod| tidespur_api::task::ask(pod).name)
+        .collect();
     let runs = truth.running.values().filter(|name| !known.contains(*name));
     wrong.extend(runs.map(|name| format!("{name} runs, nobody's")));
     for job in world.store.all(JOBS, "") {
@@ -191,8 +243,10 @@
         if meta::name(job) == "slot-abgleich" {
             let uid = meta::uid(job);
             let mine = truth.starts.iter().filter(|(key, _)| key.starts_with(uid));
-            wrong
-                .extend(mine.filter(|(_, n)| **n > 1).map(|(key, n)| format!("{key} was started {n} times")));
+            wrong.extend(
+                mine.filter(|(_, n)| **n > 1)
+                    .map(|(key, n)| format!("{key} was started {n} times")),
+            );
         }
     }
     wrong
@@ -204,9 +258,14 @@
     for kept in 0..=world.batches.len() {
         // What was said after the last batch was heard, or was cut off with the edge.
         for heard in [kept, kept.saturating_sub(1)] {
-            let truth = heard.checked_sub(1).map_or_else(Truth::default, |at| truths[at].clone());
+            let truth = heard
+                .checked_sub(1)
+                .map_or_else(Truth::default, |at| truths[at].clone());
             let wrong = comes_back(&world.batches[..kept], truth, world.now);
-            assert!(wrong.is_empty(), "after {kept} batches, {heard} heard: {wrong:?}");
+            assert!(
+                wrong.is_empty(),
+                "after {kept} batches, {heard} heard: {wrong:?}"
+            );
         }
     }
 }
@@ -216,9 +275,14 @@
 fn words_that_run_ahead_of_their_batch_are_found_out() {
     let (world, truths) = day();
     let found = (1..world.batches.len())
-        .filter(|&kept| !comes_back(&world.batches[..kept], truths[kept].clone(), world.now).is_empty())
+        .filter(|&kept| {
+            !comes_back(&world.batches[..kept], truths[kept].clone(), world.now).is_empty()
+        })
         .count();
-    assert!(found > 0, "no cut shows that an answer or an offer left too early");
+    assert!(
+        found > 0,
+        "no cut shows that an answer or an offer left too early"
+    );
 }
 
 #[test]
@@ -238,9 +302,17 @@
     assert!(again.store.version() > world.store.version());
     assert!(again.store.watch(PODS, world.store.version()).is_err());
     let mut spoilt = back;
-    spoilt.records.insert(("open".into(), "x".into()), b"{".to_vec());
+    spoilt
+        .records
+        .insert(("open".into(), "x".into()), b"{".to_vec());
     let mut store = Store::new(limits(), 1, 1);
     let mut core = Core::new(parse("built-in", DEFAULT).unwrap(), 1);
-    let problem = core.recall(0.0, &spoilt, &mut store).unwrap_err().to_string();
-    assert!(problem.contains("open") && problem.contains("restore"), "{problem}");
+    let problem = core
+        .recall(0.0, &spoilt, &mut store)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        problem.contains("open") && problem.contains("restore"),
+        "{problem}"
+    );
 }
--- a/crates/fleet-net/src/lib.rs
+++ b/crates/fleet-net/src/lib.rs
@@ -56,21 +56,40 @@
         seed: u64,
         incarnation: Option<u64>,
     ) -> Result<Option<Self>, String> {
-        if config.fleet.is_none() && options.fleet_listen.is_none() && options.fleet_join.is_empty() {
+        if config.fleet.is_none() && options.fleet_listen.is_none() && options.fleet_join.is_empty()
+        {
             return Ok(None);
         }
         let block = config.fleet.clone().unwrap_or_default();
-        let listen = options.fleet_listen.map_or(block.listen.clone(), |address| address.to_string());
+        let listen = options
+            .fleet_listen
+            .map_or(block.listen.clone(), |address| address.to_string());
         let mut join = options.fleet_join.clone();
         for address in &block.join {
-            join.push(address.parse().map_err(|e| format!("fleet.join: {address}: {e}"))?);
+            join.push(
+                address
+                    .parse()
+                    .map_err(|e| format!("fleet.join: {address}: {e}"))?,
+            );
         }
-        let socket = UdpSocket::bind(&listen).await.map_err(|e| format!("{listen}: no datagrams: {e}"))?;
+        let socket = UdpSocket::bind(&listen)
+            .await
+            .map_err(|e| format!("{listen}: no datagrams: {e}"))?;
         let address = socket.local_addr().map_err(|e| e.to_string())?;
-        let clock = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+        let clock = || {
+            SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_micros() as u64
+        };
         // A clock may be set back; what a process remembers of its starts may not.
         let born = incarnation.unwrap_or_else(clock);
-        let own = Id { name: name.to_owned(), address, born, turn: 0 };
+        let own = Id {
+            name: name.to_owned(),
+            address,
+            born,
+            turn: 0,
+        };
         let settings = Settings {
             cluster: block.cluster,
             join,
@@ -89,12 +108,22 @@
             smol::spawn(turn(fleet.clone(), socket, told, send, name)),
             smol::spawn(leave(signals, leaving.clone(), tell.clone())),
         ];
-        Ok(Some(Self { fleet, tell, news, address, leaving, _tasks: tasks }))
+        Ok(Some(Self {
+            fleet,
+            tell,
+            news,
+            address,
+            leaving,
+            _tasks: tasks,
+        }))
     }
 
     /// The fleet as this member sees it.
     pub fn view(&self) -> View {
-        self.fleet.lock().unwrap_or_else(PoisonError::into_inner).view()
+        self.fleet
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .view()
     }
 
     /// Waits for news, this long at most; says where the process has to end, and why.
@@ -183,12 +212,16 @@
             }
         };
         let asked = async { told.recv().await.ok() };
-        let first = clock::within(wake - clock::now(), smol::future::or(came, asked)).await.flatten();
+        let first = clock::within(wake - clock::now(), smol::future::or(came, asked))
+            .await
+            .flatten();
         let mut inputs: Vec<Input> = first.into_iter().collect();
         while inputs.len() < STEP_MOST {
             // What has come already is read before time goes on.
             let next = async { socket.recv(&mut buffer).await.ok() };
-            let Some(Some(bytes)) = smol::future::poll_once(next).await else { break };
+            let Some(Some(bytes)) = smol::future::poll_once(next).await else {
+                break;
+            };
             inputs.push(Input::Datagram(buffer[..bytes].to_vec()));
         }
         let mut out = Vec::new();
@@ -223,7 +256,11 @@
         Output::Cleared(who) => tracing::info!(member, who, unsaid, "a member says that it lives"),
         Output::Lost(who) => tracing::warn!(member, who, unsaid, "a member is lost"),
         Output::Left(who) => tracing::info!(member, who, unsaid, "a member left in order"),
-        Output::Rejoined => tracing::warn!(member, unsaid, "given up by others; back under a higher turn"),
+        Output::Rejoined => tracing::warn!(
+            member,
+            unsaid,
+            "given up by others; back under a higher turn"
+        ),
         Output::Replaced(by) => {
             tracing::error!(member, address = %by.address, "a newer process has this name; this one ends");
         }
@@ -241,8 +278,11 @@
             "api": facts.map(|facts| facts.api.as_str()), "link": facts.map(|facts| facts.link.as_str()),
             "open": facts.and_then(|facts| facts.open), "factsAge": facts.map(|_| (now - seen.told_at).max(0.0))})
     };
-    let drops: serde_json::Map<String, Value> =
-        view.drops.iter().map(|(why, count)| (format!("{why:?}").to_lowercase(), (*count).into())).collect();
+    let drops: serde_json::Map<String, Value> = view
+        .drops
+        .iter()
+        .map(|(why, count)| (format!("{why:?}").to_lowercase(), (*count).into()))
+        .collect();
     json!({"asked": view.own.name, "settled": view.settled, "live": view.live().count(),
         "members": view.members.iter().map(member).collect::<Vec<_>>(),
         "drops": drops, "rejoins": view.rejoins, "stalls": view.stalls})
--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -47,7 +47,14 @@
     /// Facts of a member that does this, and nothing else yet.
     pub fn of(role: Role) -> Self {
         let none = String::new;
-        Self { role, zone: none(), api: none(), link: none(), open: None, leaving: false }
+        Self {
+            role,
+            zone: none(),
+            api: none(),
+            link: none(),
+            open: None,
+            leaving: false,
+        }
     }
 }
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -82,16 +82,36 @@
     ///
     /// # Errors
     /// A name or address that can't be a member's, or settings out of range.
-    pub fn new(settings: Settings, own: Id, facts: Facts, seed: u64, now: Seconds) -> Result<Self, String> {
+    pub fn new(
+        settings: Settings,
+        own: Id,
+        facts: Facts,
+        seed: u64,
+        now: Seconds,
+    ) -> Result<Self, String> {
         if !own.is_sound() {
-            return Err(format!("{:?} at {} can't be a member", own.name, own.address));
+            return Err(format!(
+                "{:?} at {} can't be a member",
+                own.name, own.address
+            ));
         }
         if !name_is_sound(&settings.cluster) {
             return Err(format!("{:?} can't be a cluster's name", settings.cluster));
         }
-        let times = [settings.answer_within, settings.probe_every, settings.doubt_for, settings.forget_after];
-        if !times.windows(2).all(|pair| 0.0 < pair[0] && pair[0] < pair[1] && pair[1] < 1e6) {
-            return Err("the time for an answer, between probes, in doubt, until forgotten must rise".into());
+        let times = [
+            settings.answer_within,
+            settings.probe_every,
+            settings.doubt_for,
+            settings.forget_after,
+        ];
+        if !times
+            .windows(2)
+            .all(|pair| 0.0 < pair[0] && pair[0] < pair[1] && pair[1] < 1e6)
+        {
+            return Err(
+                "the time for an answer, between probes, in doubt, until forgotten must rise"
+                    .into(),
+            );
         }
         let shared = Shared::default();
         {
@@ -110,7 +130,10 @@
         );
         let mut fleet = Self {
             settings,
-            version: Version { born: own.born, count: 0 },
+            version: Version {
+                born: own.born,
+                count: 0,
+            },
             own,
             facts,
             sees: 0,
@@ -150,13 +173,30 @@
         if self.over {
             return f64::INFINITY;
         }
-        let timer = self.timers.first_key_value().map_or(f64::INFINITY, |(at, _)| at.0 as f64 / 1e6);
-        let back = if self.given_up { self.back_at } else { f64::INFINITY };
-        timer.min(self.look_at).min(self.exchange_at).min(self.ask_at).min(back) + self.stood
+        let timer = self
+            .timers
+            .first_key_value()
+            .map_or(f64::INFINITY, |(at, _)| at.0 as f64 / 1e6);
+        let back = if self.given_up {
+            self.back_at
+        } else {
+            f64::INFINITY
+        };
+        timer
+            .min(self.look_at)
+            .min(self.exchange_at)
+            .min(self.ask_at)
+            .min(back)
+            + self.stood
     }
 
     /// Takes in what came at `now`, and tells what is to be done.
-    pub fn step(&mut self, now: Seconds, inputs: impl IntoIterator<Item = Input>, out: &mut Vec<Output>) {
+    pub fn step(
+        &mut self,
+        now: Seconds,
+        inputs: impl IntoIterator<Item = Input>,
+        out: &mut Vec<Output>,
+    ) {
         if self.over {
             return;
         }
@@ -184,8 +224,14 @@
         }
         // A microsecond more, as times are sums: what is due must not be found a hair too early for ever.
         let here = now - self.stood + 1e-6;
-        while let Some((&at, _)) = self.timers.first_key_value().filter(|(at, _)| at.0 as f64 / 1e6 <= here) {
-            let Some(timer) = self.timers.remove(&at) else { break };
+        while let Some((&at, _)) = self
+            .timers
+            .first_key_value()
+            .filter(|(at, _)| at.0 as f64 / 1e6 <= here)
+        {
+            let Some(timer) = self.timers.remove(&at) else {
+                break;
+            };
             changed |= self.detector(now, out, |foca, wants| foca.handle_timer(timer, wants));
         }
         if changed || here >= self.look_at {
@@ -212,10 +258,15 @@
                 (seen.facts, seen.told_at) = (Some(told.facts.clone()), *at);
             }
         }
-        let settled = self.members.values().filter(|seen| seen.standing.is_live()).all(|seen| {
-            told(&seen.id.name)
-                .is_some_and(|(told, _)| told.version.born == seen.id.born && told.sees == self.sees)
-        });
+        let settled = self
+            .members
+            .values()
+            .filter(|seen| seen.standing.is_live())
+            .all(|seen| {
+                told(&seen.id.name).is_some_and(|(told, _)| {
+                    told.version.born == seen.id.born && told.sees == self.sees
+                })
+            });
         let at = members.partition_point(|seen| seen.id.name < self.own.name);
         let own = Seen {
             id: self.own.clone(),
--- a/crates/fleet/src/fleet/datagrams.rs
+++ b/crates/fleet/src/fleet/datagrams.rs
@@ -75,7 +75,10 @@
     }
 
     pub(super) fn send(&self, to: SocketAddr, body: &Body, out: &mut Vec<Output>) {
-        out.push(Output::Send(to, wire::datagram(&self.settings.cluster, body)));
+        out.push(Output::Send(
+            to,
+            wire::datagram(&self.settings.cluster, body),
+        ));
     }
 
     /// Tells anew what this member tells of itself.
@@ -88,7 +91,12 @@
 
     pub(super) fn told(&self) -> Told {
         let (name, version) = (self.own.name.clone(), self.version);
-        Told { name, version, sees: self.sees, facts: self.facts.clone() }
+        Told {
+            name,
+            version,
+            sees: self.sees,
+            facts: self.facts.clone(),
+        }
     }
 
     pub(super) fn take(&mut self, told: Told, out: &mut Vec<Output>) {
@@ -100,7 +108,12 @@
     }
 
     /// Another's versions: sends what is newer here, asks for what is newer there.
-    pub(super) fn compare(&mut self, from: &Id, versions: Vec<(String, Version)>, out: &mut Vec<Output>) {
+    pub(super) fn compare(
+        &mut self,
+        from: &Id,
+        versions: Vec<(String, Version)>,
+        out: &mut Vec<Output>,
+    ) {
         let (mut newer, mut want) = (Vec::new(), Vec::new());
         {
             let state = self.shared.lock();
@@ -115,7 +128,11 @@
         }
         if !want.is_empty() {
             want.truncate(ANSWER_MOST / 2);
-            self.send(from.address, &Body::Facts(self.own.clone(), vec![], want), out);
+            self.send(
+                from.address,
+                &Body::Facts(self.own.clone(), vec![], want),
+                out,
+            );
         }
         self.answer(from, newer, out);
     }
@@ -133,14 +150,22 @@
             let size = told.bytes().len();
             if bytes + size > BODY_MOST - 128 && !batch.is_empty() {
                 let full = std::mem::take(&mut batch);
-                self.send(to.address, &Body::Facts(self.own.clone(), full, vec![]), out);
+                self.send(
+                    to.address,
+                    &Body::Facts(self.own.clone(), full, vec![]),
+                    out,
+                );
                 bytes = 0;
             }
             bytes += size;
             batch.push(told);
         }
         if !batch.is_empty() {
-            self.send(to.address, &Body::Facts(self.own.clone(), batch, vec![]), out);
+            self.send(
+                to.address,
+                &Body::Facts(self.own.clone(), batch, vec![]),
+                out,
+            );
         }
     }
 }
--- a/crates/fleet/src/fleet/detector.rs
+++ b/crates/fleet/src/fleet/detector.rs
@@ -55,7 +55,10 @@
         let here = now - self.stood;
         for (timer, after) in wants.timers {
             self.numbered += 1;
-            self.timers.insert((((here + after.as_secs_f64()) * 1e6) as u64, self.numbered), timer);
+            self.timers.insert(
+                (((here + after.as_secs_f64()) * 1e6) as u64, self.numbered),
+                timer,
+            );
         }
         for (to, data) in wants.sends {
             self.send(to.address, &Body::Swim(data), out);
@@ -69,7 +72,13 @@
         self.rejoins += 1;
         out.push(Output::Rejoined);
         let mut wants = Wants::default();
-        self.renew(Id { turn: self.own.turn.saturating_add(1), ..self.own.clone() }, &mut wants);
+        self.renew(
+            Id {
+                turn: self.own.turn.saturating_add(1),
+                ..self.own.clone()
+            },
+            &mut wants,
+        );
         self.carry_out(now, wants, out);
     }
 
@@ -79,12 +88,20 @@
         self.shared.lock().own = Some(self.own.clone());
         // Fails only where the identity is the same.
         let _ = self.foca.change_identity(self.own.clone(), &mut *wants);
-        let some: Vec<Id> = self.foca.iter_members().take(3).map(|member| member.id().clone()).collect();
+        let some: Vec<Id> = self
+            .foca
+            .iter_members()
+            .take(3)
+            .map(|member| member.id().clone())
+            .collect();
         for id in some {
             let _ = self.foca.announce(id, &mut *wants);
         }
         if self.version.born != self.own.born {
-            self.version = Version { born: self.own.born, count: 0 };
+            self.version = Version {
+                born: self.own.born,
+                count: 0,
+            };
         }
         self.publish();
     }
@@ -92,8 +109,12 @@
 
 pub(super) fn config(settings: &Settings) -> foca::Config {
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let often =
-        |s: Seconds, n| Some(PeriodicParams { frequency: Duration::from_secs_f64(s), num_members: some(n) });
+    let often = |s: Seconds, n| {
+        Some(PeriodicParams {
+            frequency: Duration::from_secs_f64(s),
+            num_members: some(n),
+        })
+    };
     foca::Config {
         probe_period: Duration::from_secs_f64(settings.probe_every),
         probe_rtt: Duration::from_secs_f64(settings.answer_within),
--- a/crates/fleet/src/fleet/look.rs
+++ b/crates/fleet/src/fleet/look.rs
@@ -10,9 +10,13 @@
         let mut all: Vec<(&String, u64)> = live.map(|seen| (&seen.id.name, seen.id.born)).collect();
         all.push(own);
         all.sort_unstable();
-        let bytes = all.iter().flat_map(|(name, born)| name.bytes().chain([0]).chain(born.to_le_bytes()));
+        let bytes = all
+            .iter()
+            .flat_map(|(name, born)| name.bytes().chain([0]).chain(born.to_le_bytes()));
         // FNV-1a: the same on all machines.
-        bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+        bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+        })
     }
 
     /// Compares the detector's view with what was known, and tells what has changed.
@@ -57,19 +61,36 @@
                     out.push(Output::Joined(name));
                 }
                 // One that was never seen live is no loss.
-                (_, Standing::Lost) if was.is_some_and(Standing::is_live) => out.push(Output::Lost(name)),
-                (_, Standing::Left) if was.is_some_and(Standing::is_live) => out.push(Output::Left(name)),
+                (_, Standing::Lost) if was.is_some_and(Standing::is_live) => {
+                    out.push(Output::Lost(name))
+                }
+                (_, Standing::Left) if was.is_some_and(Standing::is_live) => {
+                    out.push(Output::Left(name))
+                }
                 _ => {}
             }
-            let seen = Seen { id: id.clone(), standing, since: now, facts: None, told_at: 0.0 };
+            let seen = Seen {
+                id: id.clone(),
+                standing,
+                since: now,
+                facts: None,
+                told_at: 0.0,
+            };
             self.members.insert(id.name.clone(), seen);
         }
         self.members.retain(|name, _| known.contains(name));
         {
             let mut state = self.shared.lock();
-            state.book.told.retain(|name, _| known.contains(name) || *name == self.own.name);
+            state
+                .book
+                .told
+                .retain(|name, _| known.contains(name) || *name == self.own.name);
             state.known = known;
-            state.live = self.members.values().filter(|seen| seen.standing.is_live()).count();
+            state.live = self
+                .members
+                .values()
+                .filter(|seen| seen.standing.is_live())
+                .count();
         }
         if met {
             self.exchange_at = self.exchange_at.min(now - self.stood + SOON);
@@ -84,7 +105,9 @@
     /// Two processes of one name: the newer stays.
     pub(super) fn twin(&mut self, now: Seconds, out: &mut Vec<Output>) -> bool {
         let twin = self.shared.lock().twin.take();
-        let Some(twin) = twin.filter(|twin| twin.born != self.own.born && twin.age() > self.own.age()) else {
+        let Some(twin) =
+            twin.filter(|twin| twin.born != self.own.born && twin.age() > self.own.age())
+        else {
             return false;
         };
         if now - self.started > STARTING {
@@ -92,7 +115,11 @@
             out.push(Output::Replaced(twin));
             return true;
         }
-        let new = Id { born: twin.born.saturating_add(1), turn: 0, ..self.own.clone() };
+        let new = Id {
+            born: twin.born.saturating_add(1),
+            turn: 0,
+            ..self.own.clone()
+        };
         (self.given_up, self.back_at) = (false, now - self.stood + BACK);
         let mut wants = Wants::default();
         self.renew(new, &mut wants);
@@ -103,7 +130,11 @@
     /// Forgets those that were lost first where more than as many as may be live are kept. Those that are lost take no
     /// room of the live: forgotten too soon, whoever still believes in them would bring them back.
     pub(super) fn make_room(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        let gone = || self.foca.iter_membership_state().filter(|member| member.state() == State::Down);
+        let gone = || {
+            self.foca
+                .iter_membership_state()
+                .filter(|member| member.state() == State::Down)
+        };
         let over = gone().count().saturating_sub(self.settings.members_most);
         if over == 0 {
             return;
@@ -112,7 +143,9 @@
         let since = |id: &Id| self.members.get(&id.name).map_or(0.0, |seen| seen.since);
         gone.sort_by(|a, b| since(a).total_cmp(&since(b)));
         for id in gone.into_iter().take(over) {
-            self.detector(now, out, |foca, wants| foca.handle_timer(Timer::RemoveDown(id), wants));
+            self.detector(now, out, |foca, wants| {
+                foca.handle_timer(Timer::RemoveDown(id), wants)
+            });
         }
     }
 }
--- a/crates/fleet/src/fleet/reach.rs
+++ b/crates/fleet/src/fleet/reach.rs
@@ -15,7 +15,10 @@
         {
             let state = self.shared.lock();
             let names: Vec<&String> = state.known.iter().chain([&self.own.name]).collect();
-            let at = names.iter().position(|name| **name > self.cursor).unwrap_or(0);
+            let at = names
+                .iter()
+                .position(|name| **name > self.cursor)
+                .unwrap_or(0);
             let mut bytes = 0;
             for name in names[at..].iter().chain(&names[..at]) {
                 // A name, its length, and two numbers.
@@ -23,7 +26,10 @@
                 if bytes > BODY_MOST - 128 {
                     break;
                 }
-                versions.push(((*name).clone(), state.book.version(name).unwrap_or_default()));
+                versions.push((
+                    (*name).clone(),
+                    state.book.version(name).unwrap_or_default(),
+                ));
             }
         }
         self.cursor = versions.last().map_or(String::new(), |last| last.0.clone());
@@ -31,7 +37,10 @@
     }
 
     pub(super) fn live_addresses(&self) -> Vec<SocketAddr> {
-        self.foca.iter_members().map(|member| member.id().address).collect()
+        self.foca
+            .iter_members()
+            .map(|member| member.id().address)
+            .collect()
     }
 
     /// Asks at addresses from the settings who is there: at once and ever more rarely while alone, and now and then
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -86,7 +86,9 @@
     type Error = Refused;
 
     fn encode_header(&mut self, header: &Header<Id>, buf: impl BufMut) -> Result<(), Refused> {
-        PostcardCodec.encode_header(header, buf).map_err(|_| Refused)
+        PostcardCodec
+            .encode_header(header, buf)
+            .map_err(|_| Refused)
     }
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, Refused> {
@@ -96,7 +98,9 @@
     }
 
     fn encode_member(&mut self, member: &Member<Id>, buf: impl BufMut) -> Result<(), Refused> {
-        PostcardCodec.encode_member(member, buf).map_err(|_| Refused)
+        PostcardCodec
+            .encode_member(member, buf)
+            .map_err(|_| Refused)
     }
 
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Refused> {
@@ -129,8 +133,10 @@
         let told = Told::read(data).ok_or(Refused)?;
         let key = Key(told.name.clone(), told.version);
         let mut state = self.lock();
-        let twin =
-            state.own.as_ref().is_some_and(|own| told.name == own.name && told.version.born != own.born);
+        let twin = state
+            .own
+            .as_ref()
+            .is_some_and(|own| told.name == own.name && told.version.born != own.born);
         Ok((!twin && state.book.take(told)).then_some(key))
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -67,12 +67,16 @@
         return Err(Drop::Version);
     }
     let (&length, rest) = rest.split_first().ok_or(Drop::Unreadable)?;
-    let (name, rest) = rest.split_at_checked(length.into()).ok_or(Drop::Unreadable)?;
+    let (name, rest) = rest
+        .split_at_checked(length.into())
+        .ok_or(Drop::Unreadable)?;
     if name != cluster.as_bytes() {
         return Err(Drop::Cluster);
     }
     let (length, rest) = rest.split_at_checked(2).ok_or(Drop::Unreadable)?;
-    if bytes.len() > DATAGRAM_MOST || usize::from(u16::from_be_bytes([length[0], length[1]])) != rest.len() {
+    if bytes.len() > DATAGRAM_MOST
+        || usize::from(u16::from_be_bytes([length[0], length[1]])) != rest.len()
+    {
         return Err(Drop::Unreadable);
     }
     postcard::from_bytes(rest).map_err(|_| Drop::Unreadable)
--- a/crates/ledger-net/src/lib.rs
+++ b/crates/ledger-net/src/lib.rs
@@ -37,7 +37,9 @@
 fn start() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     // Each of these is made with keys that the system draws.
-    std::collections::hash_map::RandomState::new().build_hasher().finish()
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
 }
 
 impl Voter {
@@ -52,8 +54,12 @@
         memory: Option<&Recalled>,
         routes: Routes,
     ) -> Result<Option<Self>, String> {
-        let Some(block) = &config.ledger else { return Ok(None) };
-        let Some(address) = block.voters.get(name) else { return Ok(None) };
+        let Some(block) = &config.ledger else {
+            return Ok(None);
+        };
+        let Some(address) = block.voters.get(name) else {
+            return Ok(None);
+        };
         let (Some(disk), Some(memory)) = (disk, memory) else {
             return Err(
                 "the ledger's voters need a memory: name a folder by --data or durable { dir = ... }".into(),
@@ -69,8 +75,9 @@
         };
         let ledger = Arc::new(Mutex::new(Ledger::new(settings, memory, clock::now())?));
         let (tell, told) = async_channel::bounded(INPUTS_MOST);
-        let listener =
-            TcpListener::bind(address).await.map_err(|e| format!("ledger: {address}: can't listen: {e}"))?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|e| format!("ledger: {address}: can't listen: {e}"))?;
         let streams = Arc::new(Streams {
             cluster: config.cluster().to_owned(),
             own: name.to_owned(),
@@ -84,9 +91,23 @@
         for other in block.voters.keys().skip(place + 1) {
             tasks.push(smol::spawn(streams.clone().dial(other.clone())));
         }
-        tasks.push(smol::spawn(turn::run(name.to_owned(), ledger.clone(), told, disk)));
-        tracing::info!(voter = name, address, voters = block.voters.len(), "keeps the ledger");
-        let voter = Self { ledger, tell, _tasks: tasks };
+        tasks.push(smol::spawn(turn::run(
+            name.to_owned(),
+            ledger.clone(),
+            told,
+            disk,
+        )));
+        tracing::info!(
+            voter = name,
+            address,
+            voters = block.voters.len(),
+            "keeps the ledger"
+        );
+        let voter = Self {
+            ledger,
+            tell,
+            _tasks: tasks,
+        };
         voter.tell(Input::Want(FLEET.into()));
         Ok(Some(voter))
     }
@@ -100,7 +121,8 @@
     pub fn noted(&self, prefix: &str) -> BTreeSet<String> {
         let ledger = lock(&self.ledger);
         let keys = ledger.state().notes.keys();
-        keys.filter_map(|key| key.strip_prefix(prefix).map(str::to_owned)).collect()
+        keys.filter_map(|key| key.strip_prefix(prefix).map(str::to_owned))
+            .collect()
     }
 
     /// Tells the voter something. Lost where its loop is far behind: whoever wants it said says it again.
--- a/crates/ledger-net/src/pack.rs
+++ b/crates/ledger-net/src/pack.rs
@@ -48,19 +48,37 @@
     #[test]
     fn millions_of_folded_entries_fit_into_a_frame_and_lies_are_refused() {
         let msg = PaxosMsg::ProposalForward(vec![Entry::Nothing; 5_000_000]);
-        let message = Message::SequencePaxos(PaxosMessage { from: 1, to: 2, msg });
+        let message = Message::SequencePaxos(PaxosMessage {
+            from: 1,
+            to: 2,
+            msg,
+        });
         let frame = pack(Word::Agree(Box::new(message))).expect("within bounds");
         let encoded = tidespur_link::encode(&frame).expect("it fits");
-        assert!(encoded.len() < 1 << 18, "a frame may have four times as much");
-        let Frame::Packed(bytes) = frame else { panic!("it is packed") };
-        let Ok(Word::Agree(message)) = unpack(&bytes) else { panic!("it comes back") };
-        let Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::ProposalForward(entries), .. }) = *message
+        assert!(
+            encoded.len() < 1 << 18,
+            "a frame may have four times as much"
+        );
+        let Frame::Packed(bytes) = frame else {
+            panic!("it is packed")
+        };
+        let Ok(Word::Agree(message)) = unpack(&bytes) else {
+            panic!("it comes back")
+        };
+        let Message::SequencePaxos(PaxosMessage {
+            msg: PaxosMsg::ProposalForward(entries),
+            ..
+        }) = *message
         else {
             panic!("as what it was")
         };
         assert_eq!(entries.len(), 5_000_000);
         let mut lie = bytes.clone();
         lie[..4].copy_from_slice(&u32::MAX.to_le_bytes());
-        assert!(unpack(&lie).is_err() && unpack(&bytes[..bytes.len() / 2]).is_err() && unpack(&[1]).is_err());
+        assert!(
+            unpack(&lie).is_err()
+                && unpack(&bytes[..bytes.len() / 2]).is_err()
+                && unpack(&[1]).is_err()
+        );
     }
 }
--- a/crates/ledger-net/src/streams.rs
+++ b/crates/ledger-net/src/streams.rs
@@ -65,7 +65,9 @@
     }
 
     pub(crate) async fn dial(self: Arc<Self>, name: String) {
-        let Some(address) = self.voters.get(&name) else { return };
+        let Some(address) = self.voters.get(&name) else {
+            return;
+        };
         loop {
             let at = self.routes.to(address);
             let dialled = clock::within(1.0, TcpStream::connect(&at)).await;
@@ -89,19 +91,23 @@
     ) -> Result<(TcpStream, frames::FrameReader, String), String> {
         socket.set_nodelay(true).map_err(|e| e.to_string())?;
         let (send, queue) = async_channel::bounded(1);
-        send.try_send(Frame::Hi(self.cluster.clone(), self.own.clone())).map_err(|e| e.to_string())?;
+        send.try_send(Frame::Hi(self.cluster.clone(), self.own.clone()))
+            .map_err(|e| e.to_string())?;
         drop(send);
         clock::within(PATIENCE, frames::write_all(socket.clone(), queue))
             .await
             .ok_or("it takes nothing")??;
         let mut reader = frames::FrameReader::new(socket.clone());
-        match clock::within(PATIENCE, reader.next::<Frame>()).await.ok_or("it says nothing")?? {
+        match clock::within(PATIENCE, reader.next::<Frame>())
+            .await
+            .ok_or("it says nothing")??
+        {
             Some(Frame::Hi(cluster, _)) if cluster != self.cluster => {
                 Err(format!("it is of the cluster {cluster:?}"))
             }
-            Some(Frame::Hi(_, name)) if wanted.is_some_and(|wanted| wanted != name) => {
-                Err(format!("{name:?} is at that address: look at ledger.voters"))
-            }
+            Some(Frame::Hi(_, name)) if wanted.is_some_and(|wanted| wanted != name) => Err(
+                format!("{name:?} is at that address: look at ledger.voters"),
+            ),
             Some(Frame::Hi(_, name)) if self.voters.contains_key(&name) && name != self.own => {
                 Ok((socket, reader, name))
             }
@@ -112,7 +118,12 @@
     async fn keep(&self, socket: TcpStream, reader: frames::FrameReader, name: String) {
         let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
         let stream = crate::turn::number();
-        if self.tell.send(Event::Up(name.clone(), stream, send.clone())).await.is_err() {
+        if self
+            .tell
+            .send(Event::Up(name.clone(), stream, send.clone()))
+            .await
+            .is_err()
+        {
             return;
         }
         let read = |frame: Frame| match frame {
@@ -126,7 +137,11 @@
                 }
             },
         };
-        let link = frames::Link { queue, send, ping: Frame::Word(Word::Ping) };
+        let link = frames::Link {
+            queue,
+            send,
+            ping: Frame::Word(Word::Ping),
+        };
         let ended = frames::keep(socket, reader, link, PATIENCE, read, &self.tell).await;
         tracing::info!(voter = name, ?ended, "the stream to a voter ended");
         let _ = self.tell.send(Event::Down(name, stream)).await;
--- a/crates/ledger-net/src/turn.rs
+++ b/crates/ledger-net/src/turn.rs
@@ -41,7 +41,12 @@
 
 type Streams = BTreeMap<String, (u64, Sender<Frame>)>;
 
-pub(crate) async fn run(name: String, ledger: Arc<Mutex<Ledger>>, told: Receiver<Event>, disk: Arc<Disk>) {
+pub(crate) async fn run(
+    name: String,
+    ledger: Arc<Mutex<Ledger>>,
+    told: Receiver<Event>,
+    disk: Arc<Disk>,
+) {
     let came = disk.subscribe();
     let (mut streams, mut outbox) = (Streams::new(), Outbox::default());
     // The disk's number of the last batch that is not known as safe.
@@ -74,7 +79,8 @@
                     // What was said for the stream before must not come on this one: its order is the agreement's.
                     let old = |held: &Held| matches!(held, Held::Say(to, _) if *to == voter);
                     drop(outbox.take_back(old));
-                    inputs.retain(|input| !matches!(input, Input::Heard(from, _) if *from == voter));
+                    inputs
+                        .retain(|input| !matches!(input, Input::Heard(from, _) if *from == voter));
                     streams.insert(voter.clone(), (stream, send));
                     inputs.push(Input::Up(voter));
                 }
@@ -100,11 +106,20 @@
                 }
                 Output::Say(voter, word) if outbox.is_empty() => say(&mut streams, &voter, word),
                 Output::Say(voter, word) => outbox.hold(last, Held::Say(voter, word)),
-                Output::Held(lease, token) => tracing::info!(voter = name, lease, token, "holds a lease"),
+                Output::Held(lease, token) => {
+                    tracing::info!(voter = name, lease, token, "holds a lease")
+                }
                 Output::Lost(lease) => tracing::info!(voter = name, lease, "holds a lease no more"),
-                Output::Leads(leader) => tracing::info!(voter = name, leader, "the ledger's leader"),
+                Output::Leads(leader) => {
+                    tracing::info!(voter = name, leader, "the ledger's leader")
+                }
                 Output::Stands(Standing::Barred { by, known }) => {
-                    tracing::error!(voter = name, by, ?known, "does not vote: its disk is older than it was");
+                    tracing::error!(
+                        voter = name,
+                        by,
+                        ?known,
+                        "does not vote: its disk is older than it was"
+                    );
                 }
                 Output::Stands(standing) => tracing::info!(voter = name, ?standing, "stands"),
             }
@@ -121,7 +136,9 @@
 }
 
 fn say(streams: &mut Streams, voter: &str, word: Word) {
-    let Some((_, send)) = streams.get(voter) else { return };
+    let Some((_, send)) = streams.get(voter) else {
+        return;
+    };
     let Some(frame) = crate::pack::pack(word) else {
         return tracing::error!(
             voter,
--- a/crates/ledger/examples/holder.rs
+++ b/crates/ledger/examples/holder.rs
@@ -8,13 +8,21 @@
 use common::{TERM, World};
 
 fn main() {
-    println!("{:>8} {:>18} {:>8} {:>8} {:>8}", "voters", "holder", "median", "p90", "most");
+    println!(
+        "{:>8} {:>18} {:>8} {:>8} {:>8}",
+        "voters", "holder", "median", "p90", "most"
+    );
     for voters in [3, 5] {
         for what in ["killed", "stands still", "cut off", "gives back"] {
             let mut gaps: Vec<f64> = (0..200).map(|seed| gap(seed, voters, what)).collect();
             gaps.sort_by(f64::total_cmp);
             let at = |q: f64| gaps[((gaps.len() - 1) as f64 * q) as usize];
-            println!("{voters:>8} {what:>18} {:>8.2} {:>8.2} {:>8.2}", at(0.5), at(0.9), at(1.0));
+            println!(
+                "{voters:>8} {what:>18} {:>8.2} {:>8.2} {:>8.2}",
+                at(0.5),
+                at(0.9),
+                at(1.0)
+            );
         }
     }
     println!("term {TERM} s");
@@ -37,7 +45,9 @@
 fn gap(seed: u64, voters: usize, what: &str) -> f64 {
     let mut world = World::new(seed, voters, 0.01);
     world.run(10.0 + seed as f64 * 0.037);
-    let Some(holder) = (0..voters).find(|i| world.may_act(*i).is_some()) else { return f64::NAN };
+    let Some(holder) = (0..voters).find(|i| world.may_act(*i).is_some()) else {
+        return f64::NAN;
+    };
     let from = world.now;
     match what {
         "killed" => world.kill(holder),
@@ -48,7 +58,8 @@
         }),
         _ => world.tell(holder, tidespur_ledger::Input::GiveBack("l".into())),
     }
-    while world.now < from + 60.0 && !(0..voters).any(|i| i != holder && world.may_act(i).is_some()) {
+    while world.now < from + 60.0 && !(0..voters).any(|i| i != holder && world.may_act(i).is_some())
+    {
         world.run(common::STEP);
     }
     world.now - from
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -15,7 +15,10 @@
 
 /// One entry. Each is checked where it is applied, by what the log says up to there: an entry that comes too late
 /// changes nothing, at all voters alike.
-#[allow(clippy::large_enum_variant, reason = "entries are few and live in one place")]
+#[allow(
+    clippy::large_enum_variant,
+    reason = "entries are few and live in one place"
+)]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// One that was folded into a later `Whole`.
--- a/crates/ledger/src/fence.rs
+++ b/crates/ledger/src/fence.rs
@@ -34,8 +34,13 @@
     /// The fence as an earlier process left it.
     pub fn recall(memory: &Recalled) -> Self {
         let read = |bytes: &[u8]| std::str::from_utf8(bytes).ok()?.parse().ok();
-        let highest = memory.of(FENCE).filter_map(|(lease, bytes)| Some((lease.to_owned(), read(bytes)?)));
-        Self { highest: highest.collect(), batch: Batch::default() }
+        let highest = memory
+            .of(FENCE)
+            .filter_map(|(lease, bytes)| Some((lease.to_owned(), read(bytes)?)));
+        Self {
+            highest: highest.collect(),
+            batch: Batch::default(),
+        }
     }
 
     /// Lets an act pass, or refuses it by name. What passes may be carried out once the next batch is safe.
@@ -45,7 +50,11 @@
     pub fn pass(&mut self, lease: &str, token: u64) -> Result<(), Stale> {
         let newest = self.highest.get(lease).copied().unwrap_or(0);
         if token < newest {
-            return Err(Stale { lease: lease.to_owned(), token, newest });
+            return Err(Stale {
+                lease: lease.to_owned(),
+                token,
+                newest,
+            });
         }
         if token > newest {
             self.highest.insert(lease.to_owned(), token);
--- a/crates/ledger/src/leases.rs
+++ b/crates/ledger/src/leases.rs
@@ -45,17 +45,27 @@
         self.wanted.remove(lease);
         self.asked.remove(lease);
         let mine = self.mine.remove(lease)?;
-        Some(Entry::Give { lease: lease.to_owned(), token: mine.token })
+        Some(Entry::Give {
+            lease: lease.to_owned(),
+            token: mine.token,
+        })
     }
 
     pub(crate) fn may_act(&self, now: Seconds, lease: &str) -> Option<u64> {
-        self.mine.get(lease).filter(|mine| now < mine.until).map(|mine| mine.token)
+        self.mine
+            .get(lease)
+            .filter(|mine| now < mine.until)
+            .map(|mine| mine.token)
     }
 
     fn see(&mut self, now: Seconds, name: &str, lease: &Lease) {
-        let seen = self.seen.get(name).map(|(token, heard, _)| (*token, *heard));
+        let seen = self
+            .seen
+            .get(name)
+            .map(|(token, heard, _)| (*token, *heard));
         if seen != Some((lease.token, lease.heard)) {
-            self.seen.insert(name.to_owned(), (lease.token, lease.heard, now));
+            self.seen
+                .insert(name.to_owned(), (lease.token, lease.heard, now));
         }
     }
 
@@ -66,7 +76,10 @@
         state: &State,
         set: &Settings,
     ) -> (Vec<(String, u64)>, Vec<String>) {
-        let own = Holder { name: set.own.clone(), incarnation: set.incarnation };
+        let own = Holder {
+            name: set.own.clone(),
+            incarnation: set.incarnation,
+        };
         let (mut held, mut lost) = (Vec::new(), Vec::new());
         for (name, lease) in &state.leases {
             self.see(now, name, lease);
@@ -76,12 +89,21 @@
                 continue;
             }
             // The term runs from when the very asking was made that was heard: a later one may not have been.
-            let asked = self.asked.get(name).and_then(|asked| asked.get(&lease.heard)).copied();
-            let (Some(asked), true) = (asked, self.wanted.contains(name)) else { continue };
+            let asked = self
+                .asked
+                .get(name)
+                .and_then(|asked| asked.get(&lease.heard))
+                .copied();
+            let (Some(asked), true) = (asked, self.wanted.contains(name)) else {
+                continue;
+            };
             if let Some(all) = self.asked.get_mut(name) {
                 all.retain(|ask, _| *ask > lease.heard);
             }
-            let mine = Mine { token: lease.token, until: asked + set.term };
+            let mine = Mine {
+                token: lease.token,
+                until: asked + set.term,
+            };
             if self.mine.insert(name.clone(), mine).is_none() {
                 held.push((name.clone(), lease.token));
             }
@@ -90,17 +112,32 @@
     }
 
     /// What is to be asked of the log now, and which leases have run out.
-    pub(crate) fn due(&mut self, now: Seconds, state: &State, set: &Settings) -> (Vec<Entry>, Vec<String>) {
+    pub(crate) fn due(
+        &mut self,
+        now: Seconds,
+        state: &State,
+        set: &Settings,
+    ) -> (Vec<Entry>, Vec<String>) {
         let over = |mine: &Mine| now >= mine.until;
-        let ran_out: Vec<String> =
-            self.mine.iter().filter(|(_, mine)| over(mine)).map(|(name, _)| name.clone()).collect();
+        let ran_out: Vec<String> = self
+            .mine
+            .iter()
+            .filter(|(_, mine)| over(mine))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in &ran_out {
             self.mine.remove(name);
         }
-        let holder = || Holder { name: set.own.clone(), incarnation: set.incarnation };
+        let holder = || Holder {
+            name: set.own.clone(),
+            incarnation: set.incarnation,
+        };
         let mut out = Vec::new();
         for name in self.wanted.clone() {
-            let last = self.asked.get(&name).and_then(|asked| asked.values().next_back());
+            let last = self
+                .asked
+                .get(&name)
+                .and_then(|asked| asked.values().next_back());
             if last.is_some_and(|at| now < at + AGAIN * set.term) {
                 continue;
             }
@@ -112,7 +149,11 @@
             let ask = self.asks + 1;
             let entry = match self.mine.get(&name) {
                 Some(mine) if now < mine.until - (1.0 - RENEW_AT) * set.term => continue,
-                Some(mine) => Entry::Renew { lease: name.clone(), token: mine.token, ask },
+                Some(mine) => Entry::Renew {
+                    lease: name.clone(),
+                    token: mine.token,
+                    ask,
+                },
                 None => {
                     let seen = self.seen.get(&name).map_or(now, |(.., at)| *at);
                     let over = now >= seen + set.term * (1.0 + 2.0 * set.drift);
@@ -120,7 +161,13 @@
                         continue;
                     }
                     let heard = lease.map_or(0, |lease| lease.heard);
-                    Entry::Take { lease: name.clone(), holder: holder(), after: token, heard, ask }
+                    Entry::Take {
+                        lease: name.clone(),
+                        holder: holder(),
+                        after: token,
+                        heard,
+                        ask,
+                    }
                 }
             };
             self.asks = ask;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,7 +1,9 @@
 //! One voter: words and time in, batches, words and news out.
 
 use crate::leases::Leases;
-use crate::{Entry, Input, Log, Mark, Output, Seconds, Settings, SettingsError, Standing, State, Word};
+use crate::{
+    Entry, Input, Log, Mark, Output, Seconds, Settings, SettingsError, Standing, State, Word,
+};
 use omnipaxos::OmniPaxos;
 use omnipaxos::util::NodeId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -64,23 +66,32 @@
     pub fn new(settings: Settings, memory: &Recalled, now: Seconds) -> Result<Self, String> {
         settings.check().map_err(|e| e.to_string())?;
         if settings.voters.len() > 1 {
-            let refused =
-                |e: omnipaxos::errors::ConfigError| SettingsError::Agreement(e.to_string()).to_string();
+            let refused = |e: omnipaxos::errors::ConfigError| {
+                SettingsError::Agreement(e.to_string()).to_string()
+            };
             config(&settings).validate().map_err(refused)?;
         }
         let log = Log::recall(memory)?;
         let mut known = BTreeMap::new();
         for (voter, bytes) in memory.of(MARK) {
             let mark = serde_json::from_slice(bytes);
-            let mark =
-                mark.map_err(|e| format!("the memory's record {MARK} {voter:?} can't be read: {e}"))?;
+            let mark = mark
+                .map_err(|e| format!("the memory's record {MARK} {voter:?} can't be read: {e}"))?;
             known.insert(voter.to_owned(), mark);
         }
-        let life =
-            memory.of(LIFE).next().and_then(|(_, bytes)| std::str::from_utf8(bytes).ok()?.parse().ok());
+        let life = memory
+            .of(LIFE)
+            .next()
+            .and_then(|(_, bytes)| std::str::from_utf8(bytes).ok()?.parse().ok());
         let life = life.unwrap_or(0);
         let start = settings.start;
-        let mut own = Mark { begun: memory.begun, turn: memory.turn, start, life, ..Mark::default() };
+        let mut own = Mark {
+            begun: memory.begun,
+            turn: memory.turn,
+            start,
+            life,
+            ..Mark::default()
+        };
         own.read(&log);
         let mut ledger = Self {
             settings,
@@ -142,7 +153,12 @@
     }
 
     /// Takes in `inputs`, all of time `now`, and appends what is to be done, in the order in which it is to be done.
-    pub fn step(&mut self, now: Seconds, inputs: impl IntoIterator<Item = Input>, out: &mut Vec<Output>) {
+    pub fn step(
+        &mut self,
+        now: Seconds,
+        inputs: impl IntoIterator<Item = Input>,
+        out: &mut Vec<Output>,
+    ) {
         let mut says = Vec::new();
         for input in inputs {
             self.take(now, input, &mut says, out);
@@ -171,15 +187,26 @@
             self.batches += 1;
             out.push(Output::Write(self.batches, batch));
         }
-        out.extend(says.into_iter().map(|(voter, word)| Output::Say(voter, word)));
+        out.extend(
+            says.into_iter()
+                .map(|(voter, word)| Output::Say(voter, word)),
+        );
     }
 
     fn others(&self) -> impl Iterator<Item = String> {
-        self.settings.voters.iter().filter(|voter| **voter != self.settings.own).cloned()
+        self.settings
+            .voters
+            .iter()
+            .filter(|voter| **voter != self.settings.own)
+            .cloned()
     }
 
     fn pid(&self, voter: &str) -> Option<NodeId> {
-        self.settings.voters.iter().position(|name| name == voter).map(|at| at as NodeId + 1)
+        self.settings
+            .voters
+            .iter()
+            .position(|name| name == voter)
+            .map(|at| at as NodeId + 1)
     }
 
     fn mark(&self) -> Mark {
