--- a/crates/ledger/src/ledger/agree.rs
+++ b/crates/ledger/src/ledger/agree.rs
@@ -32,12 +32,20 @@
     /// Reads on in the log.
     pub(super) fn go_on(&mut self, now: Seconds, out: &mut Vec<Output>) {
         let mut changed = false;
-        while self.waiting.front().is_some_and(|(batch, _)| *batch <= self.safe) {
-            let Some((_, entry)) = self.waiting.pop_front() else { break };
+        while self
+            .waiting
+            .front()
+            .is_some_and(|(batch, _)| *batch <= self.safe)
+        {
+            let Some((_, entry)) = self.waiting.pop_front() else {
+                break;
+            };
             changed |= self.state.apply(&entry);
         }
-        let decided =
-            self.agreement.as_ref().and_then(|agreement| agreement.read_decided_suffix(self.applied));
+        let decided = self
+            .agreement
+            .as_ref()
+            .and_then(|agreement| agreement.read_decided_suffix(self.applied));
         for entry in decided.into_iter().flatten() {
             match entry {
                 LogEntry::Decided(entry) => {
@@ -51,14 +59,19 @@
         if changed {
             let (held, lost) = self.leases.read(now, &self.state, &self.settings);
             out.extend(lost.into_iter().map(Output::Lost));
-            out.extend(held.into_iter().map(|(lease, token)| Output::Held(lease, token)));
+            out.extend(
+                held.into_iter()
+                    .map(|(lease, token)| Output::Held(lease, token)),
+            );
             self.fold();
         }
         let leads = match &self.agreement {
             Some(agreement) => agreement.get_current_leader().map(|(pid, _)| pid),
             None => return,
         };
-        let leads = leads.and_then(|pid| self.settings.voters.get((pid as usize).checked_sub(1)?)).cloned();
+        let leads = leads
+            .and_then(|pid| self.settings.voters.get((pid as usize).checked_sub(1)?))
+            .cloned();
         if leads != self.leader {
             self.leader = leads.clone();
             out.push(Output::Leads(leads));
@@ -67,7 +80,11 @@
 
     /// Keeps the log short.
     pub(super) fn fold(&mut self) {
-        let upto = if self.agreement.is_some() { self.applied } else { self.log.len() };
+        let upto = if self.agreement.is_some() {
+            self.applied
+        } else {
+            self.log.len()
+        };
         if self.waiting.is_empty() && self.log.held() >= FOLD {
             self.log.fold(upto, &self.state);
         }
@@ -75,7 +92,9 @@
 
     /// Hands over what the agreement has to say.
     pub(super) fn agreed(&mut self, says: &mut Vec<(String, Word)>) {
-        let Some(agreement) = &mut self.agreement else { return };
+        let Some(agreement) = &mut self.agreement else {
+            return;
+        };
         let mut messages = Vec::new();
         agreement.take_outgoing_messages(&mut messages);
         for message in messages {
@@ -88,7 +107,11 @@
 }
 
 pub(super) fn config(settings: &Settings) -> OmniPaxosConfig {
-    let at = settings.voters.iter().position(|name| *name == settings.own).unwrap_or(0);
+    let at = settings
+        .voters
+        .iter()
+        .position(|name| *name == settings.own)
+        .unwrap_or(0);
     OmniPaxosConfig {
         cluster_config: ClusterConfig {
             configuration_id: 1,
--- a/crates/ledger/src/ledger/talk.rs
+++ b/crates/ledger/src/ledger/talk.rs
@@ -13,7 +13,9 @@
         out: &mut Vec<Output>,
     ) {
         match input {
-            Input::Heard(voter, word) if self.pid(&voter).is_some() && voter != self.settings.own => {
+            Input::Heard(voter, word)
+                if self.pid(&voter).is_some() && voter != self.settings.own =>
+            {
                 self.heard(voter, word, says, out);
             }
             // Nobody whom the settings name.
@@ -35,7 +37,12 @@
             Input::Safe(batch) => self.safe = self.safe.max(batch),
             Input::Note { lease, key, value } => {
                 if let Some(token) = self.leases.may_act(now, &lease) {
-                    self.propose(Entry::Note { lease, token, key, value });
+                    self.propose(Entry::Note {
+                        lease,
+                        token,
+                        key,
+                        value,
+                    });
                 }
             }
             // Said again until it is in the log: a word to a leader that is gone is lost.
@@ -55,7 +62,8 @@
                 let known = self.known.get(&voter).copied();
                 // Taken in again by an operator's word, in this very memory: it is told so, and speaks of itself anew.
                 let again = self.state.readmitted.get(&voter);
-                let again = again.filter(|again| again.begun == mark.begun && mark.turn >= again.turn);
+                let again =
+                    again.filter(|again| again.begun == mark.begun && mark.turn >= again.turn);
                 let life = again.map_or(0, |again| again.life);
                 let follows = known.is_none_or(|known| mark.follows(&known))
                     && mark.life <= life.max(known_life(known));
@@ -68,7 +76,15 @@
                     true => drop(self.asking.remove(&voter)),
                     false => drop(self.asking.insert(voter.clone(), mark)),
                 }
-                says.push((voter, Word::Known(Known { mark: known, fits, floor, life })));
+                says.push((
+                    voter,
+                    Word::Known(Known {
+                        mark: known,
+                        fits,
+                        floor,
+                        life,
+                    }),
+                ));
             }
             Word::Known(known) => self.told(voter, known, out),
             Word::Agree(message) => {
@@ -91,7 +107,9 @@
     pub(super) fn told(&mut self, voter: String, known: Known, out: &mut Vec<Output>) {
         match (&self.standing, known.fits, known.mark) {
             // Its disk can't become older while it runs: words crossed, or another process has its name.
-            (Standing::Voting, ..) | (Standing::Barred { .. }, false, _) | (_, false, None) => return,
+            (Standing::Voting, ..) | (Standing::Barred { .. }, false, _) | (_, false, None) => {
+                return;
+            }
             (Standing::Asking(_), false, Some(known)) => {
                 self.confirmed.clear();
                 return self.stand(Standing::Barred { by: voter, known }, out);
@@ -101,7 +119,10 @@
         if known.life > self.own.life {
             self.own.life = known.life;
             // A number, far below the bound of a record.
-            drop(self.batch.put(LIFE, "", known.life.to_string().into_bytes()));
+            drop(
+                self.batch
+                    .put(LIFE, "", known.life.to_string().into_bytes()),
+            );
         }
         // What it may have promised, and can't know any more, it promises again. More than needed does no harm.
         self.log.promise_at_least(known.floor);
@@ -117,16 +138,27 @@
 
     /// Operators' words that are not in the log yet.
     pub(super) fn readmit(&mut self, now: Seconds) {
-        self.readmits.retain(|voter, _| self.asking.contains_key(voter));
-        let due = self.readmits.iter_mut().filter(|(_, at)| now >= **at + AGAIN);
+        self.readmits
+            .retain(|voter, _| self.asking.contains_key(voter));
+        let due = self
+            .readmits
+            .iter_mut()
+            .filter(|(_, at)| now >= **at + AGAIN);
         let mut entries = Vec::new();
         for (voter, at) in due {
             *at = now;
             // What it says of itself now is what is taken in.
-            let Some(Mark { begun, turn, .. }) = self.asking.get(voter).copied() else { continue };
+            let Some(Mark { begun, turn, .. }) = self.asking.get(voter).copied() else {
+                continue;
+            };
             let known = self.known.get(voter).and_then(|known| known.promise);
             let floor = known.max(self.log.promise());
-            entries.push(Entry::Readmit { voter: voter.clone(), begun, turn, floor });
+            entries.push(Entry::Readmit {
+                voter: voter.clone(),
+                begun,
+                turn,
+                floor,
+            });
         }
         entries.into_iter().for_each(|entry| self.propose(entry));
     }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -42,8 +42,11 @@
                 ));
             }
             let entry = serde_json::from_slice(bytes);
-            entries
-                .push(entry.map_err(|e| format!("the memory's record {ENTRY} {index} can't be read: {e}"))?);
+            entries.push(
+                entry.map_err(|e| {
+                    format!("the memory's record {ENTRY} {index} can't be read: {e}")
+                })?,
+            );
         }
         Ok(Self(Arc::new(Mutex::new(Kept {
             hollow,
--- a/crates/ledger/src/log/kept.rs
+++ b/crates/ledger/src/log/kept.rs
@@ -77,6 +77,8 @@
         }
         let hollow = (from..to.min(self.hollow)).map(|_| Entry::Nothing);
         let rest = from.max(self.hollow) - self.hollow..to.max(self.hollow) - self.hollow;
-        hollow.chain(self.entries.get(rest).unwrap_or_default().iter().cloned()).collect()
+        hollow
+            .chain(self.entries.get(rest).unwrap_or_default().iter().cloned())
+            .collect()
     }
 }
--- a/crates/ledger/src/mark.rs
+++ b/crates/ledger/src/mark.rs
@@ -28,7 +28,8 @@
 impl Mark {
     /// Takes over how far the log is.
     pub(crate) fn read(&mut self, log: &Log) {
-        (self.promise, self.accepted, self.decided) = (log.promise(), log.accepted(), log.decided());
+        (self.promise, self.accepted, self.decided) =
+            (log.promise(), log.accepted(), log.decided());
     }
 
     /// Whether this mark can come after `known`: nothing that others know of the voter is missing.
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -56,14 +56,27 @@
                 *self = (**state).clone();
                 true
             }
-            Entry::Take { lease, holder, after, heard, ask } => {
+            Entry::Take {
+                lease,
+                holder,
+                after,
+                heard,
+                ask,
+            } => {
                 let room = self.leases.len() < LEASES_MOST || self.leases.contains_key(lease);
-                let stands = self.leases.get(lease).map_or((0, 0), |lease| (lease.token, lease.heard));
+                let stands = self
+                    .leases
+                    .get(lease)
+                    .map_or((0, 0), |lease| (lease.token, lease.heard));
                 if !room || stands != (*after, *heard) {
                     return false;
                 }
                 let token = stands.0;
-                let taken = Lease { token: token + 1, holder: Some(holder.clone()), heard: *ask };
+                let taken = Lease {
+                    token: token + 1,
+                    holder: Some(holder.clone()),
+                    heard: *ask,
+                };
                 self.leases.insert(lease.clone(), taken);
                 true
             }
@@ -78,7 +91,12 @@
                 Some(lease) => lease.holder.take().is_some(),
                 None => false,
             },
-            Entry::Note { lease, token, key, value } => {
+            Entry::Note {
+                lease,
+                token,
+                key,
+                value,
+            } => {
                 let room = self.notes.len() < NOTES_MOST || self.notes.contains_key(key);
                 if self.held(lease, *token).is_none() || value.len() > NOTE_MOST || !room {
                     return false;
@@ -88,13 +106,23 @@
                     false => self.notes.insert(key.clone(), value.clone()).as_ref() != Some(value),
                 }
             }
-            Entry::Readmit { voter, begun, turn, floor } => {
+            Entry::Readmit {
+                voter,
+                begun,
+                turn,
+                floor,
+            } => {
                 let last = self.readmitted.get(voter);
                 if last.is_some_and(|last| (last.begun, last.turn) == (*begun, *turn)) {
                     return false;
                 }
                 let life = last.map_or(0, |last| last.life) + 1;
-                let again = Again { begun: *begun, turn: *turn, floor: *floor, life };
+                let again = Again {
+                    begun: *begun,
+                    turn: *turn,
+                    floor: *floor,
+                    life,
+                };
                 self.readmitted.insert(voter.clone(), again);
                 true
             }
@@ -102,6 +130,8 @@
     }
 
     fn held(&mut self, lease: &str, token: u64) -> Option<&mut Lease> {
-        self.leases.get_mut(lease).filter(|lease| lease.token == token && lease.holder.is_some())
+        self.leases
+            .get_mut(lease)
+            .filter(|lease| lease.token == token && lease.holder.is_some())
     }
 }
--- a/crates/ledger/src/words.rs
+++ b/crates/ledger/src/words.rs
@@ -27,7 +27,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// Not 1, 3 or 5 voters.
-    #[error("ledger.voters: {0} voters are named; name 1, 3 or 5, an even number bears no more failures")]
+    #[error(
+        "ledger.voters: {0} voters are named; name 1, 3 or 5, an even number bears no more failures"
+    )]
     Count(usize),
     /// A name stands twice.
     #[error("ledger.voters: {0:?} stands twice; give each voter its own name")]
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -57,7 +57,10 @@
         let voters = (0..voters).map(|i| Voter {
             name: format!("edge-{i}"),
             ledger: None,
-            disk: Recalled { begun: 1_000 + i as u64, ..Recalled::default() },
+            disk: Recalled {
+                begun: 1_000 + i as u64,
+                ..Recalled::default()
+            },
             writing: VecDeque::new(),
             held: VecDeque::new(),
             inputs: vec![],
@@ -119,8 +122,12 @@
         for j in 0..self.voters.len() {
             if i != j && self.voters[j].ledger.is_some() {
                 let own = self.voters[i].name.clone();
-                self.voters[j].held.retain(|(_, o)| !matches!(o, Output::Say(to, _) if *to == own));
-                self.voters[j].inputs.retain(|i| !matches!(i, Input::Heard(from, _) if *from == own));
+                self.voters[j]
+                    .held
+                    .retain(|(_, o)| !matches!(o, Output::Say(to, _) if *to == own));
+                self.voters[j]
+                    .inputs
+                    .retain(|i| !matches!(i, Input::Heard(from, _) if *from == own));
                 let names = [self.voters[i].name.clone(), self.voters[j].name.clone()];
                 self.voters[j].inputs.push(Input::Up(names[0].clone()));
                 self.voters[i].inputs.push(Input::Up(names[1].clone()));
@@ -140,16 +147,28 @@
     pub fn cut(&mut self, from: usize, to: usize, seconds: f64) {
         self.cuts.insert((from, to), self.now + seconds);
         self.wire.remove(&(from, to));
-        self.trace.push(format!("{:.2} {from} to {to} is cut for {seconds:.1}", self.now));
+        self.trace.push(format!(
+            "{:.2} {from} to {to} is cut for {seconds:.1}",
+            self.now
+        ));
     }
 
     pub fn may_act(&self, i: usize) -> Option<u64> {
         let still = self.now < self.voters[i].still;
-        self.voters[i].ledger.as_ref().filter(|_| !still)?.may_act(self.local(i), "l")
+        self.voters[i]
+            .ledger
+            .as_ref()
+            .filter(|_| !still)?
+            .may_act(self.local(i), "l")
     }
 
     pub fn voting(&self) -> usize {
-        let votes = |voter: &&Voter| voter.ledger.as_ref().is_some_and(|l| *l.standing() == Standing::Voting);
+        let votes = |voter: &&Voter| {
+            voter
+                .ledger
+                .as_ref()
+                .is_some_and(|l| *l.standing() == Standing::Voting)
+        };
         self.voters.iter().filter(votes).count()
     }
 
@@ -170,8 +189,12 @@
     }
 
     fn deliver(&mut self) {
-        let healed: Vec<(usize, usize)> =
-            self.cuts.iter().filter(|(_, until)| self.now >= **until).map(|(pair, _)| *pair).collect();
+        let healed: Vec<(usize, usize)> = self
+            .cuts
+            .iter()
+            .filter(|(_, until)| self.now >= **until)
+            .map(|(pair, _)| *pair)
+            .collect();
         for (from, to) in healed {
             self.cuts.remove(&(from, to));
             // A stream that was lost is dialled anew: both ends know, and what was on its way or held for it is gone.
@@ -180,14 +203,17 @@
                 let name = self.voters[b].name.clone();
                 let old = |output: &Output| matches!(output, Output::Say(to, _) if *to == name);
                 self.voters[a].held.retain(|(_, output)| !old(output));
-                let from_it = |input: &Input| matches!(input, Input::Heard(from, _) if *from == name);
+                let from_it =
+                    |input: &Input| matches!(input, Input::Heard(from, _) if *from == name);
                 self.voters[a].inputs.retain(|input| !from_it(input));
                 self.voters[a].inputs.push(Input::Up(name));
             }
         }
         for ((from, to), words) in &mut self.wire {
             while words.front().is_some_and(|(at, _)| *at <= self.now) {
-                let Some((_, word)) = words.pop_front() else { break };
+                let Some((_, word)) = words.pop_front() else {
+                    break;
+                };
                 self.words += 1;
                 self.bytes += postcard::to_stdvec(&word).map_or(0, |bytes| bytes.len() as u64);
                 let name = self.voters[*from].name.clone();
@@ -204,8 +230,14 @@
         }
         let local = self.local(i);
         let voter = &mut self.voters[i];
-        while voter.writing.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let Some((_, number, batch)) = voter.writing.pop_front() else { break };
+        while voter
+            .writing
+            .front()
+            .is_some_and(|(at, ..)| *at <= self.now)
+        {
+            let Some((_, number, batch)) = voter.writing.pop_front() else {
+                break;
+            };
             self.syncs += 1;
             for (record, value) in batch.changes() {
                 match value {
@@ -214,9 +246,22 @@
                 }
             }
             voter.inputs.push(Input::Safe(number));
-            while voter.held.front().is_some_and(|(after, _)| *after <= number) {
-                let Some((_, output)) = voter.held.pop_front() else { break };
-                send(&mut self.wire, &self.cuts, &mut self.rng, self.now, i, output);
+            while voter
+                .held
+                .front()
+                .is_some_and(|(after, _)| *after <= number)
+            {
+                let Some((_, output)) = voter.held.pop_front() else {
+                    break;
+                };
+                send(
+                    &mut self.wire,
+                    &self.cuts,
+                    &mut self.rng,
+                    self.now,
+                    i,
+                    output,
+                );
             }
         }
         let mut out = Vec::new();
@@ -228,36 +273,55 @@
             match output {
                 Output::Write(number, batch) => {
                     let after = voter.writing.back().map_or(self.now, |(at, ..)| *at);
-                    voter.writing.push_back((after + voter.disk_takes, number, batch));
+                    voter
+                        .writing
+                        .push_back((after + voter.disk_takes, number, batch));
                 }
                 Output::Say(..) => match voter.writing.back() {
                     Some((_, number, _)) => voter.held.push_back((*number, output)),
-                    None => send(&mut self.wire, &self.cuts, &mut self.rng, self.now, i, output),
+                    None => send(
+                        &mut self.wire,
+                        &self.cuts,
+                        &mut self.rng,
+                        self.now,
+                        i,
+                        output,
+                    ),
                 },
                 Output::Held(_, token) => {
-                    self.trace.push(format!("{:.2} {i} holds {token}", self.now));
+                    self.trace
+                        .push(format!("{:.2} {i} holds {token}", self.now));
                     let whose = format!("{} {}", voter.name, voter.disk.turn);
                     if let Some(other) = self.holders.insert(token, whose.clone())
                         && other != whose
                     {
-                        self.wrong.push(format!("token {token} is {other}'s and {whose}'s"));
+                        self.wrong
+                            .push(format!("token {token} is {other}'s and {whose}'s"));
                     }
                 }
                 Output::Lost(_) | Output::Leads(_) => {}
-                Output::Stands(standing) => self.trace.push(format!("{:.2} {i} {standing:?}", self.now)),
+                Output::Stands(standing) => {
+                    self.trace.push(format!("{:.2} {i} {standing:?}", self.now))
+                }
             }
         }
     }
 
     fn check(&mut self) {
-        let acting: Vec<(usize, u64)> =
-            (0..self.voters.len()).filter_map(|i| Some((i, self.may_act(i)?))).collect();
+        let acting: Vec<(usize, u64)> = (0..self.voters.len())
+            .filter_map(|i| Some((i, self.may_act(i)?)))
+            .collect();
         if acting.len() > 1 {
-            self.wrong.push(format!("{:.2}: {acting:?} may act at once", self.now));
+            self.wrong
+                .push(format!("{:.2}: {acting:?} may act at once", self.now));
         }
         for (i, token) in acting {
             // Some acts are on their way for long: the process stood still behind its question.
-            let way = if self.rng.random_bool(0.02) { 8.0 } else { 0.005 };
+            let way = if self.rng.random_bool(0.02) {
+                8.0
+            } else {
+                0.005
+            };
             self.acts.push((self.now + way, token, i));
         }
         let (now, mut rest) = (self.now, Vec::new());
@@ -266,7 +330,9 @@
                 rest.push((at, token, i));
             } else if self.fence.pass("l", token).is_ok() {
                 if self.carried.last().is_some_and(|(_, last)| *last > token) {
-                    self.wrong.push(format!("{now:.2}: {token} was carried out after a later one"));
+                    self.wrong.push(format!(
+                        "{now:.2}: {token} was carried out after a later one"
+                    ));
                 }
                 self.carried.push((now, token));
             }
@@ -276,9 +342,16 @@
 
     /// The longest time in which nothing was carried out, from `from` on.
     pub fn longest_gap(&self, from: f64) -> f64 {
-        let times: Vec<f64> = self.carried.iter().map(|(at, _)| *at).filter(|at| *at >= from).collect();
-        let ends =
-            [from].into_iter().chain(times.iter().copied()).zip(times.iter().copied().chain([self.now]));
+        let times: Vec<f64> = self
+            .carried
+            .iter()
+            .map(|(at, _)| *at)
+            .filter(|at| *at >= from)
+            .collect();
+        let ends = [from]
+            .into_iter()
+            .chain(times.iter().copied())
+            .zip(times.iter().copied().chain([self.now]));
         ends.map(|(a, b)| b - a).fold(0.0, f64::max)
     }
 
@@ -288,8 +361,10 @@
         while self.now < until {
             let pause = self.rng.random_range(0.2..3.0);
             self.run(pause);
-            let (i, j) =
-                (self.rng.random_range(0..self.voters.len()), self.rng.random_range(0..self.voters.len()));
+            let (i, j) = (
+                self.rng.random_range(0..self.voters.len()),
+                self.rng.random_range(0..self.voters.len()),
+            );
             let long = self.rng.random_range(0.1..8.0);
             match self.rng.random_range(0..7) {
                 0 if self.voters[i].ledger.is_some() => self.kill(i),
@@ -301,15 +376,17 @@
                 }
                 3 => {
                     self.voters[i].still = self.now + long;
-                    self.trace.push(format!("{:.2} {i} stands still for {long:.1}", self.now));
+                    self.trace
+                        .push(format!("{:.2} {i} stands still for {long:.1}", self.now));
                 }
                 4 => self.voters[i].disk_takes = self.rng.random_range(0.001..0.3),
                 5 if self.rng.random_bool(0.3) => (0..self.voters.len()).for_each(|i| self.kill(i)),
                 _ => {}
             }
             if self.rng.random_bool(0.6) {
-                let dead: Vec<usize> =
-                    (0..self.voters.len()).filter(|i| self.voters[*i].ledger.is_none()).collect();
+                let dead: Vec<usize> = (0..self.voters.len())
+                    .filter(|i| self.voters[*i].ledger.is_none())
+                    .collect();
                 dead.into_iter().for_each(|i| self.start(i));
             }
         }
@@ -331,7 +408,9 @@
     from: usize,
     output: Output,
 ) {
-    let Output::Say(to, word) = output else { return };
+    let Output::Say(to, word) = output else {
+        return;
+    };
     let to: usize = to["edge-".len()..].parse().unwrap();
     if cuts.contains_key(&(from, to)) {
         return;
--- a/crates/ledger/tests/sim.rs
+++ b/crates/ledger/tests/sim.rs
@@ -7,7 +7,10 @@
 
 /// Drawn runs; more by LEDGER_SEEDS, outside CI.
 fn seeds() -> u64 {
-    std::env::var("LEDGER_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
+    std::env::var("LEDGER_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(60)
 }
 
 #[test]
@@ -20,28 +23,52 @@
         world.run(25.0);
         assert!(world.wrong.is_empty(), "seed {seed}: {}", told(&world));
         assert!(
-            world.carried.last().is_some_and(|(at, _)| *at > healed + 10.0),
+            world
+                .carried
+                .last()
+                .is_some_and(|(at, _)| *at > healed + 10.0),
+            "seed {seed}: {}",
+            told(&world)
+        );
+        assert_eq!(
+            world.voting(),
+            world.voters.len(),
             "seed {seed}: {}",
             told(&world)
         );
-        assert_eq!(world.voting(), world.voters.len(), "seed {seed}: {}", told(&world));
         changes += world.holders.len();
     }
-    assert!(changes as u64 > seeds(), "the faults change holders, {changes} in {} runs", seeds());
+    assert!(
+        changes as u64 > seeds(),
+        "the faults change holders, {changes} in {} runs",
+        seeds()
+    );
 }
 
 #[test]
-fn clocks_further_apart_than_the_bound_may_overlap_but_no_older_token_is_carried_out_after_a_newer() {
+fn clocks_further_apart_than_the_bound_may_overlap_but_no_older_token_is_carried_out_after_a_newer()
+{
     let mut overlaps = 0;
     for seed in 0..20 {
         let mut world = World::new(seed, 3, 0.3);
         world.trouble(40.0);
-        overlaps += world.wrong.iter().filter(|what| what.contains("at once")).count();
-        let others: Vec<&String> = world.wrong.iter().filter(|what| !what.contains("at once")).collect();
+        overlaps += world
+            .wrong
+            .iter()
+            .filter(|what| what.contains("at once"))
+            .count();
+        let others: Vec<&String> = world
+            .wrong
+            .iter()
+            .filter(|what| !what.contains("at once"))
+            .collect();
         assert!(others.is_empty(), "seed {seed}: {others:?}");
     }
     // Else this says nothing of the bound.
-    assert!(overlaps > 0, "clocks that far apart break the terms, which is why there are fences");
+    assert!(
+        overlaps > 0,
+        "clocks that far apart break the terms, which is why there are fences"
+    );
 }
 
 #[test]
@@ -55,7 +82,11 @@
     world.start(1);
     world.run(10.0);
     let standing = |world: &World| world.voters[1].ledger.as_ref().unwrap().standing().clone();
-    assert!(matches!(standing(&world), Standing::Barred { .. }), "{}", told(&world));
+    assert!(
+        matches!(standing(&world), Standing::Barred { .. }),
+        "{}",
+        told(&world)
+    );
     // It says so, and the other two go on.
     assert_eq!(world.voting(), 2);
     assert!(world.carried.last().unwrap().0 > world.now - 1.0);
@@ -65,16 +96,29 @@
         world.start(i);
         world.run(4.0);
     }
-    assert!(matches!(standing(&world), Standing::Barred { .. }), "{}", told(&world));
+    assert!(
+        matches!(standing(&world), Standing::Barred { .. }),
+        "{}",
+        told(&world)
+    );
     world.run(8.0);
     world.tell(0, Input::Readmit("edge-1".into()));
     world.run(10.0);
-    assert_eq!((standing(&world), world.voting()), (Standing::Voting, 3), "{}", told(&world));
+    assert_eq!(
+        (standing(&world), world.voting()),
+        (Standing::Voting, 3),
+        "{}",
+        told(&world)
+    );
     // It carries a majority again, with one of the others.
     let from = world.now;
     world.kill(0);
     world.run(20.0);
-    assert!(world.carried.last().unwrap().0 > from + 10.0 && world.wrong.is_empty(), "{}", told(&world));
+    assert!(
+        world.carried.last().unwrap().0 > from + 10.0 && world.wrong.is_empty(),
+        "{}",
+        told(&world)
+    );
 }
 
 #[test]
@@ -83,7 +127,10 @@
     world.run(10.0);
     assert_eq!(world.voting(), 3);
     world.kill(2);
-    world.voters[2].disk = tidespur_durable::Recalled { begun: 77, ..Default::default() };
+    world.voters[2].disk = tidespur_durable::Recalled {
+        begun: 77,
+        ..Default::default()
+    };
     world.start(2);
     world.run(10.0);
     assert_eq!(world.voting(), 2, "{}", told(&world));
@@ -110,14 +157,26 @@
     world.run(20.0);
     let from = world.now;
     world.run(20.0);
-    assert!(world.longest_gap(from) < 2.0 * TERM, "{} {}", world.longest_gap(from), told(&world));
+    assert!(
+        world.longest_gap(from) < 2.0 * TERM,
+        "{} {}",
+        world.longest_gap(from),
+        told(&world)
+    );
     world.run(5.0);
     (0..3).for_each(|i| world.kill(i));
     world.run(2.0 * TERM);
-    assert!((0..5).all(|i| world.may_act(i).is_none()), "two of five are no majority");
+    assert!(
+        (0..5).all(|i| world.may_act(i).is_none()),
+        "two of five are no majority"
+    );
     (0..3).for_each(|i| world.start(i));
     world.run(15.0);
-    assert!((0..5).any(|i| world.may_act(i).is_some()) && world.wrong.is_empty(), "{}", told(&world));
+    assert!(
+        (0..5).any(|i| world.may_act(i).is_some()) && world.wrong.is_empty(),
+        "{}",
+        told(&world)
+    );
 }
 
 #[test]
@@ -139,7 +198,11 @@
     world.kill(0);
     world.start(0);
     world.run(3.0 * TERM);
-    assert!(world.may_act(0).is_some_and(|token| token > last), "{}", told(&world));
+    assert!(
+        world.may_act(0).is_some_and(|token| token > last),
+        "{}",
+        told(&world)
+    );
 }
 
 #[test]
@@ -147,7 +210,11 @@
     let mut world = World::new(11, 3, 0.0);
     world.run(10.0);
     let holder = (0..3).find(|i| world.may_act(*i).is_some()).unwrap();
-    let note = |key: &str| Input::Note { lease: "l".into(), key: key.into(), value: b"x".to_vec() };
+    let note = |key: &str| Input::Note {
+        lease: "l".into(),
+        key: key.into(),
+        value: b"x".to_vec(),
+    };
     world.tell(holder, note("kept"));
     // Others may not write under it.
     world.tell((holder + 1) % 3, note("foreign"));
@@ -155,10 +222,22 @@
     world.tell(holder, Input::GiveBack("l".into()));
     let from = world.now;
     world.run(1.5);
-    assert!(world.longest_gap(from) < 1.2, "{} {}", world.longest_gap(from), told(&world));
+    assert!(
+        world.longest_gap(from) < 1.2,
+        "{} {}",
+        world.longest_gap(from),
+        told(&world)
+    );
     for voter in &world.voters {
-        let notes: Vec<&str> =
-            voter.ledger.as_ref().unwrap().state().notes.keys().map(String::as_str).collect();
+        let notes: Vec<&str> = voter
+            .ledger
+            .as_ref()
+            .unwrap()
+            .state()
+            .notes
+            .keys()
+            .map(String::as_str)
+            .collect();
         assert_eq!(notes, ["kept"]);
     }
 }
--- a/crates/link/src/frame.rs
+++ b/crates/link/src/frame.rs
@@ -64,7 +64,9 @@
     /// The next whole message, if there is one.
     pub fn message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let rest = &self.bytes[self.read..];
-        let Some(head) = rest.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = rest.first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
         let version = u16::from_be_bytes([head[4], head[5]]);
         if version != VERSION {
@@ -73,7 +75,9 @@
         if length > FRAME_MOST {
             return Err(FrameError::TooLong(length));
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(body) = rest.get(HEAD..HEAD + length) else {
+            return Ok(None);
+        };
         let message = postcard::from_bytes(body).map_err(|e| FrameError::Garbled(e.to_string()))?;
         self.read += HEAD + length;
         Ok(Some(message))
--- a/crates/link/src/liveness.rs
+++ b/crates/link/src/liveness.rs
@@ -12,7 +12,12 @@
 impl Liveness {
     /// A ping every `every` seconds without another message; a peer silent for `patience` is lost.
     pub fn new(every: f64, patience: f64, now: f64) -> Self {
-        Self { every, patience: patience.max(every), heard: now, sent: now }
+        Self {
+            every,
+            patience: patience.max(every),
+            heard: now,
+            sent: now,
+        }
     }
     /// Something came from the peer.
     pub fn heard(&mut self, now: f64) {
--- a/crates/link/tests/frames.rs
+++ b/crates/link/tests/frames.rs
@@ -6,7 +6,11 @@
 
 fn message(uid: &str, n: u32) -> ToPlanner {
     match n % 3 {
-        0 => ToPlanner::Place(Ask { uid: uid.into(), cores: f64::from(n), ..Ask::default() }),
+        0 => ToPlanner::Place(Ask {
+            uid: uid.into(),
+            cores: f64::from(n),
+            ..Ask::default()
+        }),
         1 => ToPlanner::Stop { uid: uid.into() },
         _ => ToPlanner::Ping,
     }
@@ -28,7 +32,10 @@
     let mut decoder = Decoder::default();
     let version = tidespur_link::VERSION.to_be_bytes();
     decoder.feed(&[0xff, 0xff, 0xff, 0xff, version[0], version[1]]);
-    assert!(matches!(decoder.message::<ToPlanner>(), Err(FrameError::TooLong(_))));
+    assert!(matches!(
+        decoder.message::<ToPlanner>(),
+        Err(FrameError::TooLong(_))
+    ));
 }
 
 #[test]
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -111,10 +111,12 @@
     async fn connect(&self) -> Result<Connection, NetError> {
         let lost = |e: String| NetError::Connect(e);
         let dial = async {
-            let socket = TcpStream::connect(&self.address).await.map_err(|e| match e.kind() {
-                std::io::ErrorKind::ConnectionRefused => NetError::Refused,
-                _ => lost(e.to_string()),
-            })?;
+            let socket = TcpStream::connect(&self.address)
+                .await
+                .map_err(|e| match e.kind() {
+                    std::io::ErrorKind::ConnectionRefused => NetError::Refused,
+                    _ => lost(e.to_string()),
+                })?;
             socket.set_nodelay(true).map_err(|e| lost(e.to_string()))?;
             let (send, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(socket))
                 .await
@@ -127,7 +129,9 @@
             .detach();
             Ok(send)
         };
-        clock::within(CONNECT_WITHIN, dial).await.unwrap_or_else(|| Err(lost("timed out".into())))
+        clock::within(CONNECT_WITHIN, dial)
+            .await
+            .unwrap_or_else(|| Err(lost("timed out".into())))
     }
 
     fn request(
@@ -137,14 +141,19 @@
         media: &str,
         body: &Bytes,
     ) -> Result<Request<Full<Bytes>>, NetError> {
-        let mut request = Request::builder().method(method).uri(path).header("host", &self.address);
+        let mut request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", &self.address);
         for (name, value) in &self.headers {
             request = request.header(*name, value);
         }
         if !body.is_empty() {
             request = request.header("content-type", media);
         }
-        request.body(Full::new(body.clone())).map_err(|e| NetError::Request(e.to_string()))
+        request
+            .body(Full::new(body.clone()))
+            .map_err(|e| NetError::Request(e.to_string()))
     }
 
     /// Sends a request on a kept or new connection. One that was closed meanwhile, before anything of the request
@@ -178,7 +187,11 @@
                         continue;
                     }
                     let why = failed.into_error().to_string();
-                    return Err(if unsent { NetError::Connect(why) } else { NetError::Broken(why) });
+                    return Err(if unsent {
+                        NetError::Connect(why)
+                    } else {
+                        NetError::Broken(why)
+                    });
                 }
             }
         }
@@ -204,9 +217,15 @@
             {
                 idle.push(connection);
             }
-            Ok(Reply { status: head.status, headers: head.headers, body })
+            Ok(Reply {
+                status: head.status,
+                headers: head.headers,
+                body,
+            })
         };
-        clock::within(seconds, sent).await.unwrap_or(Err(NetError::Timeout))
+        clock::within(seconds, sent)
+            .await
+            .unwrap_or(Err(NetError::Timeout))
     }
 
     /// A GET whose answer comes line by line, on a connection of its own.
@@ -214,10 +233,19 @@
         let open = async {
             let mut connection = self.connect().await?;
             let request = self.request(&Method::GET, path, "", &Bytes::new())?;
-            connection.send_request(request).await.map_err(|e| NetError::Broken(e.to_string()))
+            connection
+                .send_request(request)
+                .await
+                .map_err(|e| NetError::Broken(e.to_string()))
         };
-        let response = clock::within(head_within, open).await.unwrap_or(Err(NetError::Timeout))?;
-        Ok(Lines { status: response.status(), body: response.into_body(), rest: Vec::new() })
+        let response = clock::within(head_within, open)
+            .await
+            .unwrap_or(Err(NetError::Timeout))?;
+        Ok(Lines {
+            status: response.status(),
+            body: response.into_body(),
+            rest: Vec::new(),
+        })
     }
 }
 
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -7,7 +7,9 @@
 pub fn now() -> f64 {
     static START: OnceLock<(Instant, f64)> = OnceLock::new();
     let (at, unix) = START.get_or_init(|| {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         (Instant::now(), unix.as_secs_f64())
     });
     unix + at.elapsed().as_secs_f64()
@@ -15,7 +17,11 @@
 
 /// Waits for so many seconds; none for a negative number, a year at most.
 pub async fn sleep(seconds: f64) {
-    let seconds = if seconds.is_finite() { seconds.clamp(0.0, 3e7) } else { 3e7 };
+    let seconds = if seconds.is_finite() {
+        seconds.clamp(0.0, 3e7)
+    } else {
+        3e7
+    };
     smol::Timer::after(Duration::from_secs_f64(seconds)).await;
 }
 
--- a/crates/net/src/follow.rs
+++ b/crates/net/src/follow.rs
@@ -24,12 +24,18 @@
     read: impl Fn(Followed) -> T + Send,
     to: &Sender<T>,
 ) -> String {
-    let mut list = match client.send(Method::GET, path, "", bytes::Bytes::new(), within).await {
+    let mut list = match client
+        .send(Method::GET, path, "", bytes::Bytes::new(), within)
+        .await
+    {
         Ok(reply) if reply.status.is_success() => reply.json(),
         Ok(reply) => return format!("the list: status {}", reply.status),
         Err(problem) => return format!("the list: {problem}"),
     };
-    let version = list["metadata"]["resourceVersion"].as_str().unwrap_or("").to_owned();
+    let version = list["metadata"]["resourceVersion"]
+        .as_str()
+        .unwrap_or("")
+        .to_owned();
     let items = match list["items"].take() {
         Value::Array(items) => items,
         _ => return "the list: no items".into(),
@@ -52,7 +58,9 @@
         let object = event["object"].take();
         match event["type"].as_str() {
             Some("BOOKMARK") => {}
-            Some("ADDED" | "MODIFIED") => drop(to.send(read(Followed::Change(object, false))).await),
+            Some("ADDED" | "MODIFIED") => {
+                drop(to.send(read(Followed::Change(object, false))).await)
+            }
             Some("DELETED") => drop(to.send(read(Followed::Change(object, true))).await),
             _ => return format!("an error of the server: {}", object["message"]),
         }
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -16,14 +16,21 @@
 impl FrameReader {
     /// Reads from this socket.
     pub fn new(socket: TcpStream) -> Self {
-        Self { socket, decoder: Decoder::default() }
+        Self {
+            socket,
+            decoder: Decoder::default(),
+        }
     }
 
     /// The next message; `None` at the end.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, String> {
         let mut buffer = [0; 16 * 1024];
         loop {
-            if let Some(message) = self.decoder.message().map_err(|e: FrameError| e.to_string())? {
+            if let Some(message) = self
+                .decoder
+                .message()
+                .map_err(|e: FrameError| e.to_string())?
+            {
                 return Ok(Some(message));
             }
             match self.socket.read(&mut buffer).await {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -18,8 +18,14 @@
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     let colours = std::io::IsTerminal::is_terminal(&std::io::stderr());
-    let lines =
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(colours);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(colours);
     // A second call, as in tests, changes nothing.
-    let _ = if json { lines.json().try_init() } else { lines.try_init() };
+    let _ = if json {
+        lines.json().try_init()
+    } else {
+        lines.try_init()
+    };
 }
--- a/crates/net/src/record.rs
+++ b/crates/net/src/record.rs
@@ -16,7 +16,10 @@
     /// Appends to a file.
     pub fn to(path: &Path, who: &str) -> std::io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
-        Ok(Self { file: Some(Arc::new(Mutex::new(file))), who: who.to_owned() })
+        Ok(Self {
+            file: Some(Arc::new(Mutex::new(file))),
+            who: who.to_owned(),
+        })
     }
 
     /// Whether anything is written.
--- a/crates/net/src/routes.rs
+++ b/crates/net/src/routes.rs
@@ -22,11 +22,17 @@
 
     /// Where to dial a peer that is known at this address.
     pub fn to(&self, address: &str) -> String {
-        let text = self.file.as_ref().and_then(|file| std::fs::read_to_string(file).ok()).unwrap_or_default();
+        let text = self
+            .file
+            .as_ref()
+            .and_then(|file| std::fs::read_to_string(file).ok())
+            .unwrap_or_default();
         let route = |line: &str| {
             let (known, dial) = line.trim().split_once(' ')?;
             (known == address).then(|| dial.trim().to_owned())
         };
-        text.lines().find_map(route).unwrap_or_else(|| address.to_owned())
+        text.lines()
+            .find_map(route)
+            .unwrap_or_else(|| address.to_owned())
     }
 }
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -22,7 +22,8 @@
 
 /// CPU time of a planner on which `waiting` tasks of `services` services wait and one comes every step.
 fn run(reasons: bool, waiting: usize, services: usize) -> (Duration, usize) {
-    let mut config = tidespur_config::parse("built-in", tidespur_config::DEFAULT).expect("built in");
+    let mut config =
+        tidespur_config::parse("built-in", tidespur_config::DEFAULT).expect("built in");
     config.planner.reasons = reasons;
     let mut core = Core::new(config, 0, "halle-a", 1).expect("built in");
     let (mut now, mut words) = (1000.0, 0);
@@ -35,7 +36,11 @@
             }
         }
     };
-    step(&mut core, now, vec![Input::ListWhole((0..NODES).map(node).collect())]);
+    step(
+        &mut core,
+        now,
+        vec![Input::ListWhole((0..NODES).map(node).collect())],
+    );
     let ask = |i: usize| Ask {
         uid: format!("t{i}"),
         tenant: "default".into(),
@@ -47,8 +52,15 @@
         ..Ask::default()
     };
     for i in 0..waiting {
-        let go = ToPlanner::Go { uid: format!("t{i}"), within: 1e6 };
-        step(&mut core, now, vec![Input::Edge(1, ToPlanner::Place(ask(i))), Input::Edge(1, go)]);
+        let go = ToPlanner::Go {
+            uid: format!("t{i}"),
+            within: 1e6,
+        };
+        step(
+            &mut core,
+            now,
+            vec![Input::Edge(1, ToPlanner::Place(ask(i))), Input::Edge(1, go)],
+        );
     }
     let start = Instant::now();
     while now < 1000.0 + SECONDS {
@@ -74,6 +86,8 @@
         }
         let ratio = least[1].as_secs_f64() / least[0].as_secs_f64();
         let [without, with] = least.map(|d| d.as_millis());
-        println!("{waiting:>7} {services:>8} {without:>4} ms {with:>4} ms  {ratio:>5.3} {words:>6}");
+        println!(
+            "{waiting:>7} {services:>8} {without:>4} ms {with:>4} ms  {ratio:>5.3} {words:>6}"
+        );
     }
 }
--- a/crates/planner/src/attempts.rs
+++ b/crates/planner/src/attempts.rs
@@ -40,7 +40,10 @@
     /// # Errors
     /// A record that can't be read.
     pub fn recall(memory: &Recalled) -> Result<Self, String> {
-        let mut attempts = Self { on: true, ..Self::default() };
+        let mut attempts = Self {
+            on: true,
+            ..Self::default()
+        };
         for (uid, bytes) in memory.of(ATTEMPT) {
             let read = serde_json::from_slice::<Attempt>(bytes);
             let attempt = read.map_err(|e| {
@@ -49,7 +52,11 @@
                 )
             })?;
             for node in attempt.at.keys() {
-                attempts.by_node.entry(node.clone()).or_default().insert(uid.to_owned());
+                attempts
+                    .by_node
+                    .entry(node.clone())
+                    .or_default()
+                    .insert(uid.to_owned());
             }
             attempts.open.insert(uid.to_owned(), attempt);
             attempts.recalled.insert(uid.to_owned());
@@ -75,13 +82,18 @@
         let attempt = self.open.entry(uid.to_owned()).or_default();
         attempt.name = (name.0.to_owned(), name.1.to_owned());
         attempt.at.insert(node.to_owned(), until);
-        self.by_node.entry(node.to_owned()).or_default().insert(uid.to_owned());
+        self.by_node
+            .entry(node.to_owned())
+            .or_default()
+            .insert(uid.to_owned());
         self.write(uid);
     }
 
     /// Nothing of it runs at this node.
     pub fn proved(&mut self, uid: &str, node: &str) {
-        let Some(attempt) = self.open.get_mut(uid) else { return };
+        let Some(attempt) = self.open.get_mut(uid) else {
+            return;
+        };
         if attempt.at.remove(node).is_none() {
             return;
         }
@@ -105,7 +117,10 @@
         let here = self.by_node.get(node).into_iter().flatten();
         let gone = here.filter(|uid| {
             self.open.get(*uid).is_some_and(|attempt| {
-                let past = attempt.at.get(node).is_some_and(|until| now > until + IN_HAND);
+                let past = attempt
+                    .at
+                    .get(node)
+                    .is_some_and(|until| now > until + IN_HAND);
                 past && !uids.contains(uid.as_str()) && !names.contains(&attempt.name)
             })
         });
@@ -115,7 +130,13 @@
 
     /// The register took a node off its list: what it held went with it.
     pub fn gone(&mut self, node: &str) {
-        let here: Vec<String> = self.by_node.get(node).into_iter().flatten().cloned().collect();
+        let here: Vec<String> = self
+            .by_node
+            .get(node)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect();
         here.iter().for_each(|uid| self.proved(uid, node));
     }
 
--- a/crates/planner/src/book.rs
+++ b/crates/planner/src/book.rs
@@ -78,7 +78,15 @@
         self.next += 1;
         let id = TaskId(self.next);
         self.by_uid.insert(ask.uid.clone(), id);
-        let known = Known { ask, edge, stage, attempts, safe, answers: Vec::new(), runs: false };
+        let known = Known {
+            ask,
+            edge,
+            stage,
+            attempts,
+            safe,
+            answers: Vec::new(),
+            runs: false,
+        };
         self.tasks.insert(id, known);
         Some(id)
     }
@@ -113,7 +121,11 @@
     /// Tasks that a node has.
     pub fn bound_at(&self, at: &str) -> Vec<TaskId> {
         let there = |known: &Known| matches!(&known.stage, Stage::Bound { node, .. } if node == at);
-        self.tasks.iter().filter(|(_, known)| there(known)).map(|(id, _)| *id).collect()
+        self.tasks
+            .iter()
+            .filter(|(_, known)| there(known))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// How many are known.
--- a/crates/planner/src/carry.rs
+++ b/crates/planner/src/carry.rs
@@ -27,15 +27,33 @@
                     send.close();
                 }
             }
-            Output::Offer { task, attempt, node, address, ask, wait } => {
+            Output::Offer {
+                task,
+                attempt,
+                node,
+                address,
+                ask,
+                wait,
+            } => {
                 let this = self.clone();
                 smol::spawn(async move {
                     let answer = this.offer(&node, &address, &ask, attempt, wait).await;
-                    let _ = this.inputs.send(Input::Answered { task, attempt, answer }).await;
+                    let _ = this
+                        .inputs
+                        .send(Input::Answered {
+                            task,
+                            attempt,
+                            answer,
+                        })
+                        .await;
                 })
                 .detach();
             }
-            Output::Delete { address, name, pod_uid } => {
+            Output::Delete {
+                address,
+                name,
+                pod_uid,
+            } => {
                 let this = self.clone();
                 smol::spawn(async move { this.delete(&address, &name, pod_uid).await }).detach();
             }
@@ -52,7 +70,11 @@
                 let this = self.clone();
                 smol::spawn(async move {
                     let ended = this.watch_register().await;
-                    tracing::warn!(planner = this.name, why = ended, "the watch on the register ended");
+                    tracing::warn!(
+                        planner = this.name,
+                        why = ended,
+                        "the watch on the register ended"
+                    );
                     let _ = this.inputs.send(Input::ListFailed).await;
                 })
                 .detach();
@@ -61,7 +83,9 @@
                 let this = self.clone();
                 smol::spawn(async move {
                     let client = this.client(&address);
-                    let reply = client.send(Method::GET, "/healthz", "", bytes::Bytes::new(), 1.0).await;
+                    let reply = client
+                        .send(Method::GET, "/healthz", "", bytes::Bytes::new(), 1.0)
+                        .await;
                     let report = reply.ok().and_then(|reply| load(&reply));
                     let _ = this.inputs.send(Input::Probed(node, report)).await;
                 })
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -76,10 +76,24 @@
 
 impl Core {
     /// A planner that knows nothing yet.
-    pub fn new(config: Config, ordinal: usize, zone: &str, seed: u64) -> Result<Self, SettingsError> {
+    pub fn new(
+        config: Config,
+        ordinal: usize,
+        zone: &str,
+        seed: u64,
+    ) -> Result<Self, SettingsError> {
         let settings = config.policy(ordinal, words::place(zone));
-        let guarded = settings.classes.iter().map(|c| c.effect != Effect::Safe).collect();
-        let shedder = LoadShedder::of(settings.classes.iter().map(|class| (class.aim, class.worth)));
+        let guarded = settings
+            .classes
+            .iter()
+            .map(|c| c.effect != Effect::Safe)
+            .collect();
+        let shedder = LoadShedder::of(
+            settings
+                .classes
+                .iter()
+                .map(|class| (class.aim, class.worth)),
+        );
         Ok(Self {
             scheduler: Scheduler::new(settings, seed)?,
             config,
@@ -138,8 +152,12 @@
 
     /// Takes in `inputs`, all of time `now`, and appends what is to be done.
     pub fn step(&mut self, now: f64, inputs: Vec<Input>, out: &mut Vec<Output>) {
-        let mut events: Vec<Event> =
-            self.sharers.take().map(|all| Event::Sharers(all as usize)).into_iter().collect();
+        let mut events: Vec<Event> = self
+            .sharers
+            .take()
+            .map(|all| Event::Sharers(all as usize))
+            .into_iter()
+            .collect();
         self.stood_still(now, &mut events, out);
         for input in inputs {
             self.take(now, input, &mut events, out);
@@ -153,7 +171,10 @@
         if self.config.planner.reasons {
             let known = (&self.book, &self.nodes, &self.machines);
             let told = self.waits.look(now, &self.scheduler, &self.config, known);
-            out.extend(told.into_iter().map(|(edge, message)| Output::Edge(edge, message)));
+            out.extend(
+                told.into_iter()
+                    .map(|(edge, message)| Output::Edge(edge, message)),
+            );
         }
         self.unwanted.retain(|_, until| now < *until);
     }
@@ -168,7 +189,9 @@
         if still <= STILL * self.config.edge.planner_patience {
             return;
         }
-        out.push(Output::Log(format!("stood still for {still:.1} s: gives up what was open")));
+        out.push(Output::Log(format!(
+            "stood still for {still:.1} s: gives up what was open"
+        )));
         out.push(Output::Cut);
         self.give_up(|_| true, events);
     }
@@ -177,5 +200,12 @@
 fn read_held(pod: &Object) -> ((String, String), Held) {
     let name = (meta::namespace(pod).to_owned(), meta::name(pod).to_owned());
     let uid = meta::annotation(pod, names::UID).unwrap_or("").to_owned();
-    (name, Held { uid, pod_uid: meta::uid(pod).to_owned(), at: words::at_node(pod) })
+    (
+        name,
+        Held {
+            uid,
+            pod_uid: meta::uid(pod).to_owned(),
+            at: words::at_node(pod),
+        },
+    )
 }
--- a/crates/planner/src/core/acts.rs
+++ b/crates/planner/src/core/acts.rs
@@ -8,37 +8,80 @@
 impl Core {
     pub(super) fn carry_out(&mut self, now: f64, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { task, machine, wait } => {
-                let (Some(known), Some(node)) = (self.book.get_mut(task), self.machines.of(machine)) else {
+            Action::Send {
+                task,
+                machine,
+                wait,
+            } => {
+                let (Some(known), Some(node)) =
+                    (self.book.get_mut(task), self.machines.of(machine))
+                else {
+                    return;
+                };
+                let Some(address) = self.nodes.0.get(node).map(|n| n.address.clone()) else {
                     return;
                 };
-                let Some(address) = self.nodes.0.get(node).map(|n| n.address.clone()) else { return };
                 let (attempt, node) = (known.attempts, node.to_owned());
                 known.attempts += 1;
                 let ask = &known.ask;
-                self.attempts.sent(&ask.uid, (&ask.tenant, &ask.name), &node, now + wait);
-                known.stage = Stage::Out { attempt, node: node.clone() };
-                out.push(Output::Offer { task, attempt, node, address, ask: known.ask.clone(), wait });
+                self.attempts
+                    .sent(&ask.uid, (&ask.tenant, &ask.name), &node, now + wait);
+                known.stage = Stage::Out {
+                    attempt,
+                    node: node.clone(),
+                };
+                out.push(Output::Offer {
+                    task,
+                    attempt,
+                    node,
+                    address,
+                    ask: known.ask.clone(),
+                    wait,
+                });
             }
             Action::Refuse { task, retry_in } => {
-                let Some(known) = self.book.close(task) else { return };
+                let Some(known) = self.book.close(task) else {
+                    return;
+                };
                 if known.safe && known.attempts > 0 {
                     // Its owner may ask again, so a copy that an unclear attempt left somewhere is one too many.
-                    self.unwanted.insert(known.ask.uid.clone(), now + UNWANTED_FOR);
+                    self.unwanted
+                        .insert(known.ask.uid.clone(), now + UNWANTED_FOR);
                     self.reap(&known.ask.uid, out);
                 }
                 let why = self.why(known.answers.last(), "no node took it in time");
-                out.push(Output::Edge(known.edge, ToEdge::Refused { uid: known.ask.uid, why, retry_in }));
+                out.push(Output::Edge(
+                    known.edge,
+                    ToEdge::Refused {
+                        uid: known.ask.uid,
+                        why,
+                        retry_in,
+                    },
+                ));
             }
             Action::Fail(task) => {
-                let Some(known) = self.book.close(task) else { return };
+                let Some(known) = self.book.close(task) else {
+                    return;
+                };
                 let why = self.why(known.answers.last(), "an attempt may have run");
-                out.push(Output::Edge(known.edge, ToEdge::Failed { uid: known.ask.uid, why }));
+                out.push(Output::Edge(
+                    known.edge,
+                    ToEdge::Failed {
+                        uid: known.ask.uid,
+                        why,
+                    },
+                ));
             }
             Action::Move(task) => {
-                let Some(known) = self.book.get(task) else { return };
+                let Some(known) = self.book.get(task) else {
+                    return;
+                };
                 if let Stage::Bound { node, .. } = &known.stage {
-                    self.delete_at(&node.clone(), (known.ask.tenant.clone(), known.ask.name.clone()), out);
+                    self.delete_at(
+                        &node.clone(),
+                        (known.ask.tenant.clone(), known.ask.name.clone()),
+                        out,
+                    );
                 }
             }
             Action::Subscribe => out.push(Output::Subscribe),
@@ -72,10 +115,17 @@
                 false => Found::Unclear,
             };
             // An earlier process of this planner offered it to a node that nobody has heard since.
-            let heard = |node: &str| self.nodes.0.get(node).is_some_and(crate::nodes::Node::is_known);
+            let heard = |node: &str| {
+                self.nodes
+                    .0
+                    .get(node)
+                    .is_some_and(crate::nodes::Node::is_known)
+            };
             let found = match found {
                 Found::Ended(End::Succeeded) => found,
-                Found::Nowhere | Found::Ended(_) if self.attempts.unsure(&q.uid, heard) => Found::Unclear,
+                Found::Nowhere | Found::Ended(_) if self.attempts.unsure(&q.uid, heard) => {
+                    Found::Unclear
+                }
                 found => found,
             };
             if found == Found::Unclear && now < q.asked_at + LOCATE_FOR {
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -19,7 +19,11 @@
     ) {
         match message {
             ToPlanner::Welcome { .. } | ToPlanner::Ping => {}
-            ToPlanner::Sharers { lease, token, planners } => match self.fence.pass(&lease, token) {
+            ToPlanner::Sharers {
+                lease,
+                token,
+                planners,
+            } => match self.fence.pass(&lease, token) {
                 Ok(()) => {
                     out.push(Output::Log(format!(
                         "shares cold nodes with all of {planners} planners, by token {token} of {lease}"
@@ -29,31 +33,62 @@
                 Err(stale) => {
                     out.push(Output::Log(format!("refused: {stale}")));
                     let newest = stale.newest;
-                    out.push(Output::Edge(edge, ToEdge::Stale { lease, token, newest }));
+                    out.push(Output::Edge(
+                        edge,
+                        ToEdge::Stale {
+                            lease,
+                            token,
+                            newest,
+                        },
+                    ));
                 }
             },
             // Its edge takes it back and gives it to another planner.
             ToPlanner::Place(ask) if self.stuck && !self.knows(&ask.uid) => {}
             ToPlanner::Place(ask) => match self.read_task(now, &ask) {
-                Err(why) => {
-                    out.push(Output::Edge(edge, ToEdge::Refused { uid: ask.uid, why, retry_in: 0.0 }))
-                }
+                Err(why) => out.push(Output::Edge(
+                    edge,
+                    ToEdge::Refused {
+                        uid: ask.uid,
+                        why,
+                        retry_in: 0.0,
+                    },
+                )),
                 // Only what is new: what was taken is never turned away, however often it is asked for.
                 Ok(task) if !self.knows(&ask.uid) && !self.shedder.admits(task.class) => {
                     let why = "the planner is behind its work; ask again".to_owned();
-                    out.push(Output::Edge(edge, ToEdge::Refused { uid: ask.uid, why, retry_in: SHED_FOR }));
+                    out.push(Output::Edge(
+                        edge,
+                        ToEdge::Refused {
+                            uid: ask.uid,
+                            why,
+                            retry_in: SHED_FOR,
+                        },
+                    ));
                 }
                 Ok(_) => {
-                    out.push(Output::Edge(edge, ToEdge::Taken { uid: ask.uid.clone() }));
+                    out.push(Output::Edge(
+                        edge,
+                        ToEdge::Taken {
+                            uid: ask.uid.clone(),
+                        },
+                    ));
                     if self.book.id(&ask.uid).is_none() {
                         self.taken.insert(ask.uid.clone(), (edge, ask));
                     }
                 }
             },
             ToPlanner::Go { uid, within } => {
-                let Some((_, ask)) = self.taken.remove(&uid).filter(|(of, _)| *of == edge) else { return };
-                let ask = Ask { within: Some(within), ..ask };
-                let Ok(mut task) = self.read_task(now, &ask) else { return };
+                let Some((_, ask)) = self.taken.remove(&uid).filter(|(of, _)| *of == edge) else {
+                    return;
+                };
+                let ask = Ask {
+                    within: Some(within),
+                    ..ask
+                };
+                let Ok(mut task) = self.read_task(now, &ask) else {
+                    return;
+                };
                 let safe = !self.guarded[task.class];
                 if let Some(id) = self.book.open(ask, edge, safe, Stage::Open, 0) {
                     task.id = id;
@@ -61,9 +96,14 @@
                 }
             }
             ToPlanner::InPlace { ask, node } => {
-                let Ok(mut task) = self.read_task(now, &ask) else { return };
+                let Ok(mut task) = self.read_task(now, &ask) else {
+                    return;
+                };
                 let safe = !self.guarded[task.class];
-                let stage = Stage::Bound { attempt: 0, node: node.clone() };
+                let stage = Stage::Bound {
+                    attempt: 0,
+                    node: node.clone(),
+                };
                 let (uid, name) = (ask.uid.clone(), (ask.tenant.clone(), ask.name.clone()));
                 let Some(id) = self.book.open(ask, edge, safe, stage, 1) else {
                     self.hand_over(&uid, edge, out);
@@ -73,10 +113,19 @@
                 let machine = words::machine(&node);
                 self.machines.learn(machine, &node);
                 events.push(Event::InPlace(task, machine));
-                out.push(Output::Edge(edge, ToEdge::Placed { uid, node: node.clone() }));
+                out.push(Output::Edge(
+                    edge,
+                    ToEdge::Placed {
+                        uid,
+                        node: node.clone(),
+                    },
+                ));
                 // It may have run on, ended or gone before we were told of it.
-                let seen =
-                    self.nodes.0.get(&node).map(|n| (n.standing, n.pods.get(&name).map(|held| held.at)));
+                let seen = self
+                    .nodes
+                    .0
+                    .get(&node)
+                    .map(|n| (n.standing, n.pods.get(&name).map(|held| held.at)));
                 match seen {
                     Some((_, Some(at))) => self.seen(id, at, events, out),
                     Some((Standing::Watched | Standing::Dead, None)) => {
@@ -96,19 +145,40 @@
                 self.reap(&uid, out);
             }
             ToPlanner::Locate { uid, tenant, name } => {
-                self.questions.push(Question { edge, uid, tenant, name, asked_at: now });
+                self.questions.push(Question {
+                    edge,
+                    uid,
+                    tenant,
+                    name,
+                    asked_at: now,
+                });
             }
         }
     }
 
     /// An edge that was lost comes back for a task that is still known here.
     pub(super) fn hand_over(&mut self, uid: &str, edge: EdgeId, out: &mut Vec<Output>) {
-        let Some(known) = self.book.id(uid).and_then(|id| self.book.get_mut(id)) else { return };
-        let Stage::Bound { node, .. } = &known.stage else { return };
+        let Some(known) = self.book.id(uid).and_then(|id| self.book.get_mut(id)) else {
+            return;
+        };
+        let Stage::Bound { node, .. } = &known.stage else {
+            return;
+        };
         known.edge = edge;
-        out.push(Output::Edge(edge, ToEdge::Placed { uid: uid.to_owned(), node: node.clone() }));
+        out.push(Output::Edge(
+            edge,
+            ToEdge::Placed {
+                uid: uid.to_owned(),
+                node: node.clone(),
+            },
+        ));
         if known.runs {
-            out.push(Output::Edge(edge, ToEdge::Runs { uid: uid.to_owned() }));
+            out.push(Output::Edge(
+                edge,
+                ToEdge::Runs {
+                    uid: uid.to_owned(),
+                },
+            ));
         }
     }
 
@@ -125,8 +195,14 @@
                 None => return Err(format!("class {name:?} is not in the planner's settings")),
             },
         };
-        let tenant = self.config.tenant.get_index_of(&ask.tenant).unwrap_or(self.config.tenant.len());
-        let within = ask.within.or(self.config.class.get_index(class).map(|(_, c)| c.deadline));
+        let tenant = self
+            .config
+            .tenant
+            .get_index_of(&ask.tenant)
+            .unwrap_or(self.config.tenant.len());
+        let within = ask
+            .within
+            .or(self.config.class.get_index(class).map(|(_, c)| c.deadline));
         Ok(Task {
             id: TaskId(0),
             class,
@@ -143,20 +219,32 @@
     /// Its owner does not want it any more.
     pub(super) fn stop(&mut self, id: TaskId, events: &mut Vec<Event>, out: &mut Vec<Output>) {
         self.drop_open(id, events);
-        let Some(known) = self.book.get(id) else { return };
-        let Stage::Bound { attempt, node } = known.stage.clone() else { return };
+        let Some(known) = self.book.get(id) else {
+            return;
+        };
+        let Stage::Bound { attempt, node } = known.stage.clone() else {
+            return;
+        };
         let name = (known.ask.tenant.clone(), known.ask.name.clone());
         self.delete_at(&node, name, out);
         let uid = known.ask.uid.clone();
         self.attempts.proved(&uid, &node);
         let ending = Ending::Cancelled;
-        events.push(Event::Outcome { task: id, attempt, ending, closed: true, report: None });
+        events.push(Event::Outcome {
+            task: id,
+            attempt,
+            ending,
+            closed: true,
+            report: None,
+        });
         self.book.close(id);
     }
 
     /// Nobody waits for an answer any more. One that is out is still waited for here; what a node has stays.
     pub(super) fn drop_open(&mut self, id: TaskId, events: &mut Vec<Event>) {
-        let Some(known) = self.book.get_mut(id) else { return };
+        let Some(known) = self.book.get_mut(id) else {
+            return;
+        };
         match known.stage.clone() {
             Stage::Open => drop(self.book.close(id)),
             Stage::Out { attempt, node } => known.stage = Stage::Leaving { attempt, node },
@@ -175,8 +263,12 @@
     pub(super) fn give_up(&mut self, these: impl Fn(EdgeId) -> bool, events: &mut Vec<Event>) {
         self.questions.retain(|question| !these(question.edge));
         self.taken.retain(|_, (of, _)| !these(*of));
-        let its: Vec<TaskId> =
-            self.book.iter().filter(|(_, known)| these(known.edge)).map(|(id, _)| id).collect();
+        let its: Vec<TaskId> = self
+            .book
+            .iter()
+            .filter(|(_, known)| these(known.edge))
+            .map(|(id, _)| id)
+            .collect();
         its.into_iter().for_each(|id| self.drop_open(id, events));
     }
 }
--- a/crates/planner/src/core/nodes.rs
+++ b/crates/planner/src/core/nodes.rs
@@ -17,7 +17,9 @@
         events: &mut Vec<Event>,
         out: &mut Vec<Output>,
     ) {
-        let Some(known) = self.book.get_mut(id) else { return };
+        let Some(known) = self.book.get_mut(id) else {
+            return;
+        };
         let (node, leaving) = match &known.stage {
             Stage::Out { attempt: a, node } if *a == attempt => (node.clone(), false),
             Stage::Leaving { attempt: a, node } if *a == attempt => (node.clone(), true),
@@ -35,9 +37,18 @@
             {
                 self.attempts.proved(&known.ask.uid, &node);
             }
-            events.push(Event::Outcome { task: id, attempt, ending, closed: true, report: None });
-            let Some(known) = self.book.close(id) else { return };
-            self.unwanted.insert(known.ask.uid.clone(), now + UNWANTED_FOR);
+            events.push(Event::Outcome {
+                task: id,
+                attempt,
+                ending,
+                closed: true,
+                report: None,
+            });
+            let Some(known) = self.book.close(id) else {
+                return;
+            };
+            self.unwanted
+                .insert(known.ask.uid.clone(), now + UNWANTED_FOR);
             if accepted {
                 self.delete_at(&node, (known.ask.tenant, known.ask.name), out);
             }
@@ -45,16 +56,33 @@
         }
         match answer {
             Answer::Accepted(report) => {
-                known.stage = Stage::Bound { attempt, node: node.clone() };
+                known.stage = Stage::Bound {
+                    attempt,
+                    node: node.clone(),
+                };
                 let (edge, uid) = (known.edge, known.ask.uid.clone());
                 let name = (known.ask.tenant.clone(), known.ask.name.clone());
                 events.push(Event::Confirmed { task: id, attempt });
                 if report.is_some() {
-                    events.push(Event::Probed { machine: words::machine(&node), report });
+                    events.push(Event::Probed {
+                        machine: words::machine(&node),
+                        report,
+                    });
                 }
-                out.push(Output::Edge(edge, ToEdge::Placed { uid, node: node.clone() }));
+                out.push(Output::Edge(
+                    edge,
+                    ToEdge::Placed {
+                        uid,
+                        node: node.clone(),
+                    },
+                ));
                 // The node's watch may have been faster than its answer.
-                if let Some(at) = self.nodes.0.get(&node).and_then(|n| n.pods.get(&name)).map(|held| held.at)
+                if let Some(at) = self
+                    .nodes
+                    .0
+                    .get(&node)
+                    .and_then(|n| n.pods.get(&name))
+                    .map(|held| held.at)
                 {
                     self.seen(id, at, events, out);
                 }
@@ -68,14 +96,26 @@
                     known.answers.remove(0);
                 }
                 known.answers.push((node.clone(), words));
-                if matches!(ending, Ending::Late | Ending::Broken(_) | Ending::Failed) && known.safe {
+                if matches!(ending, Ending::Late | Ending::Broken(_) | Ending::Failed) && known.safe
+                {
                     // It is sent again, so what the node shows of this attempt is one copy too many.
                     let name = (known.ask.tenant.clone(), known.ask.name.clone());
-                    if self.nodes.0.get(&node).is_some_and(|n| n.pods.contains_key(&name)) {
+                    if self
+                        .nodes
+                        .0
+                        .get(&node)
+                        .is_some_and(|n| n.pods.contains_key(&name))
+                    {
                         self.delete_at(&node, name, out);
                     }
                 }
-                events.push(Event::Outcome { task: id, attempt, ending, closed: false, report });
+                events.push(Event::Outcome {
+                    task: id,
+                    attempt,
+                    ending,
+                    closed: false,
+                    report,
+                });
             }
         }
     }
@@ -103,17 +143,30 @@
             // One that was taken over keeps the uid of its first request at the node.
             let mut bound = self.book.bound_at(node).into_iter();
             bound.find(|id| {
-                self.book.get(*id).is_some_and(|k| (&k.ask.tenant, &k.ask.name) == (&name.0, &name.1))
+                self.book
+                    .get(*id)
+                    .is_some_and(|k| (&k.ask.tenant, &k.ask.name) == (&name.0, &name.1))
             })
         });
-        match task.and_then(|id| self.book.get(id).map(|known| (id, known.stage.clone(), known.safe))) {
+        match task.and_then(|id| {
+            self.book
+                .get(id)
+                .map(|known| (id, known.stage.clone(), known.safe))
+        }) {
             Some((id, Stage::Bound { node: there, .. }, _)) if there == node => {
                 self.seen(id, at, events, out)
             }
             // The node shows that it took the task: as good as its answer, which is on its way or lost. Guards against
             // lost answers where the watch stands; should also help where answers are slow. No harm is known: what a
             // node shows it holds.
-            Some((id, Stage::Out { attempt, node: there }, _)) if there == node && !over => {
+            Some((
+                id,
+                Stage::Out {
+                    attempt,
+                    node: there,
+                },
+                _,
+            )) if there == node && !over => {
                 self.answered(now, id, attempt, Answer::Accepted(None), events, out);
             }
             Some((_, Stage::Out { node: there, .. } | Stage::Leaving { node: there, .. }, _))
@@ -130,37 +183,80 @@
     }
 
     /// News of a task that a node has.
-    pub(super) fn seen(&mut self, id: TaskId, at: AtNode, events: &mut Vec<Event>, out: &mut Vec<Output>) {
-        let Some(known) = self.book.get_mut(id) else { return };
+    pub(super) fn seen(
+        &mut self,
+        id: TaskId,
+        at: AtNode,
+        events: &mut Vec<Event>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(known) = self.book.get_mut(id) else {
+            return;
+        };
         match at {
             AtNode::Waits => {}
             AtNode::Runs if known.runs => {}
             AtNode::Runs => {
                 known.runs = true;
-                out.push(Output::Edge(known.edge, ToEdge::Runs { uid: known.ask.uid.clone() }));
-                events.push(Event::Note { task: id, note: tidespur_policy::interface::Note::Runs });
+                out.push(Output::Edge(
+                    known.edge,
+                    ToEdge::Runs {
+                        uid: known.ask.uid.clone(),
+                    },
+                ));
+                events.push(Event::Note {
+                    task: id,
+                    note: tidespur_policy::interface::Note::Runs,
+                });
             }
             AtNode::Over(end) => self.ended(id, end, events, out),
         }
     }
 
-    pub(super) fn ended(&mut self, id: TaskId, end: End, events: &mut Vec<Event>, out: &mut Vec<Output>) {
-        let Some(Stage::Bound { attempt, .. }) = self.book.get(id).map(|known| known.stage.clone()) else {
+    pub(super) fn ended(
+        &mut self,
+        id: TaskId,
+        end: End,
+        events: &mut Vec<Event>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(Stage::Bound { attempt, .. }) = self.book.get(id).map(|known| known.stage.clone())
+        else {
+            return;
+        };
+        let Some(known) = self.book.close(id) else {
             return;
         };
-        let Some(known) = self.book.close(id) else { return };
         if let Stage::Bound { node, .. } = &known.stage {
             self.attempts.proved(&known.ask.uid, node);
         }
         let ending = words::ending(end);
-        events.push(Event::Outcome { task: id, attempt, ending, closed: true, report: None });
-        out.push(Output::Edge(known.edge, ToEdge::Ended { uid: known.ask.uid, end }));
+        events.push(Event::Outcome {
+            task: id,
+            attempt,
+            ending,
+            closed: true,
+            report: None,
+        });
+        out.push(Output::Edge(
+            known.edge,
+            ToEdge::Ended {
+                uid: known.ask.uid,
+                end,
+            },
+        ));
     }
 
     pub(super) fn delete_at(&self, node: &str, name: (String, String), out: &mut Vec<Output>) {
-        let Some(known) = self.nodes.0.get(node) else { return };
+        let Some(known) = self.nodes.0.get(node) else {
+            return;
+        };
         let pod_uid = known.pods.get(&name).map(|held| held.pod_uid.clone());
-        out.push(Output::Delete { address: known.address.clone(), name, pod_uid });
+        out.push(Output::Delete {
+            address: known.address.clone(),
+            name,
+            pod_uid,
+        });
     }
 
     /// Deletes what nodes show of a request.
@@ -177,5 +273,8 @@
 
 /// Whether this answer proves that nothing of the attempt runs.
 fn never_ran(ending: &Ending) -> bool {
-    matches!(ending, Ending::NoConnection | Ending::Full(_) | Ending::Void)
+    matches!(
+        ending,
+        Ending::NoConnection | Ending::Full(_) | Ending::Void
+    )
 }
--- a/crates/planner/src/core/take.rs
+++ b/crates/planner/src/core/take.rs
@@ -8,12 +8,21 @@
 use tidespur_policy::interface::{Entry, Event, Standing as Listing};
 
 impl Core {
-    pub(super) fn take(&mut self, now: f64, input: Input, events: &mut Vec<Event>, out: &mut Vec<Output>) {
+    pub(super) fn take(
+        &mut self,
+        now: f64,
+        input: Input,
+        events: &mut Vec<Event>,
+        out: &mut Vec<Output>,
+    ) {
         match input {
             Input::Edge(edge, message) => self.edge(now, edge, message, events, out),
             Input::EdgeLost(edge) => self.edge_lost(edge, events),
             Input::ListWhole(list) => {
-                let list: Vec<_> = list.iter().filter_map(|node| words::node(node, &self.config)).collect();
+                let list: Vec<_> = list
+                    .iter()
+                    .filter_map(|node| words::node(node, &self.config))
+                    .collect();
                 let names: BTreeSet<&str> = list.iter().map(|node| node.name.as_str()).collect();
                 let gone: Vec<String> = self
                     .nodes
@@ -25,10 +34,13 @@
                 self.listed = true;
                 let entries = list.into_iter().map(|node| self.learn(node, out)).collect();
                 events.push(Event::ListWhole(entries));
-                gone.into_iter().for_each(|node| self.node_gone(now, &node, events, out));
+                gone.into_iter()
+                    .for_each(|node| self.node_gone(now, &node, events, out));
             }
             Input::ListChange(object, deleted) => {
-                let Some(mut node) = words::node(&object, &self.config) else { return };
+                let Some(mut node) = words::node(&object, &self.config) else {
+                    return;
+                };
                 if deleted {
                     node.entry.standing = Listing::Gone;
                 }
@@ -40,17 +52,27 @@
                 }
             }
             Input::ListFailed => events.push(Event::ListFailed),
-            Input::Answered { task, attempt, answer } => {
-                self.answered(now, task, attempt, answer, events, out)
-            }
+            Input::Answered {
+                task,
+                attempt,
+                answer,
+            } => self.answered(now, task, attempt, answer, events, out),
             Input::NodeHolds(node, pods) => {
                 let held: Vec<_> = pods.iter().map(read_held).collect();
-                let names: BTreeSet<&(String, String)> = held.iter().map(|(name, _)| name).collect();
+                let names: BTreeSet<&(String, String)> =
+                    held.iter().map(|(name, _)| name).collect();
                 let uids: BTreeSet<&str> = held.iter().map(|(_, held)| held.uid.as_str()).collect();
                 self.attempts.holds(now, &node, &uids, &names);
-                let Some(known) = self.nodes.0.get_mut(&node) else { return };
+                let Some(known) = self.nodes.0.get_mut(&node) else {
+                    return;
+                };
                 if !known.is_known() && known.listed {
-                    events.extend(known.entry.clone().map(|entry| Event::ListChanges(vec![entry])));
+                    events.extend(
+                        known
+                            .entry
+                            .clone()
+                            .map(|entry| Event::ListChanges(vec![entry])),
+                    );
                 }
                 (known.standing, known.heard) = (Standing::Watched, now);
                 known.pods.retain(|name, _| names.contains(name));
@@ -59,15 +81,24 @@
                 }
                 // What we had there and is no more was lost: it came back cold.
                 for task in self.book.bound_at(&node) {
-                    let Some(known) = self.book.get(task) else { continue };
+                    let Some(known) = self.book.get(task) else {
+                        continue;
+                    };
                     let name = (known.ask.tenant.clone(), known.ask.name.clone());
-                    if !self.nodes.0.get(&node).is_some_and(|n| n.pods.contains_key(&name)) {
+                    if !self
+                        .nodes
+                        .0
+                        .get(&node)
+                        .is_some_and(|n| n.pods.contains_key(&name))
+                    {
                         self.ended(task, End::Lost, events, out);
                     }
                 }
             }
             Input::NodePod(node, pod, deleted) => {
-                let Some(known) = self.nodes.0.get_mut(&node) else { return };
+                let Some(known) = self.nodes.0.get_mut(&node) else {
+                    return;
+                };
                 (known.standing, known.heard) = (Standing::Watched, now);
                 let (name, held) = read_held(&pod);
                 if deleted {
@@ -75,7 +106,11 @@
                     if let Some(task) = self.book.id(&held.uid)
                         && self.is_at(task, &node)
                     {
-                        let end = if let AtNode::Over(end) = held.at { end } else { End::Stopped };
+                        let end = if let AtNode::Over(end) = held.at {
+                            end
+                        } else {
+                            End::Stopped
+                        };
                         self.ended(task, end, events, out);
                     }
                 } else {
@@ -88,8 +123,14 @@
                 }
             }
             Input::NodeDown(node, dead) => {
-                let Some(known) = self.nodes.0.get_mut(&node) else { return };
-                known.standing = if dead { Standing::Dead } else { Standing::Unheard };
+                let Some(known) = self.nodes.0.get_mut(&node) else {
+                    return;
+                };
+                known.standing = if dead {
+                    Standing::Dead
+                } else {
+                    Standing::Unheard
+                };
                 if dead {
                     known.pods.clear();
                     for task in self.book.bound_at(&node) {
@@ -97,9 +138,10 @@
                     }
                 }
             }
-            Input::Probed(node, report) => {
-                events.push(Event::Probed { machine: words::machine(&node), report })
-            }
+            Input::Probed(node, report) => events.push(Event::Probed {
+                machine: words::machine(&node),
+                report,
+            }),
             Input::Timer(token) => events.push(Event::Timer(token)),
             Input::Sent(at) => self.shedder.mark(now, now - at),
             Input::Tick => {}
@@ -118,7 +160,10 @@
             known.listed = node.entry.standing != Listing::Gone;
             known.entry = Some(node.entry.clone());
             if !known.is_known() {
-                return Entry { standing: Listing::Gone, ..node.entry };
+                return Entry {
+                    standing: Listing::Gone,
+                    ..node.entry
+                };
             }
         }
         node.entry
@@ -126,8 +171,16 @@
 
     /// The list says that a node is gone. What it held is lost unless it is heard all the same: a list that lags or
     /// flaps must not end what runs.
-    pub(super) fn node_gone(&mut self, now: f64, node: &str, events: &mut Vec<Event>, out: &mut Vec<Output>) {
-        let Some(known) = self.nodes.0.get_mut(node) else { return };
+    pub(super) fn node_gone(
+        &mut self,
+        now: f64,
+        node: &str,
+        events: &mut Vec<Event>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(known) = self.nodes.0.get_mut(node) else {
+            return;
+        };
         known.listed = false;
         if known.standing == Standing::Watched && now - known.heard < LOCATE_FOR {
             return;
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -13,7 +13,11 @@
 
 impl Loop {
     /// Keeps a link to each edge that the fleet lists; ends with the member.
-    pub(crate) async fn keep_fleet(self: Arc<Self>, member: Option<Member>, mut links: Links) -> Ending {
+    pub(crate) async fn keep_fleet(
+        self: Arc<Self>,
+        member: Option<Member>,
+        mut links: Links,
+    ) -> Ending {
         let Some(member) = member else {
             // The links given by hand are kept.
             return std::future::pending().await;
@@ -25,7 +29,10 @@
             let view = member.view();
             let listed = view.live().filter_map(|seen| seen.facts.as_ref());
             let listed: Vec<&Facts> = listed.filter(|facts| facts.role == Role::Edge).collect();
-            for edge in listed.iter().filter(|edge| !edge.link.is_empty() && !edge.leaving) {
+            for edge in listed
+                .iter()
+                .filter(|edge| !edge.link.is_empty() && !edge.leaving)
+            {
                 links.open(&self, &edge.link, false);
             }
             // An edge in whose place nobody is known any more: one that is only lost is dialled on, as the view may be
@@ -60,7 +67,10 @@
         let socket = socket.ok_or("timed out")?.map_err(|e| e.to_string())?;
         socket.set_nodelay(true).map_err(|e| e.to_string())?;
         let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
-        let hello = ToEdge::Hello { planner: self.name.clone(), ordinal: self.options.ordinal };
+        let hello = ToEdge::Hello {
+            planner: self.name.clone(),
+            ordinal: self.options.ordinal,
+        };
         send.try_send(hello).map_err(|e| e.to_string())?;
         if let Ok(mut edges) = self.edges.lock() {
             edges.insert(id, send.clone());
@@ -74,7 +84,11 @@
             Some(Input::Edge(id, message))
         };
         let reader = frames::FrameReader::new(socket.clone());
-        let link = frames::Link { queue, send, ping: ToEdge::Ping };
+        let link = frames::Link {
+            queue,
+            send,
+            ping: ToEdge::Ping,
+        };
         frames::keep(socket, reader, link, patience, read, &self.inputs).await
     }
 }
@@ -101,7 +115,8 @@
         let (this, id, at) = (to.clone(), self.next, address.to_owned());
         self.next += 1;
         let task = smol::spawn(async move { this.follow_edge(id, &at).await });
-        self.open.insert(address.to_owned(), Link { id, by_hand, task });
+        self.open
+            .insert(address.to_owned(), Link { id, by_hand, task });
     }
 
     /// Dials edges no more that are not known any more, but for those given by hand. A link that stands is left to
@@ -115,7 +130,9 @@
             .map(|(at, _)| at.clone())
             .collect();
         for address in gone {
-            let Some(Link { id, task, .. }) = self.open.remove(&address) else { continue };
+            let Some(Link { id, task, .. }) = self.open.remove(&address) else {
+                continue;
+            };
             drop(task);
             let this = of.clone();
             smol::spawn(async move { drop(this.inputs.send(Input::EdgeLost(id)).await) }).detach();
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -34,7 +34,9 @@
         (None, Some(options)) => tidespur_config::load_or_default(options.config.as_deref())
             .map_err(|e| e.to_string())
             .and_then(|config| smol::block_on(tidespur_planner::run(config, options))),
-        (None, None) => Err("--edge and --register are needed, or the subcommand `platform`".into()),
+        (None, None) => {
+            Err("--edge and --register are needed, or the subcommand `platform`".into())
+        }
     };
     match ran {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -63,7 +63,8 @@
         match self.0.get_mut(name) {
             Some(node) => {
                 let moved = node.address != address;
-                (node.listed, node.address, node.zone) = (true, address.to_owned(), zone.to_owned());
+                (node.listed, node.address, node.zone) =
+                    (true, address.to_owned(), zone.to_owned());
                 moved
             }
             None => {
@@ -87,8 +88,15 @@
         let key = (tenant.to_owned(), name.to_owned());
         let (mut ended, mut unclear) = (None, false);
         for (node_name, node) in &self.0 {
-            match node.pods.get(&key).or_else(|| node.pods.values().find(|held| held.uid == uid)) {
-                Some(Held { at: AtNode::Over(end), .. }) => ended = Some(*end),
+            match node
+                .pods
+                .get(&key)
+                .or_else(|| node.pods.values().find(|held| held.uid == uid))
+            {
+                Some(Held {
+                    at: AtNode::Over(end),
+                    ..
+                }) => ended = Some(*end),
                 Some(_) if node.standing != Standing::Dead => return Found::At(node_name.clone()),
                 _ => {}
             }
--- a/crates/planner/src/offers.rs
+++ b/crates/planner/src/offers.rs
@@ -12,12 +12,17 @@
 
 impl Loop {
     pub(crate) fn client(&self, address: &str) -> Client {
-        let headers =
-            vec![(names::ZONE_HEADER, self.options.zone.clone()), (names::PEER_HEADER, self.name.clone())];
+        let headers = vec![
+            (names::ZONE_HEADER, self.options.zone.clone()),
+            (names::PEER_HEADER, self.name.clone()),
+        ];
         let connections = self.config.planner.node_connections as usize;
         let new = || Client::new(address, connections, headers);
         match self.clients.lock() {
-            Ok(mut clients) => clients.entry(address.to_owned()).or_insert_with(new).clone(),
+            Ok(mut clients) => clients
+                .entry(address.to_owned())
+                .or_insert_with(new)
+                .clone(),
             Err(_) => new(),
         }
     }
@@ -37,9 +42,13 @@
             json!({"uid": ask.uid, "key": ask.key, "service": ask.service, "class": ask.class, "node": node,
                 "attempt": attempt})
         });
-        let client = self.client(address).with("x-tidespur-until", format!("{until:.6}"));
+        let client = self
+            .client(address)
+            .with("x-tidespur-until", format!("{until:.6}"));
         let body = pod.to_string().into_bytes().into();
-        let reply = client.send(Method::POST, &path, "application/json", body, wait).await;
+        let reply = client
+            .send(Method::POST, &path, "application/json", body, wait)
+            .await;
         let (answer, said) = match reply {
             Ok(reply) => {
                 let (report, status, body) = (load(&reply), reply.status.as_u16(), reply.json());
@@ -53,15 +62,22 @@
             }
             Err(problem) => {
                 let ending = match &problem {
-                    NetError::Connect(_) | NetError::Refused | NetError::Request(_) => Ending::NoConnection,
+                    NetError::Connect(_) | NetError::Refused | NetError::Request(_) => {
+                        Ending::NoConnection
+                    }
                     NetError::Timeout => Ending::Late,
                     NetError::Broken(_) => Ending::Broken(Why::Unknown),
                 };
-                (Answer::Ended(ending, problem.to_string(), None), problem.to_string())
+                (
+                    Answer::Ended(ending, problem.to_string(), None),
+                    problem.to_string(),
+                )
             }
         };
-        self.recorder
-            .note("answer", || json!({"uid": ask.uid, "node": node, "attempt": attempt, "said": said}));
+        self.recorder.note(
+            "answer",
+            || json!({"uid": ask.uid, "node": node, "attempt": attempt, "said": said}),
+        );
         tracing::debug!(uid = ask.uid, node, attempt, said, "offer answered");
         answer
     }
@@ -80,9 +96,20 @@
         let bytes: bytes::Bytes = body.to_string().into_bytes().into();
         for pause in [0.1, 0.5, 1.0, 2.0, 4.0] {
             let client = self.client(address);
-            match client.send(Method::DELETE, &path, "application/json", bytes.clone(), 2.0).await {
+            match client
+                .send(
+                    Method::DELETE,
+                    &path,
+                    "application/json",
+                    bytes.clone(),
+                    2.0,
+                )
+                .await
+            {
                 // Done, not there, or another Pod by now.
-                Ok(reply) if reply.status.is_success() || [404, 409].contains(&reply.status.as_u16()) => {
+                Ok(reply)
+                    if reply.status.is_success() || [404, 409].contains(&reply.status.as_u16()) =>
+                {
                     return;
                 }
                 Ok(_) | Err(NetError::Timeout | NetError::Broken(_) | NetError::Connect(_)) => {}
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -47,12 +47,20 @@
 
 /// Runs the planner until the process ends.
 pub async fn run(config: Config, options: Options) -> Result<(), String> {
-    let name = options.name.clone().unwrap_or_else(|| format!("planner-{}", options.ordinal));
+    let name = options
+        .name
+        .clone()
+        .unwrap_or_else(|| format!("planner-{}", options.ordinal));
     let recorder = match &options.record {
         Some(path) => Recorder::to(path, &name).map_err(|e| format!("{}: {e}", path.display()))?,
         None => Recorder::default(),
     };
-    let core = Core::new(config.clone(), options.ordinal as usize, &options.zone, options.seed);
+    let core = Core::new(
+        config.clone(),
+        options.ordinal as usize,
+        &options.zone,
+        options.seed,
+    );
     let core = core.map_err(|e| e.to_string())?;
     let (disk, back) = remember(&config, &options, &name)?.unzip();
     let mut core = match &back {
@@ -70,10 +78,20 @@
         watches: Mutex::default(),
         recorder,
     });
-    let facts = Facts { zone: this.options.zone.clone(), ..Facts::of(Role::Planner) };
+    let facts = Facts {
+        zone: this.options.zone.clone(),
+        ..Facts::of(Role::Planner)
+    };
     let options = &this.options;
     let incarnation = back.as_ref().map(Recalled::incarnation);
-    let member = Member::join(&this.config, &options.fleet, &this.name, facts, options.seed, incarnation);
+    let member = Member::join(
+        &this.config,
+        &options.fleet,
+        &this.name,
+        facts,
+        options.seed,
+        incarnation,
+    );
     let member = member.await?;
     if member.is_none() && options.edges.is_empty() {
         return Err("--edge is needed where no fleet is joined".into());
@@ -115,15 +133,29 @@
 }
 
 /// Opens the memory of this planner, where it has one.
-fn remember(config: &Config, options: &Options, name: &str) -> Result<Option<(Disk, Recalled)>, String> {
+fn remember(
+    config: &Config,
+    options: &Options,
+    name: &str,
+) -> Result<Option<(Disk, Recalled)>, String> {
     let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
-        tracing::warn!(planner = name, "keeps its attempts in memory only (see --data)");
+        tracing::warn!(
+            planner = name,
+            "keeps its attempts in memory only (see --data)"
+        );
         return Ok(None);
     };
     let (role, cluster) = ("planner".to_owned(), config.cluster().to_owned());
-    let who = Identity { role, name: name.to_owned(), cluster };
+    let who = Identity {
+        role,
+        name: name.to_owned(),
+        cluster,
+    };
     let (memory, back) = Disk::open(&folder, &who).map_err(|e| e.to_string())?;
-    Ok(Some((Disk::start(memory).map_err(|e| e.to_string())?, back)))
+    Ok(Some((
+        Disk::start(memory).map_err(|e| e.to_string())?,
+        back,
+    )))
 }
 
 /// An offer that waits for its intent to be safe, and until when it makes sense.
@@ -153,7 +185,12 @@
             if let Some(disk) = disk {
                 core.stuck(disk.trouble().is_some());
                 let late = |Held(offer, until): &Held| now >= *until || !wanted(core, offer);
-                batch.extend(outbox.take_back(late).into_iter().filter_map(|Held(offer, _)| unsent(offer)));
+                batch.extend(
+                    outbox
+                        .take_back(late)
+                        .into_iter()
+                        .filter_map(|Held(offer, _)| unsent(offer)),
+                );
             }
             let mut outputs = Vec::new();
             core.step(now, batch, &mut outputs);
@@ -178,8 +215,22 @@
                 let left = until - clock::now();
                 match offer {
                     Output::Share(planners) => core.share(planners),
-                    Output::Offer { task, attempt, node, address, ask, .. } if left > 0.0 => {
-                        self.carry_out(Output::Offer { task, attempt, node, address, ask, wait: left });
+                    Output::Offer {
+                        task,
+                        attempt,
+                        node,
+                        address,
+                        ask,
+                        ..
+                    } if left > 0.0 => {
+                        self.carry_out(Output::Offer {
+                            task,
+                            attempt,
+                            node,
+                            address,
+                            ask,
+                            wait: left,
+                        });
                     }
                     late => drop(unsent(late).map(|input| self.inputs.try_send(input))),
                 }
@@ -197,11 +248,17 @@
 
 /// What becomes of an offer that never left: nothing of it can have run.
 fn unsent(offer: Output) -> Option<Input> {
-    let Output::Offer { task, attempt, .. } = offer else { return None };
+    let Output::Offer { task, attempt, .. } = offer else {
+        return None;
+    };
     let answer = Answer::Ended(
         tidespur_policy::interface::Ending::Void,
         "the planner's disk was too slow".into(),
         None,
     );
-    Some(Input::Answered { task, attempt, answer })
+    Some(Input::Answered {
+        task,
+        attempt,
+        answer,
+    })
 }
--- a/crates/planner/src/waits.rs
+++ b/crates/planner/src/waits.rs
@@ -114,20 +114,34 @@
         names: &Names,
     ) {
         let mut wanted: BTreeMap<&Shape, TaskId> = BTreeMap::new();
-        for (id, _, shape) in waits.iter().filter(|(_, known, _)| known.stage == Stage::Open) {
+        for (id, _, shape) in waits
+            .iter()
+            .filter(|(_, known, _)| known.stage == Stage::Open)
+        {
             wanted.entry(shape).or_insert(*id);
         }
         self.shapes.retain(|shape, _| wanted.contains_key(shape));
-        let at = |shape: &Shape| self.shapes.get(shape).map_or(f64::NEG_INFINITY, |found| found.at);
-        let mut order: Vec<(f64, &Shape, TaskId)> =
-            wanted.into_iter().map(|(shape, id)| (at(shape), shape, id)).collect();
+        let at = |shape: &Shape| {
+            self.shapes
+                .get(shape)
+                .map_or(f64::NEG_INFINITY, |found| found.at)
+        };
+        let mut order: Vec<(f64, &Shape, TaskId)> = wanted
+            .into_iter()
+            .map(|(shape, id)| (at(shape), shape, id))
+            .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut left = LOOKS_MOST;
         for (_, shape, id) in order {
-            let Some(waiting) = scheduler.explain(now, id) else { continue };
+            let Some(waiting) = scheduler.explain(now, id) else {
+                continue;
+            };
             let limit = config.class_called(&shape.1).and_then(|class| {
                 let place = format!("{:?}", class.spread?).to_lowercase();
-                Some(Limit { place, most: class.spread_most })
+                Some(Limit {
+                    place,
+                    most: class.spread_most,
+                })
             });
             let diagnosis = diagnose(now, &waiting, limit, nodes, names);
             let diagnosis = match self.shapes.get(shape) {
@@ -135,7 +149,15 @@
                 _ => Arc::new(diagnosis),
             };
             let (until, next_look) = (waiting.until, waiting.next_look);
-            self.shapes.insert(shape.clone(), Found { at: now, diagnosis, until, next_look });
+            self.shapes.insert(
+                shape.clone(),
+                Found {
+                    at: now,
+                    diagnosis,
+                    until,
+                    next_look,
+                },
+            );
             left = left.saturating_sub(waiting.machines.max(1));
             if left == 0 {
                 return;
@@ -148,23 +170,44 @@
     let ask = &known.ask;
     // What earlier attempts bind, and how long it can be sent, is its own.
     let own = (known.attempts > 0 && !known.safe).then(|| ask.uid.clone());
-    (ask.service.clone(), ask.class.clone(), ask.cores.to_bits(), ask.memory.to_bits(), own)
+    (
+        ask.service.clone(),
+        ask.class.clone(),
+        ask.cores.to_bits(),
+        ask.memory.to_bits(),
+        own,
+    )
 }
 
 /// The policy's words as a diagnosis.
-fn diagnose(now: f64, waiting: &Waiting, limit: Option<Limit>, nodes: &Nodes, names: &Names) -> Diagnosis {
+fn diagnose(
+    now: f64,
+    waiting: &Waiting,
+    limit: Option<Limit>,
+    nodes: &Nodes,
+    names: &Names,
+) -> Diagnosis {
     let block = waiting.block.map(|block| match block {
         Block::Attempts => Code::AttemptsUsed,
         Block::MayHaveRun => Code::MayHaveRun,
         Block::Window => Code::WindowOver,
         Block::Late => Code::GivesUp,
     });
-    let mut diagnosis = Diagnosis { nodes: waiting.machines as u32, block, ..Diagnosis::default() };
+    let mut diagnosis = Diagnosis {
+        nodes: waiting.machines as u32,
+        block,
+        ..Diagnosis::default()
+    };
     for (machine, bar) in &waiting.bars {
         let node = names.of(*machine).unwrap_or("");
         let zone = nodes.0.get(node).map_or("", |node| node.zone.as_str());
         let (code, short) = match *bar {
-            Bar::Unlisted if nodes.0.get(node).is_some_and(|node| node.listed && !node.is_known()) => {
+            Bar::Unlisted
+                if nodes
+                    .0
+                    .get(node)
+                    .is_some_and(|node| node.listed && !node.is_known()) =>
+            {
                 (Code::Unheard, 0.0)
             }
             Bar::Unlisted => (Code::Unlisted, 0.0),
--- a/crates/planner/src/watches.rs
+++ b/crates/planner/src/watches.rs
@@ -17,7 +17,9 @@
                 Ok(mut lines) => {
                     let mut first = Some(Vec::new());
                     while let Some(Ok(Some(line))) = clock::within(SILENCE, lines.next()).await {
-                        let Ok(mut event) = serde_json::from_slice::<Value>(&line) else { break };
+                        let Ok(mut event) = serde_json::from_slice::<Value>(&line) else {
+                            break;
+                        };
                         let object = event["object"].take();
                         let input = match (event["type"].as_str().unwrap_or(""), &mut first) {
                             ("BOOKMARK", Some(_)) => match first.take() {
@@ -29,7 +31,9 @@
                                 held.push(object);
                                 continue;
                             }
-                            ("ADDED" | "MODIFIED", _) => Input::NodePod(node.to_owned(), object, false),
+                            ("ADDED" | "MODIFIED", _) => {
+                                Input::NodePod(node.to_owned(), object, false)
+                            }
                             ("DELETED", _) => Input::NodePod(node.to_owned(), object, true),
                             _ => break,
                         };
@@ -40,7 +44,10 @@
                 Err(NetError::Refused) => true,
                 Err(_) => false,
             };
-            let _ = self.inputs.send(Input::NodeDown(node.to_owned(), down)).await;
+            let _ = self
+                .inputs
+                .send(Input::NodeDown(node.to_owned(), down))
+                .await;
             clock::sleep(AGAIN).await;
         }
     }
@@ -61,7 +68,15 @@
                 Input::ListChange(node, deleted)
             }
         };
-        follow(&client, "/api/v1/nodes", HEAD_WITHIN, SILENCE, read, &self.inputs).await
+        follow(
+            &client,
+            "/api/v1/nodes",
+            HEAD_WITHIN,
+            SILENCE,
+            read,
+            &self.inputs,
+        )
+        .await
     }
 }
 
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/words.rs
@@ -42,15 +42,21 @@
 /// Reads a Node; `None` where its kind is not in the settings or it says nowhere to send to.
 pub fn node(object: &Object, config: &Config) -> Option<Listed> {
     let name = meta::name(object).to_owned();
-    let kind = config.kind.get_index_of(meta::label(object, names::KIND)?)?;
+    let kind = config
+        .kind
+        .get_index_of(meta::label(object, names::KIND)?)?;
     let number = |key| meta::annotation(object, key).and_then(|text| text.parse::<f64>().ok());
     let zone = meta::label(object, names::ZONE).unwrap_or("");
     // Two racks of one name in two zones are two racks.
     let rack = format!("{zone}/{}", meta::label(object, names::RACK).unwrap_or(""));
-    let allocatable = |key| quantity::parse(meta::text(object, &["status", "allocatable", key])).ok();
+    let allocatable =
+        |key| quantity::parse(meta::text(object, &["status", "allocatable", key])).ok();
     let unready = meta::at(object, &["status", "conditions"])
         .as_array()
-        .is_some_and(|list| list.iter().any(|c| c["type"] == "Ready" && c["status"] != "True"));
+        .is_some_and(|list| {
+            list.iter()
+                .any(|c| c["type"] == "Ready" && c["status"] != "True")
+        });
     let standing = match meta::at(object, &["spec", "unschedulable"]).as_bool() {
         _ if unready => Standing::Gone,
         Some(true) => Standing::Draining,
@@ -64,11 +70,18 @@
         zone: place(zone),
         standing,
         up_since: number(names::UP_SINCE),
-        free_cores: number(names::FREE_CORES).or(allocatable("cpu")).unwrap_or(0.0),
+        free_cores: number(names::FREE_CORES)
+            .or(allocatable("cpu"))
+            .unwrap_or(0.0),
         free_memory: number(names::FREE_MEMORY).or(memory).unwrap_or(0.0),
     };
     let address = meta::annotation(object, names::ADDRESS)?.to_owned();
-    Some(Listed { name, address, zone: zone.to_owned(), entry })
+    Some(Listed {
+        name,
+        address,
+        zone: zone.to_owned(),
+        entry,
+    })
 }
 
 /// Reads the load header.
@@ -91,7 +104,9 @@
 
 /// What a node's answer to an offer says: `None` where it was accepted.
 pub fn answer(status: u16, body: &Object) -> Option<Ending> {
-    let cause = meta::at(body, &["details", "causes"]).get(0).map_or("", |c| meta::text(c, &["reason"]));
+    let cause = meta::at(body, &["details", "causes"])
+        .get(0)
+        .map_or("", |c| meta::text(c, &["reason"]));
     Some(match (status, cause) {
         (200..=299, _) => return None,
         (429, _) => Ending::Full(Why::Queue),
@@ -105,7 +120,11 @@
 /// What a node's words for why it turned an offer away are, for people.
 pub fn refusal(status: u16, body: &Object) -> String {
     let message = meta::text(body, &["message"]);
-    if message.is_empty() { format!("status {status}") } else { message.chars().take(200).collect() }
+    if message.is_empty() {
+        format!("status {status}")
+    } else {
+        message.chars().take(200).collect()
+    }
 }
 
 /// How a Pod at a node stands.
@@ -122,7 +141,10 @@
 /// Reads the state of a Pod at a node.
 pub fn at_node(pod: &Object) -> AtNode {
     use tidespur_link::End;
-    match (meta::text(pod, &["status", "phase"]), meta::text(pod, &["status", "reason"])) {
+    match (
+        meta::text(pod, &["status", "phase"]),
+        meta::text(pod, &["status", "reason"]),
+    ) {
         ("Running", _) => AtNode::Runs,
         ("Succeeded", _) => AtNode::Over(End::Succeeded),
         ("Failed", "Evicted") => AtNode::Over(End::Evicted),
--- a/crates/planner/tests/asked_first.rs
+++ b/crates/planner/tests/asked_first.rs
@@ -23,8 +23,13 @@
     fn new(nodes: &[&str]) -> Self {
         let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
         let mut world = Self { core, now: 100.0 };
-        let out = world.step(vec![Input::ListWhole(nodes.iter().map(|name| node(name)).collect())]);
-        let watched = out.iter().filter(|output| matches!(output, Output::WatchNode(..))).count();
+        let out = world.step(vec![Input::ListWhole(
+            nodes.iter().map(|name| node(name)).collect(),
+        )]);
+        let watched = out
+            .iter()
+            .filter(|output| matches!(output, Output::WatchNode(..)))
+            .count();
         assert_eq!(watched, nodes.len(), "each is asked");
         let ask = Ask {
             uid: "u".into(),
@@ -36,8 +41,14 @@
             memory: 1.0,
             ..Ask::default()
         };
-        let go = ToPlanner::Go { uid: "u".into(), within: 60.0 };
-        world.step(vec![Input::Edge(1, ToPlanner::Place(ask)), Input::Edge(1, go)]);
+        let go = ToPlanner::Go {
+            uid: "u".into(),
+            within: 60.0,
+        };
+        world.step(vec![
+            Input::Edge(1, ToPlanner::Place(ask)),
+            Input::Edge(1, go),
+        ]);
         world
     }
 
@@ -52,15 +63,19 @@
         let (mut offers, mut reasons) = (Vec::new(), Vec::new());
         for _ in 0..seconds * 10 {
             self.now += 0.1;
-            let mut inputs: Vec<Input> =
-                heard.iter().map(|node| Input::NodeHeard((*node).to_owned())).collect();
+            let mut inputs: Vec<Input> = heard
+                .iter()
+                .map(|node| Input::NodeHeard((*node).to_owned()))
+                .collect();
             inputs.push(Input::Timer(0));
             for output in self.step(inputs) {
                 match output {
                     Output::Offer { node, .. } => offers.push(node),
                     Output::Edge(_, ToEdge::Waits(words)) => {
                         reasons.extend(
-                            words.into_iter().flat_map(|word| word.diagnosis.bars.clone().into_keys()),
+                            words
+                                .into_iter()
+                                .flat_map(|word| word.diagnosis.bars.clone().into_keys()),
                         );
                     }
                     _ => {}
@@ -78,12 +93,20 @@
     assert_eq!(offers, [""; 0], "neither has been heard");
     assert!(reasons.contains(&Code::Unheard), "{reasons:?}");
     // Changes of the list change nothing of that.
-    world.step(vec![Input::ListChange(node("a"), false), Input::NodeDown("a".into(), true)]);
+    world.step(vec![
+        Input::ListChange(node("a"), false),
+        Input::NodeDown("a".into(), true),
+    ]);
     world.step(vec![Input::ListWhole(vec![node("a"), node("b")])]);
     assert_eq!(world.pass(2, &[]).0, [""; 0]);
     let out = world.step(vec![Input::NodeHolds("b".into(), vec![])]);
-    let offered = out.iter().any(|output| matches!(output, Output::Offer { node, .. } if node == "b"));
-    assert!(offered || world.pass(2, &["b"]).0 == ["b"], "the one that was heard");
+    let offered = out
+        .iter()
+        .any(|output| matches!(output, Output::Offer { node, .. } if node == "b"));
+    assert!(
+        offered || world.pass(2, &["b"]).0 == ["b"],
+        "the one that was heard"
+    );
 }
 
 #[test]
@@ -108,6 +131,11 @@
     assert_eq!(world.pass(1, &["a"]).0, [""; 0], "it drains");
     world.step(vec![Input::NodeDown("a".into(), false)]);
     let out = world.step(vec![Input::ListChange(node("a"), false)]);
-    let offered = out.iter().any(|output| matches!(output, Output::Offer { .. }));
-    assert!(offered || world.pass(2, &[]).0 == ["a"], "its troubles are the policy's matter");
+    let offered = out
+        .iter()
+        .any(|output| matches!(output, Output::Offer { .. }));
+    assert!(
+        offered || world.pass(2, &[]).0 == ["a"],
+        "its troubles are the policy's matter"
+    );
 }
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -13,7 +13,10 @@
 const UID: &str = "6d0f-1";
 
 fn after(batches: &[Batch]) -> Recalled {
-    let mut back = Recalled { turn: 1, ..Recalled::default() };
+    let mut back = Recalled {
+        turn: 1,
+        ..Recalled::default()
+    };
     for (record, value) in batches.iter().flat_map(|batch| batch.changes()) {
         match value {
             Some(value) => drop(back.records.insert(record.clone(), value.to_vec())),
@@ -40,7 +43,11 @@
     let list = listed.iter().map(|name| node(name)).collect();
     core.step(0.0, vec![Input::ListWhole(list)], &mut vec![]);
     for name in listed {
-        core.step(0.1, vec![Input::NodeHolds((*name).to_owned(), vec![])], &mut vec![]);
+        core.step(
+            0.1,
+            vec![Input::NodeHolds((*name).to_owned(), vec![])],
+            &mut vec![],
+        );
     }
     core
 }
@@ -48,13 +55,20 @@
 /// Lets time go on, the nodes being heard: a planner that stood still would give up what it was asked.
 fn pass(core: &mut Core, from: f64, seconds: f64, nodes: &[&str], out: &mut Vec<Output>) {
     for tenth in 1..=(seconds * 10.0) as u32 {
-        let heard = nodes.iter().map(|node| Input::NodeHeard((*node).to_owned())).collect();
+        let heard = nodes
+            .iter()
+            .map(|node| Input::NodeHeard((*node).to_owned()))
+            .collect();
         core.step(from + f64::from(tenth) / 10.0, heard, out);
     }
 }
 
 fn locate(core: &mut Core, now: f64, nodes: &[&str]) -> Found {
-    let ask = ToPlanner::Locate { uid: UID.into(), tenant: "default".into(), name: "n".into() };
+    let ask = ToPlanner::Locate {
+        uid: UID.into(),
+        tenant: "default".into(),
+        name: "n".into(),
+    };
     let mut out = Vec::new();
     core.step(now, vec![Input::Edge(1, ask)], &mut out);
     pass(core, now, 2.0, nodes, &mut out);
@@ -75,7 +89,10 @@
 #[test]
 fn work_that_was_offered_to_a_node_not_heard_since_is_unclear_and_not_gone() {
     // Without what was remembered the same question is answered with "nowhere", and a second one would be started.
-    assert_eq!(locate(&mut planner(remembering(), &["a"]), 0.5, &["a"]), Found::Nowhere);
+    assert_eq!(
+        locate(&mut planner(remembering(), &["a"]), 0.5, &["a"]),
+        Found::Nowhere
+    );
     let mut core = planner(Attempts::recall(&offered()).unwrap(), &["a"]);
     assert_eq!(locate(&mut core, 0.5, &["a"]), Found::Unclear);
     // The node comes back last, without it.
@@ -90,7 +107,10 @@
     let mut core = planner(Attempts::recall(&offered()).unwrap(), &["a"]);
     core.step(0.3, vec![Input::ListChange(node("b"), false)], &mut vec![]);
     core.step(0.4, vec![Input::ListChange(node("b"), true)], &mut vec![]);
-    assert!(!core.remember().is_empty(), "what is forgotten is forgotten on the disk too");
+    assert!(
+        !core.remember().is_empty(),
+        "what is forgotten is forgotten on the disk too"
+    );
     assert_eq!(locate(&mut core, 0.5, &["a"]), Found::Nowhere);
 }
 
@@ -114,7 +134,9 @@
     let back = Attempts::recall(&after(&batches)).unwrap();
     assert_eq!(back.len(), 1);
     assert!(
-        back.unsure("a", |_| false) && !back.unsure("a", |node| node == "n1") && !back.unsure("b", |_| false)
+        back.unsure("a", |_| false)
+            && !back.unsure("a", |node| node == "n1")
+            && !back.unsure("b", |_| false)
     );
     // A process without a memory notes nothing.
     let mut off = Attempts::default();
--- a/crates/planner/tests/common/machine.rs
+++ b/crates/planner/tests/common/machine.rs
@@ -22,7 +22,12 @@
     pub fn new() -> Self {
         let (listener, at) = listen();
         listener.set_nonblocking(true).unwrap();
-        Self { listener, at, connections: Vec::new(), heard: VecDeque::new() }
+        Self {
+            listener,
+            at,
+            connections: Vec::new(),
+            heard: VecDeque::new(),
+        }
     }
 
     fn look(&mut self) {
@@ -40,7 +45,9 @@
             }
             while bytes.len() >= 11 {
                 let length = usize::from(u16::from_be_bytes([bytes[0], bytes[1]]));
-                let Some(body) = bytes.get(2..2 + length) else { break };
+                let Some(body) = bytes.get(2..2 + length) else {
+                    break;
+                };
                 let (kind, id) = (body[0], u64::from_be_bytes(body[1..9].try_into().unwrap()));
                 bytes.drain(..2 + length);
                 if kind == 52 {
@@ -87,7 +94,12 @@
     }
 
     pub fn says(&mut self, connection: usize, bytes: &[u8]) {
-        match self.connections[connection].0.as_mut().expect("it is open").write_all(bytes) {
+        match self.connections[connection]
+            .0
+            .as_mut()
+            .expect("it is open")
+            .write_all(bytes)
+        {
             Err(e) if e.kind() == ErrorKind::WouldBlock => panic!("it takes nothing"),
             other => other.unwrap(),
         }
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -47,7 +47,17 @@
 pub fn set_up(id: u64) -> Vec<u8> {
     let name = format!("{id:016x}");
     let asks = b"cores:1;memory:2;service:00000000b4d65521";
-    message(1, id, &[(180, b"web"), (183, b"6000"), (192, name.as_bytes()), (195, asks), (225, b"v=0")])
+    message(
+        1,
+        id,
+        &[
+            (180, b"web"),
+            (183, b"6000"),
+            (192, name.as_bytes()),
+            (195, asks),
+            (225, b"v=0"),
+        ],
+    )
 }
 
 /// The next message that is not a test: type, id, and all of its bytes after that.
@@ -94,12 +104,16 @@
             break;
         }
     }
-    stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n: here\n\n").unwrap();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n: here\n\n")
+        .unwrap();
     (from, stream)
 }
 
 pub fn tell(stream: &mut TcpStream, number: u64, data: &str) {
-    stream.write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes())
+        .unwrap();
 }
 
 pub struct Scheduler {
@@ -115,7 +129,12 @@
     }
 
     /// The same, with the configuration changed.
-    pub fn start_with(test: &str, board: SocketAddr, known: &str, change: impl Fn(String) -> String) -> Self {
+    pub fn start_with(
+        test: &str,
+        board: SocketAddr,
+        known: &str,
+        change: impl Fn(String) -> String,
+    ) -> Self {
         let at = own_address();
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
         std::fs::create_dir_all(&folder).unwrap();
@@ -138,7 +157,12 @@
                 into.lock().unwrap().push_str(&line);
             }
         });
-        Self { child, config: path, at, log }
+        Self {
+            child,
+            config: path,
+            at,
+            log,
+        }
     }
 
     /// Waits until the program's log tells this.
@@ -152,11 +176,15 @@
         self.signal("-STOP");
         until("it stands still", || {
             let stat = std::fs::read_to_string(&stat).unwrap();
-            stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
+            stat.rsplit(')')
+                .next()
+                .is_some_and(|rest| rest.trim_start().starts_with('T'))
         });
         let done = act();
         // On a busy machine the system may carry it there only later: then nothing would be forced.
-        until("all of it has come", || !on_its_way(self.child.id(), self.at));
+        until("all of it has come", || {
+            !on_its_way(self.child.id(), self.at)
+        });
         self.signal("-CONT");
         done
     }
@@ -174,11 +202,16 @@
 
     /// Descriptors that the process holds, as the system counts them.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(sent.success());
     }
 }
@@ -231,8 +264,11 @@
 /// A listener whose one place is taken: further connections to it neither come up nor are refused, as in a zone
 /// that is cut off.
 pub fn unreachable() -> (socket2::Socket, TcpStream, SocketAddr) {
-    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    let listener =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    listener
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     listener.listen(0).unwrap();
     let at = listener.local_addr().unwrap().as_socket().unwrap();
     let taken = TcpStream::connect(at).unwrap();
--- a/crates/planner/tests/common/system.rs
+++ b/crates/planner/tests/common/system.rs
@@ -8,7 +8,10 @@
 
 /// Connections that a process is making, by the system's own tables.
 pub fn dials(pid: u32) -> usize {
-    sockets(pid).iter().filter(|(kind, state, _)| *kind == "tcp" && state == "02").count()
+    sockets(pid)
+        .iter()
+        .filter(|(kind, state, _)| *kind == "tcp" && state == "02")
+        .count()
 }
 
 /// Sockets of a process by kind, with state and local address, from the system's own tables.
@@ -18,7 +21,14 @@
         .unwrap()
         .flatten()
         .filter_map(link)
-        .filter_map(|to| Some(to.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
+        .filter_map(|to| {
+            Some(
+                to.to_str()?
+                    .strip_prefix("socket:[")?
+                    .strip_suffix(']')?
+                    .to_owned(),
+            )
+        })
         .collect();
     // By inode: such a table may tell a line twice when others change while it is read.
     let mut all = BTreeMap::new();
@@ -66,8 +76,9 @@
     table.lines().skip(1).find_map(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let here = fields.get(2) == Some(&remote.as_str());
-        let bytes =
-            fields.get(4).and_then(|queues| usize::from_str_radix(queues.split_once(':')?.1, 16).ok());
+        let bytes = fields
+            .get(4)
+            .and_then(|queues| usize::from_str_radix(queues.split_once(':')?.1, 16).ok());
         here.then(|| (fields[3].to_owned(), bytes.unwrap_or(0)))
     })
 }
@@ -91,7 +102,12 @@
 pub fn own_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let ip = [127, 77 + (process / 250 % 100) as u8, n, 1 + (process % 250) as u8];
+    let ip = [
+        127,
+        77 + (process / 250 % 100) as u8,
+        n,
+        1 + (process % 250) as u8,
+    ];
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from((ip, 0)).into()).unwrap();
     socket.local_addr().unwrap().as_socket().unwrap()
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core.rs
@@ -47,11 +47,21 @@
 impl World {
     /// A planner that knows these nodes and hears from them.
     fn new(nodes: &[&str]) -> Self {
-        let mut world = World { core: Core::new(config(), 0, "halle-a", 1).unwrap(), now: 100.0 };
+        let mut world = World {
+            core: Core::new(config(), 0, "halle-a", 1).unwrap(),
+            now: 100.0,
+        };
         let out = world.step(vec![Input::Tick]);
         assert!(out.contains(&Output::Subscribe));
-        world.step(vec![Input::ListWhole(nodes.iter().map(|n| node(n)).collect())]);
-        world.step(nodes.iter().map(|n| Input::NodeHolds((*n).to_owned(), vec![])).collect());
+        world.step(vec![Input::ListWhole(
+            nodes.iter().map(|n| node(n)).collect(),
+        )]);
+        world.step(
+            nodes
+                .iter()
+                .map(|n| Input::NodeHolds((*n).to_owned(), vec![]))
+                .collect(),
+        );
         world
     }
 
@@ -65,7 +75,13 @@
         let mut out = self.step(vec![Input::Edge(1, ToPlanner::Place(ask(uid, class)))]);
         if out.contains(&Output::Edge(1, ToEdge::Taken { uid: uid.into() })) {
             let within = ask(uid, class).within.unwrap();
-            out = self.step(vec![Input::Edge(1, ToPlanner::Go { uid: uid.into(), within })]);
+            out = self.step(vec![Input::Edge(
+                1,
+                ToPlanner::Go {
+                    uid: uid.into(),
+                    within,
+                },
+            )]);
         }
         out
     }
@@ -89,14 +105,25 @@
 
 fn as_offer(out: &Output) -> Option<(tidespur_policy::interface::TaskId, u32, String)> {
     match out {
-        Output::Offer { task, attempt, node, .. } => Some((*task, *attempt, node.clone())),
+        Output::Offer {
+            task,
+            attempt,
+            node,
+            ..
+        } => Some((*task, *attempt, node.clone())),
         _ => None,
     }
 }
 
 fn told(out: &[Output]) -> Vec<ToEdge> {
     out.iter()
-        .filter_map(|o| if let Output::Edge(_, message) = o { Some(message.clone()) } else { None })
+        .filter_map(|o| {
+            if let Output::Edge(_, message) = o {
+                Some(message.clone())
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
@@ -104,12 +131,36 @@
 fn a_task_is_placed_runs_and_ends() {
     let mut world = World::new(&["n1", "n2"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    let out = world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
-    assert_eq!(told(&out), [ToEdge::Placed { uid: "u".into(), node: at.clone() }]);
-    let out = world.step(vec![Input::NodePod(at.clone(), pod("u", "pod-u", "Running", ""), false)]);
+    let out = world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Placed {
+            uid: "u".into(),
+            node: at.clone()
+        }]
+    );
+    let out = world.step(vec![Input::NodePod(
+        at.clone(),
+        pod("u", "pod-u", "Running", ""),
+        false,
+    )]);
     assert_eq!(told(&out), [ToEdge::Runs { uid: "u".into() }]);
-    let out = world.step(vec![Input::NodePod(at.clone(), pod("u", "pod-u", "Succeeded", ""), false)]);
-    assert_eq!(told(&out), [ToEdge::Ended { uid: "u".into(), end: End::Succeeded }]);
+    let out = world.step(vec![Input::NodePod(
+        at.clone(),
+        pod("u", "pod-u", "Succeeded", ""),
+        false,
+    )]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Ended {
+            uid: "u".into(),
+            end: End::Succeeded
+        }]
+    );
     assert_eq!(world.core.tasks(), 0);
 }
 
@@ -117,10 +168,27 @@
 fn a_lost_answer_is_known_by_the_nodes_watch_and_its_time_out_means_nothing_then() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "slot-abgleich")).unwrap();
-    let out = world.step(vec![Input::NodePod(at.clone(), pod("u", "pod-u", "Pending", ""), false)]);
-    assert_eq!(told(&out), [ToEdge::Placed { uid: "u".into(), node: at }]);
+    let out = world.step(vec![Input::NodePod(
+        at.clone(),
+        pod("u", "pod-u", "Pending", ""),
+        false,
+    )]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Placed {
+            uid: "u".into(),
+            node: at
+        }]
+    );
     let late = Answer::Ended(Ending::Late, "no answer in time".into(), None);
-    assert_eq!(told(&world.step(vec![Input::Answered { task, attempt, answer: late }])), []);
+    assert_eq!(
+        told(&world.step(vec![Input::Answered {
+            task,
+            attempt,
+            answer: late
+        }])),
+        []
+    );
 }
 
 #[test]
@@ -128,7 +196,11 @@
     let mut world = World::new(&["n1", "n2"]);
     let (task, attempt, _) = offer(&world.place("u", "slot-abgleich")).unwrap();
     let broken = Answer::Ended(Ending::Broken(Why::Unknown), "reset".into(), None);
-    let out = world.step(vec![Input::Answered { task, attempt, answer: broken }]);
+    let out = world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: broken,
+    }]);
     assert_eq!(offer(&out), None);
     let later = world.until(3.0, |o| match o {
         Output::Edge(_, message) => Some(message.clone()),
@@ -144,13 +216,24 @@
     let mut world = World::new(&["n1", "n2", "n3"]);
     let (task, attempt, first) = offer(&world.place("u", "termin-web")).unwrap();
     let late = Answer::Ended(Ending::Late, "no answer in time".into(), None);
-    let out = world.step(vec![Input::Answered { task, attempt, answer: late }]);
+    let out = world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: late,
+    }]);
     let (_, attempt, second) = offer(&out).or_else(|| world.until(1.0, as_offer)).unwrap();
     if first != second {
-        world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
-        let out = world.step(vec![Input::NodePod(first.clone(), pod("u", "pod-u", "Pending", ""), false)]);
-        let deleted =
-            |o: &Output| matches!(o, Output::Delete { address, .. } if *address == format!("{first}:1"));
+        world.step(vec![Input::Answered {
+            task,
+            attempt,
+            answer: Answer::Accepted(None),
+        }]);
+        let out = world.step(vec![Input::NodePod(
+            first.clone(),
+            pod("u", "pod-u", "Pending", ""),
+            false,
+        )]);
+        let deleted = |o: &Output| matches!(o, Output::Delete { address, .. } if *address == format!("{first}:1"));
         assert!(out.iter().any(deleted), "{out:?}");
     }
 }
@@ -159,32 +242,77 @@
 fn what_a_dead_node_held_is_lost_and_what_a_silent_one_holds_is_not() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
-    world.step(vec![Input::NodePod(at.clone(), pod("u", "pod-u", "Running", ""), false)]);
-    assert_eq!(told(&world.step(vec![Input::NodeDown(at.clone(), false)])), []);
+    world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
+    world.step(vec![Input::NodePod(
+        at.clone(),
+        pod("u", "pod-u", "Running", ""),
+        false,
+    )]);
+    assert_eq!(
+        told(&world.step(vec![Input::NodeDown(at.clone(), false)])),
+        []
+    );
     let out = world.step(vec![Input::NodeDown(at, true)]);
-    assert_eq!(told(&out), [ToEdge::Ended { uid: "u".into(), end: End::Lost }]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Ended {
+            uid: "u".into(),
+            end: End::Lost
+        }]
+    );
 }
 
 #[test]
 fn a_node_that_comes_back_empty_has_lost_its_tasks() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
+    world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
     let out = world.step(vec![Input::NodeHolds(at, vec![])]);
-    assert_eq!(told(&out), [ToEdge::Ended { uid: "u".into(), end: End::Lost }]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Ended {
+            uid: "u".into(),
+            end: End::Lost
+        }]
+    );
 }
 
 #[test]
 fn a_list_that_flaps_does_not_end_what_is_heard_to_run() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
-    world.step(vec![Input::NodePod(at.clone(), pod("u", "pod-u", "Running", ""), false)]);
-    assert_eq!(told(&world.step(vec![Input::ListChange(node(&at), true)])), []);
+    world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
+    world.step(vec![Input::NodePod(
+        at.clone(),
+        pod("u", "pod-u", "Running", ""),
+        false,
+    )]);
+    assert_eq!(
+        told(&world.step(vec![Input::ListChange(node(&at), true)])),
+        []
+    );
     world.now += 10.0;
     let out = world.step(vec![Input::ListChange(node(&at), true)]);
-    assert_eq!(told(&out), [ToEdge::Ended { uid: "u".into(), end: End::Lost }], "silent and unlisted");
+    assert_eq!(
+        told(&out),
+        [ToEdge::Ended {
+            uid: "u".into(),
+            end: End::Lost
+        }],
+        "silent and unlisted"
+    );
 }
 
 #[test]
@@ -194,7 +322,9 @@
     drains["spec"] = json!({"unschedulable": true});
     world.step(vec![Input::ListChange(drains, false)]);
     assert_eq!(offer(&world.place("u", "termin-web")), None);
-    let said = world.until(3.0, |o| matches!(o, Output::Edge(_, ToEdge::Refused { .. })).then_some(()));
+    let said = world.until(3.0, |o| {
+        matches!(o, Output::Edge(_, ToEdge::Refused { .. })).then_some(())
+    });
     assert!(said.is_some());
 }
 
@@ -203,8 +333,15 @@
     let mut world = World::new(&["n1"]);
     let (task, attempt, _) = offer(&world.place("u", "termin-web")).unwrap();
     world.step(vec![Input::Edge(1, ToPlanner::Stop { uid: "u".into() })]);
-    let out = world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
-    assert!(out.iter().any(|o| matches!(o, Output::Delete { .. })), "{out:?}");
+    let out = world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
+    assert!(
+        out.iter().any(|o| matches!(o, Output::Delete { .. })),
+        "{out:?}"
+    );
     assert_eq!(told(&out), [], "its owner is not told of what it gave up");
 }
 
@@ -212,12 +349,20 @@
 fn an_edge_that_is_lost_leaves_nothing_to_send_and_lets_run_what_runs() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, _) = offer(&world.place("a", "termin-web")).unwrap();
-    world.step(vec![Input::Answered { task, attempt, answer: Answer::Accepted(None) }]);
+    world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: Answer::Accepted(None),
+    }]);
     let (task, attempt, _) = offer(&world.place("b", "termin-web")).unwrap();
     let out = world.step(vec![Input::EdgeLost(1)]);
     assert!(!out.iter().any(|o| matches!(o, Output::Delete { .. })));
     let late = Answer::Ended(Ending::Late, String::new(), None);
-    let out = world.step(vec![Input::Answered { task, attempt, answer: late }]);
+    let out = world.step(vec![Input::Answered {
+        task,
+        attempt,
+        answer: late,
+    }]);
     assert_eq!(offer(&out), None);
     assert_eq!(world.core.tasks(), 1, "the one that runs");
 }
@@ -228,25 +373,52 @@
     let locate = |uid: &str| {
         Input::Edge(
             1,
-            ToPlanner::Locate { uid: uid.into(), tenant: "default".into(), name: format!("pod-{uid}") },
+            ToPlanner::Locate {
+                uid: uid.into(),
+                tenant: "default".into(),
+                name: format!("pod-{uid}"),
+            },
         )
     };
     world.now += 1.0;
-    assert_eq!(told(&world.step(vec![locate("u")])), [], "both were last heard before");
+    assert_eq!(
+        told(&world.step(vec![locate("u")])),
+        [],
+        "both were last heard before"
+    );
     world.now += 0.1;
     assert_eq!(told(&world.step(vec![Input::NodeHeard("n1".into())])), []);
     let out = world.step(vec![Input::NodeDown("n2".into(), true)]);
-    assert_eq!(told(&out), [ToEdge::Located { uid: "u".into(), found: Found::Nowhere }]);
-    world.step(vec![Input::NodePod("n1".into(), pod("v", "pod-v", "Running", ""), false)]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Located {
+            uid: "u".into(),
+            found: Found::Nowhere
+        }]
+    );
+    world.step(vec![Input::NodePod(
+        "n1".into(),
+        pod("v", "pod-v", "Running", ""),
+        false,
+    )]);
     let out = world.step(vec![locate("v")]);
-    assert_eq!(told(&out), [ToEdge::Located { uid: "v".into(), found: Found::At("n1".into()) }]);
+    assert_eq!(
+        told(&out),
+        [ToEdge::Located {
+            uid: "v".into(),
+            found: Found::At("n1".into())
+        }]
+    );
     world.step(vec![Input::NodeDown("n1".into(), false), locate("w")]);
     world.now += 1.0;
     assert_eq!(told(&world.step(vec![Input::Tick])), []);
     world.now += 1.0;
     assert_eq!(
         told(&world.step(vec![Input::Tick])),
-        [ToEdge::Located { uid: "w".into(), found: Found::Unclear }]
+        [ToEdge::Located {
+            uid: "w".into(),
+            found: Found::Unclear
+        }]
     );
 }
 
@@ -254,22 +426,39 @@
 fn a_class_that_the_planner_does_not_know_is_refused_by_name() {
     let mut world = World::new(&["n1"]);
     let said = told(&world.place("u", "odd"));
-    assert!(matches!(&said[..], [ToEdge::Refused { why, .. }] if why.contains("\"odd\"")), "{said:?}");
+    assert!(
+        matches!(&said[..], [ToEdge::Refused { why, .. }] if why.contains("\"odd\"")),
+        "{said:?}"
+    );
 }
 
 fn offers(out: &[Output]) -> usize {
-    out.iter().filter(|o| matches!(o, Output::Offer { .. })).count()
+    out.iter()
+        .filter(|o| matches!(o, Output::Offer { .. }))
+        .count()
 }
 
 #[test]
 fn nothing_is_offered_before_the_edge_says_go() {
     let mut world = World::new(&["a", "b"]);
-    let out = world.step(vec![Input::Edge(1, ToPlanner::Place(ask("t", "termin-web")))]);
+    let out = world.step(vec![Input::Edge(
+        1,
+        ToPlanner::Place(ask("t", "termin-web")),
+    )]);
     assert_eq!(out, [Output::Edge(1, ToEdge::Taken { uid: "t".into() })]);
-    assert_eq!(world.until(1.0, |o| matches!(o, Output::Offer { .. }).then_some(())), None);
+    assert_eq!(
+        world.until(1.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
+        None
+    );
     // Taken back: a Go that crossed it finds nothing.
     world.step(vec![Input::Edge(1, ToPlanner::Stop { uid: "t".into() })]);
-    let out = world.step(vec![Input::Edge(1, ToPlanner::Go { uid: "t".into(), within: 2.0 })]);
+    let out = world.step(vec![Input::Edge(
+        1,
+        ToPlanner::Go {
+            uid: "t".into(),
+            within: 2.0,
+        },
+    )]);
     assert_eq!(offers(&out), 0, "{out:?}");
     assert_eq!(offers(&world.place("u", "termin-web")), 1);
 }
@@ -277,7 +466,11 @@
 #[test]
 fn a_planner_that_stood_still_gives_up_what_was_open_before_it_reads_on() {
     let mut world = World::new(&[]);
-    assert_eq!(offers(&world.place("held", "slot-abgleich")), 0, "there is no node yet");
+    assert_eq!(
+        offers(&world.place("held", "slot-abgleich")),
+        0,
+        "there is no node yet"
+    );
     // Not so long that an edge gives it up: it goes on.
     world.now += 1.0;
     assert!(!world.step(vec![Input::Tick]).contains(&Output::Cut));
@@ -286,7 +479,10 @@
     let late = Input::Edge(1, ToPlanner::Place(ask("late", "slot-abgleich")));
     let out = world.step(vec![node, late, Input::NodeHolds("a".into(), vec![])]);
     assert!(out.contains(&Output::Cut) && offers(&out) == 0, "{out:?}");
-    assert_eq!(world.until(3.0, |o| matches!(o, Output::Offer { .. }).then_some(())), None);
+    assert_eq!(
+        world.until(3.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
+        None
+    );
 }
 
 fn waits(out: &[Output]) -> Vec<tidespur_waiting::Word> {
@@ -301,35 +497,81 @@
 fn an_edge_is_told_why_its_tasks_wait_and_told_anew_when_that_changes() {
     use tidespur_waiting::Code;
     let mut world = World::new(&["a"]);
-    let large = |uid: &str| Ask { cores: 500.0, ..ask(uid, "termin-web") };
+    let large = |uid: &str| Ask {
+        cores: 500.0,
+        ..ask(uid, "termin-web")
+    };
     for uid in ["x", "y"] {
-        world.step(vec![Input::Edge(1, ToPlanner::Place(Ask { service: "default/s".into(), ..large(uid) }))]);
-        world.step(vec![Input::Edge(1, ToPlanner::Go { uid: uid.into(), within: 30.0 })]);
+        world.step(vec![Input::Edge(
+            1,
+            ToPlanner::Place(Ask {
+                service: "default/s".into(),
+                ..large(uid)
+            }),
+        )]);
+        world.step(vec![Input::Edge(
+            1,
+            ToPlanner::Go {
+                uid: uid.into(),
+                within: 30.0,
+            },
+        )]);
     }
     world.now += 0.3;
     let words = waits(&world.step(vec![Input::Tick]));
-    assert_eq!(words.iter().map(|w| w.uid.as_str()).collect::<Vec<_>>(), ["x", "y"]);
-    assert!(std::sync::Arc::ptr_eq(&words[0].diagnosis, &words[1].diagnosis), "equal tasks share one");
+    assert_eq!(
+        words.iter().map(|w| w.uid.as_str()).collect::<Vec<_>>(),
+        ["x", "y"]
+    );
+    assert!(
+        std::sync::Arc::ptr_eq(&words[0].diagnosis, &words[1].diagnosis),
+        "equal tasks share one"
+    );
     assert_eq!(words[0].codes(), [Code::Cores]);
-    assert_eq!(words[0].diagnosis.message(), "0/1 nodes are available: 1 no cores");
+    assert_eq!(
+        words[0].diagnosis.message(),
+        "0/1 nodes are available: 1 no cores"
+    );
     // 24 cores, of which 2.5 times 0.97 are planned with.
     let nearest = words[0].diagnosis.nearest.clone().unwrap();
-    assert!((nearest.short - (500.0 - 24.0 * 2.5 * 0.97)).abs() < 1e-6, "{nearest:?}");
+    assert!(
+        (nearest.short - (500.0 - 24.0 * 2.5 * 0.97)).abs() < 1e-6,
+        "{nearest:?}"
+    );
     world.now += 0.3;
-    assert_eq!(waits(&world.step(vec![Input::Tick])), [], "nothing has changed");
+    assert_eq!(
+        waits(&world.step(vec![Input::Tick])),
+        [],
+        "nothing has changed"
+    );
     let mut drains = node("a");
     drains["spec"] = json!({"unschedulable": true});
     world.step(vec![Input::ListChange(drains, false)]);
     world.now += 0.3;
     let words = waits(&world.step(vec![Input::Tick]));
-    assert_eq!(words.iter().map(tidespur_waiting::Word::codes).collect::<Vec<_>>(), [[Code::Draining]; 2]);
+    assert_eq!(
+        words
+            .iter()
+            .map(tidespur_waiting::Word::codes)
+            .collect::<Vec<_>>(),
+        [[Code::Draining]; 2]
+    );
     // An edge that was lost and is back knows nothing: it is told of its new tasks as if for the first time.
     world.step(vec![Input::EdgeLost(1)]);
     world.step(vec![Input::Edge(1, ToPlanner::Place(large("z")))]);
-    world.step(vec![Input::Edge(1, ToPlanner::Go { uid: "z".into(), within: 30.0 })]);
+    world.step(vec![Input::Edge(
+        1,
+        ToPlanner::Go {
+            uid: "z".into(),
+            within: 30.0,
+        },
+    )]);
     world.now += 0.3;
     assert_eq!(
-        waits(&world.step(vec![Input::Tick])).iter().map(|w| w.uid.as_str()).collect::<Vec<_>>(),
+        waits(&world.step(vec![Input::Tick]))
+            .iter()
+            .map(|w| w.uid.as_str())
+            .collect::<Vec<_>>(),
         ["z"]
     );
 }
@@ -337,9 +579,15 @@
 #[test]
 fn a_planner_behind_its_work_turns_new_tasks_away_and_takes_them_again_once_it_is_in_time() {
     let mut world = World::new(&["n1", "n2"]);
-    let refused = |out: &[Output]| told(out).iter().any(|word| matches!(word, ToEdge::Refused { .. }));
+    let refused = |out: &[Output]| {
+        told(out)
+            .iter()
+            .any(|word| matches!(word, ToEdge::Refused { .. }))
+    };
     let turned_away = |world: &mut World, round: usize| {
-        (0..40).filter(|n| refused(&world.place(&format!("{round}-{n}"), "termin-web"))).count()
+        (0..40)
+            .filter(|n| refused(&world.place(&format!("{round}-{n}"), "termin-web")))
+            .count()
     };
     assert_eq!(turned_away(&mut world, 0), 0);
     // Every word waits longer and longer in its queue.
@@ -351,7 +599,10 @@
     assert!(turned_away(&mut world, 1) > 20);
     // What it took before is never turned away, however often it is asked for.
     for _ in 0..40 {
-        let again = world.step(vec![Input::Edge(1, ToPlanner::Place(ask("0-0", "termin-web")))]);
+        let again = world.step(vec![Input::Edge(
+            1,
+            ToPlanner::Place(ask("0-0", "termin-web")),
+        )]);
         assert_eq!(told(&again), [ToEdge::Taken { uid: "0-0".into() }]);
     }
     for _ in 0..120 {
--- a/crates/planner/tests/crossings.rs
+++ b/crates/planner/tests/crossings.rs
@@ -17,7 +17,9 @@
 /// Whatever is left on a connection until its plain end: a reset is an error.
 fn rest(mut stream: TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).expect("a plain end, no reset");
+    stream
+        .read_to_end(&mut rest)
+        .expect("a plain end, no reset");
     rest
 }
 
@@ -40,7 +42,10 @@
         new.write_all(&set_up(7)).unwrap();
         new
     });
-    let mut of_owner: Vec<(u8, u64)> = (0..3).map(|_| next(&mut owner)).map(|m| (m.0, m.1)).collect();
+    let mut of_owner: Vec<(u8, u64)> = (0..3)
+        .map(|_| next(&mut owner))
+        .map(|m| (m.0, m.1))
+        .collect();
     of_owner.sort_unstable();
     assert_eq!(of_owner, [(9, 5), (RELEASE, 5), (RELEASE, 8)]);
     assert_eq!(next(&mut new), refused(7));
@@ -52,7 +57,8 @@
 fn a_connection_closed_for_room_in_the_moment_of_its_set_up_keeps_it() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
     let few = |config: String| config.replace(r#""sockets":256"#, r#""sockets":48"#);
-    let scheduler = Scheduler::start_with("room", board_at, &event(1, true, "s-1", machine.at), few);
+    let scheduler =
+        Scheduler::start_with("room", board_at, &event(1, true, "s-1", machine.at), few);
     // The oldest of those that never sent anything of use would give way: 22 may be there.
     let mut oldest = greeted(&scheduler);
     let _others: Vec<TcpStream> = (0..21).map(|_| greeted(&scheduler)).collect();
@@ -77,7 +83,9 @@
     scheduler.held(|| {
         let asks = b"cores:1;memory:2;service:00000000b4d65521;at:s-1";
         let name = b"0000000000000005";
-        second.write_all(&message(1, 5, &[(180, b"web"), (192, name), (195, asks)])).unwrap();
+        second
+            .write_all(&message(1, 5, &[(180, b"web"), (192, name), (195, asks)]))
+            .unwrap();
         drop(first);
     });
     // It was taken in before what comes after it on the same connection.
@@ -131,19 +139,32 @@
 fn a_set_up_behind_a_dial_is_taken_back_when_its_machine_drains() {
     let ((board_in, board_at), mut other) = (listen(), Machine::new());
     let (_listener, _taken, at) = unreachable();
-    let scheduler = Scheduler::start_with("drain-dial", board_at, &event(1, true, "s-1", at), |config| {
-        config
-            .replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":9"#)
-            .replace(r#""safe""#, r#""unsafe""#)
-    });
+    let scheduler = Scheduler::start_with(
+        "drain-dial",
+        board_at,
+        &event(1, true, "s-1", at),
+        |config| {
+            config
+                .replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":9"#)
+                .replace(r#""safe""#, r#""unsafe""#)
+        },
+    );
     let (_, mut stream) = board(&board_in);
     let mut owner = greeted(&scheduler);
     owner.write_all(&set_up(5)).unwrap();
     until("a dial", || dials(scheduler.child.id()) == 1);
     tell(&mut stream, 2, &event(2, false, "s-2", other.at));
-    tell(&mut stream, 3, &event(3, false, "s-1", at).replace("Ready", "Terminating"));
+    tell(
+        &mut stream,
+        3,
+        &event(3, false, "s-1", at).replace("Ready", "Terminating"),
+    );
     let (connection, id) = other.next_set_up();
-    assert_eq!((id, dials(scheduler.child.id())), (5, 0), "and it is not dialled any more");
+    assert_eq!(
+        (id, dials(scheduler.child.id())),
+        (5, 0),
+        "and it is not dialled any more"
+    );
     other.accepts(connection, 5);
     assert_eq!(next(&mut owner).0, 9);
 }
@@ -153,7 +174,8 @@
     let mut machine = Machine::new();
     let board_at = own_address();
     let few = |config: String| config.replace(r#""sockets":256"#, r#""sockets":64"#);
-    let scheduler = Scheduler::start_with("full", board_at, &event(1, true, "s-1", machine.at), few);
+    let scheduler =
+        Scheduler::start_with("full", board_at, &event(1, true, "s-1", machine.at), few);
     let mut owner = greeted(&scheduler);
     machine.places(&mut owner, 5);
     // Twice as many as it may have descriptors; the process's own limit is set to these.
@@ -179,7 +201,8 @@
     let at = own_address();
     let before = TcpListener::bind(at).unwrap();
     let known = event(1, true, "s-1", machine.at);
-    let mut scheduler = Scheduler::start_with("taken", board_at, &known, |_| config(at, board_at, &known));
+    let mut scheduler =
+        Scheduler::start_with("taken", board_at, &known, |_| config(at, board_at, &known));
     scheduler.tells("waits for its address");
     drop(before);
     scheduler.at = at;
--- a/crates/planner/tests/discovery.rs
+++ b/crates/planner/tests/discovery.rs
@@ -30,7 +30,11 @@
     // Both streams tell the same event: it counts once, and what the old one still tells is read.
     let other = Machine::new();
     for stream in [&mut old, &mut new] {
-        tell(stream, 2, &event(2, false, "s-2", other.at).replace("Ready", "Terminating"));
+        tell(
+            stream,
+            2,
+            &event(2, false, "s-2", other.at).replace("Ready", "Terminating"),
+        );
     }
     let mut owner = greeted(&scheduler);
     machine.places(&mut owner, 5);
@@ -49,7 +53,11 @@
         tell(&mut stream, 2, &event(2, true, "s-2", other.at));
         machine.accepts(connection, 5);
     });
-    assert_eq!(next(&mut owner).0, 9, "its answer counts though its machine is listed no more");
+    assert_eq!(
+        next(&mut owner).0,
+        9,
+        "its answer counts though its machine is listed no more"
+    );
     machine.says(connection, &message(12, 5, &[(222, &[16])]));
     assert_eq!(next(&mut owner), (RELEASE, 5, vec![222, 0, 1, 16]));
 }
--- a/crates/planner/tests/gone.rs
+++ b/crates/planner/tests/gone.rs
@@ -15,7 +15,8 @@
 /// Waits until a close or a reset of a client has come to the program's socket: on a busy machine the system may carry it
 /// there only later, and the order would not be forced.
 fn arrived(scheduler: &Scheduler, client: SocketAddr) {
-    let established = || unread(scheduler.child.id(), client).is_some_and(|(state, _)| state == "01");
+    let established =
+        || unread(scheduler.child.id(), client).is_some_and(|(state, _)| state == "01");
     until("its end has come", || !established());
 }
 
@@ -45,7 +46,11 @@
 /// The next set-up that reaches the machine is this owner's.
 fn only(machine: &mut Machine, owner: &mut TcpStream) {
     owner.write_all(&set_up(9_999)).unwrap();
-    assert_eq!(machine.next_set_up().1, 9_999, "an attempt began for a client that has gone");
+    assert_eq!(
+        machine.next_set_up().1,
+        9_999,
+        "an attempt began for a client that has gone"
+    );
 }
 
 #[test]
@@ -72,7 +77,9 @@
     scheduler.held(|| {
         machine.says(connection, &message(6, 5, &[]));
         let set_ups: Vec<u8> = (100..170).flat_map(set_up).collect();
-        let cancels: Vec<u8> = (100..170).flat_map(|id| message(12, id, &[(222, &[16])])).collect();
+        let cancels: Vec<u8> = (100..170)
+            .flat_map(|id| message(12, id, &[(222, &[16])]))
+            .collect();
         let all = [set_ups, cancels].concat();
         gone.write_all(&all).unwrap();
         let client = gone.local_addr().unwrap();
@@ -90,7 +97,8 @@
     scheduler.held(|| {
         machine.says(connection, &message(6, 5, &[]));
         // More than one read takes in.
-        gone.write_all(&(100..400).flat_map(set_up).collect::<Vec<u8>>()).unwrap();
+        gone.write_all(&(100..400).flat_map(set_up).collect::<Vec<u8>>())
+            .unwrap();
         let client = gone.local_addr().unwrap();
         drop(gone);
         arrived(&scheduler, client);
@@ -101,8 +109,9 @@
 #[test]
 fn no_second_attempt_begins_where_the_outcome_of_the_first_comes_before_the_close() {
     let (mut machines, (_board, board_at)) = ([Machine::new(), Machine::new()], listen());
-    let known: Vec<String> =
-        (0..2).map(|n| event(n as u64 + 1, n == 0, &format!("s-{n}"), machines[n].at)).collect();
+    let known: Vec<String> = (0..2)
+        .map(|n| event(n as u64 + 1, n == 0, &format!("s-{n}"), machines[n].at))
+        .collect();
     let scheduler = Scheduler::start("between", board_at, &known.join(","));
     let mut owner = greeted(&scheduler);
     // Tasks are placed until both machines have a connection.
@@ -124,13 +133,20 @@
         for other in 0..machines[1 - n].connections() {
             machines[1 - n].says(other, &message(6, 6, &[]));
         }
-        machines[n].says(connection, &message(12, 6, &[(222, &[34]), (201, b"lack_cpu")]));
+        machines[n].says(
+            connection,
+            &message(12, 6, &[(222, &[34]), (201, b"lack_cpu")]),
+        );
         let client = gone.local_addr().unwrap();
         drop(gone);
         arrived(&scheduler, client);
     });
     owner.write_all(&set_up(9_999)).unwrap();
-    assert_eq!(either(&mut machines).2, 9_999, "a second attempt began for a client that has gone");
+    assert_eq!(
+        either(&mut machines).2,
+        9_999,
+        "a second attempt began for a client that has gone"
+    );
 }
 
 /// The next set-up at one of the two: at which, on which connection, and its id.
@@ -151,11 +167,16 @@
 fn a_set_up_behind_a_dial_never_leaves_once_its_client_has_gone() {
     let (_board, board_at) = listen();
     let (listener, taken, at) = unreachable();
-    let scheduler = Scheduler::start_with("gone-dial", board_at, &event(1, true, "s-1", at), |config| {
-        config
-            .replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":9"#)
-            .replace(r#""safe""#, r#""unsafe""#)
-    });
+    let scheduler = Scheduler::start_with(
+        "gone-dial",
+        board_at,
+        &event(1, true, "s-1", at),
+        |config| {
+            config
+                .replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":9"#)
+                .replace(r#""safe""#, r#""unsafe""#)
+        },
+    );
     let mut gone = greeted(&scheduler);
     gone.write_all(&set_up(6)).unwrap();
     until("a dial", || dials(scheduler.child.id()) == 1);
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -18,12 +18,21 @@
     let mut offer = accept(&machine);
     let (kind, id, body) = next(&mut offer);
     assert_eq!((kind, id), (1, 5));
-    assert!(body.ends_with(b"\xe1\x00\x03v=0"), "the description as it came");
-    offer.write_all(&message(9, 5, &[(225, b"\x00own")])).unwrap();
+    assert!(
+        body.ends_with(b"\xe1\x00\x03v=0"),
+        "the description as it came"
+    );
+    offer
+        .write_all(&message(9, 5, &[(225, b"\x00own")]))
+        .unwrap();
     assert_eq!(next(&mut owner), (9, 5, b"\xe1\x00\x04\x00own".to_vec()));
     offer.write_all(&message(12, 5, &[(222, &[16])])).unwrap();
     assert_eq!(next(&mut owner), (12, 5, vec![222, 0, 1, 16]));
-    assert_eq!(next(&mut offer).0, 16, "the machine is told that it was heard");
+    assert_eq!(
+        next(&mut offer).0,
+        16,
+        "the machine is told that it was heard"
+    );
 }
 
 #[test]
@@ -35,7 +44,9 @@
     let (from, mut stream) = board(&board_in);
     assert_eq!(from, 1);
     let second = event(2, false, "s-2", machine_at);
-    stream.write_all(format!("id: 2\ndata: {}", &second[..second.len() / 2]).as_bytes()).unwrap();
+    stream
+        .write_all(format!("id: 2\ndata: {}", &second[..second.len() / 2]).as_bytes())
+        .unwrap();
     drop(stream);
     let (from, mut stream) = board(&board_in);
     assert_eq!(from, 1, "the half event was none");
@@ -80,7 +91,11 @@
     scheduler.signal("-TERM");
     owner.write_all(&set_up(6)).unwrap();
     let mut second = accept(&machine);
-    assert_eq!(next(&mut second).1, 6, "what comes after the word is taken too");
+    assert_eq!(
+        next(&mut second).1,
+        6,
+        "what comes after the word is taken too"
+    );
     for (stream, id) in [(&mut offer, 5), (&mut second, 6)] {
         stream.write_all(&message(9, id, &[(225, b"own")])).unwrap();
         assert_eq!((next(&mut owner).0, id), (9, id));
@@ -138,7 +153,10 @@
     let before = scheduler.descriptors();
     for id in 1..=6 {
         let mut set_up = set_up(id);
-        let wait = set_up.windows(4).position(|w| w == b"6000").expect("the wait");
+        let wait = set_up
+            .windows(4)
+            .position(|w| w == b"6000")
+            .expect("the wait");
         set_up[wait..wait + 4].copy_from_slice(b"0700");
         owner.write_all(&set_up).unwrap();
     }
@@ -149,7 +167,11 @@
     // The system itself gives such a connection up after minutes only. One to the board may be counted or not.
     let began = Instant::now();
     while scheduler.descriptors() > before + 1 {
-        assert!(began.elapsed() < PATIENCE, "{} descriptors, {before} before", scheduler.descriptors());
+        assert!(
+            began.elapsed() < PATIENCE,
+            "{} descriptors, {before} before",
+            scheduler.descriptors()
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -12,9 +12,13 @@
 use tidespur_policy::interface::Ending;
 
 fn after(batch: &Batch) -> Recalled {
-    let mut back = Recalled { turn: 1, ..Recalled::default() };
+    let mut back = Recalled {
+        turn: 1,
+        ..Recalled::default()
+    };
     for (record, value) in batch.changes() {
-        back.records.extend(value.map(|value| (record.clone(), value.to_vec())));
+        back.records
+            .extend(value.map(|value| (record.clone(), value.to_vec())));
     }
     back
 }
@@ -26,7 +30,11 @@
 }
 
 fn hears(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
-    let word = ToPlanner::Sharers { lease: lease.into(), token, planners };
+    let word = ToPlanner::Sharers {
+        lease: lease.into(),
+        token,
+        planners,
+    };
     let mut out = Vec::new();
     core.step(1.0, vec![Input::Edge(1, word)], &mut out);
     out.retain(|output| matches!(output, Output::Share(_) | Output::Edge(..)));
@@ -34,7 +42,14 @@
 }
 
 fn stale(token: u64, newest: u64) -> [Output; 1] {
-    [Output::Edge(1, ToEdge::Stale { lease: "fleet".into(), token, newest })]
+    [Output::Edge(
+        1,
+        ToEdge::Stale {
+            lease: "fleet".into(),
+            token,
+            newest,
+        },
+    )]
 }
 
 #[test]
@@ -43,10 +58,22 @@
     assert_eq!(hears(&mut core, "fleet", 3, 2), [Output::Share(2)]);
     let memory = after(&core.remember());
     assert_eq!(hears(&mut core, "fleet", 2, 1), stale(2, 3));
-    assert_eq!(hears(&mut core, "fleet", 3, 4), [Output::Share(4)], "the same holder goes on");
-    assert_eq!(hears(&mut core, "another", 1, 4), [Output::Share(4)], "each lease has tokens of its own");
+    assert_eq!(
+        hears(&mut core, "fleet", 3, 4),
+        [Output::Share(4)],
+        "the same holder goes on"
+    );
+    assert_eq!(
+        hears(&mut core, "another", 1, 4),
+        [Output::Share(4)],
+        "each lease has tokens of its own"
+    );
     let mut back = planner(&memory);
-    assert_eq!(hears(&mut back, "fleet", 2, 1), stale(2, 3), "the fence outlives the process");
+    assert_eq!(
+        hears(&mut back, "fleet", 2, 1),
+        stale(2, 3),
+        "the fence outlives the process"
+    );
     assert_eq!(hears(&mut back, "fleet", 4, 1), [Output::Share(1)]);
 }
 
@@ -56,7 +83,10 @@
     let cold = json!({"metadata": {"name": "a", "labels": {"node.kubernetes.io/instance-type": "std-24"},
         "annotations": {"node.tidespur.dev/address": "a:1", "node.tidespur.dev/up-since": "999"}},
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}});
-    let mut inputs = vec![Input::ListWhole(vec![cold]), Input::NodeHolds("a".into(), vec![])];
+    let mut inputs = vec![
+        Input::ListWhole(vec![cold]),
+        Input::NodeHolds("a".into(), vec![]),
+    ];
     core.share(planners);
     let (mut now, mut offers, mut next) = (1_000.0, 0, 0);
     while now < 1_003.0 {
@@ -80,7 +110,11 @@
             if let Output::Offer { task, attempt, .. } = output {
                 offers += 1;
                 let answer = Answer::Ended(Ending::Void, String::new(), None);
-                inputs.push(Input::Answered { task, attempt, answer });
+                inputs.push(Input::Answered {
+                    task,
+                    attempt,
+                    answer,
+                });
             }
         }
         now += 0.05;
@@ -91,5 +125,8 @@
 #[test]
 fn what_is_said_divides_what_a_planner_offers_to_cold_nodes() {
     let [alone, eight, hundred] = [1, 8, 100].map(offers);
-    assert!(alone > 2 * eight && eight >= 2 && hundred <= 1, "{alone}, {eight}, {hundred} offers");
+    assert!(
+        alone > 2 * eight && eight >= 2 && hundred <= 1,
+        "{alone}, {eight}, {hundred} offers"
+    );
 }
--- a/crates/planner/tests/starts.rs
+++ b/crates/planner/tests/starts.rs
@@ -44,7 +44,8 @@
 }
 
 #[test]
-fn seven_of_ten_killed_at_once_under_idle_clients_and_without_discovery_are_ready_in_time_and_place() {
+fn seven_of_ten_killed_at_once_under_idle_clients_and_without_discovery_are_ready_in_time_and_place()
+ {
     let (mut machine, nobody) = (Machine::new(), own_address());
     let known = event(1, true, "s-1", machine.at);
     let start = |n: usize, at: Option<SocketAddr>| {
@@ -59,13 +60,25 @@
     for scheduler in &fleet {
         until("ready at first", || passes_a_test(scheduler.at));
     }
-    let crowds: Vec<_> = fleet.iter().map(|scheduler| crowd(scheduler.at, ends.clone())).collect();
+    let crowds: Vec<_> = fleet
+        .iter()
+        .map(|scheduler| crowd(scheduler.at, ends.clone()))
+        .collect();
     for scheduler in &fleet {
-        until("its descriptors are filled", || scheduler.descriptors() > 24);
+        until("its descriptors are filled", || {
+            scheduler.descriptors() > 24
+        });
     }
-    let before: Vec<SocketAddr> = fleet.drain(..KILLED).map(|scheduler| scheduler.at).collect();
+    let before: Vec<SocketAddr> = fleet
+        .drain(..KILLED)
+        .map(|scheduler| scheduler.at)
+        .collect();
     let began = Instant::now();
-    let started: Vec<Scheduler> = before.iter().enumerate().map(|(n, &at)| start(n, Some(at))).collect();
+    let started: Vec<Scheduler> = before
+        .iter()
+        .enumerate()
+        .map(|(n, &at)| start(n, Some(at)))
+        .collect();
     let watched = started.iter().map(|scheduler| {
         let at = scheduler.at;
         std::thread::spawn(move || {
@@ -77,7 +90,10 @@
     let ready: Vec<Duration> = watched.into_iter().map(|one| one.join().unwrap()).collect();
     println!("ready after {ready:?}");
     let in_time = ready.iter().filter(|&&took| took <= READY_WITHIN).count();
-    assert!(in_time * 10 >= KILLED * 9, "{in_time} of {KILLED} were ready in time: {ready:?}");
+    assert!(
+        in_time * 10 >= KILLED * 9,
+        "{in_time} of {KILLED} were ready in time: {ready:?}"
+    );
     fleet.extend(started);
     for (n, scheduler) in fleet.iter().enumerate() {
         let id = 100 + n as u64;
@@ -85,6 +101,12 @@
         machine.places(&mut owner, id);
     }
     ends.store(true, Ordering::Relaxed);
-    let came: Vec<usize> = crowds.into_iter().map(|crowd| crowd.join().unwrap()).collect();
-    assert!(came.iter().all(|&came| came >= CROWD), "the crowd was there: {came:?}");
+    let came: Vec<usize> = crowds
+        .into_iter()
+        .map(|crowd| crowd.join().unwrap())
+        .collect();
+    assert!(
+        came.iter().all(|&came| came >= CROWD),
+        "the crowd was there: {came:?}"
+    );
 }
--- a/crates/platform-net/src/config.rs
+++ b/crates/platform-net/src/config.rs
@@ -54,7 +54,9 @@
 /// # Errors
 /// The variable is not set.
 pub fn path() -> Result<PathBuf, StartError> {
-    std::env::var_os("RELAY_CONFIG").map(PathBuf::from).ok_or(StartError::NoConfig)
+    std::env::var_os("RELAY_CONFIG")
+        .map(PathBuf::from)
+        .ok_or(StartError::NoConfig)
 }
 
 /// Reads a configuration.
@@ -64,9 +66,14 @@
 pub fn read(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
     let site = wire.settings.site().map_err(StartError::Settings)?;
-    let known = wire.known.notices.into_iter().map(|notice| discovery::read(&site, notice)).collect();
-    let seed =
-        u64::from_str_radix(&wire.seed, 16).unwrap_or_else(|_| tidespur_settings::words::hash(&wire.seed));
+    let known = wire
+        .known
+        .notices
+        .into_iter()
+        .map(|notice| discovery::read(&site, notice))
+        .collect();
+    let seed = u64::from_str_radix(&wire.seed, 16)
+        .unwrap_or_else(|_| tidespur_settings::words::hash(&wire.seed));
     Ok(Config {
         name: wire.name,
         listen: wire.listen,
--- a/crates/platform-net/src/discovery.rs
+++ b/crates/platform-net/src/discovery.rs
@@ -27,7 +27,11 @@
 impl Address {
     /// At this address.
     pub fn new(at: String) -> Self {
-        Self { at: RefCell::new(at), moves: Cell::new(0), moved_at: Cell::new(0.0) }
+        Self {
+            at: RefCell::new(at),
+            moves: Cell::new(0),
+            moved_at: Cell::new(0.0),
+        }
     }
 
     /// It listens elsewhere from now on; `false` where it was there already.
@@ -62,7 +66,12 @@
     }
 }
 
-async fn once(address: &str, delivered: u64, left: impl Fn() -> f64, take: &mut impl FnMut(&str)) -> String {
+async fn once(
+    address: &str,
+    delivered: u64,
+    left: impl Fn() -> f64,
+    take: &mut impl FnMut(&str),
+) -> String {
     let client = Client::new(address, 1, vec![("last-event-id", delivered.to_string())]);
     let mut lines = match client.lines("/board/poll", HEAD_WITHIN).await {
         Ok(lines) if lines.status.is_success() => lines,
--- a/crates/platform-net/src/error.rs
+++ b/crates/platform-net/src/error.rs
@@ -10,13 +10,17 @@
     #[error("signals can't be handled: {0}; look at the limit on descriptors")]
     Signals(std::io::Error),
     /// The variable that names the configuration is not set.
-    #[error("RELAY_CONFIG is not set; start it as `run` in deploy/balancer.toml says, on the platform")]
+    #[error(
+        "RELAY_CONFIG is not set; start it as `run` in deploy/balancer.toml says, on the platform"
+    )]
     NoConfig,
     /// The configuration is not there.
     #[error("{0:?}: {1}; look at the path and at who may read it")]
     Unreadable(PathBuf, std::io::Error),
     /// It is not of the platform's form.
-    #[error("the configuration can't be read: {0}; write it anew, whole, and send SIGHUP or start again")]
+    #[error(
+        "the configuration can't be read: {0}; write it anew, whole, and send SIGHUP or start again"
+    )]
     Malformed(#[from] serde_json::Error),
     /// It can't be worked with.
     #[error("{0}; correct that field of the settings")]
--- a/crates/platform-net/src/run.rs
+++ b/crates/platform-net/src/run.rs
@@ -92,11 +92,13 @@
         this.step(config.known.into_iter().map(Input::Delivered).collect());
         let listen = config.listen;
         let address: SocketAddr = listen.parse().map_err(|_| StartError::Address(listen))?;
-        this.listener.replace(Some(Rc::new(downstream::bind(address)?)));
+        this.listener
+            .replace(Some(Rc::new(downstream::bind(address)?)));
         tracing::info!(scheduler = this.name, %address, sockets = config.sockets, "started");
         this.spawn(this.clone().turns());
         this.spawn(this.clone().mark());
-        this.listening.replace(Some(this.executor.spawn(this.clone().listen())));
+        this.listening
+            .replace(Some(this.executor.spawn(this.clone().listen())));
         this.spawn(this.clone().signals(signals));
         this.follow();
         Ok(this)
@@ -169,7 +171,9 @@
                     _ => tracing::debug!(scheduler = self.name, ?input),
                 }
             }
-            self.gateway.borrow_mut().step(clock::now(), std::mem::take(&mut inputs), &mut out);
+            self.gateway
+                .borrow_mut()
+                .step(clock::now(), std::mem::take(&mut inputs), &mut out);
             if self.gateway.borrow().next_wake() < before {
                 self.wake.add_permits(1);
             }
--- a/crates/platform-net/src/run/control.rs
+++ b/crates/platform-net/src/run/control.rs
@@ -44,7 +44,10 @@
                     self.step(vec![Input::Leave]);
                 }
                 Ok(Signal::Hup) => {
-                    tracing::info!(scheduler = self.name, "told to read its configuration again");
+                    tracing::info!(
+                        scheduler = self.name,
+                        "told to read its configuration again"
+                    );
                     self.spawn(self.clone().reload());
                 }
                 _ => {}
@@ -67,7 +70,9 @@
                     }
                     return;
                 }
-                Err(problem) => tracing::warn!(scheduler = self.name, %problem, "the old settings hold"),
+                Err(problem) => {
+                    tracing::warn!(scheduler = self.name, %problem, "the old settings hold")
+                }
             }
             clock::sleep(REREAD).await;
         }
@@ -76,9 +81,12 @@
     /// Waits until what was written has left, within so many seconds.
     pub(super) async fn flush(self: &Rc<Self>, within: f64) {
         let left: Vec<DownstreamId> = self.downstreams.borrow().keys().copied().collect();
-        left.into_iter().for_each(|client| self.close_client(client));
+        left.into_iter()
+            .for_each(|client| self.close_client(client));
         let until = clock::now() + within;
-        while clock::now() < until && !(self.closing.borrow().is_empty() && self.upstreams_flushed()) {
+        while clock::now() < until
+            && !(self.closing.borrow().is_empty() && self.upstreams_flushed())
+        {
             clock::sleep(FLUSHED).await;
         }
     }
@@ -87,6 +95,14 @@
         let gateway = self.gateway.borrow();
         let [requests, waiting, downstreams, upstreams, machines] = gateway.sizes();
         let counts = gateway.counts();
-        tracing::info!(scheduler = self.name, requests, waiting, downstreams, upstreams, machines, ?counts);
+        tracing::info!(
+            scheduler = self.name,
+            requests,
+            waiting,
+            downstreams,
+            upstreams,
+            machines,
+            ?counts
+        );
     }
 }
--- a/crates/platform-net/src/run/downstream.rs
+++ b/crates/platform-net/src/run/downstream.rs
@@ -46,7 +46,9 @@
 impl Run {
     pub(super) async fn listen(self: Rc<Self>) {
         loop {
-            let Some(listener) = self.listener.borrow().clone() else { return };
+            let Some(listener) = self.listener.borrow().clone() else {
+                return;
+            };
             match listener.accept().await {
                 Ok((stream, from)) => {
                     let sequence = self.accepted(stream, from);
@@ -66,7 +68,9 @@
 
     /// Accepts who has connected by now, and then nobody more.
     pub(super) fn stop_listening(self: &Rc<Self>) {
-        let Some(listener) = self.listener.borrow_mut().take() else { return };
+        let Some(listener) = self.listener.borrow_mut().take() else {
+            return;
+        };
         while let Ok((stream, from)) = listener.get_ref().accept() {
             match Async::new(stream) {
                 Ok(stream) => drop(self.accepted(stream, from)),
@@ -80,7 +84,9 @@
     fn accepted(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> Sequence {
         let client = DownstreamId(self.next_client.replace(self.next_client.get() + 1));
         let connection = Connection::new(stream);
-        self.downstreams.borrow_mut().insert(client, connection.clone());
+        self.downstreams
+            .borrow_mut()
+            .insert(client, connection.clone());
         let sequence = self.put(Input::DownstreamOpened(client, from.ip()));
         self.spawn(self.clone().serve(client, connection));
         sequence
@@ -88,16 +94,26 @@
 
     async fn serve(self: Rc<Self>, client: DownstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
-            let first =
-                if connection.whole.get() { f64::INFINITY } else { connection.opened_at + FIRST_WITHIN };
-            let half = connection.half_since.get().map(|since| (since + HALF_FOR).min(first));
+            let first = if connection.whole.get() {
+                f64::INFINITY
+            } else {
+                connection.opened_at + FIRST_WITHIN
+            };
+            let half = connection
+                .half_since
+                .get()
+                .map(|since| (since + HALF_FOR).min(first));
             let patience = half.map_or(f64::INFINITY, |until| until - clock::now());
             let ready = clock::within(patience, connection.socket.readable()).await;
             if connection.ended.get() {
                 return;
             }
             if ready.is_none() {
-                tracing::debug!(scheduler = self.name, ?client, "half a message, and no more");
+                tracing::debug!(
+                    scheduler = self.name,
+                    ?client,
+                    "half a message, and no more"
+                );
                 connection.ended.set(true);
                 self.put(Input::DownstreamMalformed(client));
                 return;
@@ -132,9 +148,13 @@
             (true, false) => Some(clock::now()),
         };
         connection.half_since.set(half);
-        connection.whole.set(connection.whole.get() || !inputs.is_empty());
+        connection
+            .whole
+            .set(connection.whole.get() || !inputs.is_empty());
         for input in inputs {
-            connection.ended.set(matches!(input, Input::DownstreamMalformed(_)));
+            connection
+                .ended
+                .set(matches!(input, Input::DownstreamMalformed(_)));
             connection.said.set(self.put(input));
         }
         Took::Bytes(read)
@@ -144,7 +164,10 @@
     pub(super) fn look(&self, client: DownstreamId) -> Seen {
         let connection = self.downstreams.borrow().get(&client).cloned();
         let mut read = 0;
-        while let Some(connection) = connection.as_ref().filter(|connection| !connection.ended.get()) {
+        while let Some(connection) = connection
+            .as_ref()
+            .filter(|connection| !connection.ended.get())
+        {
             if read >= LOOK_MOST || self.queue.borrow().waits(client) >= WAITING_MOST {
                 return Seen::Part;
             }
@@ -184,7 +207,9 @@
 
     /// Ends a connection without harm to what is on its way to the client.
     pub(super) fn close_client(self: &Rc<Self>, client: DownstreamId) {
-        let Some(connection) = self.downstreams.borrow_mut().remove(&client) else { return };
+        let Some(connection) = self.downstreams.borrow_mut().remove(&client) else {
+            return;
+        };
         connection.ended.set(true);
         let socket = connection.socket.clone();
         socket.half_close();
@@ -199,7 +224,9 @@
         self.spawn(async move {
             clock::within(LINGER, socket.discard(&this.buffer)).await;
             socket.close();
-            this.closing.borrow_mut().retain(|other| !Rc::ptr_eq(other, &socket));
+            this.closing
+                .borrow_mut()
+                .retain(|other| !Rc::ptr_eq(other, &socket));
         });
     }
 }
--- a/crates/platform-net/src/run/upstream.rs
+++ b/crates/platform-net/src/run/upstream.rs
@@ -18,7 +18,9 @@
         match action {
             PoolAction::Dial(upstream, address) => {
                 let dial = self.executor.spawn(self.clone().dial(upstream, address));
-                self.upstreams.borrow_mut().insert(upstream, Upstream::Dialled(dial));
+                self.upstreams
+                    .borrow_mut()
+                    .insert(upstream, Upstream::Dialled(dial));
                 None
             }
             PoolAction::Write(upstream, bytes) => {
@@ -74,7 +76,9 @@
             (Wrote::Taken | Wrote::Full | Wrote::Part, _) => None,
             // The machine may have written something before it ended the connection: it is read on.
             (Wrote::Nothing, offer) => Some(Input::UpstreamUnwritten(upstream, offer)),
-            (Wrote::Broken, _) => self.upstream_over(upstream).then_some(Input::UpstreamEnded(upstream)),
+            (Wrote::Broken, _) => self
+                .upstream_over(upstream)
+                .then_some(Input::UpstreamEnded(upstream)),
         }
     }
 
@@ -98,10 +102,13 @@
 
     /// Whether all that was written to machines has left.
     pub(super) fn upstreams_flushed(&self) -> bool {
-        self.upstreams.borrow().values().all(|upstream| match upstream {
-            Upstream::Open(connection) => connection.socket.is_flushed(),
-            Upstream::Dialled(_) => true,
-        })
+        self.upstreams
+            .borrow()
+            .values()
+            .all(|upstream| match upstream {
+                Upstream::Open(connection) => connection.socket.is_flushed(),
+                Upstream::Dialled(_) => true,
+            })
     }
 
     async fn dial(self: Rc<Self>, upstream: UpstreamId, address: String) {
@@ -126,7 +133,9 @@
                 return;
             }
         };
-        self.upstreams.borrow_mut().insert(upstream, Upstream::Open(connection.clone()));
+        self.upstreams
+            .borrow_mut()
+            .insert(upstream, Upstream::Open(connection.clone()));
         self.put(Input::UpstreamOpened(upstream));
         self.hear(upstream, connection).await;
     }
@@ -158,7 +167,9 @@
         let said = |message| Input::UpstreamSaid(upstream, message);
         let mut decoder = connection.decoder.borrow_mut();
         for input in self.decode(&mut decoder, read, said, Input::UpstreamMalformed(upstream)) {
-            connection.ended.set(matches!(input, Input::UpstreamMalformed(_)));
+            connection
+                .ended
+                .set(matches!(input, Input::UpstreamMalformed(_)));
             self.put(input);
         }
         true
--- a/crates/platform-net/src/socket.rs
+++ b/crates/platform-net/src/socket.rs
@@ -93,12 +93,23 @@
                 Ok(0) => break,
                 Ok(n) => done += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && done == 0 => return (Wrote::Full, false),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock && done == 0 => {
+                    return (Wrote::Full, false);
+                }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.waiting.borrow_mut().extend_from_slice(&bytes[done..]);
                     return (Wrote::Part, !self.draining.replace(true));
                 }
-                Err(_) => return (if done == 0 { Wrote::Nothing } else { Wrote::Broken }, false),
+                Err(_) => {
+                    return (
+                        if done == 0 {
+                            Wrote::Nothing
+                        } else {
+                            Wrote::Broken
+                        },
+                        false,
+                    );
+                }
             }
         }
         (Wrote::Taken, false)
--- a/crates/platform-net/tests/socket.rs
+++ b/crates/platform-net/tests/socket.rs
@@ -8,7 +8,8 @@
 
 fn pair() -> (Socket, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let stream = TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
+    let stream =
+        TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
     let (peer, _) = listener.accept().expect("the other end");
     (Socket::new(Async::new(stream).expect("a socket")), peer)
 }
@@ -39,7 +40,10 @@
     socket.half_close();
     let reader = read_all(peer);
     smol::block_on(socket.drain()).expect("all of it leaves");
-    let read = reader.join().expect("the reader ends").expect("and sees a plain end");
+    let read = reader
+        .join()
+        .expect("the reader ends")
+        .expect("and sees a plain end");
     assert_eq!((read.len(), &read[sent..]), (sent + 9, &b"cancelled"[..]));
 }
 
@@ -48,12 +52,19 @@
     let (socket, peer) = pair();
     let sent = fill(&socket);
     let (wrote, drain) = socket.offer(b"set-up");
-    assert_eq!((wrote, drain), (Wrote::Full, false), "somebody sees to what waits already");
+    assert_eq!(
+        (wrote, drain),
+        (Wrote::Full, false),
+        "somebody sees to what waits already"
+    );
     let reader = read_all(peer);
     smol::block_on(socket.drain()).expect("all of it leaves");
     assert_eq!(socket.offer(b"after").0, Wrote::Taken);
     socket.half_close();
-    let read = reader.join().expect("the reader ends").expect("and sees a plain end");
+    let read = reader
+        .join()
+        .expect("the reader ends")
+        .expect("and sees a plain end");
     assert_eq!(read.len(), sent + 5, "the set-up never left");
 }
 
@@ -61,7 +72,9 @@
 fn a_set_up_that_leaves_in_part_is_told_so() {
     let (socket, _peer) = pair();
     // Set-ups as large as can be, until one does not go whole.
-    let told = (0..).map(|_| socket.offer(&[7; 16 * 1024]).0).find(|wrote| *wrote != Wrote::Taken);
+    let told = (0..)
+        .map(|_| socket.offer(&[7; 16 * 1024]).0)
+        .find(|wrote| *wrote != Wrote::Taken);
     assert!(matches!(told, Some(Wrote::Part | Wrote::Full)), "{told:?}");
     assert_eq!(socket.is_flushed(), told == Some(Wrote::Full));
     assert_eq!(socket.offer(b"next").0, Wrote::Full);
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -26,7 +26,9 @@
     #[error("{0}: no finite number; look at the owner's program")]
     Number(&'static str),
     /// A number that nothing here can serve.
-    #[error("{0}: out of range; no machine of the settings admits so much, or no owner waits so long")]
+    #[error(
+        "{0}: out of range; no machine of the settings admits so much, or no owner waits so long"
+    )]
     Range(&'static str),
     /// A name without a letter.
     #[error("an empty name; look at the owner's program")]
@@ -43,11 +45,17 @@
 }
 
 fn fields(text: &str) -> BTreeMap<&str, &str> {
-    text.split(';').filter_map(|field| field.split_once(':')).map(|(k, v)| (k.trim(), v.trim())).collect()
+    text.split(';')
+        .filter_map(|field| field.split_once(':'))
+        .map(|(k, v)| (k.trim(), v.trim()))
+        .collect()
 }
 
 fn number(what: &'static str, text: &str) -> Result<f64, AskError> {
-    text.parse().ok().filter(|number: &f64| number.is_finite()).ok_or(AskError::Number(what))
+    text.parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite())
+        .ok_or(AskError::Number(what))
 }
 
 /// Reads a set-up that came at `now`.
@@ -57,12 +65,19 @@
 pub fn read(site: &Site, now: Seconds, message: &Message) -> Result<Ask, AskError> {
     let text = |code, what| message.text(code).ok_or(AskError::Missing(what));
     let class = text(code::CLASS, "the class")?;
-    let class = site.classes.iter().position(|name| name == class).ok_or(AskError::Class)?;
+    let class = site
+        .classes
+        .iter()
+        .position(|name| name == class)
+        .ok_or(AskError::Class)?;
     let tenant = match (site.tenants.is_empty(), text(code::TENANT, "the tenant")) {
         (true, _) => 0,
         (false, tenant) => {
             let tenant = tenant?;
-            site.tenants.iter().position(|name| name == tenant).ok_or(AskError::Tenant)?
+            site.tenants
+                .iter()
+                .position(|name| name == tenant)
+                .ok_or(AskError::Tenant)?
         }
     };
     let asks = fields(text(code::ASKS, "what the task asks for")?);
@@ -121,26 +136,48 @@
 /// than one deployment's settings show (a tenant, the key of work that may be repeated). The wait is written anew.
 pub fn passed(message: Message) -> Vec<(u8, Vec<u8>)> {
     let own = [code::RETRY, code::HINT, code::ASKS];
-    message.parameters.into_iter().filter(|(code, _)| !own.contains(code)).collect()
+    message
+        .parameters
+        .into_iter()
+        .filter(|(code, _)| !own.contains(code))
+        .collect()
 }
 
 /// Whether a set-up names the machine that holds its task already.
 pub fn is_handed(message: &Message) -> bool {
-    message.text(code::ASKS).is_some_and(|asks| fields(asks).contains_key("at"))
+    message
+        .text(code::ASKS)
+        .is_some_and(|asks| fields(asks).contains_key("at"))
 }
 
 /// The load that came along, if any of it can be read.
 pub fn report(message: &Message) -> Option<Report> {
     let values = fields(message.text(code::LOAD)?);
-    let values = values.into_iter().filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?))).collect();
+    let values = values
+        .into_iter()
+        .filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)))
+        .collect();
     Some(words::report_of(values)).filter(|report| *report != Report::default())
 }
 
 /// Why something was refused or released.
 pub fn why(message: &Message) -> Why {
-    const WORDS: [&str; 7] = ["lack_cpu", "lack_ram", "backlog", "unfit", "killed", "displaced", "dismissed"];
+    const WORDS: [&str; 7] = [
+        "lack_cpu",
+        "lack_ram",
+        "backlog",
+        "unfit",
+        "killed",
+        "displaced",
+        "dismissed",
+    ];
     let word = message.text(code::WORD).unwrap_or("");
-    words::why_of(WORDS.iter().position(|w| *w == word).map_or(0, |i| i as u32 + 1))
+    words::why_of(
+        WORDS
+            .iter()
+            .position(|w| *w == word)
+            .map_or(0, |i| i as u32 + 1),
+    )
 }
 
 /// What a note tells; `None` for one that is not known.
@@ -148,6 +185,9 @@
     const WORDS: [&str; 5] = ["running", "use_cpu", "use_ram", "health", "ram_high"];
     let word = message.text(code::WORD)?;
     let sort = WORDS.iter().position(|w| *w == word)? as u32 + 1;
-    let level = message.text(code::FIGURE).and_then(|figure| figure.parse().ok()).unwrap_or(0.0);
+    let level = message
+        .text(code::FIGURE)
+        .and_then(|figure| figure.parse().ok())
+        .unwrap_or(0.0);
     words::note_of(sort, level)
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -11,7 +11,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     /// An event that is none.
-    #[error("the discovery stream tells what can't be read: {0}; look at the notice board's edition")]
+    #[error(
+        "the discovery stream tells what can't be read: {0}; look at the notice board's edition"
+    )]
     Malformed(#[from] serde_json::Error),
     /// Bytes that are no text.
     #[error("the discovery stream is no text: {0}; look at who listens at its address")]
@@ -92,8 +94,12 @@
 
 /// Puts names to numbers and states to standings.
 pub fn read(site: &Site, wire: WireEvent) -> Delivery {
-    let pool = wire.pool.unwrap_or(WirePool { reset: false, instances: Vec::new() });
-    let index = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
+    let pool = wire.pool.unwrap_or(WirePool {
+        reset: false,
+        instances: Vec::new(),
+    });
+    let index =
+        |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
     let listed = pool.instances.into_iter().map(|wire| {
         let standing = match wire.lifecycle.as_str() {
             "Ready" => Standing::Ready,
@@ -113,9 +119,17 @@
             free_cores,
             free_memory,
         };
-        Listed { entry, name: wire.instance_id, address: wire.host_port }
+        Listed {
+            entry,
+            name: wire.instance_id,
+            address: wire.host_port,
+        }
     });
-    Delivery { number: wire.rev, whole: pool.reset, listed: listed.collect() }
+    Delivery {
+        number: wire.rev,
+        whole: pool.reset,
+        listed: listed.collect(),
+    }
 }
 
 /// Puts server-sent events together from lines. An event without its blank line at the end is none.
