--- a/crates/platform/src/downstream.rs
+++ b/crates/platform/src/downstream.rs
@@ -56,7 +56,10 @@
 impl Downstreams {
     /// None yet; at most `most` at once.
     pub fn new(most: usize) -> Self {
-        Self { downstreams: BTreeMap::new(), most: most.max(1) }
+        Self {
+            downstreams: BTreeMap::new(),
+            most: most.max(1),
+        }
     }
 
     /// Connections there are.
@@ -90,14 +93,32 @@
     /// Where there are more than may be, the one to be closed if it says nothing: the oldest of those that never sent
     /// anything of use, else the one idle longest, else the youngest.
     pub fn surplus(&mut self, now: Seconds) -> Option<DownstreamId> {
-        if self.downstreams.values().filter(|client| client.closing.is_none()).count() <= self.most {
+        if self
+            .downstreams
+            .values()
+            .filter(|client| client.closing.is_none())
+            .count()
+            <= self.most
+        {
             return None;
         }
         let rank = |client: &Downstream| (client.proved, client.standing > 0);
-        let may = |client: &&Downstream| client.open == 0 && client.closing.is_none() && !client.gone;
-        let idle = self.downstreams.iter().filter(|(_, client)| may(client) && client.used_at < now);
-        let first = idle.min_by(|a, b| rank(a.1).cmp(&rank(b.1)).then(a.1.used_at.total_cmp(&b.1.used_at)));
-        let youngest = self.downstreams.iter().rev().find(|(_, client)| may(client));
+        let may =
+            |client: &&Downstream| client.open == 0 && client.closing.is_none() && !client.gone;
+        let idle = self
+            .downstreams
+            .iter()
+            .filter(|(_, client)| may(client) && client.used_at < now);
+        let first = idle.min_by(|a, b| {
+            rank(a.1)
+                .cmp(&rank(b.1))
+                .then(a.1.used_at.total_cmp(&b.1.used_at))
+        });
+        let youngest = self
+            .downstreams
+            .iter()
+            .rev()
+            .find(|(_, client)| may(client));
         let id = first.or(youngest).map(|(&id, _)| id)?;
         self.closes(id, Closing::Surplus);
         Some(id)
@@ -178,7 +199,11 @@
 
     /// It says that it heard a release; `true`: none was sent, and that too often.
     pub fn heard(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        match self.downstreams.get_mut(&id).filter(|client| client.unheard > 0) {
+        match self
+            .downstreams
+            .get_mut(&id)
+            .filter(|client| client.unheard > 0)
+        {
             Some(client) => {
                 client.unheard -= 1;
                 false
@@ -195,7 +220,11 @@
     /// A set-up was opened (`true`) or is over.
     pub fn count_open(&mut self, now: Seconds, id: DownstreamId, more: bool) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.open = if more { client.open + 1 } else { client.open.saturating_sub(1) };
+            client.open = if more {
+                client.open + 1
+            } else {
+                client.open.saturating_sub(1)
+            };
             client.used_at = now;
         }
     }
@@ -203,7 +232,11 @@
     /// A task of its stands (`true`) or is over.
     pub fn count_standing(&mut self, id: DownstreamId, more: bool) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.standing = if more { client.standing + 1 } else { client.standing.saturating_sub(1) };
+            client.standing = if more {
+                client.standing + 1
+            } else {
+                client.standing.saturating_sub(1)
+            };
             client.owner |= more;
         }
     }
@@ -215,12 +248,18 @@
         if let Some(id) = id.filter(|id| self.is_there(*id)) {
             return Some(id);
         }
-        let owners = || self.downstreams.iter().filter(|(_, client)| client.owner && !client.gone);
+        let owners = || {
+            self.downstreams
+                .iter()
+                .filter(|(_, client)| client.owner && !client.gone)
+        };
         let near = owners().filter(|(_, client)| Some(client.from) == from);
         let newest = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
             a.1.used_at.total_cmp(&b.1.used_at)
         };
-        near.max_by(newest).or_else(|| owners().max_by(newest)).map(|(&id, _)| id)
+        near.max_by(newest)
+            .or_else(|| owners().max_by(newest))
+            .map(|(&id, _)| id)
     }
 
     /// Where a connection came from.
@@ -236,8 +275,12 @@
                 && client.open == 0
                 && now - client.opened_at > SILENT_FOR
         };
-        let over: Vec<DownstreamId> =
-            self.downstreams.iter().filter(|(_, client)| silent(client)).map(|(&id, _)| id).collect();
+        let over: Vec<DownstreamId> = self
+            .downstreams
+            .iter()
+            .filter(|(_, client)| silent(client))
+            .map(|(&id, _)| id)
+            .collect();
         for id in &over {
             self.closes(*id, Closing::Silent);
         }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -75,8 +75,16 @@
     /// Settings that the policy can't work with.
     pub fn new(site: Site, limits: Limits, seed: u64) -> Result<Self, String> {
         let policy = Scheduler::new(site.settings.clone(), seed).map_err(|e| e.to_string())?;
-        let shedder = LoadShedder::of(site.settings.classes.iter().map(|class| (class.aim, class.worth)));
-        let times = Times { connect_within: site.connect_timeout, idle: site.connection_idle };
+        let shedder = LoadShedder::of(
+            site.settings
+                .classes
+                .iter()
+                .map(|class| (class.aim, class.worth)),
+        );
+        let times = Times {
+            connect_within: site.connect_timeout,
+            idle: site.connection_idle,
+        };
         Ok(Self {
             policy,
             table: RequestTable::default(),
@@ -121,18 +129,39 @@
     /// Requests, those that wait, connections of clients and to machines, machines known.
     pub fn sizes(&self) -> [usize; 5] {
         let clients = self.downstreams.count();
-        [self.table.count(), self.table.waiting(), clients, self.pool.count(), self.pool.peers()]
+        [
+            self.table.count(),
+            self.table.waiting(),
+            clients,
+            self.pool.count(),
+            self.pool.peers(),
+        ]
     }
 
     /// When [`Input::Tick`] is due at the latest.
     pub fn next_wake(&self) -> Seconds {
-        let timer = self.timers.first().map_or(f64::INFINITY, |&(at, _)| at as f64 / 1e6);
-        let late = self.table.next_late().map_or(f64::INFINITY, |at| at as f64 / 1e6);
-        timer.min(late).min(self.ticked + TICK).min(self.due.again_at).min(self.leaves_at())
+        let timer = self
+            .timers
+            .first()
+            .map_or(f64::INFINITY, |&(at, _)| at as f64 / 1e6);
+        let late = self
+            .table
+            .next_late()
+            .map_or(f64::INFINITY, |at| at as f64 / 1e6);
+        timer
+            .min(late)
+            .min(self.ticked + TICK)
+            .min(self.due.again_at)
+            .min(self.leaves_at())
     }
 
     /// Takes in what came at `now`, and tells what is to be done.
-    pub fn step(&mut self, now: Seconds, inputs: impl IntoIterator<Item = Input>, out: &mut Vec<Output>) {
+    pub fn step(
+        &mut self,
+        now: Seconds,
+        inputs: impl IntoIterator<Item = Input>,
+        out: &mut Vec<Output>,
+    ) {
         if now - self.stepped > STALL {
             self.pool.stalled(now);
         }
@@ -144,7 +173,8 @@
         // An offer that can't leave is an event at once; the policy's attempts bound how often.
         while !self.events.is_empty() {
             let mut actions = Vec::new();
-            self.policy.step(now, std::mem::take(&mut self.events), &mut actions);
+            self.policy
+                .step(now, std::mem::take(&mut self.events), &mut actions);
             for action in actions {
                 self.carry_out(now, action, out);
             }
@@ -171,7 +201,9 @@
             }
             Input::DownstreamGone(client) => self.client_gone(now, client, out),
             Input::Looked(client, seen) => self.looked_at(now, client, seen, out),
-            Input::UpstreamOpened(line) => self.on_pool(out, |pool, acts| pool.opened(now, line, acts)),
+            Input::UpstreamOpened(line) => {
+                self.on_pool(out, |pool, acts| pool.opened(now, line, acts))
+            }
             Input::UpstreamRefused(line) => self.line_ended(now, line, End::Refused, out),
             Input::UpstreamEnded(line) | Input::UpstreamFailed(line) => {
                 self.line_ended(now, line, End::Other, out);
@@ -181,7 +213,9 @@
             }
             Input::UpstreamFull(line, offer, bytes) => self.pool.full(line, offer, bytes),
             Input::UpstreamPart(line, offer) => self.pool.part(line, offer),
-            Input::UpstreamDrained(line) => self.on_pool(out, |pool, acts| pool.drained(line, acts)),
+            Input::UpstreamDrained(line) => {
+                self.on_pool(out, |pool, acts| pool.drained(line, acts))
+            }
             Input::UpstreamLooked(line) => self.upstream_looked_at(now, line, out),
             Input::UpstreamMalformed(line) => self.malformed(now, line, out),
             Input::UpstreamSaid(line, message) => self.line_said(now, line, &message, out),
@@ -223,6 +257,14 @@
     }
 }
 
-fn event((task, attempt, ending, closed, report): (TaskId, u32, Ending, bool, Option<Report>)) -> Event {
-    Event::Outcome { task, attempt, ending, closed, report }
+fn event(
+    (task, attempt, ending, closed, report): (TaskId, u32, Ending, bool, Option<Report>),
+) -> Event {
+    Event::Outcome {
+        task,
+        attempt,
+        ending,
+        closed,
+        report,
+    }
 }
--- a/crates/platform/src/gateway/clients.rs
+++ b/crates/platform/src/gateway/clients.rs
@@ -30,14 +30,20 @@
 
 impl Default for Due {
     fn default() -> Self {
-        Self { of: BTreeMap::new(), busy: BTreeSet::new(), again_at: f64::INFINITY }
+        Self {
+            of: BTreeMap::new(),
+            busy: BTreeSet::new(),
+            again_at: f64::INFINITY,
+        }
     }
 }
 
 impl Gateway {
     /// A set-up could leave: its client is looked at first, once for all of its set-ups in a step.
     pub(super) fn due(&mut self, upstream: UpstreamId, id: Id, out: &mut Vec<Output>) {
-        let Some(client) = self.table.get(id).map(|request| request.client) else { return };
+        let Some(client) = self.table.get(id).map(|request| request.client) else {
+            return;
+        };
         let due = self.due.of.entry(client).or_default();
         if due.is_empty() {
             out.push(Output::Look(client));
@@ -77,7 +83,9 @@
         // Those that were cancelled meanwhile are not in the pool any more.
         for (upstream, id) in self.due.of.remove(&client).unwrap_or_default() {
             if self.is_past_window(now, id) {
-                self.on_pool(out, |pool, acts| pool.cancel(now, upstream, id, false, acts));
+                self.on_pool(out, |pool, acts| {
+                    pool.cancel(now, upstream, id, false, acts)
+                });
                 self.attempt_ended(id, Ending::Void, None);
             } else if self.on_pool(out, |pool, acts| pool.leaves(upstream, id, acts)) {
                 self.table.begins(now, id);
@@ -88,12 +96,23 @@
     /// Whether a repeat would begin after the window in which it has no second effect: it was decided in time, and
     /// then waited for its connection.
     fn is_past_window(&self, now: Seconds, id: Id) -> bool {
-        let Some((request, Stage::Open { attempt: Some(_), may_have_run: true })) =
-            self.table.get(id).map(|request| (request, request.stage))
+        let Some((
+            request,
+            Stage::Open {
+                attempt: Some(_),
+                may_have_run: true,
+            },
+        )) = self.table.get(id).map(|request| (request, request.stage))
         else {
             return false;
         };
-        let window = match self.site.settings.classes.get(request.class_index).map(|class| class.effect) {
+        let window = match self
+            .site
+            .settings
+            .classes
+            .get(request.class_index)
+            .map(|class| class.effect)
+        {
             Some(Effect::Keyed { window, .. }) => window,
             _ => return false,
         };
@@ -104,7 +123,11 @@
     pub(super) fn look_again(&mut self, now: Seconds, out: &mut Vec<Output>) {
         if now >= self.due.again_at {
             self.due.again_at = f64::INFINITY;
-            out.extend(std::mem::take(&mut self.due.busy).into_iter().map(Output::Look));
+            out.extend(
+                std::mem::take(&mut self.due.busy)
+                    .into_iter()
+                    .map(Output::Look),
+            );
         }
     }
 
@@ -114,12 +137,22 @@
     }
 
     /// Nobody listens there any more: what was open on it is cancelled at once, whatever else it said before.
-    pub(super) fn client_gone(&mut self, now: Seconds, client: DownstreamId, out: &mut Vec<Output>) {
+    pub(super) fn client_gone(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        out: &mut Vec<Output>,
+    ) {
         self.downstreams.gone(client);
         self.forget_client(now, client, out);
     }
 
-    pub(super) fn close_client(&mut self, now: Seconds, client: DownstreamId, out: &mut Vec<Output>) {
+    pub(super) fn close_client(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        out: &mut Vec<Output>,
+    ) {
         self.downstreams.closed(client);
         self.forget_client(now, client, out);
         self.counts.closed += 1;
@@ -127,7 +160,12 @@
     }
 
     /// A connection is no more: what was open on it is cancelled, what stands is reached by another way.
-    pub(super) fn forget_client(&mut self, now: Seconds, client: DownstreamId, out: &mut Vec<Output>) {
+    pub(super) fn forget_client(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        out: &mut Vec<Output>,
+    ) {
         self.due.of.remove(&client);
         for id in self.table.of_client(client) {
             self.counts.cancelled += 1;
@@ -144,14 +182,24 @@
 
     /// A connection was looked at: what was claimed of it is decided.
     fn claimed(&mut self, now: Seconds, looked_at: DownstreamId, out: &mut Vec<Output>) {
-        let (decided, rest) =
-            std::mem::take(&mut self.claims).into_iter().partition(|claim| claim.known == looked_at);
+        let (decided, rest) = std::mem::take(&mut self.claims)
+            .into_iter()
+            .partition(|claim| claim.known == looked_at);
         self.claims = rest;
         let decided: Vec<Claim> = decided;
-        for Claim { known, client, message } in decided {
+        for Claim {
+            known,
+            client,
+            message,
+        } in decided
+        {
             let id = message.id;
             let there = self.downstreams.is_there(known);
-            match self.table.get(id).map(|request| (request.client, request.stage)) {
+            match self
+                .table
+                .get(id)
+                .map(|request| (request.client, request.stage))
+            {
                 // It was cancelled with its connection.
                 None => self.set_up(now, client, message, out),
                 // Who names what stands is believed to be its owner only where the one who is known has gone: else
@@ -160,7 +208,8 @@
                     if by == known && !there {
                         self.downstreams.proves(now, client);
                         self.downstreams.count_standing(client, true);
-                        self.table.reached_by(id, client, self.downstreams.from(client));
+                        self.table
+                            .reached_by(id, client, self.downstreams.from(client));
                     }
                 }
                 // Two requests of one number: neither answer could be told from the other.
--- a/crates/platform/src/gateway/machines.rs
+++ b/crates/platform/src/gateway/machines.rs
@@ -20,7 +20,13 @@
         done
     }
 
-    pub(super) fn line_ended(&mut self, now: Seconds, line: UpstreamId, end: End, out: &mut Vec<Output>) {
+    pub(super) fn line_ended(
+        &mut self,
+        now: Seconds,
+        line: UpstreamId,
+        end: End,
+        out: &mut Vec<Output>,
+    ) {
         let mut news = Vec::new();
         self.pool.ended(now, line, end, &mut news);
         self.hear(now, news, out);
@@ -34,13 +40,26 @@
         out: &mut Vec<Output>,
     ) {
         self.pool.heard(now, line);
-        let Some(from) = self.pool.machine(line) else { return };
+        let Some(from) = self.pool.machine(line) else {
+            return;
+        };
         let id = message.id;
-        let known = self.table.get(id).map(|request| (request.task, request.client, request.stage));
+        let known = self
+            .table
+            .get(id)
+            .map(|request| (request.task, request.client, request.stage));
         match (message.kind, known) {
-            (Kind::Answer, Some((task, client, Stage::Open { attempt: Some(attempt), .. })))
-                if attempt.line == line =>
-            {
+            (
+                Kind::Answer,
+                Some((
+                    task,
+                    client,
+                    Stage::Open {
+                        attempt: Some(attempt),
+                        ..
+                    },
+                )),
+            ) if attempt.line == line => {
                 let Some(description) = message.get(code::DESCRIPTION) else {
                     return self.malformed(now, line, out);
                 };
@@ -48,16 +67,34 @@
                 self.counts.placed += 1;
                 self.pool.settled(line, id);
                 let since = now;
-                self.table.put(id, Stage::Standing { machine: from, attempt: attempt.number, since });
+                self.table.put(
+                    id,
+                    Stage::Standing {
+                        machine: from,
+                        attempt: attempt.number,
+                        since,
+                    },
+                );
                 self.pool.hold(now, from, true);
                 self.downstreams.count_open(now, client, false);
                 self.downstreams.count_standing(client, true);
-                self.events.push(Event::Confirmed { task, attempt: attempt.number });
+                self.events.push(Event::Confirmed {
+                    task,
+                    attempt: attempt.number,
+                });
                 self.reply(id, answer.bytes(), out);
             }
-            (Kind::Release, Some((_, _, Stage::Open { attempt: Some(attempt), .. })))
-                if attempt.line == line =>
-            {
+            (
+                Kind::Release,
+                Some((
+                    _,
+                    _,
+                    Stage::Open {
+                        attempt: Some(attempt),
+                        ..
+                    },
+                )),
+            ) if attempt.line == line => {
                 let why = ask::why(message);
                 let ending = match message.cause() {
                     Some(cause::FULL) => Ending::Full(why),
@@ -72,8 +109,20 @@
                 }
                 self.attempt_ended(id, ending, ask::report(message));
             }
-            (Kind::Release, Some((_, _, Stage::Standing { machine, attempt, .. }))) if machine == from => {
-                out.push(Output::Upstream(PoolAction::Write(line, Message::new(Kind::Heard, id).bytes())));
+            (
+                Kind::Release,
+                Some((
+                    _,
+                    _,
+                    Stage::Standing {
+                        machine, attempt, ..
+                    },
+                )),
+            ) if machine == from => {
+                out.push(Output::Upstream(PoolAction::Write(
+                    line,
+                    Message::new(Kind::Heard, id).bytes(),
+                )));
                 let word = message.cause().unwrap_or(cause::FAILED);
                 let ending = match word {
                     cause::NORMAL => Ending::Finished,
@@ -87,8 +136,12 @@
             }
             (Kind::Release, None) => {
                 self.counts.strays += 1;
-                self.table.ended_elsewhere(now, id, message.cause().unwrap_or(cause::FAILED));
-                out.push(Output::Upstream(PoolAction::Write(line, Message::new(Kind::Heard, id).bytes())));
+                self.table
+                    .ended_elsewhere(now, id, message.cause().unwrap_or(cause::FAILED));
+                out.push(Output::Upstream(PoolAction::Write(
+                    line,
+                    Message::new(Kind::Heard, id).bytes(),
+                )));
             }
             (Kind::Note, Some((task, _, Stage::Standing { machine, .. }))) if machine == from => {
                 if let Some(note) = ask::note(message) {
@@ -127,7 +180,10 @@
                     self.attempt_ended(id, Ending::Void, None);
                 }
                 News::Failed(machine) => {
-                    let name = self.known.get(&machine).map_or("", |(name, _)| name.as_str());
+                    let name = self
+                        .known
+                        .get(&machine)
+                        .map_or("", |(name, _)| name.as_str());
                     out.push(Output::Log(format!("machine {name} has failed")));
                     self.machine_failed(now, machine, now, out);
                 }
@@ -144,7 +200,8 @@
         out: &mut Vec<Output>,
     ) {
         for id in self.table.at_machine(machine) {
-            let Some(Stage::Standing { attempt, since, .. }) = self.table.get(id).map(|r| r.stage) else {
+            let Some(Stage::Standing { attempt, since, .. }) = self.table.get(id).map(|r| r.stage)
+            else {
                 continue;
             };
             if since > before {
@@ -156,7 +213,12 @@
         }
     }
 
-    pub(super) fn delivered_event(&mut self, now: Seconds, notice: Delivery, out: &mut Vec<Output>) {
+    pub(super) fn delivered_event(
+        &mut self,
+        now: Seconds,
+        notice: Delivery,
+        out: &mut Vec<Output>,
+    ) {
         // Events may be written twice, and two boards may tell the same ones.
         if notice.number <= self.delivered && self.delivered > 0 {
             return;
@@ -165,16 +227,25 @@
         let mut news = Vec::new();
         let (mut entries, mut leaving) = (Vec::new(), Vec::new());
         if notice.whole {
-            let listed = notice.listed.iter().map(|listed| listed.entry.machine).collect();
+            let listed = notice
+                .listed
+                .iter()
+                .map(|listed| listed.entry.machine)
+                .collect();
             leaving.extend(self.pool.only(&listed));
         }
         for listed in notice.listed {
-            let (machine, gone) = (listed.entry.machine, listed.entry.standing == Standing::Gone);
+            let (machine, gone) = (
+                listed.entry.machine,
+                listed.entry.standing == Standing::Gone,
+            );
             if listed.entry.standing != Standing::Ready {
                 leaving.push(machine);
             }
             self.pool.listed(now, machine, &listed.address, gone);
-            let before = self.known.insert(machine, (listed.name, listed.entry.up_since));
+            let before = self
+                .known
+                .insert(machine, (listed.name, listed.entry.up_since));
             if let (Some((_, before)), Some(up)) = (before, listed.entry.up_since)
                 && before.is_none_or(|before| up > before)
             {
@@ -185,9 +256,15 @@
         }
         self.pool.taken_over(&mut news);
         for machine in leaving {
-            self.on_pool(out, |pool, acts| pool.withdraw(now, machine, acts, &mut news));
+            self.on_pool(out, |pool, acts| {
+                pool.withdraw(now, machine, acts, &mut news)
+            });
         }
         self.hear(now, news, out);
-        self.events.push(if notice.whole { Event::ListWhole(entries) } else { Event::ListChanges(entries) });
+        self.events.push(if notice.whole {
+            Event::ListWhole(entries)
+        } else {
+            Event::ListChanges(entries)
+        });
     }
 }
--- a/crates/platform/src/gateway/requests.rs
+++ b/crates/platform/src/gateway/requests.rs
@@ -18,7 +18,11 @@
                 out.push(Output::Downstream(client, tested.bytes()));
                 self.downstreams.free(now, client)
             }
-            Kind::Release => match self.table.get(id).map(|request| (request.client, request.stage)) {
+            Kind::Release => match self
+                .table
+                .get(id)
+                .map(|request| (request.client, request.stage))
+            {
                 Some((by, Stage::Open { .. })) if by == client => {
                     self.counts.cancelled += 1;
                     self.cancel_request(now, id, out);
@@ -27,7 +31,10 @@
                 // Another's set-up that waits is not touched.
                 Some((_, Stage::Open { .. })) => self.downstreams.useless(now, client),
                 Some((_, Stage::Standing { .. })) => {
-                    out.push(Output::Downstream(client, Message::new(Kind::Heard, id).bytes()));
+                    out.push(Output::Downstream(
+                        client,
+                        Message::new(Kind::Heard, id).bytes(),
+                    ));
                     self.end_at_machine(now, id, out);
                     false
                 }
@@ -35,7 +42,9 @@
             },
             Kind::Heard => self.downstreams.heard(now, client),
             Kind::Progress => self.downstreams.free(now, client),
-            Kind::Answer | Kind::Tested | Kind::Note | Kind::Move => self.downstreams.useless(now, client),
+            Kind::Answer | Kind::Tested | Kind::Note | Kind::Move => {
+                self.downstreams.useless(now, client)
+            }
         };
         if too_often {
             self.counts.useless += 1;
@@ -61,7 +70,14 @@
         if let Some(known) = self.table.get(id).map(|request| request.client) {
             let own = known == client;
             if !own {
-                self.claim(Claim { known, client, message }, out);
+                self.claim(
+                    Claim {
+                        known,
+                        client,
+                        message,
+                    },
+                    out,
+                );
             } else if !ask::is_handed(&message) {
                 // Two requests of one number: neither answer could be told from the other.
                 self.counts.useless += 1;
@@ -77,23 +93,46 @@
         let task = self.table.number();
         ask.task.id = task;
         let passed = ask::passed(message);
-        let stage = Stage::Open { attempt: None, may_have_run: false };
+        let stage = Stage::Open {
+            attempt: None,
+            may_have_run: false,
+        };
         let class_index = ask.task.class;
-        let mut request = Request { task, client, from, stage, class_index, passed, sends: 0, began: None };
+        let mut request = Request {
+            task,
+            client,
+            from,
+            stage,
+            class_index,
+            passed,
+            sends: 0,
+            began: None,
+        };
         if let Some(at) = &ask.at {
             let machine = discovery::machine_id(at);
             // The list may tell of the machine only later; until it counts as failed, it is waited for.
             let ended = self.table.has_ended(id);
             let room = self.table.count() < REQUESTS_MOST;
             if ended.is_some() || !room || !self.pool.expect(now, machine) {
-                let cause = ended.filter(|&cause| cause != cause::ENDED).unwrap_or(cause::FAILED);
-                out.push(Output::Downstream(client, Message::release(id, cause).bytes()));
+                let cause = ended
+                    .filter(|&cause| cause != cause::ENDED)
+                    .unwrap_or(cause::FAILED);
+                out.push(Output::Downstream(
+                    client,
+                    Message::release(id, cause).bytes(),
+                ));
                 return;
             }
-            self.known.entry(machine).or_insert_with(|| (at.clone(), None));
+            self.known
+                .entry(machine)
+                .or_insert_with(|| (at.clone(), None));
             self.counts.in_place += 1;
             self.downstreams.proves(now, client);
-            request.stage = Stage::Standing { machine, attempt: 0, since: now };
+            request.stage = Stage::Standing {
+                machine,
+                attempt: 0,
+                since: now,
+            };
             request.sends = 1;
             self.table.add(id, request);
             self.pool.hold(now, machine, true);
@@ -116,7 +155,10 @@
             // It never reached the policy: asking again does no harm.
             self.counts.refused += 1;
             self.downstreams.proves(now, client);
-            out.push(Output::Downstream(client, Message::release(id, cause::CONGESTED).bytes()));
+            out.push(Output::Downstream(
+                client,
+                Message::release(id, cause::CONGESTED).bytes(),
+            ));
             return;
         }
         self.counts.taken += 1;
@@ -137,9 +179,14 @@
     ) {
         self.counts.useless += 1;
         if self.counts.useless < 20 {
-            out.push(Output::Log(format!("request {id} can't be used: {problem}")));
+            out.push(Output::Log(format!(
+                "request {id} can't be used: {problem}"
+            )));
         }
-        out.push(Output::Downstream(client, Message::release(id, cause::CONTENT).bytes()));
+        out.push(Output::Downstream(
+            client,
+            Message::release(id, cause::CONTENT).bytes(),
+        ));
         if self.downstreams.useless(now, client) {
             self.close_client(now, client, out);
         }
--- a/crates/platform/src/gateway/shutdown.rs
+++ b/crates/platform/src/gateway/shutdown.rs
@@ -40,12 +40,16 @@
 
 impl Gateway {
     pub(super) fn leave(&mut self, now: Seconds) {
-        self.leaving.get_or_insert(Leaving { at: now, stage: Stages::Serves });
+        self.leaving.get_or_insert(Leaving {
+            at: now,
+            stage: Stages::Serves,
+        });
     }
 
     /// Whether what is asked now is refused at once, as the program ends.
     pub(super) fn ends(&self) -> bool {
-        self.leaving.is_some_and(|leaving| leaving.stage != Stages::Serves)
+        self.leaving
+            .is_some_and(|leaving| leaving.stage != Stages::Serves)
     }
 
     /// Nobody connects any more.
@@ -68,7 +72,9 @@
 
     /// After the word to end: how far that is.
     pub(super) fn leave_on(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        let Some(Leaving { at, stage }) = self.leaving.filter(|leaving| now > leaving.at + LEAVE_AFTER)
+        let Some(Leaving { at, stage }) = self
+            .leaving
+            .filter(|leaving| now > leaving.at + LEAVE_AFTER)
         else {
             return;
         };
@@ -77,11 +83,17 @@
         match stage {
             Stages::Serves if now >= answered || self.table.count() == 0 => {
                 self.answer_all(now, out);
-                self.leaving = Some(Leaving { at, stage: Stages::Unlistens });
+                self.leaving = Some(Leaving {
+                    at,
+                    stage: Stages::Unlistens,
+                });
                 out.push(Output::StopListening);
             }
             Stages::Closes if now >= closed || self.downstreams.count() == 0 => {
-                self.leaving = Some(Leaving { at, stage: Stages::Ended });
+                self.leaving = Some(Leaving {
+                    at,
+                    stage: Stages::Ended,
+                });
                 out.push(Output::End((flushed - now).max(0.0)));
             }
             Stages::Serves | Stages::Unlistens | Stages::Closes | Stages::Ended => {}
@@ -90,34 +102,58 @@
 
     /// When this share of the time that the platform gives is over.
     fn ends_by(&self, at: Seconds, share: f64) -> Seconds {
-        let longest = self.site.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let longest = self
+            .site
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max);
         at + LEAVE_AFTER + share * longest.min(DEADLINE_MOST)
     }
 
     /// When the next of it is due at the latest.
     pub(super) fn leaves_at(&self) -> Seconds {
         match self.leaving {
-            Some(Leaving { at, stage: Stages::Serves }) => self.ends_by(at, ANSWERED_BY),
-            Some(Leaving { at, stage: Stages::Closes }) => self.ends_by(at, CLOSED_BY),
+            Some(Leaving {
+                at,
+                stage: Stages::Serves,
+            }) => self.ends_by(at, ANSWERED_BY),
+            Some(Leaving {
+                at,
+                stage: Stages::Closes,
+            }) => self.ends_by(at, CLOSED_BY),
             _ => f64::INFINITY,
         }
     }
 
     /// Time goes on: who said something when it was to be closed is looked at again.
     pub(super) fn close_on(&mut self, out: &mut Vec<Output>) {
-        if self.leaving.is_some_and(|leaving| leaving.stage == Stages::Closes) {
+        if self
+            .leaving
+            .is_some_and(|leaving| leaving.stage == Stages::Closes)
+        {
             self.close_all(out);
         }
     }
 
     fn answer_all(&mut self, now: Seconds, out: &mut Vec<Output>) {
         for id in self.table.open() {
-            let Some(Stage::Open { attempt, may_have_run, .. }) = self.table.get(id).map(|r| r.stage) else {
+            let Some(Stage::Open {
+                attempt,
+                may_have_run,
+                ..
+            }) = self.table.get(id).map(|r| r.stage)
+            else {
                 continue;
             };
             // What may run can't be refused: its owner would ask again at once.
             let harmless = attempt.is_none() && !may_have_run;
-            let word = if harmless { cause::CONGESTED } else { cause::FAILED };
+            let word = if harmless {
+                cause::CONGESTED
+            } else {
+                cause::FAILED
+            };
             self.reply(id, Message::release(id, word).bytes(), out);
             self.cancel_request(now, id, out);
         }
--- a/crates/platform/src/input_queue.rs
+++ b/crates/platform/src/input_queue.rs
@@ -54,7 +54,11 @@
         if let Input::DownstreamSaid(_, message) = &input
             && message.kind == Kind::Release
         {
-            match self.requests.get_mut(&client).filter(|waiting| waiting.set_ups.contains(&message.id)) {
+            match self
+                .requests
+                .get_mut(&client)
+                .filter(|waiting| waiting.set_ups.contains(&message.id))
+            {
                 Some(waiting) => drop(waiting.cancels.insert(message.id, message.clone())),
                 None => return self.put_first(input),
             }
@@ -90,7 +94,9 @@
 
     /// Requests of this connection that wait.
     pub fn waits(&self, client: DownstreamId) -> usize {
-        self.requests.get(&client).map_or(0, |waiting| waiting.inputs.len())
+        self.requests
+            .get(&client)
+            .map_or(0, |waiting| waiting.inputs.len())
     }
 
     /// Whether nothing waits.
@@ -116,11 +122,15 @@
         while taken.len() < most
             && let Some(client) = self.turns.pop_front()
         {
-            let Some(waiting) = self.requests.get_mut(&client) else { continue };
+            let Some(waiting) = self.requests.get_mut(&client) else {
+                continue;
+            };
             let many = IN_A_ROW.min(most - taken.len()).min(waiting.inputs.len());
             for input in waiting.inputs.drain(..many) {
                 let id = match &input {
-                    Input::DownstreamSaid(_, message) if message.kind == Kind::SetUp => Some(message.id),
+                    Input::DownstreamSaid(_, message) if message.kind == Kind::SetUp => {
+                        Some(message.id)
+                    }
                     _ => None,
                 };
                 taken.push(input);
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -56,11 +56,17 @@
     ];
 
     fn of(number: u8) -> Option<Self> {
-        Self::ALL.iter().find(|(n, _)| *n == number).map(|(_, kind)| *kind)
+        Self::ALL
+            .iter()
+            .find(|(n, _)| *n == number)
+            .map(|(_, kind)| *kind)
     }
 
     fn number(self) -> u8 {
-        Self::ALL.iter().find(|(_, kind)| *kind == self).map_or(0, |(n, _)| *n)
+        Self::ALL
+            .iter()
+            .find(|(_, kind)| *kind == self)
+            .map_or(0, |(n, _)| *n)
     }
 }
 
@@ -78,13 +84,18 @@
 impl Message {
     /// A message without parameters.
     pub fn new(kind: Kind, id: Id) -> Self {
-        Self { kind, id, parameters: Vec::new() }
+        Self {
+            kind,
+            id,
+            parameters: Vec::new(),
+        }
     }
 
     /// The same with one parameter more. A value beyond [`MESSAGE_MOST`] is cut to it, as no peer reads it.
     #[must_use]
     pub fn with(mut self, code: u8, value: &[u8]) -> Self {
-        self.parameters.push((code, value[..value.len().min(MESSAGE_MOST)].to_vec()));
+        self.parameters
+            .push((code, value[..value.len().min(MESSAGE_MOST)].to_vec()));
         self
     }
 
@@ -95,7 +106,10 @@
 
     /// The first parameter of this code.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
-        self.parameters.iter().find(|(c, _)| *c == code).map(|(_, value)| value.as_slice())
+        self.parameters
+            .iter()
+            .find(|(c, _)| *c == code)
+            .map(|(_, value)| value.as_slice())
     }
 
     /// The first parameter of this code as text; `None` also where it is no UTF-8.
@@ -105,12 +119,19 @@
 
     /// The cause, where one is given.
     pub fn cause(&self) -> Option<u8> {
-        self.get(code::CAUSE).and_then(|value| <[u8; 1]>::try_from(value).ok()).map(|[cause]| cause)
+        self.get(code::CAUSE)
+            .and_then(|value| <[u8; 1]>::try_from(value).ok())
+            .map(|[cause]| cause)
     }
 
     /// Its bytes.
     pub fn bytes(&self) -> Vec<u8> {
-        let length = HEAD + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+        let length = HEAD
+            + self
+                .parameters
+                .iter()
+                .map(|(_, value)| 3 + value.len())
+                .sum::<usize>();
         let mut bytes = Vec::with_capacity(2 + length);
         bytes.extend((length as u16).to_be_bytes());
         bytes.push(self.kind.number());
@@ -138,9 +159,14 @@
 impl std::fmt::Display for MessageError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Length(n) => write!(f, "a message of {n} bytes, {HEAD} to {MESSAGE_MOST} are allowed"),
+            Self::Length(n) => write!(
+                f,
+                "a message of {n} bytes, {HEAD} to {MESSAGE_MOST} are allowed"
+            ),
             Self::Type(n) => write!(f, "a message of type {n}, which is not known"),
-            Self::Parameters(id) => write!(f, "a message for task {id} whose parameters do not fill it"),
+            Self::Parameters(id) => {
+                write!(f, "a message for task {id} whose parameters do not fill it")
+            }
         }
     }
 }
@@ -178,7 +204,9 @@
     /// The bytes are no message; the decoder is of no further use.
     pub fn message(&mut self) -> Result<Option<Message>, MessageError> {
         let rest = &self.bytes[self.read..];
-        let Some(&[high, low]) = rest.first_chunk::<2>() else { return Ok(None) };
+        let Some(&[high, low]) = rest.first_chunk::<2>() else {
+            return Ok(None);
+        };
         let length = usize::from(u16::from_be_bytes([high, low]));
         if !(HEAD..=MESSAGE_MOST).contains(&length) {
             return Err(MessageError::Length(length));
@@ -187,13 +215,21 @@
             None => return Ok(None),
             Some(&number) => Kind::of(number).ok_or(MessageError::Type(number))?,
         };
-        let Some(body) = rest.get(2..2 + length) else { return Ok(None) };
-        let Some((head, mut rest)) = body.split_first_chunk::<HEAD>() else { return Ok(None) };
-        let id = Id(head[1..].iter().fold(0, |id, &byte| id << 8 | u64::from(byte)));
+        let Some(body) = rest.get(2..2 + length) else {
+            return Ok(None);
+        };
+        let Some((head, mut rest)) = body.split_first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
+        let id = Id(head[1..]
+            .iter()
+            .fold(0, |id, &byte| id << 8 | u64::from(byte)));
         let mut message = Message::new(kind, id);
         while let Some((&[code, high, low], after)) = rest.split_first_chunk::<3>() {
             let value = after.split_at_checked(usize::from(u16::from_be_bytes([high, low])));
-            let Some((value, after)) = value else { return Err(MessageError::Parameters(id)) };
+            let Some((value, after)) = value else {
+                return Err(MessageError::Parameters(id));
+            };
             message.parameters.push((code, value.to_vec()));
             rest = after;
         }
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -198,7 +198,17 @@
     pub fn new(most: usize, times: Times) -> Self {
         let (peers, upstreams, half_closed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (idle, most, stalled_at) = (BTreeSet::new(), most.max(2), f64::NEG_INFINITY);
-        Self { peers, upstreams, idle, looked: Cell::new(0), half_closed, next: 0, stalled_at, most, times }
+        Self {
+            peers,
+            upstreams,
+            idle,
+            looked: Cell::new(0),
+            half_closed,
+            next: 0,
+            stalled_at,
+            most,
+            times,
+        }
     }
 
     /// The loop has stood still until now.
@@ -209,7 +219,10 @@
     /// The machine at the other end.
     pub fn machine(&self, line: UpstreamId) -> Option<MachineId> {
         let half_closed = self.half_closed.get(&line).map(|(machine, _)| *machine);
-        self.upstreams.get(&line).map(|line| line.machine).or(half_closed)
+        self.upstreams
+            .get(&line)
+            .map(|line| line.machine)
+            .or(half_closed)
     }
 
     /// Connections there are.
@@ -219,7 +232,11 @@
 
     /// The connections to a machine that are not half-closed, those that are being dialled too.
     fn to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
-        let lines = self.peers.get(&machine).into_iter().flat_map(|peer| &peer.upstreams);
+        let lines = self
+            .peers
+            .get(&machine)
+            .into_iter()
+            .flat_map(|peer| &peer.upstreams);
         lines.filter_map(|&id| {
             self.looked.set(self.looked.get() + 1);
             Some((id, self.upstreams.get(&id)?))
--- a/crates/platform/src/pool/upkeep.rs
+++ b/crates/platform/src/pool/upkeep.rs
@@ -5,9 +5,15 @@
 impl Pool {
     /// A connection is made.
     pub fn opened(&mut self, now: Seconds, id: UpstreamId, out: &mut Vec<PoolAction>) {
-        let Some(line) = self.upstreams.get_mut(&id) else { return out.push(PoolAction::Close(id)) };
+        let Some(line) = self.upstreams.get_mut(&id) else {
+            return out.push(PoolAction::Close(id));
+        };
         (line.dialled, line.heard_at, line.opened_at) = (None, now, now);
-        out.extend(line.waiting.iter().map(|(offer, _)| PoolAction::Due(id, *offer)));
+        out.extend(
+            line.waiting
+                .iter()
+                .map(|(offer, _)| PoolAction::Due(id, *offer)),
+        );
         let machine = line.machine;
         if let Some(peer) = self.peers.get_mut(&machine) {
             (peer.fails, peer.refused, peer.heard_at) = (0, 0, now);
@@ -20,7 +26,9 @@
 
     /// Something whole was read.
     pub fn heard(&mut self, now: Seconds, id: UpstreamId) {
-        let Some(line) = self.upstreams.get_mut(&id) else { return };
+        let Some(line) = self.upstreams.get_mut(&id) else {
+            return;
+        };
         let (machine, tested) = (line.machine, line.tested_at.take());
         line.heard_at = now;
         if let Some(peer) = self.peers.get_mut(&machine) {
@@ -59,10 +67,16 @@
         news.extend(line.offers.into_iter().map(told));
         let heard = |other: &Upstream| other.dialled.is_none() && now - other.heard_at < TEST_AFTER;
         let alive = self.to(line.machine).any(|(_, other)| heard(other));
-        let Some(peer) = self.peers.get_mut(&line.machine) else { return };
+        let Some(peer) = self.peers.get_mut(&line.machine) else {
+            return;
+        };
         if dialling {
             peer.fails += 1;
-            peer.refused = if end == End::Refused { peer.refused + 1 } else { 0 };
+            peer.refused = if end == End::Refused {
+                peer.refused + 1
+            } else {
+                0
+            };
             peer.redial_at = now + REDIAL;
             // A machine may refuse because it has too many connections: then it is heard on another.
             if peer.refused >= 2 && !alive && peer.holds > 0 {
@@ -87,25 +101,39 @@
 
     /// Time goes on: dials that take too long, tests, silence, idle connections.
     pub fn tick(&mut self, now: Seconds, out: &mut Vec<PoolAction>, news: &mut Vec<News>) {
-        let slow = self
+        let slow = self.upstreams.iter().filter(|(_, l)| {
+            l.dialled
+                .is_some_and(|at| now - at > self.times.connect_within)
+        });
+        let silent = self
             .upstreams
             .iter()
-            .filter(|(_, l)| l.dialled.is_some_and(|at| now - at > self.times.connect_within));
-        let silent = self.upstreams.iter().filter(|(_, l)| l.tested_at.is_some_and(|at| now - at > TEST_FOR));
+            .filter(|(_, l)| l.tested_at.is_some_and(|at| now - at > TEST_FOR));
         let over: Vec<UpstreamId> = slow.chain(silent).map(|(&id, _)| id).collect();
         for id in over {
             self.malformed(now, id, out, news);
         }
         let idle = |line: &Upstream| line.idle() && now - line.used_at > self.times.spare();
-        let idle: Vec<UpstreamId> =
-            self.upstreams.iter().filter(|(_, line)| idle(line)).map(|(&id, _)| id).collect();
+        let idle: Vec<UpstreamId> = self
+            .upstreams
+            .iter()
+            .filter(|(_, line)| idle(line))
+            .map(|(&id, _)| id)
+            .collect();
         for id in idle {
             // One at a time, as of two idle ones to a machine one may be needed.
-            if self.upstreams.get(&id).is_some_and(|line| matches!(line.rests, Some((Rest::Spare, _)))) {
+            if self
+                .upstreams
+                .get(&id)
+                .is_some_and(|line| matches!(line.rests, Some((Rest::Spare, _))))
+            {
                 self.half_close(now, id, out);
             }
         }
-        let slow = self.half_closed.iter().filter(|(_, (_, at))| now - at > HALF_CLOSED_FOR);
+        let slow = self
+            .half_closed
+            .iter()
+            .filter(|(_, (_, at))| now - at > HALF_CLOSED_FOR);
         let slow: Vec<UpstreamId> = slow.map(|(&id, _)| id).collect();
         for id in slow {
             self.half_closed.remove(&id);
@@ -113,29 +141,42 @@
         }
         let wanted = |peer: &Peer| peer.holds > 0 || !peer.queue.is_empty();
         let wanted = self.peers.iter().filter(|(_, peer)| wanted(peer));
-        let mut wanted: Vec<(Seconds, MachineId)> =
-            wanted.map(|(&machine, peer)| (peer.heard_at, machine)).collect();
+        let mut wanted: Vec<(Seconds, MachineId)> = wanted
+            .map(|(&machine, peer)| (peer.heard_at, machine))
+            .collect();
         // Who was heard longest ago comes first: where there is no room for all, the last would never be called.
         wanted.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, machine) in wanted {
             self.keep(now, machine, out, news);
         }
         let listed = |peer: &Peer| !peer.gone && !peer.address.is_empty();
-        self.peers.retain(|_, peer| listed(peer) || peer.holds > 0 || !peer.upstreams.is_empty());
+        self.peers
+            .retain(|_, peer| listed(peer) || peer.holds > 0 || !peer.upstreams.is_empty());
     }
 
     /// Keeps one connection to a machine that holds a task of ours, and finds out whether it lives.
-    fn keep(&mut self, now: Seconds, machine: MachineId, out: &mut Vec<PoolAction>, news: &mut Vec<News>) {
+    fn keep(
+        &mut self,
+        now: Seconds,
+        machine: MachineId,
+        out: &mut Vec<PoolAction>,
+        news: &mut Vec<News>,
+    ) {
         let dialling = self.to(machine).any(|(_, line)| line.dialled.is_some());
-        let Some(peer) = self.peers.get(&machine) else { return };
+        let Some(peer) = self.peers.get(&machine) else {
+            return;
+        };
         if peer.holds > 0 && now - peer.heard_at > FAILED_AFTER && peer.fails >= 2 {
             news.push(News::Failed(machine));
             return;
         }
-        let (silent_for, redial_at, told) = (now - peer.heard_at, peer.redial_at, peer.queue.is_empty());
+        let (silent_for, redial_at, told) =
+            (now - peer.heard_at, peer.redial_at, peer.queue.is_empty());
         let open = || self.to(machine).filter(|(_, line)| line.dialled.is_none());
         let tested = open().any(|(_, line)| line.tested_at.is_some());
-        let newest = open().max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at)).map(|(id, _)| id);
+        let newest = open()
+            .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
+            .map(|(id, _)| id);
         // Where there is no room for all, those without a connection take turns.
         let waits = self.short() && silent_for < VISIT && told;
         let suspect = newest.is_none() && !waits || silent_for > TEST_AFTER + TEST_FOR;
@@ -150,7 +191,10 @@
             && !dialling
             && now >= redial_at
             && self.dial(now, now - KEPT, machine, out).is_none()
-            && let Some(peer) = self.peers.get_mut(&machine).filter(|peer| peer.address.is_empty())
+            && let Some(peer) = self
+                .peers
+                .get_mut(&machine)
+                .filter(|peer| peer.address.is_empty())
         {
             // Nobody knows where it could be heard. That there is no room is not its fault, and proves nothing.
             (peer.fails, peer.redial_at) = (peer.fails + 1, now + REDIAL);
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -139,7 +139,9 @@
 
     /// Brings a request to another stage.
     pub fn put(&mut self, id: Id, stage: Stage) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (client, old) = (request.client, std::mem::replace(&mut request.stage, stage));
         self.index(id, client, old, false);
         self.index(id, client, stage, true);
@@ -204,7 +206,10 @@
 
     /// Attempts whose time is over.
     pub fn late(&self, now: Seconds) -> Vec<Id> {
-        self.untils.range(..=(micros(now), Id(u64::MAX))).map(|&(_, id)| id).collect()
+        self.untils
+            .range(..=(micros(now), Id(u64::MAX)))
+            .map(|&(_, id)| id)
+            .collect()
     }
 
     /// When the next attempt's time is over.
@@ -214,7 +219,10 @@
 
     /// A machine told the end of a task that is not known here: it may be handed over only now.
     pub fn ended_elsewhere(&mut self, now: Seconds, id: Id, cause: u8) {
-        while self.ended.front().is_some_and(|&(at, ..)| now - at > ENDED_FOR)
+        while self
+            .ended
+            .front()
+            .is_some_and(|&(at, ..)| now - at > ENDED_FOR)
             || self.ended.len() >= ENDED_MOST
         {
             self.ended.pop_front();
@@ -224,6 +232,10 @@
 
     /// The cause with which a machine told the end of this task, where it did before the task was handed over.
     pub fn has_ended(&self, id: Id) -> Option<u8> {
-        self.ended.iter().rev().find(|&&(_, ended, _)| ended == id).map(|&(.., cause)| cause)
+        self.ended
+            .iter()
+            .rev()
+            .find(|&&(_, ended, _)| ended == id)
+            .map(|&(.., cause)| cause)
     }
 }
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -11,7 +11,11 @@
     let bad = |code: u8, value: &[u8]| {
         let mut message = set_up(5, "web");
         message.parameters.retain(|(c, _)| *c != code);
-        if value.is_empty() { message } else { message.with(code, value) }
+        if value.is_empty() {
+            message
+        } else {
+            message.with(code, value)
+        }
     };
     let asks = |text: &str| bad(code::ASKS, text.as_bytes());
     let cases = [
@@ -105,7 +109,10 @@
     let (line, _) = p.standing(5, "web");
     p.step(Input::DownstreamClosed(OWNER));
     p.machine_says(line, release(5, cause::FAILED));
-    assert!(p.out.iter().all(|o| !matches!(o, Output::Downstream(..))), "no way to it yet");
+    assert!(
+        p.out.iter().all(|o| !matches!(o, Output::Downstream(..))),
+        "no way to it yet"
+    );
     p.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
     p.client_says(DownstreamId(3), handed(9, "s-1"));
     p.wait(0.2, None);
--- a/crates/platform/tests/codec.rs
+++ b/crates/platform/tests/codec.rs
@@ -18,7 +18,10 @@
 }
 
 fn messages() -> impl Strategy<Value = Message> {
-    let parameters = prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..300)), 0..6);
+    let parameters = prop::collection::vec(
+        (any::<u8>(), prop::collection::vec(any::<u8>(), 0..300)),
+        0..6,
+    );
     (kinds(), any::<u64>(), parameters).prop_map(|(kind, id, parameters)| Message {
         kind,
         id: Id(id),
@@ -84,7 +87,11 @@
     };
     assert_eq!(read(&[0, 8, 1]), Err(MessageError::Length(8)));
     let long = (MESSAGE_MOST as u16 + 1).to_be_bytes();
-    assert_eq!(read(&long), Err(MessageError::Length(MESSAGE_MOST + 1)), "before the rest of it is there");
+    assert_eq!(
+        read(&long),
+        Err(MessageError::Length(MESSAGE_MOST + 1)),
+        "before the rest of it is there"
+    );
     assert_eq!(read(&[0, 9, 77]), Err(MessageError::Type(77)));
     // A parameter that says it has three bytes, where one is left.
     let mut bytes = vec![0, 13, 12];
--- a/crates/platform/tests/common/hears.rs
+++ b/crates/platform/tests/common/hears.rs
@@ -9,7 +9,9 @@
             self.told_late = self.told_late.max(self.now - since);
             return self.after(0.05, What::Ask(1));
         }
-        let Some((_, often)) = self.asked.remove(&id) else { return };
+        let Some((_, often)) = self.asked.remove(&id) else {
+            return;
+        };
         self.turned_away[usize::from(id.0.is_multiple_of(3))] +=
             usize::from(message.cause() == Some(cause::CONGESTED));
         if message.kind == Kind::Answer {
@@ -21,7 +23,9 @@
     }
 
     pub(super) fn machine_hears(&mut self, line: UpstreamId, message: &Message) {
-        let Some(&m) = self.lines.get(&line) else { return };
+        let Some(&m) = self.lines.get(&line) else {
+            return;
+        };
         let id = message.id;
         let reply = match message.kind {
             Kind::SetUp if self.full => release(id.0, cause::FULL).with(code::WORD, b"lack_cpu"),
@@ -37,17 +41,28 @@
 
     pub(super) fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Downstream(_, bytes) => read(&bytes).iter().for_each(|message| self.owner_hears(message)),
+            Output::Downstream(_, bytes) => read(&bytes)
+                .iter()
+                .for_each(|message| self.owner_hears(message)),
             Output::Upstream(PoolAction::Dial(line, at)) => {
-                let m = at.rsplit(':').next().and_then(|port| port.parse::<usize>().ok()).unwrap() - 1;
+                let m = at
+                    .rsplit(':')
+                    .next()
+                    .and_then(|port| port.parse::<usize>().ok())
+                    .unwrap()
+                    - 1;
                 if self.dead.contains(&m) {
                     return self.after(RTT, What::Input(Input::UpstreamRefused(line)));
                 }
                 self.lines.insert(line, m);
                 self.after(RTT, What::Input(Input::UpstreamOpened(line)));
             }
-            Output::Upstream(PoolAction::Write(line, bytes) | PoolAction::Offer(line, _, bytes)) => {
-                read(&bytes).iter().for_each(|message| self.machine_hears(line, message));
+            Output::Upstream(
+                PoolAction::Write(line, bytes) | PoolAction::Offer(line, _, bytes),
+            ) => {
+                read(&bytes)
+                    .iter()
+                    .for_each(|message| self.machine_hears(line, message));
             }
             Output::Upstream(PoolAction::HalfClose(line)) => {
                 self.after(RTT, What::Input(Input::UpstreamEnded(line)))
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use std::net::{IpAddr, Ipv4Addr};
 use tidespur_platform::message::{Decoder, Id, Kind, Message, code};
 use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
+use tidespur_platform::{
+    DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
+};
 use tidespur_settings::{Info, Site};
 
 pub const OWNER: DownstreamId = DownstreamId(1);
@@ -84,13 +86,24 @@
 impl Played {
     /// With machines 1 to `machines`, and the two clients connected.
     pub fn new(machines: u32) -> Self {
-        Self::with(machines, Limits { downstreams: 8, upstreams: 16, closing: 2 })
+        Self::with(
+            machines,
+            Limits {
+                downstreams: 8,
+                upstreams: 16,
+                closing: 2,
+            },
+        )
     }
 
     /// The same under other limits.
     pub fn with(machines: u32, limits: Limits) -> Self {
         let gateway = Gateway::new(site(), limits, 7).unwrap();
-        let mut played = Self { gateway, now: 1000.0, out: Vec::new() };
+        let mut played = Self {
+            gateway,
+            now: 1000.0,
+            out: Vec::new(),
+        };
         let list: Vec<(u32, &str, u64)> = (1..=machines).map(|n| (n, "Ready", 0)).collect();
         played.step(notice(1, true, &list));
         played.step(Input::DownstreamOpened(OWNER, address(1)));
@@ -100,14 +113,33 @@
 
     /// The same where `web` may be repeated only within a second.
     pub fn keyed(machines: u32) -> Self {
-        Self::of(&INFO.replace(r#""effect":"safe","group":"all","credit":1,"windowS":5"#, KEYED), machines)
+        Self::of(
+            &INFO.replace(
+                r#""effect":"safe","group":"all","credit":1,"windowS":5"#,
+                KEYED,
+            ),
+            machines,
+        )
     }
 
     /// With other settings, and only the owner connected.
     pub fn of(info: &str, machines: u32) -> Self {
         let site = serde_json::from_str::<Info>(info).unwrap().site().unwrap();
-        let gateway = Gateway::new(site, Limits { downstreams: 8, upstreams: 16, closing: 2 }, 7).unwrap();
-        let mut played = Self { gateway, now: 1000.0, out: Vec::new() };
+        let gateway = Gateway::new(
+            site,
+            Limits {
+                downstreams: 8,
+                upstreams: 16,
+                closing: 2,
+            },
+            7,
+        )
+        .unwrap();
+        let mut played = Self {
+            gateway,
+            now: 1000.0,
+            out: Vec::new(),
+        };
         let list: Vec<(u32, &str, u64)> = (1..=machines).map(|n| (n, "Ready", 0)).collect();
         played.step(notice(1, true, &list));
         played.step(Input::DownstreamOpened(OWNER, address(1)));
@@ -129,7 +161,8 @@
         let mut inputs = vec![input];
         while !inputs.is_empty() {
             let mut out = Vec::new();
-            self.gateway.step(self.now, std::mem::take(&mut inputs), &mut out);
+            self.gateway
+                .step(self.now, std::mem::take(&mut inputs), &mut out);
             for output in out {
                 if let Output::Upstream(PoolAction::Look(line)) = output {
                     inputs.push(Input::UpstreamLooked(line));
@@ -192,13 +225,14 @@
     /// Messages to machines.
     pub fn written(&self) -> Vec<(UpstreamId, Message)> {
         let written = |output: &Output| match output {
-            Output::Upstream(PoolAction::Write(line, bytes) | PoolAction::Offer(line, _, bytes)) => {
-                Some((*line, bytes.clone()))
-            }
+            Output::Upstream(
+                PoolAction::Write(line, bytes) | PoolAction::Offer(line, _, bytes),
+            ) => Some((*line, bytes.clone())),
             _ => None,
         };
         let all = self.out.iter().filter_map(written);
-        all.flat_map(|(line, bytes)| read(&bytes).into_iter().map(move |m| (line, m))).collect()
+        all.flat_map(|(line, bytes)| read(&bytes).into_iter().map(move |m| (line, m)))
+            .collect()
     }
 
     pub fn closed_lines(&self) -> Vec<UpstreamId> {
--- a/crates/platform/tests/common/world.rs
+++ b/crates/platform/tests/common/world.rs
@@ -9,7 +9,9 @@
 use tidespur_platform::input_queue::InputQueue;
 use tidespur_platform::message::{Id, Kind, Message, cause, code};
 use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
+use tidespur_platform::{
+    DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
+};
 use tidespur_settings::Info;
 
 pub const MACHINES: usize = 400;
@@ -69,7 +71,10 @@
         )
     };
     let entries: Vec<String> = (0..MACHINES).map(entry).collect();
-    let text = format!(r#"{{"rev":{number},"pool":{{"reset":true,"instances":[{}]}}}}"#, entries.join(","));
+    let text = format!(
+        r#"{{"rev":{number},"pool":{{"reset":true,"instances":[{}]}}}}"#,
+        entries.join(",")
+    );
     Input::Delivered(discovery::event(&site(), &text).unwrap())
 }
 
@@ -103,7 +108,10 @@
         };
         world.after(0.0, What::Input(whole(1, room_in_the_zone)));
         for n in 1..=OWNERS {
-            world.after(0.0, What::Input(Input::DownstreamOpened(DownstreamId(n), address(1))));
+            world.after(
+                0.0,
+                What::Input(Input::DownstreamOpened(DownstreamId(n), address(1))),
+            );
         }
         world.asks(0.01, 300, 1.0);
         world.after(LOSS - 1000.0, What::Loss);
@@ -113,7 +121,8 @@
 
     fn after(&mut self, seconds: f64, what: What) {
         self.next += 1;
-        self.events.insert((((self.now + seconds) * 1e6) as u64, self.next), what);
+        self.events
+            .insert((((self.now + seconds) * 1e6) as u64, self.next), what);
     }
 
     /// So many owners ask, evenly over so many seconds.
@@ -127,15 +136,25 @@
         let id = Id(self.next + 1_000);
         self.next += 1;
         self.asked.insert(id, (self.now, often));
-        let class = if id.0.is_multiple_of(3) { "slot" } else { "web" };
+        let class = if id.0.is_multiple_of(3) {
+            "slot"
+        } else {
+            "web"
+        };
         let mut message = set_up(id.0, class);
         message.parameters.retain(|(c, _)| *c != code::HINT);
         let owner = DownstreamId(1 + id.0 % OWNERS);
-        self.put(Input::DownstreamSaid(owner, message.with(code::HINT, b"60000")));
+        self.put(Input::DownstreamSaid(
+            owner,
+            message.with(code::HINT, b"60000"),
+        ));
     }
 
     fn put(&mut self, input: Input) {
-        self.came.insert(self.came.last_key_value().map_or(0, |(n, _)| n + 1), self.now);
+        self.came.insert(
+            self.came.last_key_value().map_or(0, |(n, _)| n + 1),
+            self.now,
+        );
         self.turn.put(input);
     }
 
@@ -145,8 +164,12 @@
             What::Input(input) => self.put(input),
             What::Loss => {
                 self.dead = (0..LOST).collect();
-                let lost: Vec<UpstreamId> =
-                    self.lines.iter().filter(|(_, m)| self.dead.contains(m)).map(|(&line, _)| line).collect();
+                let lost: Vec<UpstreamId> = self
+                    .lines
+                    .iter()
+                    .filter(|(_, m)| self.dead.contains(m))
+                    .map(|(&line, _)| line)
+                    .collect();
                 for line in lost {
                     self.lines.remove(&line);
                     self.put(Input::UpstreamEnded(line));
@@ -166,7 +189,11 @@
 
     /// What is due happens.
     fn come(&mut self) {
-        while self.events.first_key_value().is_some_and(|((at, _), _)| *at as f64 / 1e6 <= self.now) {
+        while self
+            .events
+            .first_key_value()
+            .is_some_and(|((at, _), _)| *at as f64 / 1e6 <= self.now)
+        {
             let (_, what) = self.events.pop_first().unwrap();
             self.happens(what);
         }
@@ -191,17 +218,21 @@
                 self.behind.push((self.now, 0.0));
                 inputs.extend([Input::Lag(0.0), Input::Tick]);
             } else {
-                let next =
-                    self.events.first_key_value().map_or(f64::INFINITY, |((at, _), _)| *at as f64 / 1e6);
+                let next = self
+                    .events
+                    .first_key_value()
+                    .map_or(f64::INFINITY, |((at, _), _)| *at as f64 / 1e6);
                 self.now = next.min(due).max(self.now + 1e-6).min(until);
                 continue;
             }
             while !inputs.is_empty() {
                 let (before, read) = (self.gateway.looked(), inputs.len());
                 let mut out = Vec::new();
-                self.gateway.step(self.now, std::mem::take(&mut inputs), &mut out);
+                self.gateway
+                    .step(self.now, std::mem::take(&mut inputs), &mut out);
                 let [machines, lines] = self.gateway.looked();
-                let looks = LOOK[0] * (machines - before[0]) as f64 + LOOK[1] * (lines - before[1]) as f64;
+                let looks =
+                    LOOK[0] * (machines - before[0]) as f64 + LOOK[1] * (lines - before[1]) as f64;
                 self.now += MESSAGE * read as f64 + looks;
                 for output in out {
                     self.now += MESSAGE;
@@ -226,6 +257,10 @@
     }
 
     pub fn behind_since(&self, at: f64) -> f64 {
-        self.behind.iter().filter(|(when, _)| *when >= at).map(|(_, late)| *late).fold(0.0, f64::max)
+        self.behind
+            .iter()
+            .filter(|(when, _)| *when >= at)
+            .map(|(_, late)| *late)
+            .fold(0.0, f64::max)
     }
 }
--- a/crates/platform/tests/connections.rs
+++ b/crates/platform/tests/connections.rs
@@ -42,9 +42,16 @@
     for _ in 0..40 {
         p.wait(0.5, None);
         finished.extend(p.closed_lines());
-        let tests: Vec<_> = p.written().into_iter().filter(|(_, m)| m.kind == Kind::Test).collect();
+        let tests: Vec<_> = p
+            .written()
+            .into_iter()
+            .filter(|(_, m)| m.kind == Kind::Test)
+            .collect();
         for (line, _) in tests {
-            p.machine_says(line, Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]));
+            p.machine_says(
+                line,
+                Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]),
+            );
         }
         if !finished.is_empty() {
             break;
@@ -59,13 +66,24 @@
 
 /// With two descriptors for machines, set-ups 5 and 7 share a connection that is being dialled.
 fn shared_dial() -> (Played, UpstreamId) {
-    let mut p = Played::with(1, Limits { downstreams: 8, upstreams: 2, closing: 2 });
+    let mut p = Played::with(
+        1,
+        Limits {
+            downstreams: 8,
+            upstreams: 2,
+            closing: 2,
+        },
+    );
     let mut dials = Vec::new();
     for id in [5, 6, 7] {
         p.client_says(OWNER, set_up(id, "slot"));
         dials.extend(p.dials());
     }
-    assert_eq!(dials.len(), 2, "the third set-up shares the connection of the first");
+    assert_eq!(
+        dials.len(),
+        2,
+        "the third set-up shares the connection of the first"
+    );
     (p, dials[0].0)
 }
 
@@ -73,7 +91,10 @@
 fn a_set_up_given_up_while_its_shared_connection_is_dialled_never_leaves() {
     let (mut p, line) = shared_dial();
     p.client_says(OWNER, release(7, cause::NORMAL));
-    assert!(p.closed_lines().is_empty(), "the other set-up still waits on it");
+    assert!(
+        p.closed_lines().is_empty(),
+        "the other set-up still waits on it"
+    );
     p.step(Input::UpstreamOpened(line));
     let left: Vec<Id> = p.written().iter().map(|(_, m)| m.id).collect();
     assert_eq!(left, [Id(5)], "what was given up must not leave");
@@ -87,10 +108,16 @@
     p.client_says(OWNER, release(7, cause::NORMAL));
     p.step(Input::UpstreamUnwritten(line, None));
     assert_eq!(
-        p.told(OWNER).iter().map(|m| (m.id, m.cause())).collect::<Vec<_>>(),
+        p.told(OWNER)
+            .iter()
+            .map(|m| (m.id, m.cause()))
+            .collect::<Vec<_>>(),
         [(Id(5), Some(cause::FAILED))]
     );
-    assert!(p.dials().is_empty(), "it may have run and must not run twice");
+    assert!(
+        p.dials().is_empty(),
+        "it may have run and must not run twice"
+    );
 }
 
 #[test]
@@ -101,7 +128,10 @@
     p.step(Input::UpstreamUnwritten(line, Some(Id(6))));
     p.step(Input::UpstreamUnwritten(line, None));
     p.wait(2.5, Some(true));
-    assert!(p.closed_lines().contains(&line), "its descriptor would be held for good");
+    assert!(
+        p.closed_lines().contains(&line),
+        "its descriptor would be held for good"
+    );
 }
 
 /// Lets time go on with machines that answer, but for those that are cut off. Tells whom was dialled, how often.
@@ -137,12 +167,23 @@
 
 #[test]
 fn without_room_for_a_connection_to_each_machine_they_take_turns_and_none_is_lost() {
-    let mut p = Played::with(12, Limits { downstreams: 8, upstreams: 4, closing: 2 });
+    let mut p = Played::with(
+        12,
+        Limits {
+            downstreams: 8,
+            upstreams: 4,
+            closing: 2,
+        },
+    );
     for n in 1..=12 {
         p.client_says(OWNER, handed(n, &format!("s-{n}")));
     }
     let dialled = live(&mut p, 40.0, false);
-    assert!(p.told(OWNER).is_empty(), "what stands there runs on: {:?}", p.told(OWNER));
+    assert!(
+        p.told(OWNER).is_empty(),
+        "what stands there runs on: {:?}",
+        p.told(OWNER)
+    );
     // An end that a machine could not tell for want of a connection is owed within 8 s: each is visited sooner.
     assert_eq!(dialled.len(), 12);
     assert!(dialled.values().all(|&times| times >= 5), "{dialled:?}");
@@ -158,5 +199,9 @@
     live(&mut p, 5.0, false);
     assert!(p.told(OWNER).is_empty());
     live(&mut p, 8.0, true);
-    assert_eq!(p.told(OWNER), [release(5, cause::FAILED)], "one that does not come back is lost within 8 s");
+    assert_eq!(
+        p.told(OWNER),
+        [release(5, cause::FAILED)],
+        "one that does not come back is lost within 8 s"
+    );
 }
--- a/crates/platform/tests/gateway.rs
+++ b/crates/platform/tests/gateway.rs
@@ -20,7 +20,10 @@
     p.machine_says(line, answer(5));
     let told = p.told(OWNER);
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0].get(code::DESCRIPTION), answer(5).get(code::DESCRIPTION));
+    assert_eq!(
+        told[0].get(code::DESCRIPTION),
+        answer(5).get(code::DESCRIPTION)
+    );
 }
 
 #[test]
@@ -83,8 +86,15 @@
     let mut p = Played::new(2);
     let (first, _) = p.offered(set_up(5, "web"));
     p.wait(1.0, None);
-    assert!(p.written().iter().any(|(line, m)| *line == first && m.cause() == Some(cause::NORMAL)));
-    assert!(p.closed_lines().contains(&first), "a connection that was silent is used no more");
+    assert!(
+        p.written()
+            .iter()
+            .any(|(line, m)| *line == first && m.cause() == Some(cause::NORMAL))
+    );
+    assert!(
+        p.closed_lines().contains(&first),
+        "a connection that was silent is used no more"
+    );
     let (second, _) = p.dials().first().cloned().expect("sent again");
     p.step(Input::UpstreamOpened(second));
     p.machine_says(first, answer(5));
@@ -97,7 +107,11 @@
     let (line, _) = p.offered(set_up(5, "web"));
     p.step(Input::UpstreamMalformed(line));
     assert!(p.closed_lines().contains(&line));
-    let (next, _) = p.dials().first().cloned().expect("sent again on another connection");
+    let (next, _) = p
+        .dials()
+        .first()
+        .cloned()
+        .expect("sent again on another connection");
     assert_ne!(next, line);
     // An answer without a description is malformed too.
     p.step(Input::UpstreamOpened(next));
@@ -122,7 +136,10 @@
 
 #[test]
 fn a_set_up_given_up_is_given_up_at_its_machine_and_not_answered() {
-    for ends in [Input::DownstreamSaid(OWNER, release(5, cause::NORMAL)), Input::DownstreamClosed(OWNER)] {
+    for ends in [
+        Input::DownstreamSaid(OWNER, release(5, cause::NORMAL)),
+        Input::DownstreamClosed(OWNER),
+    ] {
         let mut p = Played::new(2);
         let (line, _) = p.offered(set_up(5, "web"));
         p.step(ends);
@@ -145,25 +162,54 @@
 #[test]
 fn all_that_is_not_for_schedulers_alone_goes_on_to_the_machine_in_its_order() {
     let mut p = Played::new(1);
-    let extra = set_up(5, "web").with(219, b"a key").with(code::RETRY, b"1").with(250, b"new to us");
+    let extra = set_up(5, "web")
+        .with(219, b"a key")
+        .with(code::RETRY, b"1")
+        .with(250, b"new to us");
     p.client_says(OWNER, extra);
     let (line, _) = p.dials()[0].clone();
     p.step(Input::UpstreamOpened(line));
     let (_, offer) = p.written().remove(0);
     let codes: Vec<u8> = offer.parameters.iter().map(|(code, _)| *code).collect();
-    assert_eq!(codes, [code::CLASS, code::WAIT, code::NAME, code::DESCRIPTION, 219, 250]);
-    assert_eq!((offer.get(219), offer.get(250)), (Some(&b"a key"[..]), Some(&b"new to us"[..])));
+    assert_eq!(
+        codes,
+        [
+            code::CLASS,
+            code::WAIT,
+            code::NAME,
+            code::DESCRIPTION,
+            219,
+            250
+        ]
+    );
+    assert_eq!(
+        (offer.get(219), offer.get(250)),
+        (Some(&b"a key"[..]), Some(&b"new to us"[..]))
+    );
 }
 
 #[test]
 fn where_the_settings_have_tenants_a_set_up_names_one_of_them() {
-    let info =
-        INFO.replace(r#""odd":[1]"#, r#""realms":[{"name":"a","share":0.5},{"name":"b","share":0.5}]"#);
+    let info = INFO.replace(
+        r#""odd":[1]"#,
+        r#""realms":[{"name":"a","share":0.5},{"name":"b","share":0.5}]"#,
+    );
     let tenant = |name: &[u8]| set_up(5, "web").with(code::TENANT, name);
-    for (message, taken) in [(tenant(b"b"), true), (tenant(b"c"), false), (set_up(5, "web"), false)] {
+    for (message, taken) in [
+        (tenant(b"b"), true),
+        (tenant(b"c"), false),
+        (set_up(5, "web"), false),
+    ] {
         let mut p = Played::of(&info, 1);
         p.client_says(OWNER, message);
-        assert_eq!(p.told(OWNER), if taken { vec![] } else { vec![release(5, cause::CONTENT)] });
+        assert_eq!(
+            p.told(OWNER),
+            if taken {
+                vec![]
+            } else {
+                vec![release(5, cause::CONTENT)]
+            }
+        );
         let dialled = p.dials();
         assert_eq!(dialled.len(), usize::from(taken));
         if let Some((line, _)) = dialled.first() {
--- a/crates/platform/tests/input_queue.rs
+++ b/crates/platform/tests/input_queue.rs
@@ -8,7 +8,10 @@
 use tidespur_platform::{Input, UpstreamId};
 
 fn is_asked(input: &Input) -> bool {
-    matches!(input, Input::DownstreamSaid(..) | Input::DownstreamClosed(_))
+    matches!(
+        input,
+        Input::DownstreamSaid(..) | Input::DownstreamClosed(_)
+    )
 }
 
 #[test]
@@ -36,7 +39,10 @@
     queue.put(Input::DownstreamClosed(OWNER));
     let mut seen = Vec::new();
     while !queue.is_empty() {
-        assert!(!queue.taken(OWNER, last), "it is read on only once all that it said was taken");
+        assert!(
+            !queue.taken(OWNER, last),
+            "it is read on only once all that it said was taken"
+        );
         seen.extend(queue.take());
     }
     assert!(queue.taken(OWNER, last));
@@ -55,11 +61,17 @@
         queue.put(Input::DownstreamSaid(OWNER, set_up(id, "web")));
     }
     queue.put(Input::DownstreamSaid(OTHER, set_up(2_000, "web")));
-    assert!(queue.take().iter().any(|input| matches!(input, Input::DownstreamSaid(OTHER, _))));
+    assert!(
+        queue
+            .take()
+            .iter()
+            .any(|input| matches!(input, Input::DownstreamSaid(OTHER, _)))
+    );
 }
 
 #[test]
-fn a_cancel_whose_set_up_was_taken_goes_before_a_flood_and_one_whose_set_up_waits_stays_beside_it() {
+fn a_cancel_whose_set_up_was_taken_goes_before_a_flood_and_one_whose_set_up_waits_stays_beside_it()
+{
     let mut queue = InputQueue::default();
     queue.put(Input::DownstreamSaid(OWNER, set_up(1, "web")));
     assert_eq!(queue.take().len(), 1);
@@ -69,7 +81,10 @@
     queue.put(Input::DownstreamSaid(OWNER, release(1, cause::NORMAL)));
     queue.put(Input::DownstreamSaid(OWNER, release(100, cause::NORMAL)));
     let first = queue.take();
-    assert!(matches!(&first[..], [Input::DownstreamSaid(_, message)] if message.id == Id(1)), "{first:?}");
+    assert!(
+        matches!(&first[..], [Input::DownstreamSaid(_, message)] if message.id == Id(1)),
+        "{first:?}"
+    );
     let mut rest = Vec::new();
     while !queue.is_empty() {
         rest.push(queue.take());
@@ -79,8 +94,16 @@
         _ => None,
     };
     // In one step with its set-up, so that no attempt lies between the two.
-    let step = rest.iter().find(|step| step.iter().any(|input| of(input).is_some_and(|m| m.0 == 100)));
-    let both: Vec<_> = step.expect("it is taken").iter().filter_map(of).filter(|m| m.0 == 100).collect();
+    let step = rest.iter().find(|step| {
+        step.iter()
+            .any(|input| of(input).is_some_and(|m| m.0 == 100))
+    });
+    let both: Vec<_> = step
+        .expect("it is taken")
+        .iter()
+        .filter_map(of)
+        .filter(|m| m.0 == 100)
+        .collect();
     assert_eq!(both, [(100, Kind::SetUp), (100, Kind::Release)]);
 }
 
@@ -103,7 +126,11 @@
     while !queue.is_empty() {
         queue.put(Input::DownstreamSaid(OTHER, release(2, cause::NORMAL)));
         steps += 1;
-        if queue.take().iter().any(|input| matches!(input, Input::DownstreamSaid(OWNER, _))) {
+        if queue
+            .take()
+            .iter()
+            .any(|input| matches!(input, Input::DownstreamSaid(OWNER, _)))
+        {
             return;
         }
         assert!(steps < 3, "a flood of cancels holds up what is asked");
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -21,7 +21,11 @@
     p.step(notice(2, false, &[(1, "Terminating", 0)]));
     p.client_says(OWNER, set_up(7, "web"));
     p.wait(3.6, None);
-    let answered = p.told(OWNER).iter().filter(|m| m.kind == Kind::Release && m.id == Id(7)).count();
+    let answered = p
+        .told(OWNER)
+        .iter()
+        .filter(|m| m.kind == Kind::Release && m.id == Id(7))
+        .count();
     assert_eq!(answered, 1);
     assert!(ends(&p));
 }
@@ -52,7 +56,10 @@
         let began = p.now;
         while !ends(&p) {
             p.wait(0.05, None);
-            assert!(p.now - began < killed - 0.02 * deadline, "{deadline}: killed before it ends");
+            assert!(
+                p.now - began < killed - 0.02 * deadline,
+                "{deadline}: killed before it ends"
+            );
         }
         assert!(p.now - began > 0.7, "requests come until then");
     }
@@ -70,12 +77,28 @@
     assert!(p.out.contains(&Output::StopListening) && !ends(&p));
     // One had connected, and says something; another says something more than is taken in at once.
     let new = DownstreamId(3);
-    p.gateway.step(p.now, [Input::DownstreamOpened(new, address(3)), Input::Unlistened], &mut p.out);
-    p.gateway.step(p.now, [Input::Looked(OWNER, Seen::All), Input::Looked(new, Seen::Read)], &mut p.out);
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamOpened(new, address(3)), Input::Unlistened],
+        &mut p.out,
+    );
+    p.gateway.step(
+        p.now,
+        [
+            Input::Looked(OWNER, Seen::All),
+            Input::Looked(new, Seen::Read),
+        ],
+        &mut p.out,
+    );
     assert_eq!(p.closed_clients(), [OWNER]);
-    p.gateway.step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
+    p.gateway
+        .step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
     assert!(!ends(&p), "one is still heard");
-    p.gateway.step(p.now, [Input::DownstreamSaid(new, set_up(9, "web"))], &mut p.out);
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamSaid(new, set_up(9, "web"))],
+        &mut p.out,
+    );
     assert_eq!(p.told(new), [release(9, cause::CONGESTED)]);
     p.wait(0.3, None);
     assert!(p.closed_clients().contains(&new) && ends(&p));
@@ -88,15 +111,38 @@
     p.out.clear();
     p.gateway.step(p.now, [Input::Tick], &mut p.out);
     assert!(p.out.contains(&Output::Look(OWNER)));
-    p.gateway.step(p.now, [Input::Looked(OWNER, Seen::Half), Input::Looked(OTHER, Seen::All)], &mut p.out);
-    assert_eq!(p.closed_clients(), [OTHER], "a silent one is closed, one in the middle of a message is not");
+    p.gateway.step(
+        p.now,
+        [
+            Input::Looked(OWNER, Seen::Half),
+            Input::Looked(OTHER, Seen::All),
+        ],
+        &mut p.out,
+    );
+    assert_eq!(
+        p.closed_clients(),
+        [OTHER],
+        "a silent one is closed, one in the middle of a message is not"
+    );
     p.out.clear();
     for n in 10..18 {
-        p.gateway.step(p.now, [Input::DownstreamOpened(DownstreamId(n), address(9))], &mut p.out);
+        p.gateway.step(
+            p.now,
+            [Input::DownstreamOpened(DownstreamId(n), address(9))],
+            &mut p.out,
+        );
     }
     p.now += 0.01;
-    p.gateway.step(p.now, [Input::DownstreamOpened(DownstreamId(20), address(9))], &mut p.out);
-    let looks = p.out.iter().filter(|o| matches!(o, Output::Look(_))).count();
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamOpened(DownstreamId(20), address(9))],
+        &mut p.out,
+    );
+    let looks = p
+        .out
+        .iter()
+        .filter(|o| matches!(o, Output::Look(_)))
+        .count();
     assert_eq!(looks, 2, "two more than may be");
 }
 
@@ -108,11 +154,21 @@
     }
     p.now += 0.01;
     p.out.clear();
-    p.gateway.step(p.now, [Input::DownstreamOpened(DownstreamId(20), address(9))], &mut p.out);
-    assert_eq!(p.out, [Output::Look(OWNER)], "the oldest that never said anything of use");
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamOpened(DownstreamId(20), address(9))],
+        &mut p.out,
+    );
+    assert_eq!(
+        p.out,
+        [Output::Look(OWNER)],
+        "the oldest that never said anything of use"
+    );
     p.out.clear();
-    p.gateway.step(p.now, [Input::Looked(OWNER, Seen::Read)], &mut p.out);
+    p.gateway
+        .step(p.now, [Input::Looked(OWNER, Seen::Read)], &mut p.out);
     assert_eq!(p.out, [Output::Look(OTHER)]);
-    p.gateway.step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
+    p.gateway
+        .step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
     assert_eq!(p.closed_clients(), [OTHER]);
 }
--- a/crates/platform/tests/standing.rs
+++ b/crates/platform/tests/standing.rs
@@ -28,8 +28,15 @@
     let mut p = Played::new(1);
     let (line, _) = p.standing(5, "web");
     p.wait(2.0, None);
-    assert!(p.written().iter().any(|(to, m)| *to == line && m.kind == Kind::Test));
-    assert!(p.told(OWNER).is_empty(), "silence for two seconds proves nothing");
+    assert!(
+        p.written()
+            .iter()
+            .any(|(to, m)| *to == line && m.kind == Kind::Test)
+    );
+    assert!(
+        p.told(OWNER).is_empty(),
+        "silence for two seconds proves nothing"
+    );
     p.wait(5.9, None);
     assert!(p.closed_lines().contains(&line));
     assert_eq!(p.told(OWNER), [release(5, cause::FAILED)]);
@@ -43,7 +50,10 @@
         p.wait(0.5, None);
         assert!(p.told(OWNER).is_empty());
         if p.written().iter().any(|(_, m)| m.kind == Kind::Test) {
-            p.machine_says(line, Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]));
+            p.machine_says(
+                line,
+                Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]),
+            );
         }
     }
 }
@@ -73,7 +83,9 @@
     assert!(p.told(OWNER).is_empty(), "it may still finish what it has");
     let text = r#"{"rev":3,"pool":{"reset":false,"instances":[{"instanceId":"new","hostPort":"127.0.1.1:9",
         "zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","startedAtMs":5}]}}"#;
-    p.step(Input::Delivered(tidespur_platform::discovery::event(&site(), text).unwrap()));
+    p.step(Input::Delivered(
+        tidespur_platform::discovery::event(&site(), text).unwrap(),
+    ));
     assert_eq!(p.told(OWNER), [release(5, cause::FAILED)]);
 }
 
@@ -91,8 +103,14 @@
         let (old, new) = (entry("s-1", "Gone"), entry("new", "Ready"));
         let both = if new_first { [new, old] } else { [old, new] }.join(",");
         let text = format!(r#"{{"rev":3,"pool":{{"reset":false,"instances":[{both}]}}}}"#);
-        p.step(Input::Delivered(tidespur_platform::discovery::event(&site(), &text).unwrap()));
-        assert_eq!(p.told(OWNER), [release(5, cause::FAILED)], "new first: {new_first}");
+        p.step(Input::Delivered(
+            tidespur_platform::discovery::event(&site(), &text).unwrap(),
+        ));
+        assert_eq!(
+            p.told(OWNER),
+            [release(5, cause::FAILED)],
+            "new first: {new_first}"
+        );
     }
 }
 
@@ -117,7 +135,10 @@
     let mut p = Played::new(1);
     p.client_says(OWNER, handed(7, "s-2"));
     p.wait(1.0, None);
-    assert!(p.told(OWNER).is_empty() && p.dials().is_empty(), "nobody knows yet where it stands");
+    assert!(
+        p.told(OWNER).is_empty() && p.dials().is_empty(),
+        "nobody knows yet where it stands"
+    );
     p.step(notice(2, false, &[(2, "Ready", 900_000)]));
     p.wait(0.3, None);
     let (line, address) = p.dials().pop().expect("its machine is called");
@@ -142,7 +163,8 @@
 #[test]
 fn a_client_that_names_tasks_without_end_is_told_so_in_the_end() {
     let mut p = Played::new(200);
-    let all = (1..=40_000).map(|id| Input::DownstreamSaid(OTHER, handed(id, &format!("s-{}", id % 200 + 1))));
+    let all = (1..=40_000)
+        .map(|id| Input::DownstreamSaid(OTHER, handed(id, &format!("s-{}", id % 200 + 1))));
     p.gateway.step(p.now, all, &mut p.out);
     assert_eq!(p.told(OTHER).len(), 40_000 - 32_768);
 }
--- a/crates/platform/tests/withheld.rs
+++ b/crates/platform/tests/withheld.rs
@@ -36,15 +36,24 @@
 #[test]
 fn no_attempt_begins_before_its_client_was_looked_at() {
     let (mut p, line) = ready("web");
-    assert_eq!(plain(&mut p, Input::DownstreamSaid(OWNER, set_up(6, "web"))), [OWNER]);
+    assert_eq!(
+        plain(&mut p, Input::DownstreamSaid(OWNER, set_up(6, "web"))),
+        [OWNER]
+    );
     assert_eq!(offer(&p), None);
     // What the look finds comes first.
     plain(&mut p, Input::DownstreamGone(OWNER));
     plain(&mut p, Input::Looked(OWNER, Seen::Read));
     assert_eq!(offer(&p), None);
-    assert!(p.written().is_empty(), "what never left is not cancelled at its machine");
+    assert!(
+        p.written().is_empty(),
+        "what never left is not cancelled at its machine"
+    );
     // Another's leaves after its own look.
-    assert_eq!(plain(&mut p, Input::DownstreamSaid(OTHER, set_up(7, "web"))), [OTHER]);
+    assert_eq!(
+        plain(&mut p, Input::DownstreamSaid(OTHER, set_up(7, "web"))),
+        [OTHER]
+    );
     plain(&mut p, Input::Looked(OTHER, Seen::All));
     assert_eq!(offer(&p).map(|o| (o.0, o.1)), Some((line, Id(7))));
 }
@@ -91,7 +100,11 @@
     p.step(Input::UpstreamPart(line, Id(6)));
     p.client_says(OWNER, release(6, cause::NORMAL));
     // Else its rest would leave as soon as the machine reads.
-    assert!(p.out.contains(&Output::Upstream(PoolAction::Close(line))), "{:?}", p.out);
+    assert!(
+        p.out.contains(&Output::Upstream(PoolAction::Close(line))),
+        "{:?}",
+        p.out
+    );
     assert!(p.written().is_empty());
 }
 
@@ -103,7 +116,11 @@
     p.step(Input::UpstreamFull(line, Id(6), bytes));
     p.wait(6.5, Some(true));
     let told: Vec<_> = p.told(OWNER).into_iter().map(|m| m.cause()).collect();
-    assert_eq!(told, [Some(cause::FULL)], "it must not run twice, and has not run at all");
+    assert_eq!(
+        told,
+        [Some(cause::FULL)],
+        "it must not run twice, and has not run at all"
+    );
 }
 
 #[test]
@@ -113,7 +130,10 @@
     let (line, _) = p.dials().pop().expect("a dial");
     p.step(notice(2, false, &[(1, "Terminating", 0), (2, "Ready", 0)]));
     assert!(p.closed_lines().contains(&line));
-    let (_, address) = p.dials().pop().expect("it goes elsewhere, as it has not run");
+    let (_, address) = p
+        .dials()
+        .pop()
+        .expect("it goes elsewhere, as it has not run");
     assert!(address.starts_with("127.0.1.2:"));
     // So does a whole list without the machine.
     p.step(notice(3, true, &[(3, "Ready", 0)]));
@@ -146,9 +166,20 @@
     p.client_says(OWNER, set_up(6, "web"));
     p.now += 5.0;
     plain(&mut p, Input::Tick);
-    assert!(p.out.contains(&Output::Upstream(PoolAction::Look(line))), "{:?}", p.out);
+    assert!(
+        p.out.contains(&Output::Upstream(PoolAction::Look(line))),
+        "{:?}",
+        p.out
+    );
     p.out.clear();
-    p.gateway.step(p.now, [Input::UpstreamSaid(line, answer(6)), Input::UpstreamLooked(line)], &mut p.out);
+    p.gateway.step(
+        p.now,
+        [
+            Input::UpstreamSaid(line, answer(6)),
+            Input::UpstreamLooked(line),
+        ],
+        &mut p.out,
+    );
     let told: Vec<_> = p.told(OWNER).iter().map(|m| (m.id, m.kind)).collect();
     assert_eq!(told, [(Id(6), Kind::Answer)]);
     assert!(p.written().is_empty(), "it is not cancelled");
--- a/crates/policy/examples/cost.rs
+++ b/crates/policy/examples/cost.rs
@@ -11,15 +11,34 @@
 
 /// Two classes that wait for ever, one of them spread.
 fn settings() -> Settings {
-    let class = Class { aim: 1e6, deadline: 1e6, ..common::class(Effect::Safe) };
-    let spread = Class { worth: 3.0, spread: Some(Place::Machine), spread_most: 2, ..class.clone() };
+    let class = Class {
+        aim: 1e6,
+        deadline: 1e6,
+        ..common::class(Effect::Safe)
+    };
+    let spread = Class {
+        worth: 3.0,
+        spread: Some(Place::Machine),
+        spread_most: 2,
+        ..class.clone()
+    };
     let set = common::settings(vec![class, spread]);
-    Settings { schedulers: 16, reports_use: false, max_attempts: 1_000, ..set }
+    Settings {
+        schedulers: 16,
+        reports_use: false,
+        max_attempts: 1_000,
+        ..set
+    }
 }
 
 fn entry(machine: u64, free: f64) -> Entry {
     let id = MachineId(machine.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    Entry { machine: id, zone: machine as usize % 3, free_cores: free, ..common::entry(machine) }
+    Entry {
+        machine: id,
+        zone: machine as usize % 3,
+        free_cores: free,
+        ..common::entry(machine)
+    }
 }
 
 fn task(id: u64) -> Task {
@@ -60,15 +79,26 @@
             let submits = (0..waiting).map(|id| Event::Submit(task(id))).collect();
             step(&mut scheduler, 0.1, submits);
             let look = least(|_| drop(step(&mut scheduler, 5.0, vec![Event::Timer(0)])));
-            let note = Event::Note { task: TaskId(0), note: Note::Served(1.0) };
+            let note = Event::Note {
+                task: TaskId(0),
+                note: Note::Served(1.0),
+            };
             let event = least(|_| drop(step(&mut scheduler, 1e-6, vec![note.clone()])));
             let decision = least(|n| {
                 // Too large for what is free elsewhere, and a service of its own.
                 let id = TaskId(1_000_000 + n as u64);
-                let one = Task { id, service: ServiceId(99), ..task(1) };
+                let one = Task {
+                    id,
+                    service: ServiceId(99),
+                    ..task(1)
+                };
                 let free = Event::ListChanges(vec![entry(n as u64, 30.0)]);
                 let out = step(&mut scheduler, 1e-6, vec![free, Event::Submit(one)]);
-                assert!(out.iter().any(|action| matches!(action, Action::Send { .. })), "nothing was sent");
+                assert!(
+                    out.iter()
+                        .any(|action| matches!(action, Action::Send { .. })),
+                    "nothing was sent"
+                );
             });
             println!("{machines:8}  {waiting:7}  {look:9.1}  {event:11.2}  {decision:13.1}");
         }
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -169,15 +169,30 @@
             spread: BTreeMap::new(),
             programs: BTreeMap::new(),
             to_tell: Vec::new(),
-            list: List { subscribed: !settings.subscribe, ..List::default() },
+            list: List {
+                subscribed: !settings.subscribe,
+                ..List::default()
+            },
             life: Mean::default(),
             work: Mean::default(),
             sizes: [Mean::default(); 2],
             rate: (0.0, 0.0),
-            used: USED.map(|value| Mean { value, seen: GUESSED }),
-            answer: Mean { value: ANSWER, seen: GUESSED },
-            deviation: Mean { value: ANSWER / 2.0, seen: GUESSED },
-            starts: [1.0, SETUP].map(|setup| Mean { value: START * setup, seen: GUESSED }),
+            used: USED.map(|value| Mean {
+                value,
+                seen: GUESSED,
+            }),
+            answer: Mean {
+                value: ANSWER,
+                seen: GUESSED,
+            },
+            deviation: Mean {
+                value: ANSWER / 2.0,
+                seen: GUESSED,
+            },
+            starts: [1.0, SETUP].map(|setup| Mean {
+                value: START * setup,
+                seen: GUESSED,
+            }),
             cold_offers: (None, 0.0),
             began: f64::INFINITY,
             spare_at: 0.0,
--- a/crates/policy/src/choice/bars.rs
+++ b/crates/policy/src/choice/bars.rs
@@ -10,7 +10,11 @@
     /// schedulers can't agree on one. At first each has a random part of it, else all would offer at once.
     pub(super) fn refill_cold(&mut self, now: Seconds) {
         let safety = &self.settings.safety;
-        let cold = self.machines.values().filter(|m| m.ready() && cold(m, safety, now)).count();
+        let cold = self
+            .machines
+            .values()
+            .filter(|m| m.ready() && cold(m, safety, now))
+            .count();
         let part = cold as f64 * safety.cold_bears / self.settings.schedulers as f64;
         let left = match self.cold_offers {
             _ if cold == 0 => None,
@@ -25,14 +29,23 @@
     /// a window sees two turns at most, so no more offers than two groups have members, whoever chooses what.
     fn bears(&self, now: Seconds, machine: &Machine) -> bool {
         let (safety, all) = (&self.settings.safety, self.settings.schedulers as u64);
-        let (bears, id) = (safety.cold_bears.max(1.0), machine.entry.as_ref().map_or(0, |e| e.machine.0));
+        let (bears, id) = (
+            safety.cold_bears.max(1.0),
+            machine.entry.as_ref().map_or(0, |e| e.machine.0),
+        );
         let pause = safety.overload_for.max(1e-3) * SLACK / (bears / all as f64).floor().max(1.0);
         let most = (bears + 2.0 * bears.sqrt() + 2.0) as u64; // Chance may add so many to what it bears.
-        let groups = if all > most { all.div_ceil(most / 2) } else { 1 };
+        let groups = if all > most {
+            all.div_ceil(most / 2)
+        } else {
+            1
+        };
         let turn = (now / pause) as u64 % groups + id % groups + self.settings.ordinal as u64;
         let left = self.cold_offers.0.is_none_or(|left| left >= 1.0);
         !cold(machine, safety, now)
-            || left && turn.is_multiple_of(groups) && now >= machine.offered_at.max(self.began) + pause
+            || left
+                && turn.is_multiple_of(groups)
+                && now >= machine.offered_at.max(self.began) + pause
     }
 
     /// Until when this task may be sent, were a machine found.
@@ -47,21 +60,38 @@
     }
 
     /// What bars a task from a machine: the five rules, then what troubles and offers stand against it.
-    pub(super) fn bar(&self, now: Seconds, job: &Job, id: MachineId, machine: &Machine) -> Option<Bar> {
-        let bars = [self.bar_of_all(now, &job.task, machine), self.bar_of_own(job, id, machine)];
-        bars.into_iter().flatten().min_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal))
+    pub(super) fn bar(
+        &self,
+        now: Seconds,
+        job: &Job,
+        id: MachineId,
+        machine: &Machine,
+    ) -> Option<Bar> {
+        let bars = [
+            self.bar_of_all(now, &job.task, machine),
+            self.bar_of_own(job, id, machine),
+        ];
+        bars.into_iter()
+            .flatten()
+            .min_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal))
     }
 
     /// What bars all tasks of its class and tenant alike.
     pub(super) fn bar_of_all(&self, now: Seconds, task: &Task, machine: &Machine) -> Option<Bar> {
         let class = &self.settings.classes[task.class];
-        let (kind, standing) = machine.entry.as_ref().map(|entry| (entry.kind, entry.standing)).unzip();
+        let (kind, standing) = machine
+            .entry
+            .as_ref()
+            .map(|entry| (entry.kind, entry.standing))
+            .unzip();
         match () {
             () if !machine.ready() && standing == Some(Standing::Draining) => Some(Bar::Draining),
             () if !machine.ready() => Some(Bar::Unlisted),
             () if class.kind.is_some() && class.kind != kind => Some(Bar::Kind),
             () if !self.bears(now, machine) => Some(Bar::Cold),
-            () if !machine.open(now, (task.class, task.tenant)) => Some(Bar::Aside(machine.aside_until(now))),
+            () if !machine.open(now, (task.class, task.tenant)) => {
+                Some(Bar::Aside(machine.aside_until(now)))
+            }
             () => (machine.unanswered() >= LINE).then_some(Bar::Line),
         }
     }
@@ -70,16 +100,28 @@
     pub(super) fn bar_of_own(&self, job: &Job, id: MachineId, machine: &Machine) -> Option<Bar> {
         let class = &self.settings.classes[job.task.class];
         let in_group = match (job.may_run, class.effect) {
-            (Some((_, first)), Effect::Keyed { group, .. }) => self.same_place(group, id, machine, first),
+            (Some((_, first)), Effect::Keyed { group, .. }) => {
+                self.same_place(group, id, machine, first)
+            }
             _ => true,
         };
         let services = (job.task.service, MachineId(0))..=(job.task.service, MachineId(u64::MAX));
         let there = |place| {
             let near = |other| self.same_place(place, id, machine, other);
-            self.spread.range(services).filter(|at| near(at.0.1)).map(|at| at.1).sum::<u32>()
+            self.spread
+                .range(services)
+                .filter(|at| near(at.0.1))
+                .map(|at| at.1)
+                .sum::<u32>()
         };
-        let full = class.spread.filter(|&place| there(place) >= class.spread_most);
-        if in_group { full.map(Bar::Spread) } else { Some(Bar::Group) }
+        let full = class
+            .spread
+            .filter(|&place| there(place) >= class.spread_most);
+        if in_group {
+            full.map(Bar::Spread)
+        } else {
+            Some(Bar::Group)
+        }
     }
 
     /// Why a task waits: what bars it from each machine, by the predicates that decide. Changes nothing.
@@ -94,23 +136,35 @@
             _ => Some(Block::Late),
         };
         let bar = |(&to, m): (&MachineId, &Machine)| {
-            Some((to, self.bar(now, job, to, m).or_else(|| self.lacks(&job.task, m))?))
+            Some((
+                to,
+                self.bar(now, job, to, m)
+                    .or_else(|| self.lacks(&job.task, m))?,
+            ))
         };
         Some(Waiting {
             bars: self.machines.iter().filter_map(bar).collect(),
             machines: self.machines.len(),
             block,
             until,
-            next_look: if self.retry_at.is_finite() { self.retry_at } else { now },
+            next_look: if self.retry_at.is_finite() {
+                self.retry_at
+            } else {
+                now
+            },
             attempts: job.sends,
         })
     }
 
     /// What the machine lacks to admit the task, as far as is known: of cores and memory what lacks more.
     pub(super) fn lacks(&self, task: &Task, machine: &Machine) -> Option<Bar> {
-        let asked = [machine.asked(0) + task.cores, machine.asked(1) + task.memory];
+        let asked = [
+            machine.asked(0) + task.cores,
+            machine.asked(1) + task.memory,
+        ];
         let asked = [asked[0] / machine.size[0], asked[1] / machine.size[1]];
-        let admits = [self.settings.admit_cores, self.settings.admit_memory].map(|most| most * ADMIT_FULL);
+        let admits =
+            [self.settings.admit_cores, self.settings.admit_memory].map(|most| most * ADMIT_FULL);
         let over = [0, 1].map(|i| (asked[i] - admits[i]) / admits[i]);
         let short = |i: usize| (asked[i] - admits[i]) * machine.size[i];
         match () {
@@ -121,13 +175,18 @@
     }
 
     fn same_place(&self, place: Place, id: MachineId, machine: &Machine, other: MachineId) -> bool {
-        let entry = |machine: &Machine| machine.entry.as_ref().map(|entry| (entry.zone, entry.cell));
+        let entry =
+            |machine: &Machine| machine.entry.as_ref().map(|entry| (entry.zone, entry.cell));
         let (here, there) = (entry(machine), self.machines.get(&other).and_then(entry));
         match place {
             Place::All => true,
             Place::Machine => id == other,
-            Place::Zone => here.zip(there).is_some_and(|(here, there)| here.0 == there.0),
-            Place::Cell => here.zip(there).is_some_and(|(here, there)| here.1 == there.1),
+            Place::Zone => here
+                .zip(there)
+                .is_some_and(|(here, there)| here.0 == there.0),
+            Place::Cell => here
+                .zip(there)
+                .is_some_and(|(here, there)| here.1 == there.1),
         }
     }
 }
--- a/crates/policy/src/choice/events.rs
+++ b/crates/policy/src/choice/events.rs
@@ -21,7 +21,13 @@
             Event::InPlace(task, machine) => self.take_task(now, task, Some(machine)),
             Event::Confirmed { task, attempt } => self.confirmed(now, task, attempt),
             Event::Note { task, note } => self.note(now, task, note),
-            Event::Outcome { task, attempt, ending, closed, report } => {
+            Event::Outcome {
+                task,
+                attempt,
+                ending,
+                closed,
+                report,
+            } => {
                 let machine = self.jobs.get(&task).map(|job| job.machine);
                 self.take_report(now, machine, report);
                 self.outcome(now, task, attempt, ending, closed);
@@ -36,21 +42,32 @@
             Event::ListWhole(list) => self.take_list(now, list, true),
             Event::ListFailed => {
                 let most = (self.settings.safety.ask_within / 2.0).max(ASK_AGAIN);
-                let pause = doubled(ASK_AGAIN, self.list.fails, most) * self.rng.random_range(0.5..1.0);
+                let pause =
+                    doubled(ASK_AGAIN, self.list.fails, most) * self.rng.random_range(0.5..1.0);
                 let fails = (self.list.fails + 1).min(STRIKES_MOST);
                 let subscribed = !self.settings.subscribe;
-                self.list = List { subscribed, asked_at: None, ask_at: now + pause, fails };
+                self.list = List {
+                    subscribed,
+                    asked_at: None,
+                    ask_at: now + pause,
+                    fails,
+                };
             }
             Event::Heard(bytes) => {
                 for told in bytes.chunks_exact(8) {
-                    let half = |i: usize| (0..4).rev().fold(0, |x, k| x << 8 | u32::from(told[i + k]));
+                    let half =
+                        |i: usize| (0..4).rev().fold(0, |x, k| x << 8 | u32::from(told[i + k]));
                     let (pair, gone) = ((half(0), half(4) & !GONE), half(4) & GONE != 0);
-                    self.programs.insert(pair, now + if gone { KEPT_FOR } else { HEARD_FOR });
+                    self.programs
+                        .insert(pair, now + if gone { KEPT_FOR } else { HEARD_FOR });
                 }
             }
             Event::Sharers(all) => self.settings.schedulers = all.max(self.settings.ordinal + 1),
             Event::Probed { machine, report } => {
-                self.machines.get_mut(&machine).into_iter().for_each(|machine| machine.probe_at = now);
+                self.machines
+                    .get_mut(&machine)
+                    .into_iter()
+                    .for_each(|machine| machine.probe_at = now);
                 self.take_report(now, Some(machine), report);
             }
         }
@@ -66,8 +83,18 @@
         self.sizes[0].learn(task.cores, MEAN_WEIGHT);
         self.sizes[1].learn(task.memory, MEAN_WEIGHT);
         let (rate, at) = self.rate;
-        self.rate = (1.0 / RATE_OVER + rate * (-(now - at) / RATE_OVER).exp(), now);
-        let (id, mut job) = (task.id, Job { task, sent_at: now, ..Job::default() });
+        self.rate = (
+            1.0 / RATE_OVER + rate * (-(now - at) / RATE_OVER).exp(),
+            now,
+        );
+        let (id, mut job) = (
+            task.id,
+            Job {
+                task,
+                sent_at: now,
+                ..Job::default()
+            },
+        );
         if let Some(machine) = machine {
             (job.machine, job.state, job.sends) = (machine, State::Bound, 1);
             self.jobs.insert(id, job);
@@ -79,26 +106,34 @@
     }
 
     fn confirmed(&mut self, now: Seconds, id: TaskId, attempt: u32) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.state != State::Out || attempt + 1 != job.sends {
             return;
         }
         job.state = State::Bound;
         let wait = now - job.sent_at;
         if let Some(machine) = self.machines.get_mut(&job.machine) {
-            machine.tasks.entry(id).and_modify(|load| load.answered = true);
+            machine
+                .tasks
+                .entry(id)
+                .and_modify(|load| load.answered = true);
             machine.relieve((job.task.class, job.task.tenant));
         }
         if self.settings.confirm_when_running {
             self.started(now, id);
         } else {
-            self.deviation.learn((wait - self.answer.value).abs(), ANSWER_WEIGHT);
+            self.deviation
+                .learn((wait - self.answer.value).abs(), ANSWER_WEIGHT);
             self.answer.learn(wait, ANSWER_WEIGHT);
         }
     }
 
     fn note(&mut self, now: Seconds, id: TaskId, note: Note) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let settled = job.state == State::Bound && now - job.sent_at > SETTLED;
         let (i, share) = match note {
             Note::Runs => return self.started(now, id),
@@ -113,9 +148,15 @@
 
     /// A task runs: a long start tells of the program's lack where it was not known to be there.
     fn started(&mut self, now: Seconds, id: TaskId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let Some(machine) = self.machines.get_mut(&job.machine) else { return };
-        let Some(load) = machine.tasks.get_mut(&id).filter(|load| !load.runs) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(&job.machine) else {
+            return;
+        };
+        let Some(load) = machine.tasks.get_mut(&id).filter(|load| !load.runs) else {
+            return;
+        };
         load.runs = true;
         let took = (now - load.sent_at).max(0.0);
         if load.alone {
@@ -127,7 +168,9 @@
     }
 
     fn outcome(&mut self, now: Seconds, id: TaskId, attempt: u32, ending: Ending, closed: bool) {
-        let Some(job) = self.jobs.get(&id).filter(|job| attempt + 1 == job.sends) else { return };
+        let Some(job) = self.jobs.get(&id).filter(|job| attempt + 1 == job.sends) else {
+            return;
+        };
         let (was, to, sent_at) = (job.state, job.machine, job.sent_at);
         let (failed_at, own_error) = (job.failed_at, job.own_error);
         let whose = Some((job.task.class, job.task.tenant));
@@ -144,7 +187,9 @@
                 machine.strike(now, None, FULL_FOR, FULL_MOST);
             }
             Ending::Full(_) => machine.strike(now, whose, FULL_FOR, FULL_MOST),
-            Ending::Broken(Why::Evicted | Why::PushedOut) => machine.strike(now, None, FULL_FOR, FULL_FOR),
+            Ending::Broken(Why::Evicted | Why::PushedOut) => {
+                machine.strike(now, None, FULL_FOR, FULL_FOR)
+            }
             // An error at a second machine is the task's own and strikes neither. Guards against owners
             // of tasks that no machine can start. Harm: where most machines fail, some are found later.
             Ending::Failed if own_error => {}
@@ -160,15 +205,21 @@
             Ending::NoConnection | Ending::Broken(_) => {
                 machine.strike(now, None, aside, ASIDE_MOST);
                 machine.cold_until = now + self.settings.safety.cold;
-                self.programs.retain(|pair, _| pair.1 != to.0 as u32 & !GONE);
+                self.programs
+                    .retain(|pair, _| pair.1 != to.0 as u32 & !GONE);
             }
         }
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if closed || was != State::Out {
             self.jobs.remove(&id);
             return;
         }
-        if matches!(ending, Ending::Failed | Ending::Late | Ending::Broken(_) | Ending::Cancelled) {
+        if matches!(
+            ending,
+            Ending::Failed | Ending::Late | Ending::Broken(_) | Ending::Cancelled
+        ) {
             job.may_run.get_or_insert((sent_at, to));
         }
         job.own_error |= ending == Ending::Failed && *job.failed_at.get_or_insert(to) != to;
@@ -178,7 +229,9 @@
 
     fn take_report(&mut self, now: Seconds, id: Option<MachineId>, report: Option<Report>) {
         let machine = id.and_then(|id| self.machines.get_mut(&id));
-        let (Some(machine), Some(report)) = (machine, report) else { return };
+        let (Some(machine), Some(report)) = (machine, report) else {
+            return;
+        };
         machine.report_at = now;
         let free = [report.free_cores, report.free_memory];
         let taken = [0, 1].map(|i| free[i].map(|free| machine.size[i] - free));
@@ -201,28 +254,49 @@
     fn take_list(&mut self, now: Seconds, list: Vec<Entry>, whole: bool) {
         (self.list.asked_at, self.list.fails) = (None, 0);
         if whole {
-            self.machines.values_mut().for_each(|machine| machine.leaving = true);
+            self.machines
+                .values_mut()
+                .for_each(|machine| machine.leaving = true);
         }
         for entry in list {
-            let Some(kind) = self.settings.kinds.get(entry.kind) else { continue };
+            let Some(kind) = self.settings.kinds.get(entry.kind) else {
+                continue;
+            };
             let machine = self.machines.entry(entry.machine).or_default();
-            if machine.entry.as_ref().is_some_and(|known| entry.up_since > known.up_since) {
-                self.programs.retain(|pair, _| pair.1 != entry.machine.0 as u32 & !GONE);
+            if machine
+                .entry
+                .as_ref()
+                .is_some_and(|known| entry.up_since > known.up_since)
+            {
+                self.programs
+                    .retain(|pair, _| pair.1 != entry.machine.0 as u32 & !GONE);
             }
             machine.size = [kind.cores, kind.memory];
             machine.leaving = entry.standing != Standing::Ready;
             if self.settings.lists_free {
-                let asked = [kind.cores - entry.free_cores, kind.memory - entry.free_memory];
+                let asked = [
+                    kind.cores - entry.free_cores,
+                    kind.memory - entry.free_memory,
+                ];
                 machine.see_asked(now, asked.map(Some));
             }
             machine.entry = Some(entry);
         }
         // Of what has gone, what is known of it is kept for its return, unless too many have gone.
         let is_gone = |machine: &Machine| {
-            let drains = machine.entry.as_ref().is_some_and(|entry| entry.standing == Standing::Draining);
+            let drains = machine
+                .entry
+                .as_ref()
+                .is_some_and(|entry| entry.standing == Standing::Draining);
             machine.leaving && machine.tasks.is_empty() && !drains
         };
-        if self.machines.values().filter(|machine| is_gone(machine)).count() > GONE_MOST {
+        if self
+            .machines
+            .values()
+            .filter(|machine| is_gone(machine))
+            .count()
+            > GONE_MOST
+        {
             self.machines.retain(|_, machine| !is_gone(machine));
         }
     }
--- a/crates/policy/src/choice/machine.rs
+++ b/crates/policy/src/choice/machine.rs
@@ -6,7 +6,13 @@
 const VIEW_LEAST: f64 = 0.1; // Where less than this share of a machine is asked for, use can't be told.
 
 impl Machine {
-    pub(super) fn strike(&mut self, now: Seconds, whose: Option<Whose>, first: Seconds, most: Seconds) {
+    pub(super) fn strike(
+        &mut self,
+        now: Seconds,
+        whose: Option<Whose>,
+        first: Seconds,
+        most: Seconds,
+    ) {
         let (strikes, until) = self.troubles.entry(whose).or_default();
         *until = now + doubled(first, *strikes, most);
         *strikes = (*strikes + 1).min(STRIKES_MOST);
@@ -22,7 +28,11 @@
 
     /// An answer to this class and tenant takes back half of what stands against them.
     pub(super) fn relieve(&mut self, whose: Whose) {
-        for (_, trouble) in self.troubles.iter_mut().filter(|(struck, _)| struck.is_none_or(|s| s == whose)) {
+        for (_, trouble) in self
+            .troubles
+            .iter_mut()
+            .filter(|(struck, _)| struck.is_none_or(|s| s == whose))
+        {
             *trouble = (trouble.0 / 2, 0.0);
         }
         self.troubles.retain(|_, trouble| trouble.0 > 0);
@@ -34,7 +44,11 @@
     pub(super) fn open(&self, now: Seconds, whose: Whose) -> bool {
         let bars = |after: Seconds| {
             let (mut first, mut same) = (None, (true, true));
-            for (struck, _) in self.troubles.iter().filter(|(_, trouble)| trouble.1 > after) {
+            for (struck, _) in self
+                .troubles
+                .iter()
+                .filter(|(_, trouble)| trouble.1 > after)
+            {
                 let Some(struck) = *struck else { return true };
                 let one = *first.get_or_insert(struck);
                 same = (same.0 && struck.0 == one.0, same.1 && struck.1 == one.1);
@@ -46,7 +60,10 @@
 
     /// Until when what stands against it bars.
     pub(super) fn aside_until(&self, now: Seconds) -> Seconds {
-        self.troubles.values().map(|trouble| trouble.1).fold(now, f64::max)
+        self.troubles
+            .values()
+            .map(|trouble| trouble.1)
+            .fold(now, f64::max)
     }
 
     pub(super) fn ready(&self) -> bool {
@@ -62,7 +79,11 @@
         let keep = (-(now - self.lagged_at).max(0.0) / VIEW_LAG).exp();
         for (i, asked) in asked.into_iter().enumerate() {
             self.lagged[i] = self.own[i] + (self.lagged[i] - self.own[i]) * keep;
-            self.own[i] = if self.tasks.is_empty() { 0.0 } else { self.own[i] + asked };
+            self.own[i] = if self.tasks.is_empty() {
+                0.0
+            } else {
+                self.own[i] + asked
+            };
         }
         self.lagged_at = now;
     }
--- a/crates/policy/src/choice/ordinary.rs
+++ b/crates/policy/src/choice/ordinary.rs
@@ -33,21 +33,37 @@
         let longest = near.iter().map(|&i| backlogs[i]).fold(0.0, f64::max);
         near.retain(|&i| backlogs[i] >= longest - margin);
     }
-    if near.is_empty() { 0 } else { near[rng.random_range(0..near.len())] }
+    if near.is_empty() {
+        0
+    } else {
+        near[rng.random_range(0..near.len())]
+    }
 }
 
 impl Scheduler {
     pub(super) fn warm(&self, now: Seconds, service: ServiceId, id: MachineId) -> bool {
         self.spread.contains_key(&(service, id))
-            || self.programs.get(&pair(service, id)).is_some_and(|&until| now < until)
+            || self
+                .programs
+                .get(&pair(service, id))
+                .is_some_and(|&until| now < until)
     }
 
     /// What placing the task there is expected to lose, in seconds of its full service: a late start, crowded
     /// cores or memory over its life, a machine kept in use. `None` where it would not be admitted.
-    pub(super) fn loss(&self, now: Seconds, job: &Job, machine: &Machine, program: f64) -> Option<f64> {
+    pub(super) fn loss(
+        &self,
+        now: Seconds,
+        job: &Job,
+        machine: &Machine,
+        program: f64,
+    ) -> Option<f64> {
         let (class, task) = (&self.settings.classes[job.task.class], &job.task);
         let use_of = |i: usize| machine.used[i].or(self.used[i].value).max(0.05);
-        let asked = [machine.asked(0) + task.cores, machine.asked(1) + task.memory];
+        let asked = [
+            machine.asked(0) + task.cores,
+            machine.asked(1) + task.memory,
+        ];
         let asked = [asked[0] / machine.size[0], asked[1] / machine.size[1]];
         let used = [asked[0] * use_of(0), asked[1] * use_of(1)];
         if self.lacks(task, machine).is_some() {
@@ -58,10 +74,18 @@
             + CROWDING * (used[0] - CORES_FULL).max(0.0)
             + CROWDING_MEMORY * (used[1] - MEMORY_FULL).max(0.0);
         let opened = if machine.asked(0) > 0.0 { 1.0 } else { 2.0 };
-        let in_use = if machine.spare { self.settings.prices.machines * IN_USE * opened } else { 0.0 };
+        let in_use = if machine.spare {
+            self.settings.prices.machines * IN_USE * opened
+        } else {
+            0.0
+        };
         let [with, without] = self.starts.map(|start| start.value / self.starts[0].value);
         // What came back was late already, or has had its first start: only the time it waits is lost.
-        let waited = if task.returned { class.deadline } else { now + class.deadline - task.deadline };
+        let waited = if task.returned {
+            class.deadline
+        } else {
+            now + class.deadline - task.deadline
+        };
         // Starts of ours that wait there tell of its pace, where it grows slower.
         let starts = || machine.tasks.values().filter(|load| !load.runs);
         let before: f64 = starts().map(|load| load.start).sum();
@@ -79,8 +103,13 @@
 
     /// Remaining work known there, over the tasks that the machine can run side by side.
     pub(super) fn backlog(&self, now: Seconds, machine: &Machine) -> f64 {
-        let side_by_side = |i: usize| machine.size[i] / (self.used[i].value * self.sizes[i].value).max(1e-6);
-        let own: f64 = machine.tasks.values().map(|load| (load.ends - now).max(0.0) * load.asked[0]).sum();
+        let side_by_side =
+            |i: usize| machine.size[i] / (self.used[i].value * self.sizes[i].value).max(1e-6);
+        let own: f64 = machine
+            .tasks
+            .values()
+            .map(|load| (load.ends - now).max(0.0) * load.asked[0])
+            .sum();
         (own + machine.others[0] * self.life.value)
             / side_by_side(0).min(MEMORY_FULL * side_by_side(1)).max(1.0)
     }
@@ -96,20 +125,40 @@
         }
         // What finds no place for one that is bound to a group says nothing of others: they may go elsewhere.
         let bound = job.may_run.is_some() && matches!(class.effect, Effect::Keyed { .. });
-        let shape = (whose.0, whose.1, if class.spread.is_some() { service } else { ServiceId(0) });
+        let shape = (
+            whose.0,
+            whose.1,
+            if class.spread.is_some() {
+                service
+            } else {
+                ServiceId(0)
+            },
+        );
         let asks = [job.task.cores, job.task.memory];
         let fulls = look.full.get(&shape);
-        if fulls.is_some_and(|fulls| fulls.iter().any(|full| full[0] <= asks[0] && full[1] <= asks[1])) {
+        if fulls.is_some_and(|fulls| {
+            fulls
+                .iter()
+                .any(|full| full[0] <= asks[0] && full[1] <= asks[1])
+        }) {
             return None;
         }
         let all = look.open.entry(whose).or_insert_with(|| {
             look.looked += self.machines.len() as u64;
             let open = |machine: &Machine| self.bar_of_all(now, &job.task, machine).is_none();
-            self.machines.iter().filter(|(_, machine)| open(machine)).map(|(&id, _)| id).collect()
+            self.machines
+                .iter()
+                .filter(|(_, machine)| open(machine))
+                .map(|(&id, _)| id)
+                .collect()
         });
         look.looked += all.len() as u64;
-        let open = || all.iter().filter_map(|to| Some((*to, self.machines.get(to)?)));
-        let takes = |&(to, machine): &(MachineId, &Machine)| self.bar_of_own(job, to, machine).is_none();
+        let open = || {
+            all.iter()
+                .filter_map(|to| Some((*to, self.machines.get(to)?)))
+        };
+        let takes =
+            |&(to, machine): &(MachineId, &Machine)| self.bar_of_own(job, to, machine).is_none();
         if !open().any(|at| self.lacks(&job.task, at.1).is_none() && takes(&at)) {
             if !bound {
                 look.full.entry(shape).or_default().push(asks);
@@ -120,7 +169,11 @@
             .filter(takes)
             // Cold machines have no programs, and all schedulers must not choose the same one.
             .map(|(to, machine)| {
-                let salt = if cold(machine, safety, now) { id.0.rotate_left(17) ^ self.seed } else { 0 };
+                let salt = if cold(machine, safety, now) {
+                    id.0.rotate_left(17) ^ self.seed
+                } else {
+                    0
+                };
                 (to, machine, rank(ServiceId(service.0 ^ salt), to, machine))
             })
             .collect();
@@ -135,11 +188,17 @@
                 false if cold(machine, safety, now) => 0.0,
                 false => chance,
             };
-            *loss = self.loss(now, job, machine, program).unwrap_or(f64::INFINITY);
+            *loss = self
+                .loss(now, job, machine, program)
+                .unwrap_or(f64::INFINITY);
         }
         let least = candidates.iter().map(|c| c.2).fold(f64::INFINITY, f64::min);
         candidates.retain(|c| c.2.is_finite() && c.2 <= least + MARGIN_LOSS);
-        candidates.truncate(if self.informed() { candidates.len() } else { HOMES });
+        candidates.truncate(if self.informed() {
+            candidates.len()
+        } else {
+            HOMES
+        });
         if candidates.is_empty() {
             return None;
         }
@@ -149,7 +208,10 @@
             let new = machine.tasks.is_empty() || cold(machine, safety, now);
             *backlog = if new { mean } else { *backlog };
         }
-        let work = job.task.life.map_or(self.work.value, |life| life * job.task.cores);
+        let work = job
+            .task
+            .life
+            .map_or(self.work.value, |life| life * job.task.cores);
         let ids: Vec<MachineId> = candidates.iter().map(|c| c.0).collect();
         Some(ids[dice(&backlogs, work, self.work.value, &mut self.rng)])
     }
--- a/crates/policy/src/choice/plain.rs
+++ b/crates/policy/src/choice/plain.rs
@@ -14,8 +14,16 @@
             open && self.bar(now, job, to, machine).is_none()
         };
         let mut candidates: Vec<(MachineId, &Machine, f64)> = Vec::new();
-        for (&to, machine) in self.machines.iter().filter(|&(&to, machine)| gate(to, machine)) {
-            let salt = if cold(machine, safety, now) { id.0.rotate_left(17) ^ self.seed } else { 0 };
+        for (&to, machine) in self
+            .machines
+            .iter()
+            .filter(|&(&to, machine)| gate(to, machine))
+        {
+            let salt = if cold(machine, safety, now) {
+                id.0.rotate_left(17) ^ self.seed
+            } else {
+                0
+            };
             candidates.push((to, machine, rank(ServiceId(service.0 ^ salt), to, machine)));
         }
         candidates.sort_by(|a, b| a.1.spare.cmp(&b.1.spare).then(a.2.total_cmp(&b.2)));
@@ -24,21 +32,36 @@
             chance *= if place < HOMES { 1.0 } else { FALL };
             let cold = cold(machine, safety, now);
             let unknown = if cold { 0.0 } else { chance };
-            let program = if self.warm(now, service, *to) { AT_HOME } else { unknown };
-            *loss = self.loss(now, job, machine, program).unwrap_or(f64::INFINITY);
+            let program = if self.warm(now, service, *to) {
+                AT_HOME
+            } else {
+                unknown
+            };
+            *loss = self
+                .loss(now, job, machine, program)
+                .unwrap_or(f64::INFINITY);
         }
         let least = candidates.iter().map(|c| c.2).fold(f64::INFINITY, f64::min);
         candidates.retain(|c| c.2.is_finite() && c.2 <= least + MARGIN_LOSS);
-        candidates.truncate(if self.informed() { candidates.len() } else { HOMES });
+        candidates.truncate(if self.informed() {
+            candidates.len()
+        } else {
+            HOMES
+        });
         if candidates.is_empty() {
             return (None, rng);
         }
         let backlogs: Vec<f64> = candidates.iter().map(|c| self.backlog(now, c.1)).collect();
         let mean = backlogs.iter().sum::<f64>() / backlogs.len() as f64;
         let new = |machine: &Machine| machine.tasks.is_empty() || cold(machine, safety, now);
-        let of = |(backlog, c): (&f64, &(MachineId, &Machine, f64))| if new(c.1) { mean } else { *backlog };
+        let of = |(backlog, c): (&f64, &(MachineId, &Machine, f64))| {
+            if new(c.1) { mean } else { *backlog }
+        };
         let backlogs: Vec<f64> = backlogs.iter().zip(&candidates).map(of).collect();
-        let work = job.task.life.map_or(self.work.value, |life| life * job.task.cores);
+        let work = job
+            .task
+            .life
+            .map_or(self.work.value, |life| life * job.task.cores);
         let picked = candidates[dice(&backlogs, work, self.work.value, &mut rng)].0;
         (Some(picked), rng)
     }
@@ -46,8 +69,14 @@
 
 fn settings(rng: &mut rand_pcg::Pcg32) -> Settings {
     let places = [Place::All, Place::Zone, Place::Cell, Place::Machine];
-    let effects =
-        [Effect::Safe, Effect::Keyed { group: places[rng.random_range(0..4)], window: 2.0 }, Effect::Unsafe];
+    let effects = [
+        Effect::Safe,
+        Effect::Keyed {
+            group: places[rng.random_range(0..4)],
+            window: 2.0,
+        },
+        Effect::Unsafe,
+    ];
     let mut class = |effect| Class {
         aim: 0.7,
         deadline: 4.0,
@@ -67,7 +96,16 @@
         zone: 0,
         classes: effects.map(&mut class).to_vec(),
         tenants: vec![],
-        kinds: vec![Kind { cores: 4.0, memory: 8.0 }, Kind { cores: 8.0, memory: 16.0 }],
+        kinds: vec![
+            Kind {
+                cores: 4.0,
+                memory: 8.0,
+            },
+            Kind {
+                cores: 8.0,
+                memory: 16.0,
+            },
+        ],
         admit_cores: 1.5,
         admit_memory: 1.2,
         one_home: rng.random_bool(0.5),
@@ -91,7 +129,10 @@
             fall_multiple: 2.5,
             overload_for: 1.0,
         },
-        prices: Prices { machines: if rng.random_bool(0.5) { 0.1 } else { 0.0 }, ..Prices::default() },
+        prices: Prices {
+            machines: if rng.random_bool(0.5) { 0.1 } else { 0.0 },
+            ..Prices::default()
+        },
     }
 }
 
@@ -107,7 +148,9 @@
         cell: (machine / 4) as usize,
         zone: (machine / 8) as usize,
         standing,
-        up_since: rng.random_bool(0.2).then(|| now - rng.random_range(0.0..3.0)),
+        up_since: rng
+            .random_bool(0.2)
+            .then(|| now - rng.random_range(0.0..3.0)),
         free_cores: rng.random_range(0.0..4.0),
         free_memory: rng.random_range(0.0..8.0),
     }
@@ -122,7 +165,9 @@
     let mut scheduler = Scheduler::new(settings, seed).expect("settings are sound");
     let mut out: BTreeMap<TaskId, u32> = BTreeMap::new();
     let (mut now, mut next, mut sent, mut waited) = (1000.0, 0, 0, 0);
-    let mut events = vec![Event::ListWhole((0..24).map(|m| entry(&mut rng, m, now)).collect())];
+    let mut events = vec![Event::ListWhole(
+        (0..24).map(|m| entry(&mut rng, m, now)).collect(),
+    )];
     for _ in 0..400 {
         let mut actions = Vec::new();
         scheduler.step(now, std::mem::take(&mut events), &mut actions);
@@ -140,7 +185,8 @@
             let (cores, memory) = (size(&mut rng), size(&mut rng));
             let life = rng.random_bool(0.8).then(|| rng.random_range(0.0..8.0));
             let (class, service) = (rng.random_range(0..3), ServiceId(rng.random_range(0..4)));
-            let (id, tenant, returned) = (TaskId(next), rng.random_range(0..2), rng.random_bool(0.2));
+            let (id, tenant, returned) =
+                (TaskId(next), rng.random_range(0..2), rng.random_bool(0.2));
             events.push(Event::Submit(Task {
                 id,
                 class,
@@ -156,7 +202,10 @@
         }
         for (&task, &sends) in &out {
             let attempt = sends - 1;
-            let bound = scheduler.jobs.get(&task).is_some_and(|job| job.state == State::Bound);
+            let bound = scheduler
+                .jobs
+                .get(&task)
+                .is_some_and(|job| job.state == State::Bound);
             let ending = match rng.random_range(0..60) {
                 0..3 => {
                     events.push(Event::Confirmed { task, attempt });
@@ -172,7 +221,13 @@
                 10 | 11 if bound => Ending::Finished,
                 _ => continue,
             };
-            events.push(Event::Outcome { task, attempt, ending, closed: bound, report: None });
+            events.push(Event::Outcome {
+                task,
+                attempt,
+                ending,
+                closed: bound,
+                report: None,
+            });
         }
         if rng.random_bool(0.1) {
             let machine = rng.random_range(0..24);
@@ -185,6 +240,11 @@
 #[test]
 fn one_walk_for_all_that_wait_picks_what_a_walk_for_each_does_draws_included() {
     let all: Vec<(usize, usize)> = (0..30).map(play).collect();
-    let (sent, waited) = all.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    assert!(sent > 5_000 && waited > 50_000, "{sent} sent, {waited} waited: the plays compare nothing");
+    let (sent, waited) = all
+        .iter()
+        .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+    assert!(
+        sent > 5_000 && waited > 50_000,
+        "{sent} sent, {waited} waited: the plays compare nothing"
+    );
 }
--- a/crates/policy/src/choice/tell.rs
+++ b/crates/policy/src/choice/tell.rs
@@ -15,7 +15,9 @@
     pub(super) fn tell(&mut self, now: Seconds, out: &mut Vec<Action>) {
         let told = std::mem::take(&mut self.to_tell);
         if self.tells() {
-            let bytes = told.iter().flat_map(|pair| [pair.0.to_le_bytes(), pair.1.to_le_bytes()]);
+            let bytes = told
+                .iter()
+                .flat_map(|pair| [pair.0.to_le_bytes(), pair.1.to_le_bytes()]);
             let bytes: Vec<u8> = bytes.flatten().collect();
             out.extend(bytes.chunks(256).map(|part| Action::Tell(part.to_vec())));
         }
@@ -51,7 +53,11 @@
             return;
         }
         let price = self.settings.prices.probe;
-        let spend = if price > 0.0 { PROBE_SPEND / price } else { 1.0 };
+        let spend = if price > 0.0 {
+            PROBE_SPEND / price
+        } else {
+            1.0
+        };
         let each = (self.machines.len() as f64 / (self.rate.0 * spend).max(0.1)).max(STALE);
         for (&id, machine) in &mut self.machines {
             let due = now - machine.report_at.max(machine.probe_at) >= each;
@@ -63,7 +69,11 @@
     }
 
     pub(super) fn wake(&mut self, now: Seconds, out: &mut Vec<Action>) {
-        let probe = if self.settings.probes { now + STALE / 2.0 } else { f64::INFINITY };
+        let probe = if self.settings.probes {
+            now + STALE / 2.0
+        } else {
+            f64::INFINITY
+        };
         let list = match self.list.asked_at {
             Some(asked) => asked + ASK_LOST + 0.01,
             None if self.list.subscribed => f64::INFINITY,
@@ -72,7 +82,10 @@
         let at = probe.min(list).min(self.retry_at);
         if at.is_finite() && at < self.next_wake {
             self.next_wake = at;
-            out.push(Action::Timer { after: (at - now).max(0.001), token: (at.max(0.0) * 1e6) as u64 });
+            out.push(Action::Timer {
+                after: (at - now).max(0.001),
+                token: (at.max(0.0) * 1e6) as u64,
+            });
         }
     }
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -175,19 +175,35 @@
 impl Settings {
     /// Tells the first field that can't be worked with.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |field, problem: &str| Err(SettingsError { field, problem: problem.to_owned() });
+        let fail = |field, problem: &str| {
+            Err(SettingsError {
+                field,
+                problem: problem.to_owned(),
+            })
+        };
         let bad = |x: f64| x.is_nan() || x < 0.0;
         if self.classes.is_empty() {
             return fail("classes", "at least one is needed");
         }
-        if self.kinds.is_empty() || self.kinds.iter().any(|k| !(k.cores > 0.0 && k.memory > 0.0)) {
-            return fail("kinds", "at least one is needed, each with cores and memory above 0");
+        if self.kinds.is_empty()
+            || self
+                .kinds
+                .iter()
+                .any(|k| !(k.cores > 0.0 && k.memory > 0.0))
+        {
+            return fail(
+                "kinds",
+                "at least one is needed, each with cores and memory above 0",
+            );
         }
         if self.schedulers == 0 || self.ordinal >= self.schedulers {
             return fail("schedulers", "must be above the ordinal of this one");
         }
         for c in &self.classes {
-            if [c.aim, c.deadline, c.worth, c.start_worth, c.calm, c.fade].into_iter().any(bad) {
+            if [c.aim, c.deadline, c.worth, c.start_worth, c.calm, c.fade]
+                .into_iter()
+                .any(bad)
+            {
                 return fail("classes", "a negative time, worth or share");
             }
             if c.kind.is_some_and(|k| k >= self.kinds.len()) {
@@ -198,8 +214,19 @@
             }
         }
         let s = &self.safety;
-        let times = [s.answer_slack, s.ask_within, s.cold, s.drain_grace, s.overload_for, s.cold_bears];
-        if times.into_iter().chain([s.cold_from, s.fall_multiple]).any(bad) {
+        let times = [
+            s.answer_slack,
+            s.ask_within,
+            s.cold,
+            s.drain_grace,
+            s.overload_for,
+            s.cold_bears,
+        ];
+        if times
+            .into_iter()
+            .chain([s.cold_from, s.fall_multiple])
+            .any(bad)
+        {
             return fail("safety", "a negative figure");
         }
         if bad(self.admit_cores) || bad(self.admit_memory) {
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -17,20 +17,35 @@
     set.safety.cold_bears = rng.random_range(1.0..40.0);
     set.safety.overload_for = rng.random_range(0.5..2.0);
     let machines = rng.random_range(1..5);
-    let up: Vec<Seconds> = (0..machines).map(|_| 999.0 + rng.random_range(0.0..2.0)).collect();
-    let list: Vec<Entry> =
-        (0..machines).map(|m| Entry { up_since: Some(up[m as usize]), ..entry(m * 7_919 + seed) }).collect();
+    let up: Vec<Seconds> = (0..machines)
+        .map(|_| 999.0 + rng.random_range(0.0..2.0))
+        .collect();
+    let list: Vec<Entry> = (0..machines)
+        .map(|m| Entry {
+            up_since: Some(up[m as usize]),
+            ..entry(m * 7_919 + seed)
+        })
+        .collect();
     let bears = set.safety.cold_bears;
     let start = |ordinal, seed| {
-        let set = Settings { ordinal, ..set.clone() };
+        let set = Settings {
+            ordinal,
+            ..set.clone()
+        };
         let scheduler = Scheduler::new(set, seed).expect("settings are sound");
         (scheduler, vec![Event::ListWhole(list.clone())])
     };
-    let mut fleet: Vec<(Scheduler, Vec<Event>)> = (0..schedulers).map(|n| start(n, rng.random())).collect();
+    let mut fleet: Vec<(Scheduler, Vec<Event>)> =
+        (0..schedulers).map(|n| start(n, rng.random())).collect();
     let mut sends: BTreeMap<MachineId, Vec<Seconds>> = BTreeMap::new();
     let mut attempts: BTreeMap<TaskId, u32> = BTreeMap::new();
     let (mut now, mut next) = (1001.0, 0);
-    let quiet = now + if rng.random_bool(0.5) { rng.random_range(1.0..5.0) } else { 0.0 };
+    let quiet = now
+        + if rng.random_bool(0.5) {
+            rng.random_range(1.0..5.0)
+        } else {
+            0.0
+        };
     // Right after the first offer: all that a fleet may have used up is forgotten then.
     let mut all_at_once = restarts;
     while now < 1008.0 {
@@ -40,46 +55,82 @@
             fleet[turn] = start(turn, rng.random());
         }
         if all_at_once
-            && sends.values().map(Vec::len).sum::<usize>() >= schedulers.min(set.safety.cold_bears as usize)
+            && sends.values().map(Vec::len).sum::<usize>()
+                >= schedulers.min(set.safety.cold_bears as usize)
         {
             all_at_once = false;
             fleet = (0..schedulers).map(|n| start(n, rng.random())).collect();
         }
         let (scheduler, events) = &mut fleet[turn];
         // What a scheduler may save while it has nothing to place must not come out of all of them at once.
-        for _ in 0..if now < quiet { 0 } else { rng.random_range(0..4) } {
+        for _ in 0..if now < quiet {
+            0
+        } else {
+            rng.random_range(0..4)
+        } {
             next += 1;
-            let work = Task { cores: 0.1, memory: 0.1, life: Some(0.5), ..task(next, 0, now + 3.0) };
-            events.push(Event::Submit(Task { class: rng.random_range(0..2), ..work }));
+            let work = Task {
+                cores: 0.1,
+                memory: 0.1,
+                life: Some(0.5),
+                ..task(next, 0, now + 3.0)
+            };
+            events.push(Event::Submit(Task {
+                class: rng.random_range(0..2),
+                ..work
+            }));
         }
         let mut actions = Vec::new();
         scheduler.step(now, std::mem::take(events), &mut actions);
         for action in actions {
-            let Action::Send { task, machine, .. } = action else { continue };
+            let Action::Send { task, machine, .. } = action else {
+                continue;
+            };
             sends.entry(machine).or_default().push(now);
             // Answered by the next step, and over soon, so that nothing but the ramp holds offers back.
             let attempt = *attempts.entry(task).and_modify(|n| *n += 1).or_insert(0);
-            let ends = |ending, closed| Event::Outcome { task, attempt, ending, closed, report: None };
+            let ends = |ending, closed| Event::Outcome {
+                task,
+                attempt,
+                ending,
+                closed,
+                report: None,
+            };
             match rng.random_range(0..4) {
                 0 => events.push(ends(Ending::Full(Why::Queue), false)),
-                _ => events.extend([Event::Confirmed { task, attempt }, ends(Ending::Finished, true)]),
+                _ => events.extend([
+                    Event::Confirmed { task, attempt },
+                    ends(Ending::Finished, true),
+                ]),
             }
         }
     }
     let window = set.safety.overload_for;
     let in_window = |times: &Vec<Seconds>| {
-        let from = |i: usize| times[i..].iter().take_while(|&&at| at < times[i] + window).count();
+        let from = |i: usize| {
+            times[i..]
+                .iter()
+                .take_while(|&&at| at < times[i] + window)
+                .count()
+        };
         (0..times.len()).map(from).max().unwrap_or(0)
     };
     let most = sends.values().map(in_window).max().unwrap_or(0);
-    (most, bears + 2.0 * bears.sqrt() + 2.0, sends.values().map(Vec::len).sum())
+    (
+        most,
+        bears + 2.0 * bears.sqrt() + 2.0,
+        sends.values().map(Vec::len).sum(),
+    )
 }
 
 fn plays(schedulers: usize, restarts: bool) {
     let (mut highest, mut offers) = (0.0f64, 0);
     for seed in 0..150 {
         let (most, allowed, sent) = play(schedulers, seed, restarts);
-        assert!(most as f64 <= allowed, "{schedulers} schedulers, seed {seed}: {most} of {allowed:.1}");
+        assert!(
+            most as f64 <= allowed,
+            "{schedulers} schedulers, seed {seed}: {most} of {allowed:.1}"
+        );
         highest = highest.max(most as f64 / allowed);
         offers += sent;
     }
@@ -119,25 +170,41 @@
 fn schedulers_that_hear_of_more_take_a_smaller_part_each() {
     let mut set = settings(vec![class(Effect::Safe)]);
     set.safety.cold_bears = 16.0;
-    let list = vec![Entry { up_since: Some(999.5), ..entry(7) }];
+    let list = vec![Entry {
+        up_since: Some(999.5),
+        ..entry(7)
+    }];
     let mut sent = Vec::new();
     for ordinal in 0..16 {
         set.ordinal = ordinal;
         set.schedulers = ordinal + 1;
-        let mut scheduler = Scheduler::new(set.clone(), ordinal as u64).expect("settings are sound");
+        let mut scheduler =
+            Scheduler::new(set.clone(), ordinal as u64).expect("settings are sound");
         let mut now = 1000.0;
         let mut events = vec![Event::ListWhole(list.clone()), Event::Sharers(16)];
         while now < 1006.0 {
             let id = (ordinal * 10_000) as u64 + (now * 100.0) as u64 % 10_000;
-            let work = Task { cores: 0.1, memory: 0.1, life: Some(0.5), ..task(id, 0, now + 3.0) };
+            let work = Task {
+                cores: 0.1,
+                memory: 0.1,
+                life: Some(0.5),
+                ..task(id, 0, now + 3.0)
+            };
             events.push(Event::Submit(work));
             let mut actions = Vec::new();
             scheduler.step(now, std::mem::take(&mut events), &mut actions);
             for action in actions {
-                let Action::Send { task, .. } = action else { continue };
+                let Action::Send { task, .. } = action else {
+                    continue;
+                };
                 sent.push(now);
-                let ends =
-                    Event::Outcome { task, attempt: 0, ending: Ending::Finished, closed: true, report: None };
+                let ends = Event::Outcome {
+                    task,
+                    attempt: 0,
+                    ending: Ending::Finished,
+                    closed: true,
+                    report: None,
+                };
                 events.extend([Event::Confirmed { task, attempt: 0 }, ends]);
             }
             now += 0.05;
@@ -145,8 +212,14 @@
     }
     sent.sort_by(f64::total_cmp);
     let window = set.safety.overload_for;
-    let most =
-        sent.iter().map(|&from| sent.iter().filter(|&&at| at >= from && at < from + window).count()).max();
+    let most = sent
+        .iter()
+        .map(|&from| {
+            sent.iter()
+                .filter(|&&at| at >= from && at < from + window)
+                .count()
+        })
+        .max();
     assert!(
         (16..=26).contains(&most.unwrap_or(0)),
         "{most:?} of 26 offers in a window: sixteen schedulers, one each"
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -28,7 +28,10 @@
         zone: 0,
         classes,
         tenants: vec![],
-        kinds: vec![Kind { cores: 32.0, memory: 64.0 }],
+        kinds: vec![Kind {
+            cores: 32.0,
+            memory: 64.0,
+        }],
         admit_cores: 2.5,
         admit_memory: 1.5,
         one_home: false,
@@ -84,7 +87,13 @@
 }
 
 pub fn outcome(task: u64, attempt: u32, ending: Ending) -> Event {
-    Event::Outcome { task: TaskId(task), attempt, ending, closed: false, report: None }
+    Event::Outcome {
+        task: TaskId(task),
+        attempt,
+        ending,
+        closed: false,
+        report: None,
+    }
 }
 
 /// A scheduler with its rules watched from outside: every step asserts all five.
@@ -108,16 +117,29 @@
 
 impl Seen {
     fn may_have_run(&self) -> Option<(MachineId, Seconds)> {
-        let never =
-            |e: &Option<Ending>| matches!(e, Some(Ending::Full(_) | Ending::NoConnection | Ending::Void));
-        self.attempts.iter().find(|a| !never(&a.2)).map(|a| (a.0, a.1))
+        let never = |e: &Option<Ending>| {
+            matches!(
+                e,
+                Some(Ending::Full(_) | Ending::NoConnection | Ending::Void)
+            )
+        };
+        self.attempts
+            .iter()
+            .find(|a| !never(&a.2))
+            .map(|a| (a.0, a.1))
     }
 }
 
 impl Watched {
     pub fn new(set: Settings, seed: u64) -> Self {
         let scheduler = Scheduler::new(set.clone(), seed).expect("settings are sound");
-        Self { scheduler, set, tasks: BTreeMap::new(), list: BTreeMap::new(), cold: Vec::new() }
+        Self {
+            scheduler,
+            set,
+            tasks: BTreeMap::new(),
+            list: BTreeMap::new(),
+            cold: Vec::new(),
+        }
     }
 
     pub fn step(&mut self, now: Seconds, events: Vec<Event>) -> Vec<Action> {
@@ -131,7 +153,10 @@
         }
         for (id, seen) in &self.tasks {
             let late = now > seen.task.deadline + self.set.safety.answer_slack;
-            assert!(seen.answered || !late, "{id:?} had no answer by {now}: {seen:?}");
+            assert!(
+                seen.answered || !late,
+                "{id:?} had no answer by {now}: {seen:?}"
+            );
         }
         actions
     }
@@ -139,19 +164,35 @@
     fn note(&mut self, event: &Event, now: Seconds) {
         match event {
             Event::Submit(task) => {
-                let seen = Seen { task: task.clone(), attempts: vec![], answered: false, confirmed: false };
+                let seen = Seen {
+                    task: task.clone(),
+                    attempts: vec![],
+                    answered: false,
+                    confirmed: false,
+                };
                 self.tasks.entry(task.id).or_insert(seen);
             }
             Event::InPlace(task, machine) => {
                 let attempts = vec![(*machine, now, None)];
-                let seen = Seen { task: task.clone(), attempts, answered: true, confirmed: true };
+                let seen = Seen {
+                    task: task.clone(),
+                    attempts,
+                    answered: true,
+                    confirmed: true,
+                };
                 self.tasks.entry(task.id).or_insert(seen);
             }
             Event::Confirmed { task, .. } => {
                 let seen = self.tasks.get_mut(task).unwrap();
                 (seen.answered, seen.confirmed) = (true, true);
             }
-            Event::Outcome { task, attempt, ending, closed, .. } => {
+            Event::Outcome {
+                task,
+                attempt,
+                ending,
+                closed,
+                ..
+            } => {
                 if let Some(seen) = self.tasks.get_mut(task) {
                     seen.attempts[*attempt as usize].2 = Some(*ending);
                     seen.answered |= closed;
@@ -163,7 +204,8 @@
                 }
             }
             Event::ListChanges(list) => {
-                self.list.extend(list.iter().map(|e| (e.machine, e.clone())));
+                self.list
+                    .extend(list.iter().map(|e| (e.machine, e.clone())));
             }
             Event::ListWhole(list) => {
                 self.list = list.iter().map(|e| (e.machine, e.clone())).collect();
@@ -180,7 +222,9 @@
                 assert!(!seen.answered, "{task:?} was answered twice");
                 let harmless = match self.set.classes[seen.task.class].effect {
                     Effect::Safe => true,
-                    Effect::Keyed { group: Place::All, .. } => true,
+                    Effect::Keyed {
+                        group: Place::All, ..
+                    } => true,
                     _ => seen.may_have_run().is_none(),
                 };
                 assert!(harmless, "{task:?} may have run and was refused");
@@ -196,18 +240,27 @@
     }
 
     fn check_send(&mut self, now: Seconds, id: TaskId, machine: MachineId) {
-        let to = self.list.get(&machine).unwrap_or_else(|| panic!("{machine:?} is not listed"));
+        let to = self
+            .list
+            .get(&machine)
+            .unwrap_or_else(|| panic!("{machine:?} is not listed"));
         assert_eq!(to.standing, Standing::Ready, "sent to a leaving machine");
         let seen = &self.tasks[&id];
         let class = &self.set.classes[seen.task.class];
         assert!(!seen.answered, "{id:?} was sent after its end");
-        assert!(seen.attempts.iter().all(|a| a.2.is_some()), "two attempts of {id:?} are out");
+        assert!(
+            seen.attempts.iter().all(|a| a.2.is_some()),
+            "two attempts of {id:?} are out"
+        );
         if let Some((first, at)) = seen.may_have_run() {
             match class.effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("{id:?} may have run and was sent again"),
                 Effect::Keyed { group, window } => {
-                    assert!(now < at + window, "{id:?} was sent again outside its window");
+                    assert!(
+                        now < at + window,
+                        "{id:?} was sent again outside its window"
+                    );
                     let same = match (group, self.list.get(&first)) {
                         (Place::All, _) => true,
                         (Place::Machine, _) => first == machine,
@@ -228,17 +281,33 @@
         if class.spread.is_some() {
             let service = seen.task.service;
             let there = self.tasks.values().filter(|t| t.task.service == service);
-            let there = there.flat_map(|t| &t.attempts).filter(|a| a.2.is_none() && in_place(&a.0));
-            assert!(there.count() < class.spread_most as usize, "{id:?} breaks the spread");
+            let there = there
+                .flat_map(|t| &t.attempts)
+                .filter(|a| a.2.is_none() && in_place(&a.0));
+            assert!(
+                there.count() < class.spread_most as usize,
+                "{id:?} breaks the spread"
+            );
         }
-        if to.up_since.is_some_and(|up| now < up + self.set.safety.cold) {
+        if to
+            .up_since
+            .is_some_and(|up| now < up + self.set.safety.cold)
+        {
             self.cold.push((now, machine));
             let from = now - self.set.safety.overload_for;
-            let sent = self.cold.iter().filter(|c| c.1 == machine && c.0 > from).count() as f64;
+            let sent = self
+                .cold
+                .iter()
+                .filter(|c| c.1 == machine && c.0 > from)
+                .count() as f64;
             let most = (self.set.safety.cold_bears / self.set.schedulers as f64).max(1.0);
             assert!(sent <= most, "a cold machine gets {sent} offers");
         }
-        self.tasks.get_mut(&id).unwrap().attempts.push((machine, now, None));
+        self.tasks
+            .get_mut(&id)
+            .unwrap()
+            .attempts
+            .push((machine, now, None));
     }
 }
 
--- a/crates/policy/tests/decision_files.rs
+++ b/crates/policy/tests/decision_files.rs
@@ -37,7 +37,10 @@
 /// The files that `deploy/balancer.toml` names under `policy`.
 fn named_files() -> BTreeSet<String> {
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
-    let line = text.lines().find(|line| line.starts_with("policy")).expect("a key 'policy'");
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("a key 'policy'");
     let names = line.split('"').skip(1).step_by(2);
     names.map(str::to_owned).collect()
 }
@@ -45,7 +48,11 @@
 /// The decision files of the package, as paths from the root of the project.
 fn decision_files() -> BTreeSet<String> {
     let mut files = BTreeSet::new();
-    collect(&root().join("crates/policy/src"), "crates/policy/src", &mut files);
+    collect(
+        &root().join("crates/policy/src"),
+        "crates/policy/src",
+        &mut files,
+    );
     files
 }
 
@@ -77,7 +84,10 @@
     for file in decision_files() {
         let text = std::fs::read_to_string(root().join(&file)).unwrap();
         let lines = text.lines().count();
-        assert!(lines <= MAX_LINES, "{file} has {lines} lines, {MAX_LINES} are allowed");
+        assert!(
+            lines <= MAX_LINES,
+            "{file} has {lines} lines, {MAX_LINES} are allowed"
+        );
     }
 }
 
--- a/crates/policy/tests/explain.rs
+++ b/crates/policy/tests/explain.rs
@@ -9,8 +9,16 @@
 /// Crowded machines, so that tasks wait, for one reason or another.
 fn play(seed: u64, codes: &mut BTreeSet<String>) -> (usize, usize) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let spread = [None, Some(Place::Machine), Some(Place::Cell), Some(Place::Zone)];
-    let keyed = Effect::Keyed { group: Place::Cell, window: 2.0 };
+    let spread = [
+        None,
+        Some(Place::Machine),
+        Some(Place::Cell),
+        Some(Place::Zone),
+    ];
+    let keyed = Effect::Keyed {
+        group: Place::Cell,
+        window: 2.0,
+    };
     let classes = [Effect::Safe, keyed, Effect::Unsafe].map(|e| Class {
         spread: spread[rng.random_range(0..4)],
         spread_most: 1,
@@ -26,8 +34,11 @@
         w.step(now, std::mem::take(&mut events));
         // Time passes and nothing else happens: what was ruled out at this time must not be chosen now.
         now += rng.random_range(0.01..0.12);
-        let before: Vec<_> =
-            w.tasks.keys().filter_map(|id| Some((*id, w.scheduler.explain(now, *id)?))).collect();
+        let before: Vec<_> = w
+            .tasks
+            .keys()
+            .filter_map(|id| Some((*id, w.scheduler.explain(now, *id)?)))
+            .collect();
         let look = before.iter().any(|(_, waiting)| now >= waiting.next_look);
         let actions = w.step(now, vec![Event::Timer(0)]);
         if let Some((task, machine)) = sends(&actions).first()
@@ -36,17 +47,25 @@
             chosen += 1;
             let bar = waiting.bars.iter().find(|(to, _)| to == machine);
             // What cold machines bear grows within the step itself.
-            assert!(bar.is_none_or(|(_, bar)| *bar == Bar::Cold), "seed {seed}: {task:?} went to {bar:?}");
+            assert!(
+                bar.is_none_or(|(_, bar)| *bar == Bar::Cold),
+                "seed {seed}: {task:?} went to {bar:?}"
+            );
         }
         for (id, _) in before.iter().filter(|_| look) {
-            let Some(waiting) = w.scheduler.explain(now, *id) else { continue };
+            let Some(waiting) = w.scheduler.explain(now, *id) else {
+                continue;
+            };
             held += 1;
             codes.extend(waiting.bars.iter().map(|(_, bar)| {
                 let text = format!("{bar:?}");
                 text.split('(').next().unwrap_or("").to_owned()
             }));
             let all = waiting.bars.len() == waiting.machines || waiting.block.is_some();
-            assert!(all, "seed {seed}: {id:?} waits though a machine is open: {waiting:?}");
+            assert!(
+                all,
+                "seed {seed}: {id:?} waits though a machine is open: {waiting:?}"
+            );
         }
         for _ in 0..rng.random_range(0..4) {
             let mut new = task(next, rng.random_range(0..3), now + 20.0);
@@ -55,11 +74,16 @@
             next += 1;
         }
         for (&id, seen) in &w.tasks {
-            let Some((n, last)) = seen.attempts.iter().enumerate().next_back() else { continue };
+            let Some((n, last)) = seen.attempts.iter().enumerate().next_back() else {
+                continue;
+            };
             let ending = match rng.random_range(0..40) {
                 _ if last.2.is_some() => continue,
                 0..8 if !seen.answered => {
-                    events.push(Event::Confirmed { task: id, attempt: n as u32 });
+                    events.push(Event::Confirmed {
+                        task: id,
+                        attempt: n as u32,
+                    });
                     continue;
                 }
                 8 => Ending::Full(Why::Memory),
@@ -68,7 +92,13 @@
                 _ => continue,
             };
             let (attempt, closed) = (n as u32, seen.confirmed);
-            events.push(Event::Outcome { task: id, attempt, ending, closed, report: None });
+            events.push(Event::Outcome {
+                task: id,
+                attempt,
+                ending,
+                closed,
+                report: None,
+            });
         }
         if rng.random_bool(0.1) {
             let mut changed = entry(rng.random_range(0..machines));
@@ -91,8 +121,13 @@
         let (c, h) = play(seed, &mut codes);
         (chosen, held) = (chosen + c, held + h);
     }
-    assert!(chosen > 300 && held > 5000, "{chosen} choices and {held} waits test nothing");
-    for code in ["Draining", "Group", "Cold", "Spread", "Aside", "Line", "Cores", "Memory"] {
+    assert!(
+        chosen > 300 && held > 5000,
+        "{chosen} choices and {held} waits test nothing"
+    );
+    for code in [
+        "Draining", "Group", "Cold", "Spread", "Aside", "Line", "Cores", "Memory",
+    ] {
         assert!(codes.contains(code), "{code} never came up: {codes:?}");
     }
 }
@@ -101,14 +136,21 @@
 fn explaining_changes_nothing() {
     let run = |ask: bool| {
         let mut w = Watched::new(
-            settings(vec![Class { spread: Some(Place::Cell), spread_most: 1, ..class(Effect::Safe) }]),
+            settings(vec![Class {
+                spread: Some(Place::Cell),
+                spread_most: 1,
+                ..class(Effect::Safe)
+            }]),
             3,
         );
         let mut all = Vec::new();
         w.step(0.0, vec![Event::ListWhole((0..6).map(entry).collect())]);
         for i in 0..80u64 {
             let now = 0.1 + i as f64 * 0.05;
-            all.extend(w.step(now, vec![Event::Submit(task(i, 0, now + 6.0)), Event::Timer(0)]));
+            all.extend(w.step(
+                now,
+                vec![Event::Submit(task(i, 0, now + 6.0)), Event::Timer(0)],
+            ));
             if ask {
                 (0..=i).for_each(|id| drop(w.scheduler.explain(now, TaskId(id))));
             }
@@ -125,13 +167,23 @@
     let mut w = Watched::new(set, 1);
     w.step(0.0, vec![Event::ListWhole(vec![entry(0)])]);
     w.step(0.1, vec![Event::Submit(task(1, 0, 6.0))]);
-    assert_eq!(w.scheduler.explain(0.1, TaskId(1)), None, "an offer is out: it does not wait");
+    assert_eq!(
+        w.scheduler.explain(0.1, TaskId(1)),
+        None,
+        "an offer is out: it does not wait"
+    );
     assert_eq!(w.scheduler.explain(0.1, TaskId(9)), None, "nobody knows it");
     // With nothing listed a task waits, and no machine was looked at.
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
     w.step(0.0, vec![Event::Submit(task(1, 0, 6.0))]);
     let waiting = w.scheduler.explain(0.01, TaskId(1)).unwrap();
-    assert_eq!((waiting.machines, waiting.bars.len(), waiting.block), (0, 0, None));
+    assert_eq!(
+        (waiting.machines, waiting.bars.len(), waiting.block),
+        (0, 0, None)
+    );
     assert!(waiting.until > 5.9 && waiting.until < 6.0 && waiting.next_look > 0.0);
-    assert_eq!(w.scheduler.explain(6.0, TaskId(1)).unwrap().block, Some(Block::Late));
+    assert_eq!(
+        w.scheduler.explain(6.0, TaskId(1)).unwrap().block,
+        Some(Block::Late)
+    );
 }
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -11,7 +11,12 @@
         group: [Place::All, Place::Zone, Place::Cell, Place::Machine][rng.random_range(0..4)],
         window: 2.0,
     };
-    let spread = [None, Some(Place::Machine), Some(Place::Cell), Some(Place::Zone)];
+    let spread = [
+        None,
+        Some(Place::Machine),
+        Some(Place::Cell),
+        Some(Place::Zone),
+    ];
     let classes = [Effect::Safe, keyed, Effect::Unsafe].map(|e| Class {
         spread: spread[rng.random_range(0..4)],
         spread_most: 3,
@@ -42,13 +47,19 @@
             events.push(Event::Timer(0));
         }
         if now < 1022.0 && rng.random_bool(0.7) {
-            let mut new = task(next, rng.random_range(0..3), now + rng.random_range(0.0..6.0));
+            let mut new = task(
+                next,
+                rng.random_range(0..3),
+                now + rng.random_range(0.0..6.0),
+            );
             new.life = rng.random_bool(0.8).then(|| rng.random_range(0.0..8.0));
             events.push(Event::Submit(new));
             next += 1;
         }
         for (&id, seen) in &w.tasks {
-            let Some((n, last)) = seen.attempts.iter().enumerate().next_back() else { continue };
+            let Some((n, last)) = seen.attempts.iter().enumerate().next_back() else {
+                continue;
+            };
             let attempt = n as u32;
             if last.2.is_some() {
                 continue;
@@ -73,7 +84,13 @@
                 _ if !seen.answered && now >= seen.task.deadline - 0.02 => Ending::Late,
                 _ => continue,
             };
-            events.push(Event::Outcome { task: id, attempt, ending, closed, report: None });
+            events.push(Event::Outcome {
+                task: id,
+                attempt,
+                ending,
+                closed,
+                report: None,
+            });
         }
         if rng.random_bool(0.05) {
             let mut changed = entry(rng.random_range(0..machines));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,7 +4,10 @@
 use common::*;
 use tidespur_policy::interface::*;
 
-const KEYED: Effect = Effect::Keyed { group: Place::Cell, window: 3.0 };
+const KEYED: Effect = Effect::Keyed {
+    group: Place::Cell,
+    window: 3.0,
+};
 
 fn fleet(n: u64) -> Event {
     Event::ListWhole((0..n).map(entry).collect())
@@ -22,7 +25,11 @@
 fn held_tasks_ask_for_a_timer_before_their_deadline() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
     let actions = w.step(1.0, vec![Event::Submit(task(1, 0, 1.04))]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Timer { after, .. } if *after < 0.04)));
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Timer { after, .. } if *after < 0.04))
+    );
 }
 
 #[test]
@@ -74,11 +81,17 @@
 fn a_drain_learned_in_this_step_binds_its_sends() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
     w.step(1.0, vec![fleet(2)]);
-    let leaving = Entry { standing: Standing::Draining, ..entry(0) };
+    let leaving = Entry {
+        standing: Standing::Draining,
+        ..entry(0)
+    };
     let mut events: Vec<Event> = (0..6).map(|i| Event::Submit(task(i, 0, 9.0))).collect();
     events.push(Event::ListChanges(vec![leaving]));
     let sent = sends(&w.step(2.0, events));
-    assert!(!sent.is_empty() && sent.iter().all(|s| s.1 == MachineId(1)), "{sent:?}");
+    assert!(
+        !sent.is_empty() && sent.iter().all(|s| s.1 == MachineId(1)),
+        "{sent:?}"
+    );
 }
 
 /// All schedulers learn of a restart together: offers to cold machines start spread out and stay within a part of
@@ -92,11 +105,16 @@
             let mut set = settings(vec![class(Effect::Safe)]);
             set.schedulers = schedulers;
             let mut w = Watched::new(set, seed);
-            let cold = |m| Entry { up_since: Some(99.0), ..entry(m) };
+            let cold = |m| Entry {
+                up_since: Some(99.0),
+                ..entry(m)
+            };
             let mut events = vec![Event::ListWhole((0..machines).map(cold).collect())];
             events.extend((0..40).map(|i| Event::Submit(task(i, 0, 109.0))));
             at_once += sends(&w.step(100.0, events)).len();
-            all += (1..60).map(|i| sends(&w.step(100.0 + f64::from(i) * 0.1, vec![])).len()).sum::<usize>();
+            all += (1..60)
+                .map(|i| sends(&w.step(100.0 + f64::from(i) * 0.1, vec![])).len())
+                .sum::<usize>();
         }
         let (all, at_once) = (all as f64 / 10.0, at_once as f64 / 10.0);
         // Of 8 offers a second and machine, half is used by all schedulers together.
@@ -105,15 +123,25 @@
             all <= 6.0 * most + 1.0 && (all >= 1.0 || most < 0.3),
             "{schedulers}, {machines}: {all} in 6 s"
         );
-        assert!(at_once <= most.max(0.5), "{schedulers}, {machines}: {at_once} at once");
+        assert!(
+            at_once <= most.max(0.5),
+            "{schedulers}, {machines}: {at_once} at once"
+        );
     }
 }
 
 #[test]
 fn spread_counts_tasks_in_place_and_attempts() {
-    let spread = Class { spread: Some(Place::Cell), spread_most: 2, ..class(Effect::Safe) };
+    let spread = Class {
+        spread: Some(Place::Cell),
+        spread_most: 2,
+        ..class(Effect::Safe)
+    };
     let mut w = Watched::new(settings(vec![spread]), 1);
-    let same = |id| Task { service: ServiceId(7), ..task(id, 0, 9.0) };
+    let same = |id| Task {
+        service: ServiceId(7),
+        ..task(id, 0, 9.0)
+    };
     w.step(1.0, vec![fleet(4), Event::InPlace(same(1), MachineId(0))]);
     let sent = sends(&w.step(1.1, (2..6).map(|i| Event::Submit(same(i))).collect()));
     assert_eq!(sent.len(), 1);
@@ -123,11 +151,18 @@
 #[test]
 fn tasks_in_place_are_not_counted_twice() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
-    let full = Entry { free_cores: 2.0, free_memory: 4.0, ..entry(0) };
+    let full = Entry {
+        free_cores: 2.0,
+        free_memory: 4.0,
+        ..entry(0)
+    };
     let mut events = vec![Event::ListWhole(vec![full])];
     events.extend((0..30).map(|i| Event::InPlace(task(i, 0, 1.0), MachineId(0))));
     w.step(1.0, events);
-    assert_eq!(sends(&w.step(1.1, vec![Event::Submit(task(50, 0, 7.0))])).len(), 1);
+    assert_eq!(
+        sends(&w.step(1.1, vec![Event::Submit(task(50, 0, 7.0))])).len(),
+        1
+    );
 }
 
 /// A machine that turns everything away, for whatever reason, is asked ever more rarely.
@@ -162,7 +197,13 @@
     events.extend((0..40).map(|i| Event::Submit(task(i, 0, 7.0))));
     let first = sends(&w.step(1.0, events)).len();
     assert!((1..=8).contains(&first), "{first} offers at once");
-    let more = w.step(1.1, vec![Event::Confirmed { task: TaskId(0), attempt: 0 }]);
+    let more = w.step(
+        1.1,
+        vec![Event::Confirmed {
+            task: TaskId(0),
+            attempt: 0,
+        }],
+    );
     assert!(!sends(&more).is_empty());
 }
 
@@ -171,7 +212,13 @@
     use tidespur_policy::Scheduler;
     let field = |set: Settings| Scheduler::new(set, 1).unwrap_err().field;
     assert_eq!(field(settings(vec![])), "classes");
-    assert_eq!(field(settings(vec![Class { aim: -1.0, ..class(Effect::Safe) }])), "classes");
+    assert_eq!(
+        field(settings(vec![Class {
+            aim: -1.0,
+            ..class(Effect::Safe)
+        }])),
+        "classes"
+    );
     let mut set = settings(vec![class(Effect::Safe)]);
     set.safety.cold = f64::NAN;
     assert_eq!(field(set), "safety");
@@ -184,21 +231,46 @@
 #[test]
 fn oddities_are_borne() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
-    w.step(1.0, vec![Event::ListWhole(vec![]), Event::Dropped(TaskId(9)), Event::Timer(3), Event::Timer(3)]);
-    let huge = Task { cores: 1e9, ..task(1, 0, 3.0) };
+    w.step(
+        1.0,
+        vec![
+            Event::ListWhole(vec![]),
+            Event::Dropped(TaskId(9)),
+            Event::Timer(3),
+            Event::Timer(3),
+        ],
+    );
+    let huge = Task {
+        cores: 1e9,
+        ..task(1, 0, 3.0)
+    };
     let passed = task(2, 0, 0.5);
-    let brief = Task { life: Some(0.0), ..task(3, 0, f64::INFINITY) };
-    let odd = vec![fleet(2), Event::Submit(huge), Event::Submit(passed), Event::Submit(brief)];
+    let brief = Task {
+        life: Some(0.0),
+        ..task(3, 0, f64::INFINITY)
+    };
+    let odd = vec![
+        fleet(2),
+        Event::Submit(huge),
+        Event::Submit(passed),
+        Event::Submit(brief),
+    ];
     let actions = {
         let mut out = Vec::new();
         w.scheduler.step(1.1, odd, &mut out);
         out
     };
-    assert!(actions.contains(&Action::Refuse { task: TaskId(2), retry_in: 0.0 }));
+    assert!(actions.contains(&Action::Refuse {
+        task: TaskId(2),
+        retry_in: 0.0
+    }));
     assert_eq!(sends(&actions).len(), 1);
     let mut out = Vec::new();
     w.scheduler.step(2.98, vec![Event::Timer(0)], &mut out);
-    assert!(out.contains(&Action::Refuse { task: TaskId(1), retry_in: 0.0 }));
+    assert!(out.contains(&Action::Refuse {
+        task: TaskId(1),
+        retry_in: 0.0
+    }));
 }
 
 /// Starts without the program were mostly late: what another scheduler tells of a program draws its tasks.
@@ -206,7 +278,10 @@
 fn told_programs_draw_tasks() {
     let mut set = settings(vec![class(Effect::Safe)]);
     set.messages = true;
-    let same = |id| Task { service: ServiceId(7), ..task(id, 0, 9.0) };
+    let same = |id| Task {
+        service: ServiceId(7),
+        ..task(id, 0, 9.0)
+    };
     let mut teller = Watched::new(set.clone(), 1);
     let actions = teller.step(1.0, vec![fleet(12), Event::InPlace(same(1), MachineId(9))]);
     let told = actions.iter().find_map(|a| match a {
@@ -218,9 +293,13 @@
     let mut events = vec![Event::Heard(told.expect("the program is told"))];
     events.extend((2..5).map(|i| Event::Submit(same(i))));
     let sent = sends(&hearer.step(1.1, events));
-    assert_eq!(sent.iter().map(|s| s.1).collect::<Vec<_>>(), [MachineId(9); 3]);
+    assert_eq!(
+        sent.iter().map(|s| s.1).collect::<Vec<_>>(),
+        [MachineId(9); 3]
+    );
     set.messages = false;
-    let quiet = Watched::new(set, 1).step(1.0, vec![fleet(12), Event::InPlace(same(1), MachineId(9))]);
+    let quiet =
+        Watched::new(set, 1).step(1.0, vec![fleet(12), Event::InPlace(same(1), MachineId(9))]);
     assert!(!quiet.iter().any(|a| matches!(a, Action::Tell(_))));
 }
 
@@ -240,7 +319,14 @@
 #[test]
 fn messages_that_make_no_sense_are_ignored() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
-    w.step(1.0, vec![Event::Heard(vec![1, 2, 3]), Event::Heard(vec![]), Event::Heard(vec![255; 256])]);
+    w.step(
+        1.0,
+        vec![
+            Event::Heard(vec![1, 2, 3]),
+            Event::Heard(vec![]),
+            Event::Heard(vec![255; 256]),
+        ],
+    );
 }
 
 /// The times of starts with and without the program are learned apart, however near they come: once they had been
@@ -252,14 +338,35 @@
     let mut now = 1.0;
     for id in 0..60 {
         now += 1.0;
-        let new = Task { service: ServiceId(id), ..task(id, 0, now + 6.0) };
+        let new = Task {
+            service: ServiceId(id),
+            ..task(id, 0, now + 6.0)
+        };
         w.step(now, vec![Event::Submit(new)]);
-        w.step(now + 0.02, vec![Event::Confirmed { task: TaskId(id), attempt: 0 }]);
-        w.step(now + 0.15, vec![Event::Note { task: TaskId(id), note: Note::Runs }]);
+        w.step(
+            now + 0.02,
+            vec![Event::Confirmed {
+                task: TaskId(id),
+                attempt: 0,
+            }],
+        );
+        w.step(
+            now + 0.15,
+            vec![Event::Note {
+                task: TaskId(id),
+                note: Note::Runs,
+            }],
+        );
     }
-    let same = |id| Task { service: ServiceId(777), ..task(id, 0, now + 9.0) };
+    let same = |id| Task {
+        service: ServiceId(777),
+        ..task(id, 0, now + 9.0)
+    };
     w.step(now + 1.0, vec![Event::InPlace(same(900), MachineId(3))]);
-    let sent = sends(&w.step(now + 1.1, (901..904).map(|i| Event::Submit(same(i))).collect()));
+    let sent = sends(&w.step(
+        now + 1.1,
+        (901..904).map(|i| Event::Submit(same(i))).collect(),
+    ));
     assert!(sent.iter().all(|s| s.1 == MachineId(3)), "{sent:?}");
 }
 
@@ -288,13 +395,32 @@
 fn machines_that_have_gone_are_forgotten() {
     let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
     for n in 0..1_000 {
-        let gone = Entry { standing: Standing::Gone, ..entry(n) };
-        w.step(1.0 + n as f64, vec![Event::ListChanges(vec![gone, entry(n + 1)])]);
+        let gone = Entry {
+            standing: Standing::Gone,
+            ..entry(n)
+        };
+        w.step(
+            1.0 + n as f64,
+            vec![Event::ListChanges(vec![gone, entry(n + 1)])],
+        );
     }
     w.step(2_000.0, vec![Event::Submit(task(1, 0, 1.0))]);
-    w.step(2_001.0, vec![Event::Submit(Task { cores: 1e3, ..task(2, 0, 2_007.0) })]);
-    let waits = w.scheduler.explain(2_001.0, TaskId(2)).expect("no machine takes it");
-    assert!(waits.machines < 200, "{} machines are still known", waits.machines);
+    w.step(
+        2_001.0,
+        vec![Event::Submit(Task {
+            cores: 1e3,
+            ..task(2, 0, 2_007.0)
+        })],
+    );
+    let waits = w
+        .scheduler
+        .explain(2_001.0, TaskId(2))
+        .expect("no machine takes it");
+    assert!(
+        waits.machines < 200,
+        "{} machines are still known",
+        waits.machines
+    );
 }
 
 /// Starts that wait behind those of other schedulers tell nothing of what a start takes: once they had been learned as
@@ -306,10 +432,25 @@
     let mut now = 1.0;
     let mut start = |w: &mut Watched, id: u64, service: u64, takes: Seconds| {
         now += 10.0;
-        let new = Task { service: ServiceId(service), ..task(id, 0, now + 6.0) };
+        let new = Task {
+            service: ServiceId(service),
+            ..task(id, 0, now + 6.0)
+        };
         let sent = sends(&w.step(now, vec![Event::Submit(new)]));
-        w.step(now + 0.02, vec![Event::Confirmed { task: TaskId(id), attempt: 0 }]);
-        w.step(now + takes, vec![Event::Note { task: TaskId(id), note: Note::Runs }]);
+        w.step(
+            now + 0.02,
+            vec![Event::Confirmed {
+                task: TaskId(id),
+                attempt: 0,
+            }],
+        );
+        w.step(
+            now + takes,
+            vec![Event::Note {
+                task: TaskId(id),
+                note: Note::Runs,
+            }],
+        );
         sent[0].1
     };
     // Usual starts, without the program and with it.
@@ -324,9 +465,17 @@
         start(&mut w, id, id, 1.4);
     }
     // All machines but one are a little crowded: less dear than a start without the program.
-    let crowded = |n| Entry { free_memory: if n == 0 { 64.0 } else { -3.1 }, ..entry(n) };
-    w.step(1_002.0, vec![Event::ListWhole((0..12).map(crowded).collect())]);
-    let away = (400..424).filter(|&id| start(&mut w, id, id, 1.4) == MachineId(0)).count();
+    let crowded = |n| Entry {
+        free_memory: if n == 0 { 64.0 } else { -3.1 },
+        ..entry(n)
+    };
+    w.step(
+        1_002.0,
+        vec![Event::ListWhole((0..12).map(crowded).collect())],
+    );
+    let away = (400..424)
+        .filter(|&id| start(&mut w, id, id, 1.4) == MachineId(0))
+        .count();
     assert!(away <= 8, "{away} of 24 left the homes of their services");
 }
 
@@ -337,13 +486,26 @@
     let mut set = settings(vec![class(Effect::Safe)]);
     (set.admit_memory, set.prices.machines) = (1.2, 0.2);
     let mut w = Watched::new(set, 1);
-    let asked = |n| if n < 10 { 1.16 } else { 0.6 + 0.3 * f64::from(u8::from(n < 12)) };
-    let listed = |n| Entry { free_cores: 16.0, free_memory: 64.0 * (1.0 - asked(n)), ..entry(n) };
+    let asked = |n| {
+        if n < 10 {
+            1.16
+        } else {
+            0.6 + 0.3 * f64::from(u8::from(n < 12))
+        }
+    };
+    let listed = |n| Entry {
+        free_cores: 16.0,
+        free_memory: 64.0 * (1.0 - asked(n)),
+        ..entry(n)
+    };
     w.step(1.0, vec![Event::ListWhole((0..24).map(listed).collect())]);
     // Tasks use a good third of what they ask for.
     let stands = (0..20).map(|id| Event::InPlace(task(id, 0, 99.0), MachineId(id % 10)));
     w.step(1.0, stands.collect());
-    let uses = |id| Event::Note { task: TaskId(id), note: Note::UsesMemory(0.6) };
+    let uses = |id| Event::Note {
+        task: TaskId(id),
+        note: Note::UsesMemory(0.6),
+    };
     w.step(8.0, (0..20).map(uses).collect());
     for look in 0..100 {
         w.step(8.0 + 0.6 * f64::from(look), vec![]);
@@ -351,10 +513,29 @@
     let mut used = std::collections::BTreeSet::new();
     for id in 100..112 {
         let now = 70.0 + 0.01 * id as f64;
-        let new = Task { service: ServiceId(id), ..task(id, 0, 79.0) };
-        used.extend(sends(&w.step(now, vec![Event::Submit(new)])).iter().map(|sent| sent.1));
-        w.step(now, vec![Event::Confirmed { task: TaskId(id), attempt: 0 }]);
-        w.step(now, vec![Event::Note { task: TaskId(id), note: Note::Runs }]);
+        let new = Task {
+            service: ServiceId(id),
+            ..task(id, 0, 79.0)
+        };
+        used.extend(
+            sends(&w.step(now, vec![Event::Submit(new)]))
+                .iter()
+                .map(|sent| sent.1),
+        );
+        w.step(
+            now,
+            vec![Event::Confirmed {
+                task: TaskId(id),
+                attempt: 0,
+            }],
+        );
+        w.step(
+            now,
+            vec![Event::Note {
+                task: TaskId(id),
+                note: Note::Runs,
+            }],
+        );
     }
     assert!(used.len() >= 5, "{used:?}");
 }
--- a/crates/recovery/src/sharers.rs
+++ b/crates/recovery/src/sharers.rs
@@ -64,22 +64,37 @@
         let Some(token) = seen.token else { return };
         let here: BTreeSet<&String> = seen.linked.values().filter(|name| is_sound(name)).collect();
         let new = here.iter().filter(|name| !seen.counted.contains(**name));
-        let new: Vec<&String> = new.take(COUNTED_MOST.saturating_sub(seen.counted.len())).copied().collect();
+        let new: Vec<&String> = new
+            .take(COUNTED_MOST.saturating_sub(seen.counted.len()))
+            .copied()
+            .collect();
         for &name in &new {
             if self.ask(now, name) {
                 out.push(Output::Count(name.clone()));
             }
         }
-        for name in seen.counted.iter().filter(|name| seen.left.contains(*name) && !here.contains(name)) {
+        for name in seen
+            .counted
+            .iter()
+            .filter(|name| seen.left.contains(*name) && !here.contains(name))
+        {
             if self.ask(now, name) {
                 out.push(Output::Forget(name.clone()));
             }
         }
         // Who is not counted yet counts already for the others: they make room first.
         let planners = u32::try_from(seen.counted.len() + new.len()).unwrap_or(u32::MAX);
-        for (&link, _) in seen.linked.iter().filter(|(_, name)| seen.counted.contains(*name)) {
+        for (&link, _) in seen
+            .linked
+            .iter()
+            .filter(|(_, name)| seen.counted.contains(*name))
+        {
             if self.told.insert(link, (token, planners)) != Some((token, planners)) {
-                out.push(Output::Tell { link, token, planners });
+                out.push(Output::Tell {
+                    link,
+                    token,
+                    planners,
+                });
             }
         }
     }
--- a/crates/recovery/tests/sharers.rs
+++ b/crates/recovery/tests/sharers.rs
@@ -16,23 +16,50 @@
 impl Played {
     /// Acts under token 1, with these planners linked, and counted where that is said.
     fn new(planners: &[(&str, bool)]) -> Self {
-        let linked = (1..).zip(planners).map(|(link, (name, _))| (link, (*name).to_owned())).collect();
+        let linked = (1..)
+            .zip(planners)
+            .map(|(link, (name, _))| (link, (*name).to_owned()))
+            .collect();
         let counted = planners.iter().filter(|(_, counted)| *counted);
         let counted = counted.map(|(name, _)| (*name).to_owned()).collect();
-        Self { token: Some(1), linked, counted, ..Self::default() }
+        Self {
+            token: Some(1),
+            linked,
+            counted,
+            ..Self::default()
+        }
     }
 
     fn step(&mut self, after: f64) -> Vec<Output> {
         self.now += after;
-        let Self { token, linked, counted, left, .. } = self;
+        let Self {
+            token,
+            linked,
+            counted,
+            left,
+            ..
+        } = self;
         let mut out = Vec::new();
-        self.sharers.step(self.now, &Seen { token: *token, linked, counted, left }, &mut out);
+        self.sharers.step(
+            self.now,
+            &Seen {
+                token: *token,
+                linked,
+                counted,
+                left,
+            },
+            &mut out,
+        );
         out
     }
 }
 
 fn tell(link: u64, token: u64, planners: u32) -> Output {
-    Output::Tell { link, token, planners }
+    Output::Tell {
+        link,
+        token,
+        planners,
+    }
 }
 
 #[test]
@@ -88,7 +115,11 @@
     assert_eq!(p.step(0.1), [tell(1, 9, 2)]);
     assert_eq!(p.step(0.1), []);
     p.sharers.unsaid(1);
-    assert_eq!(p.step(0.1), [tell(1, 9, 2)], "the term was over at the moment of the write, and went on");
+    assert_eq!(
+        p.step(0.1),
+        [tell(1, 9, 2)],
+        "the term was over at the moment of the write, and went on"
+    );
 }
 
 #[test]
@@ -97,8 +128,14 @@
     p.linked.insert(2, "x".repeat(NAME_MOST + 1));
     p.linked.insert(3, String::new());
     assert_eq!(p.step(0.0), [tell(1, 1, 1)]);
-    p.linked.extend((10..6_000).map(|link| (link, format!("p-{link}"))));
+    p.linked
+        .extend((10..6_000).map(|link| (link, format!("p-{link}"))));
     let out = p.step(1.0);
-    assert_eq!(out.iter().filter(|output| matches!(output, Output::Count(_))).count(), 4_095);
+    assert_eq!(
+        out.iter()
+            .filter(|output| matches!(output, Output::Count(_)))
+            .count(),
+        4_095
+    );
     assert!(out.contains(&tell(1, 1, 4_096)));
 }
--- a/crates/rest/src/handle.rs
+++ b/crates/rest/src/handle.rs
@@ -15,18 +15,29 @@
 pub struct Served<H>(pub Arc<Api<H>>);
 
 impl<H: Hooks> server::Handler for Served<H> {
-    async fn answer(&self, request: Request<Incoming>, peer: std::net::SocketAddr) -> Response<Body> {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        peer: std::net::SocketAddr,
+    ) -> Response<Body> {
         let api = &self.0;
         api.hooks.gate(request.method(), request.headers()).await;
         let (head, incoming) = request.into_parts();
         let method = head.method.as_str().to_owned();
-        let path = head.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
+        let path = head
+            .uri
+            .path_and_query()
+            .map_or("/", |p| p.as_str())
+            .to_owned();
         if head.method == Method::GET
             && let Some(text) = api.hooks.text(head.uri.path())
         {
             let mut response = Response::new(body::full(text));
             let media = "text/plain; version=1.0.0; charset=utf-8";
-            response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static(media));
+            response.headers_mut().insert(
+                "content-type",
+                hyper::header::HeaderValue::from_static(media),
+            );
             return response;
         }
         let body = body::read(incoming, api.limits.body, api.limits.body_timeout).await;
@@ -35,14 +46,22 @@
             Err(BodyError::TooLong) => Err(ApiError::new(
                 413,
                 "RequestEntityTooLarge",
-                format!("the body is longer than {} bytes, which is the most", api.limits.body),
+                format!(
+                    "the body is longer than {} bytes, which is the most",
+                    api.limits.body
+                ),
             )),
             Err(BodyError::Slow) => Err(ApiError::new(
                 408,
                 "Timeout",
-                format!("the body was not there within {} s", api.limits.body_timeout),
+                format!(
+                    "the body was not there within {} s",
+                    api.limits.body_timeout
+                ),
             )),
-            Err(BodyError::Broken) => Err(ApiError::bad_request("the body ended before it was whole")),
+            Err(BodyError::Broken) => {
+                Err(ApiError::bad_request("the body ended before it was whole"))
+            }
         };
         let (status, answer) = match outcome {
             Ok(Good::Object(status, object, warnings)) => (status, Ok((object, warnings))),
@@ -55,9 +74,10 @@
                     status: 200,
                 });
                 let mut response = Response::new(stream);
-                response
-                    .headers_mut()
-                    .insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
+                response.headers_mut().insert(
+                    "content-type",
+                    hyper::header::HeaderValue::from_static("application/json"),
+                );
                 return decorated(api, response);
             }
             Err(error) if error.code == crate::CUT => {
@@ -68,7 +88,13 @@
             Err(error) => (error.code, Err(error)),
         };
         let object = answer.as_ref().map_or(&Value::Null, |(object, _)| object);
-        api.hooks.seen(&Seen { peer, method: &method, path: &path, object, status });
+        api.hooks.seen(&Seen {
+            peer,
+            method: &method,
+            path: &path,
+            object,
+            status,
+        });
         decorated(api, response(status, answer))
     }
 }
@@ -102,22 +128,27 @@
         _ if !read => Err(ApiError::method()),
         Route::Version => plain(version()),
         Route::Health
-            if path.starts_with("/readyz") && head.uri.query().is_some_and(|q| q.contains("verbose")) =>
+            if path.starts_with("/readyz")
+                && head.uri.query().is_some_and(|q| q.contains("verbose")) =>
         {
             plain(json!(verbose(api)))
         }
         Route::Health if path.starts_with("/readyz") => plain(json!(api.hooks.ready()?)),
         Route::Health => plain(json!("ok")),
-        Route::Core => {
-            plain(json!({"kind": "APIVersions", "versions": ["v1"], "serverAddressByClientCIDRs": []}))
+        Route::Core => plain(
+            json!({"kind": "APIVersions", "versions": ["v1"], "serverAddressByClientCIDRs": []}),
+        ),
+        Route::Groups => {
+            plain(json!({"kind": "APIGroupList", "apiVersion": "v1", "groups": [batch()]}))
         }
-        Route::Groups => plain(json!({"kind": "APIGroupList", "apiVersion": "v1", "groups": [batch()]})),
         Route::Group(group) if group == "batch" => plain(batch()),
         Route::Resources(group) if group.is_empty() || group == "batch" => {
             plain(resource::resource_list(&group))
         }
         Route::OpenApiIndex => plain(openapi::index()),
-        Route::OpenApi(group) if group.is_empty() || group == "batch" => plain(openapi::group(&group)),
+        Route::OpenApi(group) if group.is_empty() || group == "batch" => {
+            plain(openapi::group(&group))
+        }
         _ => Err(ApiError::no_such_path()),
     }
 }
@@ -129,7 +160,11 @@
         Err(waits) => format!("[-]{name} waits: {waits}\n"),
     };
     let lines: String = api.hooks.parts().into_iter().map(line).collect();
-    let whole = if api.hooks.ready().is_ok() { "passed" } else { "failed" };
+    let whole = if api.hooks.ready().is_ok() {
+        "passed"
+    } else {
+        "failed"
+    };
     format!("{lines}readyz check {whole}\n")
 }
 
@@ -158,11 +193,18 @@
 ) -> Result<Good, ApiError> {
     let mut options = Options::parse(head.uri.query().unwrap_or(""))?;
     options.watch |= target.watch;
-    let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
+    let header = |name: &str| {
+        head.headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+    };
     let media = header("content-type");
     let accept = header("accept");
-    let json_wanted =
-        accept.is_empty() || ["json", "*/*", "application/*"].iter().any(|m| accept.contains(m));
+    let json_wanted = accept.is_empty()
+        || ["json", "*/*", "application/*"]
+            .iter()
+            .any(|m| accept.contains(m));
     if !json_wanted {
         let text = format!("only application/json is served, not {accept:?}");
         return Err(ApiError::new(406, "NotAcceptable", text));
@@ -179,15 +221,24 @@
         (&Method::GET, false) => api.list(target, &options),
         (&Method::POST, false) => api.create(target, &options, &head.headers, &body).await,
         (&Method::PUT, true) => api.replace(target, &options, &head.headers, &body).await,
-        (&Method::PATCH, true) => api.patch(target, &options, &head.headers, media, &body).await,
-        (&Method::DELETE, true) if !target.status => api.delete(target, &options, &head.headers, &body).await,
+        (&Method::PATCH, true) => {
+            api.patch(target, &options, &head.headers, media, &body)
+                .await
+        }
+        (&Method::DELETE, true) if !target.status => {
+            api.delete(target, &options, &head.headers, &body).await
+        }
         (&Method::DELETE, false) => api.delete_collection(target, &options, &body),
         _ => Err(ApiError::method()),
     };
     let (status, object, mut warnings) = answer?;
     // Whatever was written or read: nothing is told that a power loss could take back.
     let version = api.store().version();
-    warnings.extend(api.hooks.lasting(version, head.method != Method::GET).await?);
+    warnings.extend(
+        api.hooks
+            .lasting(version, head.method != Method::GET)
+            .await?,
+    );
     Ok(Good::Object(status, object, warnings))
 }
 
@@ -199,7 +250,9 @@
         Ok((object, warnings)) => {
             for warning in warnings {
                 let text = warning.replace(['"', '\\'], "'");
-                if let Ok(value) = hyper::header::HeaderValue::from_str(&format!("299 - \"{text}\"")) {
+                if let Ok(value) =
+                    hyper::header::HeaderValue::from_str(&format!("299 - \"{text}\""))
+                {
                     builder = builder.header("warning", value);
                 }
             }
@@ -217,7 +270,9 @@
         Value::String(text) => text.into_bytes(),
         other => serde_json::to_vec(&other).unwrap_or_default(),
     };
-    builder.body(body::full(bytes)).unwrap_or_else(|_| Response::new(body::full("")))
+    builder
+        .body(body::full(bytes))
+        .unwrap_or_else(|_| Response::new(body::full("")))
 }
 
 fn decorated<H: Hooks>(api: &Api<H>, mut response: Response<Body>) -> Response<Body> {
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -32,7 +32,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { body: 3 << 20, body_timeout: 30.0, bookmark_every: 15.0, stall: 30.0 }
+        Self {
+            body: 3 << 20,
+            body_timeout: 30.0,
+            bookmark_every: 15.0,
+            stall: 30.0,
+        }
     }
 }
 
@@ -55,9 +60,14 @@
         resource: &Resource,
         object: &Object,
     ) -> Result<Object, ApiError> {
-        let expect = Expect { uid: self.uid.clone(), version: self.version };
+        let expect = Expect {
+            uid: self.uid.clone(),
+            version: self.version,
+        };
         let (space, name) = (meta::namespace(object), meta::name(object));
-        store.delete(resource, space, name, &expect).map(|object| (*object).clone())
+        store
+            .delete(resource, space, name, &expect)
+            .map(|object| (*object).clone())
     }
 }
 
@@ -72,7 +82,12 @@
         &[]
     }
     /// May change or refuse an object before it is checked and stored.
-    fn admit(&self, _store: &Store, _resource: &Resource, _object: &mut Object) -> Result<(), ApiError> {
+    fn admit(
+        &self,
+        _store: &Store,
+        _resource: &Resource,
+        _object: &mut Object,
+    ) -> Result<(), ApiError> {
         Ok(())
     }
     /// Takes a write over in place of the store, such as one for the owner of that object elsewhere.
@@ -130,7 +145,11 @@
         None
     }
     /// Waits as long as nothing may be answered to this caller, if it is cut off.
-    fn gate(&self, _method: &hyper::Method, _headers: &hyper::HeaderMap) -> impl Future<Output = ()> + Send {
+    fn gate(
+        &self,
+        _method: &hyper::Method,
+        _headers: &hyper::HeaderMap,
+    ) -> impl Future<Output = ()> + Send {
         async {}
     }
     /// Told of each request and answer, for recordings.
@@ -193,7 +212,9 @@
     /// The store. Held for moments only, never over an await.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         // A panic under the lock can leave no half-made change: each change is one call.
-        self.store.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.store
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Ends all watches that are open now, as a fault or a shutdown does.
