--- a/crates/rest/src/options.rs
+++ b/crates/rest/src/options.rs
@@ -44,18 +44,24 @@
     pub fn parse(query: &str) -> Result<Self, ApiError> {
         let pairs: Vec<(String, String)> = serde_urlencoded::from_str(query)
             .map_err(|e| ApiError::bad_request(format!("the query can't be read: {e}")))?;
-        let get = |key: &str| pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v.as_str());
+        let get = |key: &str| {
+            pairs
+                .iter()
+                .find(|(k, _)| k == key)
+                .map(|(_, v)| v.as_str())
+        };
         let flag = |key: &str| match get(key) {
             None | Some("" | "0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(ApiError::bad_request(format!("{key} is {other:?}: use true or false"))),
+            Some(other) => Err(ApiError::bad_request(format!(
+                "{key} is {other:?}: use true or false"
+            ))),
         };
         let number = |key: &str| match get(key) {
             None | Some("") => Ok(None),
-            Some(text) => text
-                .parse::<u64>()
-                .map(Some)
-                .map_err(|_| ApiError::bad_request(format!("{key} is {text:?}: use a whole number"))),
+            Some(text) => text.parse::<u64>().map(Some).map_err(|_| {
+                ApiError::bad_request(format!("{key} is {text:?}: use a whole number"))
+            }),
         };
         let version_match = get("resourceVersionMatch").map(str::to_owned);
         if let Some(how) = &version_match
@@ -67,7 +73,11 @@
         let dry_run = match get("dryRun") {
             None | Some("") => false,
             Some("All") => true,
-            Some(other) => return Err(ApiError::bad_request(format!("dryRun is {other:?}: use All"))),
+            Some(other) => {
+                return Err(ApiError::bad_request(format!(
+                    "dryRun is {other:?}: use All"
+                )));
+            }
         };
         let initial = match get("sendInitialEvents") {
             None => None,
@@ -89,13 +99,19 @@
             grace: number("gracePeriodSeconds")?,
         };
         if options.watch && options.initial.is_some() && options.version_match.is_none() {
-            return Err(ApiError::bad_request("sendInitialEvents needs resourceVersionMatch=NotOlderThan"));
+            return Err(ApiError::bad_request(
+                "sendInitialEvents needs resourceVersionMatch=NotOlderThan",
+            ));
         }
         if !options.watch && options.initial.is_some() {
-            return Err(ApiError::bad_request("sendInitialEvents is for watches only"));
+            return Err(ApiError::bad_request(
+                "sendInitialEvents is for watches only",
+            ));
         }
         if !options.watch && options.version_match.is_some() && options.version.is_none() {
-            return Err(ApiError::bad_request("resourceVersionMatch needs resourceVersion"));
+            return Err(ApiError::bad_request(
+                "resourceVersionMatch needs resourceVersion",
+            ));
         }
         Ok(options)
     }
@@ -107,16 +123,33 @@
         if let Some(how) = &propagation
             && !["Background", "Foreground", "Orphan"].contains(&how.as_str())
         {
-            let text = format!("propagationPolicy is {how:?}: use Background, Foreground or Orphan");
+            let text =
+                format!("propagationPolicy is {how:?}: use Background, Foreground or Orphan");
             return Err(ApiError::bad_request(text));
         }
-        if meta::at(body, &["gracePeriodSeconds"]).as_i64().is_some_and(|grace| grace < 0) {
-            return Err(ApiError::bad_request("gracePeriodSeconds must be 0 or more"));
+        if meta::at(body, &["gracePeriodSeconds"])
+            .as_i64()
+            .is_some_and(|grace| grace < 0)
+        {
+            return Err(ApiError::bad_request(
+                "gracePeriodSeconds must be 0 or more",
+            ));
         }
-        let grace = meta::at(body, &["gracePeriodSeconds"]).as_u64().or(self.grace).unwrap_or(0);
+        let grace = meta::at(body, &["gracePeriodSeconds"])
+            .as_u64()
+            .or(self.grace)
+            .unwrap_or(0);
         let refused = [
-            (grace > 0, "gracePeriodSeconds", "only 0 is served: a deletion is at once"),
-            (!meta::at(body, &["orphanDependents"]).is_null(), "orphanDependents", "use propagationPolicy"),
+            (
+                grace > 0,
+                "gracePeriodSeconds",
+                "only 0 is served: a deletion is at once",
+            ),
+            (
+                !meta::at(body, &["orphanDependents"]).is_null(),
+                "orphanDependents",
+                "use propagationPolicy",
+            ),
         ];
         let causes: Vec<Cause> = refused
             .into_iter()
@@ -138,12 +171,18 @@
                 ))
             })?),
         };
-        Ok(crate::DeleteOptions { propagation, uid: text(&["preconditions", "uid"]), version })
+        Ok(crate::DeleteOptions {
+            propagation,
+            uid: text(&["preconditions", "uid"]),
+            version,
+        })
     }
 
     /// Whether the body of a deletion asks for a dry run.
     pub fn dry_deletion(&self, body: &serde_json::Value) -> bool {
         self.dry_run
-            || meta::at(body, &["dryRun"]).as_array().is_some_and(|list| list.iter().any(|d| d == "All"))
+            || meta::at(body, &["dryRun"])
+                .as_array()
+                .is_some_and(|list| list.iter().any(|d| d == "All"))
     }
 }
--- a/crates/rest/src/route.rs
+++ b/crates/rest/src/route.rs
@@ -48,7 +48,10 @@
     let mut parts = Vec::new();
     for part in path.split('/').filter(|part| !part.is_empty()) {
         let part = percent_decode_str(part).decode_utf8();
-        parts.push(part.map_err(|_| ApiError::bad_request("the path is not UTF-8"))?.into_owned());
+        parts.push(
+            part.map_err(|_| ApiError::bad_request("the path is not UTF-8"))?
+                .into_owned(),
+        );
     }
     let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
     Ok(match parts.as_slice() {
@@ -87,11 +90,20 @@
         _ => return Err(ApiError::no_such_path()),
     };
     let resource = Resource::find(group, plural).ok_or_else(ApiError::no_such_path)?;
-    let misplaced =
-        if resource.namespaced { !name.is_empty() && namespace.is_empty() } else { !namespace.is_empty() };
+    let misplaced = if resource.namespaced {
+        !name.is_empty() && namespace.is_empty()
+    } else {
+        !namespace.is_empty()
+    };
     if misplaced || (status && !resource.status) {
         return Err(ApiError::no_such_path());
     }
     let (namespace, name) = (namespace.to_owned(), name.to_owned());
-    Ok(Route::Objects(Target { resource, namespace, name, status, watch }))
+    Ok(Route::Objects(Target {
+        resource,
+        namespace,
+        name,
+        status,
+        watch,
+    }))
 }
--- a/crates/rest/src/verbs.rs
+++ b/crates/rest/src/verbs.rs
@@ -35,7 +35,10 @@
             let mut error = ApiError::new(
                 504,
                 "Timeout",
-                format!("Too large resource version: {}, current: {now_at}", options.version.unwrap_or(0)),
+                format!(
+                    "Too large resource version: {}, current: {now_at}",
+                    options.version.unwrap_or(0)
+                ),
             );
             error.retry_after = Some(1);
             return Err(error);
@@ -60,7 +63,11 @@
         let items: Vec<Value> = page.items.iter().map(|item| (**item).clone()).collect();
         let kind = format!("{}List", target.resource.kind);
         let api = target.resource.api_version();
-        Ok((200, json!({"kind": kind, "apiVersion": api, "metadata": list_meta, "items": items}), vec![]))
+        Ok((
+            200,
+            json!({"kind": kind, "apiVersion": api, "metadata": list_meta, "items": items}),
+            vec![],
+        ))
     }
 
     pub(crate) async fn create(
@@ -85,12 +92,16 @@
                 return Err(ApiError::bad_request(text));
             }
             if target.namespace.is_empty() {
-                return Err(ApiError::bad_request("an object is created under /namespaces/NAME"));
+                return Err(ApiError::bad_request(
+                    "an object is created under /namespaces/NAME",
+                ));
             }
             meta::set(&mut object, "namespace", target.namespace.clone().into());
         }
         if !meta::text(&object, &["metadata", "resourceVersion"]).is_empty() {
-            return Err(ApiError::bad_request("resourceVersion should not be set on objects to be created"));
+            return Err(ApiError::bad_request(
+                "resourceVersion should not be set on objects to be created",
+            ));
         }
         let base = meta::text(&object, &["metadata", "generateName"]).to_owned();
         if meta::name(&object).is_empty() && !base.is_empty() {
@@ -113,7 +124,9 @@
             return done.map(|object| (201, object, warnings));
         }
         let mut store = self.store();
-        let stands = store.get(r, &target.namespace, meta::name(&object)).is_some();
+        let stands = store
+            .get(r, &target.namespace, meta::name(&object))
+            .is_some();
         if options.dry_run {
             if stands {
                 return Err(ApiError::exists(r.plural, meta::name(&object)));
@@ -152,12 +165,18 @@
             "" => Expect::default(),
             text => {
                 let version = text.parse().map_err(|_| {
-                    ApiError::bad_request(format!("metadata.resourceVersion is {text:?}: use a whole number"))
+                    ApiError::bad_request(format!(
+                        "metadata.resourceVersion is {text:?}: use a whole number"
+                    ))
                 })?;
-                Expect { version: Some(version), uid: None }
+                Expect {
+                    version: Some(version),
+                    uid: None,
+                }
             }
         };
-        self.write(target, options, headers, object, &expect, warnings).await
+        self.write(target, options, headers, object, &expect, warnings)
+            .await
     }
 
     pub(crate) async fn patch(
@@ -170,19 +189,32 @@
     ) -> Answer {
         let kind = PatchKind::parse(media)?;
         let (change, repeated) = decode::json(body)?;
-        let repeated: Vec<String> =
-            repeated.iter().map(|path| format!("duplicate field \"{path}\"")).collect();
+        let repeated: Vec<String> = repeated
+            .iter()
+            .map(|path| format!("duplicate field \"{path}\""))
+            .collect();
         let mut tries = 0;
         loop {
             let old = find(&self.store(), target)?;
             let after = patch::apply(kind, &old, change.clone())?;
-            let (after, warnings) = decode::typed(target.resource, after, repeated.clone(), options.fields)?;
+            let (after, warnings) =
+                decode::typed(target.resource, after, repeated.clone(), options.fields)?;
             // A patch that names a version demands it; another is tried again where a write came between.
             let demanded = meta::version(&after) != meta::version(&old);
-            let version = if demanded { meta::version(&after) } else { meta::version(&old) };
-            let expect = Expect { version: Some(version), uid: None };
+            let version = if demanded {
+                meta::version(&after)
+            } else {
+                meta::version(&old)
+            };
+            let expect = Expect {
+                version: Some(version),
+                uid: None,
+            };
             tries += 1;
-            match self.write(target, options, headers, after, &expect, warnings).await {
+            match self
+                .write(target, options, headers, after, &expect, warnings)
+                .await
+            {
                 Err(e) if e.reason == "Conflict" && !demanded && tries < PATCH_TRIES => {}
                 answer => return answer,
             }
@@ -212,11 +244,14 @@
         };
         if target.status {
             let status = object.get("status").cloned();
-            let labels = ["labels", "annotations"].map(|key| meta::at(&object, &["metadata", key]).clone());
+            let labels =
+                ["labels", "annotations"].map(|key| meta::at(&object, &["metadata", key]).clone());
             object = (*old).clone();
             object["status"] = status.unwrap_or_else(|| json!({}));
-            for (key, value) in
-                ["labels", "annotations"].into_iter().zip(labels).filter(|(_, v)| !v.is_null())
+            for (key, value) in ["labels", "annotations"]
+                .into_iter()
+                .zip(labels)
+                .filter(|(_, v)| !v.is_null())
             {
                 meta::set(&mut object, key, value);
             }
@@ -242,16 +277,26 @@
         headers: &HeaderMap,
         body: &[u8],
     ) -> Answer {
-        let body = if body.is_empty() { Value::Null } else { decode::json(body)?.0 };
+        let body = if body.is_empty() {
+            Value::Null
+        } else {
+            decode::json(body)?.0
+        };
         let how = options.deletion(&body)?;
         let object = find(&self.store(), target)?;
         if options.dry_deletion(&body) {
             return Ok((200, (*object).clone(), vec![]));
         }
-        if let Some(done) = self.hooks.divert(Verb::Delete, target.resource, &object, headers).await {
+        if let Some(done) = self
+            .hooks
+            .divert(Verb::Delete, target.resource, &object, headers)
+            .await
+        {
             return done.map(|object| (200, object, vec![]));
         }
-        let gone = self.hooks.delete(&mut self.store(), target.resource, &object, &how)?;
+        let gone = self
+            .hooks
+            .delete(&mut self.store(), target.resource, &object, &how)?;
         self.after_write();
         let done = match target.resource.kind {
             // Clients wait for these by what comes back: the object as it went.
@@ -261,9 +306,22 @@
         Ok((200, done, vec![]))
     }
 
-    pub(crate) fn delete_collection(&self, target: &Target, options: &Options, body: &[u8]) -> Answer {
-        let body = if body.is_empty() { Value::Null } else { decode::json(body)?.0 };
-        let how = DeleteOptions { uid: None, version: None, ..options.deletion(&body)? };
+    pub(crate) fn delete_collection(
+        &self,
+        target: &Target,
+        options: &Options,
+        body: &[u8],
+    ) -> Answer {
+        let body = if body.is_empty() {
+            Value::Null
+        } else {
+            decode::json(body)?.0
+        };
+        let how = DeleteOptions {
+            uid: None,
+            version: None,
+            ..options.deletion(&body)?
+        };
         let mut store = self.store();
         let all: Vec<Arc<Object>> = store
             .all(target.resource, &target.namespace)
@@ -276,7 +334,10 @@
                 gone.push((*object).clone());
                 continue;
             }
-            match self.hooks.delete(&mut store, target.resource, &object, &how) {
+            match self
+                .hooks
+                .delete(&mut store, target.resource, &object, &how)
+            {
                 Ok(object) => gone.push(object),
                 // One that another deletion took with it.
                 Err(e) if e.code == 404 => {}
@@ -288,13 +349,14 @@
         self.after_write();
         let kind = format!("{}List", target.resource.kind);
         let api = target.resource.api_version();
-        let list =
-            json!({"kind": kind, "apiVersion": api, "metadata": {"resourceVersion": version}, "items": gone});
+        let list = json!({"kind": kind, "apiVersion": api, "metadata": {"resourceVersion": version}, "items": gone});
         Ok((200, list, vec![]))
     }
 }
 
 fn find(store: &Store, target: &Target) -> Result<Arc<Object>, ApiError> {
     let found = store.get(target.resource, &target.namespace, &target.name);
-    found.cloned().ok_or_else(|| ApiError::not_found(target.resource.plural, &target.name))
+    found
+        .cloned()
+        .ok_or_else(|| ApiError::not_found(target.resource.plural, &target.name))
 }
--- a/crates/rest/src/watch.rs
+++ b/crates/rest/src/watch.rs
@@ -59,7 +59,10 @@
     /// What a change is to this watcher: one that comes to match is added, one that no longer does is deleted.
     fn show(&self, change: &Change, out: &mut Vec<u8>) {
         let now = change.kind != ChangeKind::Deleted && self.wants(&change.object);
-        let before = change.before.as_ref().is_some_and(|before| self.wants(before));
+        let before = change
+            .before
+            .as_ref()
+            .is_some_and(|before| self.wants(before));
         let kind = match (before, now) {
             (false, true) => "ADDED",
             (true, true) => "MODIFIED",
@@ -72,14 +75,21 @@
 
 impl<H: Hooks> Api<H> {
     /// Starts a watch; its body comes as it goes.
-    pub(crate) fn watch(self: &Arc<Self>, target: &Target, options: &Options) -> Result<Body, ApiError> {
+    pub(crate) fn watch(
+        self: &Arc<Self>,
+        target: &Target,
+        options: &Options,
+    ) -> Result<Body, ApiError> {
         let (send, receive) = async_channel::bounded(PIPE);
         let mut store = self.store();
         // Without a version, or from 0, a watch begins with what stands.
         let from_now = options.initial == Some(true) || matches!(options.version, None | Some(0));
         let mut first = Vec::new();
         let version = if from_now && options.initial != Some(false) {
-            let request = PageRequest { namespace: target.namespace.clone(), ..PageRequest::default() };
+            let request = PageRequest {
+                namespace: target.namespace.clone(),
+                ..PageRequest::default()
+            };
             let page = store.list(target.resource, &request)?;
             for item in page.items.iter() {
                 let named = target.name.is_empty() || meta::name(item) == target.name;
@@ -88,13 +98,19 @@
                 }
             }
             if options.initial == Some(true) {
-                line(&mut first, "BOOKMARK", &bookmark(target.resource, page.version, true));
+                line(
+                    &mut first,
+                    "BOOKMARK",
+                    &bookmark(target.resource, page.version, true),
+                );
             }
             page.version
         } else {
             options.version.unwrap_or(store.version())
         };
-        let cursor = store.watch(target.resource, version).map_err(|e| ApiError::expired(e.to_string()))?;
+        let cursor = store
+            .watch(target.resource, version)
+            .map_err(|e| ApiError::expired(e.to_string()))?;
         drop(store);
         let watch = Watch {
             cursor,
@@ -120,7 +136,9 @@
         loop {
             let bell = self.bell.listen();
             let mut changes = Vec::new();
-            let polled = self.store().poll_shown(&mut watch.cursor, BATCH, &mut changes);
+            let polled = self
+                .store()
+                .poll_shown(&mut watch.cursor, BATCH, &mut changes);
             for change in &changes {
                 watch.show(change, &mut ready);
                 if ready.len() >= PIECE && !self.pass(&watch, &mut ready).await {
@@ -129,18 +147,30 @@
             }
             let now = clock::now();
             if let Err(expired) = polled {
-                line(&mut ready, "ERROR", &ApiError::expired(expired.to_string()).to_status());
+                line(
+                    &mut ready,
+                    "ERROR",
+                    &ApiError::expired(expired.to_string()).to_status(),
+                );
                 self.pass(&watch, &mut ready).await;
                 return;
             }
             if watch.bookmarks && now >= bookmark_at {
                 bookmark_at = now + self.limits.bookmark_every;
                 told = watch.cursor.version();
-                line(&mut ready, "BOOKMARK", &bookmark(watch.resource, told, false));
+                line(
+                    &mut ready,
+                    "BOOKMARK",
+                    &bookmark(watch.resource, told, false),
+                );
             }
             let ends = now >= watch.ends;
             if ends && watch.bookmarks && told != watch.cursor.version() {
-                line(&mut ready, "BOOKMARK", &bookmark(watch.resource, watch.cursor.version(), false));
+                line(
+                    &mut ready,
+                    "BOOKMARK",
+                    &bookmark(watch.resource, watch.cursor.version(), false),
+                );
             }
             if !ready.is_empty() && !self.pass(&watch, &mut ready).await {
                 return;
@@ -150,7 +180,11 @@
                 return;
             }
             if changes.is_empty() {
-                let wake = if watch.bookmarks { watch.ends.min(bookmark_at) } else { watch.ends };
+                let wake = if watch.bookmarks {
+                    watch.ends.min(bookmark_at)
+                } else {
+                    watch.ends
+                };
                 let closed = async {
                     watch.pipe.closed().await;
                 };
@@ -162,6 +196,9 @@
     /// Hands a piece to the reader; one that takes nothing for too long is cut.
     async fn pass(&self, watch: &Watch, ready: &mut Vec<u8>) -> bool {
         let piece = Bytes::from(std::mem::take(ready));
-        matches!(clock::within(self.limits.stall, watch.pipe.send(piece)).await, Some(Ok(())))
+        matches!(
+            clock::within(self.limits.stall, watch.pipe.send(piece)).await,
+            Some(Ok(()))
+        )
     }
 }
--- a/crates/rig/examples/fleet.rs
+++ b/crates/rig/examples/fleet.rs
@@ -8,13 +8,21 @@
 fn settles(members: usize, faults: &[(f64, Fault)]) -> String {
     let mut times: Vec<f64> = (0..SEEDS)
         .map(|seed| {
-            let mut net = Net::new(Script { seed, members, faults: faults.to_vec() });
+            let mut net = Net::new(Script {
+                seed,
+                members,
+                faults: faults.to_vec(),
+            });
             net.play(net.over_at() + 1e-3);
             net.settles(60.0).unwrap_or(f64::INFINITY)
         })
         .collect();
     times.sort_by(f64::total_cmp);
-    format!("{:.2}, {:.2}", times[times.len() / 2], times[times.len() - 1])
+    format!(
+        "{:.2}, {:.2}",
+        times[times.len() / 2],
+        times[times.len() - 1]
+    )
 }
 
 fn main() {
@@ -23,21 +31,55 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for members in [16, 32, 64] {
-        let half = |odd: usize| (0..members).filter(|who| who % 2 == odd).collect::<Vec<_>>();
-        let cut = |odd| (20.0, Fault::Cut { from: half(odd), to: half(1 - odd), lasts: 30.0 });
+        let half = |odd: usize| {
+            (0..members)
+                .filter(|who| who % 2 == odd)
+                .collect::<Vec<_>>()
+        };
+        let cut = |odd| {
+            (
+                20.0,
+                Fault::Cut {
+                    from: half(odd),
+                    to: half(1 - odd),
+                    lasts: 30.0,
+                },
+            )
+        };
         let join = settles(members, &[(20.0, Fault::Join { who: members })]);
-        let crash = settles(members, &[(20.0, Fault::Kill { who: members / 2, lasts: f64::INFINITY })]);
+        let crash = settles(
+            members,
+            &[(
+                20.0,
+                Fault::Kill {
+                    who: members / 2,
+                    lasts: f64::INFINITY,
+                },
+            )],
+        );
         let heal = settles(members, &[cut(0), cut(1)]);
         // Quiet, and a tenth of all datagrams lost.
-        let loss = Fault::Loss { share: 0.1, lasts: 60.0 };
-        let mut net = Net::new(Script { seed: 1, members, faults: vec![(80.0, loss)] });
+        let loss = Fault::Loss {
+            share: 0.1,
+            lasts: 60.0,
+        };
+        let mut net = Net::new(Script {
+            seed: 1,
+            members,
+            faults: vec![(80.0, loss)],
+        });
         net.play(20.0);
         let before = net.seen.sent;
         net.play(80.0);
         let each = |after: u64, before: u64| (after - before) as f64 / 60.0 / members as f64;
-        let (datagrams, bytes) = (each(net.seen.sent.0, before.0), each(net.seen.sent.1, before.1));
+        let (datagrams, bytes) = (
+            each(net.seen.sent.0, before.0),
+            each(net.seen.sent.1, before.1),
+        );
         net.play(140.0);
         let wrong = net.seen.wrong.len();
-        println!("| {members} | {join} | {crash} | {heal} | {datagrams:.1} | {bytes:.0} | {wrong} |");
+        println!(
+            "| {members} | {join} | {crash} | {heal} | {datagrams:.1} | {bytes:.0} | {wrong} |"
+        );
     }
 }
--- a/crates/rig/src/checker/drains.rs
+++ b/crates/rig/src/checker/drains.rs
@@ -11,7 +11,10 @@
     let mut leaving: BTreeMap<(String, String), f64> = BTreeMap::new();
     for line in &traffic.lines {
         let mut tell = |node: &Value, gone: bool| {
-            let key = (line.who.clone(), node["node"].as_str().unwrap_or("").to_owned());
+            let key = (
+                line.who.clone(),
+                node["node"].as_str().unwrap_or("").to_owned(),
+            );
             if gone || node["unschedulable"] == true {
                 leaving.entry(key).or_insert(line.t);
             } else {
@@ -20,14 +23,27 @@
         };
         match line.what.as_str() {
             "told" => tell(&line.value, line.flag("deleted")),
-            "list" => line.value["nodes"].as_array().into_iter().flatten().for_each(|node| tell(node, false)),
+            "list" => line.value["nodes"]
+                .as_array()
+                .into_iter()
+                .flatten()
+                .for_each(|node| tell(node, false)),
             "send" => {
                 let key = (line.who.clone(), line.text("node").to_owned());
-                if let Some(since) = leaving.get(&key).filter(|since| line.t > **since + rules.drain_grace) {
+                if let Some(since) = leaving
+                    .get(&key)
+                    .filter(|since| line.t > **since + rules.drain_grace)
+                {
                     let late = line.t - since;
-                    let what =
-                        format!("{} sent to {} {late:.2} s after it was told that it leaves", key.0, key.1);
-                    report.breaks.push(Break { rule: RULE, at: line.t, what });
+                    let what = format!(
+                        "{} sent to {} {late:.2} s after it was told that it leaves",
+                        key.0, key.1
+                    );
+                    report.breaks.push(Break {
+                        rule: RULE,
+                        at: line.t,
+                        what,
+                    });
                 }
             }
             _ => {}
--- a/crates/rig/src/checker/effects.rs
+++ b/crates/rig/src/checker/effects.rs
@@ -29,9 +29,17 @@
         match line.what.as_str() {
             "send" => {
                 let request = all.entry(uid.to_owned()).or_default();
-                let guarded =
-                    rules.classes.get(line.text("class")).is_some_and(|class| class.effect == "unsafe");
-                let mut broken = |what: String| report.breaks.push(Break { rule: RULE, at: line.t, what });
+                let guarded = rules
+                    .classes
+                    .get(line.text("class"))
+                    .is_some_and(|class| class.effect == "unsafe");
+                let mut broken = |what: String| {
+                    report.breaks.push(Break {
+                        rule: RULE,
+                        at: line.t,
+                        what,
+                    })
+                };
                 if request.out.is_some() {
                     broken(format!("two attempts of {uid} are out"));
                 }
@@ -57,17 +65,25 @@
     for line in &traffic.lines {
         match line.what.as_str() {
             "answer" if line.text("said") == "accepted" && line.value.get("way").is_some() => {
-                let guarded =
-                    rules.classes.get(line.text("class")).is_some_and(|class| class.effect == "unsafe");
+                let guarded = rules
+                    .classes
+                    .get(line.text("class"))
+                    .is_some_and(|class| class.effect == "unsafe");
                 let holders = held.entry(line.text("key").to_owned()).or_default();
-                if guarded && let Some((node, at)) = holders.iter().find(|(node, _)| **node != line.who) {
+                if guarded
+                    && let Some((node, at)) = holders.iter().find(|(node, _)| **node != line.who)
+                {
                     report.twice += 1;
                     let what = format!(
                         "{} runs at {} while {node} holds it since {at:.3}",
                         line.text("key"),
                         line.who
                     );
-                    report.breaks.push(Break { rule: RULE, at: line.t, what });
+                    report.breaks.push(Break {
+                        rule: RULE,
+                        at: line.t,
+                        what,
+                    });
                 }
                 holders.insert(line.who.clone(), line.t);
             }
@@ -78,7 +94,11 @@
             }
             // A node that dies loses all that it held.
             "killed" | "up" => {
-                let node = if line.what == "up" { line.who.as_str() } else { line.text("node") };
+                let node = if line.what == "up" {
+                    line.who.as_str()
+                } else {
+                    line.text("node")
+                };
                 for holders in held.values_mut() {
                     holders.remove(node);
                 }
--- a/crates/rig/src/checker/mod.rs
+++ b/crates/rig/src/checker/mod.rs
@@ -57,18 +57,29 @@
 
 /// Judges the recordings in a folder.
 pub fn judge(records: &Path, settings: &str, seed: u64) -> Result<Report, String> {
-    Ok(judge_traffic(&Traffic::read(records)?, &Rules::parse(settings)?, seed))
+    Ok(judge_traffic(
+        &Traffic::read(records)?,
+        &Rules::parse(settings)?,
+        seed,
+    ))
 }
 
 /// Judges recordings.
 pub fn judge_traffic(traffic: &Traffic, rules: &Rules, seed: u64) -> Report {
-    let mut report = Report { seed, offers: traffic.of("send").count(), ..Report::default() };
+    let mut report = Report {
+        seed,
+        offers: traffic.of("send").count(),
+        ..Report::default()
+    };
     outcomes::judge(traffic, rules, &mut report);
     effects::judge(traffic, rules, &mut report);
     drains::judge(traffic, rules, &mut report);
     pushed::judge(traffic, rules, &mut report);
     spread::judge(traffic, rules, &mut report);
-    report.jobs_open = traffic.of("end").next().map_or(0, |line| line.number("open") as usize);
+    report.jobs_open = traffic
+        .of("end")
+        .next()
+        .map_or(0, |line| line.number("open") as usize);
     report.breaks.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut broken: Vec<String> = report.breaks.iter().map(|b| b.rule.to_owned()).collect();
     broken.sort();
--- a/crates/rig/src/checker/outcomes.rs
+++ b/crates/rig/src/checker/outcomes.rs
@@ -21,15 +21,22 @@
     let last = traffic.lines.last().map_or(0.0, |line| line.t);
     for line in &traffic.lines {
         match line.what.as_str() {
-            "killed" if line.value.get("edge").is_some() => killed.push((line.number("edge") as i64, line.t)),
+            "killed" if line.value.get("edge").is_some() => {
+                killed.push((line.number("edge") as i64, line.t))
+            }
             "pod" if line.who == "rig" => {
-                let deadline = rules.classes.get(line.text("class")).map_or(0.0, |class| class.deadline);
-                let seen = all.entry(line.text("uid").to_owned()).or_insert_with(|| Seen {
-                    at: line.t,
-                    edge: line.number("edge") as i64,
-                    give_up: line.text("give_up").parse().unwrap_or(deadline),
-                    ..Seen::default()
-                });
+                let deadline = rules
+                    .classes
+                    .get(line.text("class"))
+                    .map_or(0.0, |class| class.deadline);
+                let seen = all
+                    .entry(line.text("uid").to_owned())
+                    .or_insert_with(|| Seen {
+                        at: line.t,
+                        edge: line.number("edge") as i64,
+                        give_up: line.text("give_up").parse().unwrap_or(deadline),
+                        ..Seen::default()
+                    });
                 let outcome = match (line.text("node"), line.text("reason")) {
                     (_, "PlacementRefused") => Some("refused"),
                     (_, "PlacementUnknown") => Some("failed"),
@@ -37,7 +44,10 @@
                     _ => Some("placed"),
                 };
                 if let Some(outcome) = outcome
-                    && seen.outcomes.last().is_none_or(|(last, _)| *last != outcome)
+                    && seen
+                        .outcomes
+                        .last()
+                        .is_none_or(|(last, _)| *last != outcome)
                 {
                     seen.outcomes.push((outcome, line.t));
                 }
@@ -46,12 +56,18 @@
             _ => {}
         }
     }
-    let mut lost = |at: f64, what: String| report.breaks.push(Break { rule: RULE, at, what });
+    let mut lost = |at: f64, what: String| {
+        report.breaks.push(Break {
+            rule: RULE,
+            at,
+            what,
+        })
+    };
     report.submitted = all.len();
     for (uid, seen) in &all {
-        let died = killed
-            .iter()
-            .any(|(edge, at)| *edge == seen.edge && *at >= seen.at && *at <= seen.at + seen.give_up);
+        let died = killed.iter().any(|(edge, at)| {
+            *edge == seen.edge && *at >= seen.at && *at <= seen.at + seen.give_up
+        });
         let due = seen.at + seen.give_up + rules.slack;
         match seen.outcomes.as_slice() {
             [] if seen.gone => report.withdrawn += 1,
@@ -70,7 +86,10 @@
                 }
                 if *at > due && !died {
                     report.unanswered += 1;
-                    lost(*at, format!("{uid} was {outcome} {:.2} s too late", at - due));
+                    lost(
+                        *at,
+                        format!("{uid} was {outcome} {:.2} s too late", at - due),
+                    );
                 }
             }
             [(first, _), (second, at), ..] => {
@@ -90,7 +109,9 @@
             "tell" => {
                 for kind in ["Placed", "Refused", "Failed"] {
                     if let Some(uid) = line.value["message"][kind]["uid"].as_str() {
-                        ended.entry((line.who.clone(), uid.to_owned())).or_insert(line.t);
+                        ended
+                            .entry((line.who.clone(), uid.to_owned()))
+                            .or_insert(line.t);
                     }
                 }
             }
@@ -99,7 +120,11 @@
                 // Sends and messages are written by different tasks of one program, a moment apart at most.
                 if ended.get(&key).is_some_and(|at| *at + 0.05 < line.t) {
                     let what = format!("{} sent {} after its answer", key.0, key.1);
-                    report.breaks.push(Break { rule: RULE, at: line.t, what });
+                    report.breaks.push(Break {
+                        rule: RULE,
+                        at: line.t,
+                        what,
+                    });
                 }
             }
             _ => {}
--- a/crates/rig/src/checker/spread.rs
+++ b/crates/rig/src/checker/spread.rs
@@ -32,22 +32,41 @@
         let key = (line.who.clone(), line.text("uid").to_owned());
         match line.what.as_str() {
             "send" => {
-                let (service, node) = (line.text("service").to_owned(), line.text("node").to_owned());
-                held.insert(key, Held { service: service.clone(), node: node.clone(), placed: false });
-                let Some(class) =
-                    rules.classes.get(line.text("class")).filter(|class| !class.spread.is_empty())
+                let (service, node) = (
+                    line.text("service").to_owned(),
+                    line.text("node").to_owned(),
+                );
+                held.insert(
+                    key,
+                    Held {
+                        service: service.clone(),
+                        node: node.clone(),
+                        placed: false,
+                    },
+                );
+                let Some(class) = rules
+                    .classes
+                    .get(line.text("class"))
+                    .filter(|class| !class.spread.is_empty())
                 else {
                     continue;
                 };
                 let here = place(&class.spread, &node);
                 let same = |h: &Held| h.service == service && place(&class.spread, &h.node) == here;
-                let count = held.iter().filter(|((who, _), h)| *who == line.who && same(h)).count();
+                let count = held
+                    .iter()
+                    .filter(|((who, _), h)| *who == line.who && same(h))
+                    .count();
                 if count > class.most {
                     let what = format!(
                         "{} has {count} of {service} in {here}, {} are allowed",
                         line.who, class.most
                     );
-                    report.breaks.push(Break { rule: RULE, at: line.t, what });
+                    report.breaks.push(Break {
+                        rule: RULE,
+                        at: line.t,
+                        what,
+                    });
                 }
             }
             "answer" if line.value.get("attempt").is_some() && line.text("said") != "accepted" => {
@@ -72,7 +91,14 @@
                     let text = |v: &serde_json::Value| v.as_str().unwrap_or("").to_owned();
                     let service = text(&message["InPlace"]["ask"]["service"]);
                     let node = text(&message["InPlace"]["node"]);
-                    held.insert((line.who.clone(), uid.to_owned()), Held { service, node, placed: true });
+                    held.insert(
+                        (line.who.clone(), uid.to_owned()),
+                        Held {
+                            service,
+                            node,
+                            placed: true,
+                        },
+                    );
                 }
             }
             // A planner that starts anew holds nothing.
--- a/crates/rig/src/checker/traffic.rs
+++ b/crates/rig/src/checker/traffic.rs
@@ -28,7 +28,10 @@
     }
     /// A yes or no in it.
     pub fn flag(&self, key: &str) -> bool {
-        self.value.get(key).and_then(Value::as_bool).unwrap_or(false)
+        self.value
+            .get(key)
+            .and_then(Value::as_bool)
+            .unwrap_or(false)
     }
 }
 
@@ -48,7 +51,10 @@
             let path = entry.map_err(problem)?.path();
             if path.extension().is_some_and(|e| e == "jsonl") {
                 let text = std::fs::read_to_string(&path).map_err(problem)?;
-                values.extend(text.lines().filter_map(|line| serde_json::from_str(line).ok()));
+                values.extend(
+                    text.lines()
+                        .filter_map(|line| serde_json::from_str(line).ok()),
+                );
             }
         }
         Ok(Self::new(values))
@@ -117,7 +123,10 @@
         let classes = value["class"].as_object().ok_or("no classes")?;
         let safety = |key: &str, otherwise: f64| value["safety"][key].as_f64().unwrap_or(otherwise);
         Ok(Self {
-            classes: classes.iter().map(|(name, c)| (name.clone(), class(c))).collect(),
+            classes: classes
+                .iter()
+                .map(|(name, c)| (name.clone(), class(c)))
+                .collect(),
             drain_grace: safety("drain_grace", 1.0),
             // What the wire and a busy machine of the rig may add.
             slack: safety("answer_slack", 0.1) + 0.4,
--- a/crates/rig/src/cluster.rs
+++ b/crates/rig/src/cluster.rs
@@ -36,16 +36,34 @@
         let sites: Vec<Site> = (0..layout.nodes).map(|i| site(i, &layout)).collect();
         let launch = |name: &str, mut arguments: Vec<String>| {
             if let Some(folder) = &layout.records {
-                arguments
-                    .extend(["--record".into(), folder.join(format!("{name}.jsonl")).display().to_string()]);
+                arguments.extend([
+                    "--record".into(),
+                    folder.join(format!("{name}.jsonl")).display().to_string(),
+                ]);
             }
-            let log = layout.logs.as_ref().map(|folder| folder.join(format!("{name}.log")));
-            Process::start(name, layout.program.clone(), arguments, log, !name.starts_with("planner"))
+            let log = layout
+                .logs
+                .as_ref()
+                .map(|folder| folder.join(format!("{name}.log")));
+            Process::start(
+                name,
+                layout.program.clone(),
+                arguments,
+                log,
+                !name.starts_with("planner"),
+            )
+        };
+        let words = |text: &str| {
+            text.split_whitespace()
+                .map(str::to_owned)
+                .collect::<Vec<_>>()
         };
-        let words = |text: &str| text.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
         let register = launch(
             "register",
-            words(&format!("standin-register --listen 127.0.0.1:0 --delay {}", layout.delay)),
+            words(&format!(
+                "standin-register --listen 127.0.0.1:0 --delay {}",
+                layout.delay
+            )),
         )?;
         let at = register.addresses[0].clone();
         let mut config = Vec::new();
@@ -70,23 +88,39 @@
         let mut edges: Vec<Process> = Vec::new();
         // The first two edges are everybody's seeds.
         let joins = |edges: &[Process]| -> String {
-            let seeds = edges.iter().take(2).filter_map(|edge| edge.addresses.get(2));
-            seeds.map(|address| format!(" --fleet-join {address}")).collect()
+            let seeds = edges
+                .iter()
+                .take(2)
+                .filter_map(|edge| edge.addresses.get(2));
+            seeds
+                .map(|address| format!(" --fleet-join {address}"))
+                .collect()
         };
         for i in 0..layout.edges {
-            let api = if i == 0 { layout.api.as_str() } else { "127.0.0.1:0" };
+            let api = if i == 0 {
+                layout.api.as_str()
+            } else {
+                "127.0.0.1:0"
+            };
             let seed = layout.seed.wrapping_add(7_000 + i as u64);
-            let line =
-                format!("edge --api {api} --link 127.0.0.1:0 --register {at} --name edge-{i} --seed {seed}");
+            let line = format!(
+                "edge --api {api} --link 127.0.0.1:0 --register {at} --name edge-{i} --seed {seed}"
+            );
             let line = match layout.fleet {
                 true => format!("{line} --fleet-listen 127.0.0.1:0{}", joins(&edges)),
                 false => line,
             };
-            edges.push(launch(&format!("edge-{i}"), [words(&line), kept.clone()].concat())?);
+            edges.push(launch(
+                &format!("edge-{i}"),
+                [words(&line), kept.clone()].concat(),
+            )?);
         }
         let links: String = match layout.fleet {
             true => joins(&edges),
-            false => edges.iter().map(|edge| format!("--edge {} ", edge.addresses[1])).collect(),
+            false => edges
+                .iter()
+                .map(|edge| format!("--edge {} ", edge.addresses[1]))
+                .collect(),
         };
         let mut planners = Vec::new();
         for i in 0..layout.planners {
@@ -96,9 +130,19 @@
                 "planner {links} --register {at} --zone {zone} --ordinal {i} --seed {seed} --planners {}",
                 layout.planners
             );
-            planners.push(launch(&format!("planner-{i}"), [words(&line), kept.clone()].concat())?);
+            planners.push(launch(
+                &format!("planner-{i}"),
+                [words(&line), kept.clone()].concat(),
+            )?);
         }
-        Ok(Self { layout, register, nodes, edges, planners, sites })
+        Ok(Self {
+            layout,
+            register,
+            nodes,
+            edges,
+            planners,
+            sites,
+        })
     }
 
     /// The API's address at an edge.
@@ -112,15 +156,22 @@
         for edge in 0..self.edges.len() {
             let client = Client::new(self.api(edge), 1, vec![]);
             loop {
-                let ready = client.send(Method::GET, "/readyz", "", Bytes::new(), 2.0).await;
-                let nodes = client.send(Method::GET, "/api/v1/nodes", "", Bytes::new(), 2.0).await;
+                let ready = client
+                    .send(Method::GET, "/readyz", "", Bytes::new(), 2.0)
+                    .await;
+                let nodes = client
+                    .send(Method::GET, "/api/v1/nodes", "", Bytes::new(), 2.0)
+                    .await;
                 let listed = nodes.map_or(0, |n| n.json()["items"].as_array().map_or(0, Vec::len));
                 let all = format!("ok, planners: {}", self.layout.planners);
                 if ready.is_ok_and(|r| r.body == all.as_bytes()) && listed >= self.layout.nodes {
                     break;
                 }
                 if clock::now() > until {
-                    return Err(format!("edge-{edge}: {listed} of {} nodes are listed", self.layout.nodes));
+                    return Err(format!(
+                        "edge-{edge}: {listed} of {} nodes are listed",
+                        self.layout.nodes
+                    ));
                 }
                 clock::sleep(0.05).await;
             }
@@ -132,59 +183,99 @@
 
     /// A child by name.
     pub fn process(&mut self, name: &str) -> Option<&mut Process> {
-        let all = self.nodes.iter_mut().chain(&mut self.edges).chain(&mut self.planners);
-        all.chain([&mut self.register]).find(|process| process.name == name)
+        let all = self
+            .nodes
+            .iter_mut()
+            .chain(&mut self.edges)
+            .chain(&mut self.planners);
+        all.chain([&mut self.register])
+            .find(|process| process.name == name)
     }
 
     /// Starts a killed node again where it was, cold.
     pub fn restart_node(&mut self, name: &str) -> Result<(), String> {
-        let node =
-            self.nodes.iter_mut().find(|node| node.name == name).ok_or(format!("{name}: no such node"))?;
+        let node = self
+            .nodes
+            .iter_mut()
+            .find(|node| node.name == name)
+            .ok_or(format!("{name}: no such node"))?;
         let listen = node.addresses[0].clone();
         node.restart(&[("--listen", listen), ("--cold", COLD.to_string())], true)
     }
 
     /// Starts a killed edge again where it was.
     pub fn restart_edge(&mut self, name: &str) -> Result<(), String> {
-        let edge =
-            self.edges.iter_mut().find(|edge| edge.name == name).ok_or(format!("{name}: no such edge"))?;
-        let mut change = vec![("--api", edge.addresses[0].clone()), ("--link", edge.addresses[1].clone())];
-        change.extend(edge.addresses.get(2).map(|address| ("--fleet-listen", address.clone())));
+        let edge = self
+            .edges
+            .iter_mut()
+            .find(|edge| edge.name == name)
+            .ok_or(format!("{name}: no such edge"))?;
+        let mut change = vec![
+            ("--api", edge.addresses[0].clone()),
+            ("--link", edge.addresses[1].clone()),
+        ];
+        change.extend(
+            edge.addresses
+                .get(2)
+                .map(|address| ("--fleet-listen", address.clone())),
+        );
         edge.restart(&change, true)
     }
 
     /// Starts a killed planner again.
     pub fn restart_planner(&mut self, name: &str) -> Result<(), String> {
-        let planner =
-            self.planners.iter_mut().find(|p| p.name == name).ok_or(format!("{name}: no such planner"))?;
+        let planner = self
+            .planners
+            .iter_mut()
+            .find(|p| p.name == name)
+            .ok_or(format!("{name}: no such planner"))?;
         planner.restart(&[], false)
     }
 
     /// Names and addresses of all nodes.
     pub fn addresses(&self) -> Vec<(String, String)> {
-        self.nodes.iter().map(|node| (node.name.clone(), node.addresses[0].clone())).collect()
+        self.nodes
+            .iter()
+            .map(|node| (node.name.clone(), node.addresses[0].clone()))
+            .collect()
     }
 
     /// How many times its cores and memory a node admits, as the settings of this cluster say.
     pub fn admits(&self) -> [f64; 2] {
-        let text = self.layout.config.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
-        let settings: serde_json::Value =
-            text.and_then(|text| hcl::from_str(&text).ok()).unwrap_or(serde_json::Value::Null);
+        let text = self
+            .layout
+            .config
+            .as_ref()
+            .and_then(|path| std::fs::read_to_string(path).ok());
+        let settings: serde_json::Value = text
+            .and_then(|text| hcl::from_str(&text).ok())
+            .unwrap_or(serde_json::Value::Null);
         let of = |key: &str, otherwise: f64| settings["nodes"][key].as_f64().unwrap_or(otherwise);
         [of("admit_cores", 2.5), of("admit_memory", 1.2)]
     }
 
     /// Children that have ended by themselves, and how.
     pub fn ended(&mut self) -> Vec<(String, String)> {
-        let all = self.nodes.iter_mut().chain(&mut self.edges).chain(&mut self.planners);
+        let all = self
+            .nodes
+            .iter_mut()
+            .chain(&mut self.edges)
+            .chain(&mut self.planners);
         let all = all.chain([&mut self.register]);
-        all.filter_map(|process| Some((process.name.clone(), process.ended()?))).collect()
+        all.filter_map(|process| Some((process.name.clone(), process.ended()?)))
+            .collect()
     }
 
     /// Names and process ids of all children that run.
     pub fn children(&self) -> Vec<(String, u32)> {
-        let all = self.nodes.iter().chain(&self.edges).chain(&self.planners).chain([&self.register]);
-        all.filter_map(|process| Some((process.name.clone(), process.id()?))).collect()
+        let all = self
+            .nodes
+            .iter()
+            .chain(&self.edges)
+            .chain(&self.planners)
+            .chain([&self.register]);
+        all.filter_map(|process| Some((process.name.clone(), process.id()?)))
+            .collect()
     }
 
     /// Starts a child again where it was, whatever it is.
@@ -202,8 +293,14 @@
 
     /// Makes something go wrong at a node.
     pub async fn fault(&self, node: &str, fault: &Fault) -> Result<(), String> {
-        let process = self.nodes.iter().find(|p| p.name == node).ok_or(format!("{node}: no such node"))?;
-        fault_at(&process.addresses[0], fault).await.map_err(|problem| format!("{node}: {problem}"))
+        let process = self
+            .nodes
+            .iter()
+            .find(|p| p.name == node)
+            .ok_or(format!("{node}: no such node"))?;
+        fault_at(&process.addresses[0], fault)
+            .await
+            .map_err(|problem| format!("{node}: {problem}"))
     }
 
     /// The folder of recordings.
@@ -216,7 +313,16 @@
 pub(crate) async fn fault_at(address: &str, fault: &Fault) -> Result<(), String> {
     let client = Client::new(address, 1, vec![]);
     let body = serde_json::to_vec(fault).map_err(|e| e.to_string())?.into();
-    match client.send(Method::POST, "/standin/fault", "application/json", body, 2.0).await {
+    match client
+        .send(
+            Method::POST,
+            "/standin/fault",
+            "application/json",
+            body,
+            2.0,
+        )
+        .await
+    {
         Ok(reply) if reply.status.is_success() => Ok(()),
         Ok(reply) => Err(reply.status.to_string()),
         Err(problem) => Err(problem.to_string()),
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -58,18 +58,25 @@
     times: async_channel::Sender<f64>,
 ) -> Result<(), String> {
     let client = Client::new(&address, 2, vec![]);
-    let path = format!("{PODS}?watch=true&resourceVersion=0&fieldSelector=metadata.namespace%3Ddefault");
+    let path =
+        format!("{PODS}?watch=true&resourceVersion=0&fieldSelector=metadata.namespace%3Ddefault");
     let mut lines = client.lines(&path, 5.0).await.map_err(|e| e.to_string())?;
     for i in 0..count {
         let name = format!("{prefix}-{i}");
-        let reply = client.send(Method::POST, PODS, "application/json", pod(&name), 10.0).await;
+        let reply = client
+            .send(Method::POST, PODS, "application/json", pod(&name), 10.0)
+            .await;
         let reply = reply.map_err(|e| e.to_string())?;
         let at = clock::now();
         if !reply.status.is_success() {
             return Err(format!("{name}: {}", reply.status));
         }
         loop {
-            let line = lines.next().await.map_err(|e| e.to_string())?.ok_or("the watch ended")?;
+            let line = lines
+                .next()
+                .await
+                .map_err(|e| e.to_string())?
+                .ok_or("the watch ended")?;
             // Most lines speak of others' Pods; only this one's need to be read whole.
             if !line.windows(name.len()).any(|part| part == name.as_bytes()) {
                 continue;
@@ -94,7 +101,14 @@
     let (send, receive) = async_channel::unbounded();
     let start = clock::now();
     let tasks: Vec<_> = (0..clients)
-        .map(|i| smol::spawn(place(address.to_owned(), format!("{prefix}-{i}"), each, send.clone())))
+        .map(|i| {
+            smol::spawn(place(
+                address.to_owned(),
+                format!("{prefix}-{i}"),
+                each,
+                send.clone(),
+            ))
+        })
         .collect();
     drop(send);
     let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?;
@@ -110,16 +124,25 @@
 fn resident(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.trim().split(' ').next()?.parse::<f64>().ok()).unwrap_or(f64::NAN) * 1024.0
+    line.and_then(|line| line.trim().split(' ').next()?.parse::<f64>().ok())
+        .unwrap_or(f64::NAN)
+        * 1024.0
 }
 
 /// How often the edge's memory was synced.
 async fn syncs(address: &str) -> f64 {
     let client = Client::new(address, 1, vec![]);
-    let reply = client.send(Method::GET, "/metrics", "", Bytes::new(), 2.0).await;
-    let text = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned()).unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix("tidespur_memory_syncs "));
-    line.and_then(|number| number.trim().parse().ok()).unwrap_or(0.0)
+    let reply = client
+        .send(Method::GET, "/metrics", "", Bytes::new(), 2.0)
+        .await;
+    let text = reply
+        .map(|reply| String::from_utf8_lossy(&reply.body).into_owned())
+        .unwrap_or_default();
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("tidespur_memory_syncs "));
+    line.and_then(|number| number.trim().parse().ok())
+        .unwrap_or(0.0)
 }
 
 /// Runs all measurements on a fresh cluster.
@@ -136,12 +159,18 @@
         let between = syncs(&address).await;
         let (busy, rate) = run(&address, 16, each, "busy").await?;
         let after = syncs(&address).await;
-        let syncs_each = [(between - before) / each as f64, (after - between) / (16 * each) as f64];
+        let syncs_each = [
+            (between - before) / each as f64,
+            (after - between) / (16 * each) as f64,
+        ];
         clock::sleep(2.0).await;
 
         let edge = cluster.edges[0].id().ok_or("the edge has ended")?;
         let before = resident(edge);
-        let (seen, last) = (Arc::new(AtomicUsize::new(0)), Arc::new(std::sync::Mutex::new(Vec::new())));
+        let (seen, last) = (
+            Arc::new(AtomicUsize::new(0)),
+            Arc::new(std::sync::Mutex::new(Vec::new())),
+        );
         let client = Client::new(&address, 4, vec![]);
         let mut tasks = Vec::new();
         for _ in 0..watchers {
@@ -162,7 +191,15 @@
         clock::sleep(1.0).await;
         let idle = (resident(edge) - before) / watchers as f64;
         let body = Bytes::from_static(br#"{"metadata":{"name":"burst"}}"#);
-        let sent = client.send(Method::POST, "/api/v1/namespaces", "application/json", body, 10.0).await;
+        let sent = client
+            .send(
+                Method::POST,
+                "/api/v1/namespaces",
+                "application/json",
+                body,
+                10.0,
+            )
+            .await;
         let at = clock::now();
         sent.map_err(|e| e.to_string())?;
         let until = at + 30.0;
--- a/crates/rig/src/oracle.rs
+++ b/crates/rig/src/oracle.rs
@@ -50,7 +50,12 @@
         };
         (node["name"].as_str().unwrap_or("").to_owned(), told)
     };
-    line.value["nodes"].as_array().into_iter().flatten().map(node).collect()
+    line.value["nodes"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(node)
+        .collect()
 }
 
 /// Judges all samples of a recording.
@@ -59,7 +64,10 @@
     let mut past: Vec<Sample> = Vec::new();
     for line in traffic.of("why") {
         past.retain(|sample| sample.t > line.t - AGE - 1.5);
-        past.push(Sample { t: line.t, nodes: nodes(line) });
+        past.push(Sample {
+            t: line.t,
+            nodes: nodes(line),
+        });
         missing(line, &mut verdict);
         // Nothing binds before the samples reach back far enough.
         if past.first().is_some_and(|first| first.t <= line.t - AGE) {
@@ -75,35 +83,56 @@
     let told: BTreeSet<&str> = records
         .into_iter()
         .flatten()
-        .filter(|record| record["codes"].as_array().is_some_and(|codes| !codes.is_empty()))
+        .filter(|record| {
+            record["codes"]
+                .as_array()
+                .is_some_and(|codes| !codes.is_empty())
+        })
         .filter_map(|record| record["pod"].as_str())
         .collect();
     for pod in line.value["waiting"].as_array().into_iter().flatten() {
         let name = pod["name"].as_str().unwrap_or("");
-        if pod["since"].as_f64().is_some_and(|since| since < line.t - FIRST) && !told.contains(name) {
-            verdict.missing.push(format!("{name} waits without a reason at {:.2}", line.t));
+        if pod["since"]
+            .as_f64()
+            .is_some_and(|since| since < line.t - FIRST)
+            && !told.contains(name)
+        {
+            verdict
+                .missing
+                .push(format!("{name} waits without a reason at {:.2}", line.t));
         }
     }
 }
 
 fn reasons(line: &Line, past: &[Sample], verdict: &mut Verdict) {
     let names: BTreeSet<&String> = past.iter().flat_map(|sample| sample.nodes.keys()).collect();
-    let seen = |name: &String| -> Vec<Option<&Node>> { past.iter().map(|s| s.nodes.get(name)).collect() };
+    let seen =
+        |name: &String| -> Vec<Option<&Node>> { past.iter().map(|s| s.nodes.get(name)).collect() };
     for record in line.value["records"].as_array().into_iter().flatten() {
         let word = &record["word"];
         // Only what a planner told, and lately, speaks of nodes; an offer that is out speaks of its own.
-        let fresh = record["seen"].as_f64().is_some_and(|seen| line.t - seen <= AGE);
-        if !word.is_object() || !word["out"].is_null() || !fresh || !word["diagnosis"]["block"].is_null() {
+        let fresh = record["seen"]
+            .as_f64()
+            .is_some_and(|seen| line.t - seen <= AGE);
+        if !word.is_object()
+            || !word["out"].is_null()
+            || !fresh
+            || !word["diagnosis"]["block"].is_null()
+        {
             continue;
         }
         verdict.judged += 1;
         let asks = [0, 1].map(|i| record["asks"][i].as_f64().unwrap_or(0.0));
-        let full = |node: &Node, part: f64| (0..2).any(|i| node.asked[i] + asks[i] > node.admits[i] * part);
+        let full = |node: &Node, part: f64| {
+            (0..2).any(|i| node.asked[i] + asks[i] > node.admits[i] * part)
+        };
         let (mut drains, mut drained, mut short, mut shorts, mut shut) = (0, 0, 0, 0, 0);
         for name in &names {
             let told = seen(name);
-            let all = |holds: &dyn Fn(&Node) -> bool| told.iter().all(|node| node.is_some_and(holds));
-            let any = |holds: &dyn Fn(&Node) -> bool| told.iter().any(|node| node.is_none_or(holds));
+            let all =
+                |holds: &dyn Fn(&Node) -> bool| told.iter().all(|node| node.is_some_and(holds));
+            let any =
+                |holds: &dyn Fn(&Node) -> bool| told.iter().any(|node| node.is_none_or(holds));
             drains += usize::from(all(&|node| node.drains));
             drained += usize::from(any(&|node| node.drains));
             let surely = all(&|node| !node.drains && full(node, 1.0));
@@ -122,7 +151,9 @@
             .sum();
         let mut wrong = |what: String| {
             let pod = record["pod"].as_str().unwrap_or("");
-            verdict.falsified.push(format!("{pod} at {:.2}: {what}: {}", line.t, diagnosis));
+            verdict
+                .falsified
+                .push(format!("{pod} at {:.2}: {what}: {}", line.t, diagnosis));
         };
         if count("Draining") < drains || count("Draining") > drained {
             wrong(format!("{drains} to {drained} nodes drained"));
@@ -131,7 +162,10 @@
             wrong(format!("{shorts} nodes can have been short of room"));
         }
         if listed.saturating_sub(barred) + shut > names.len() {
-            wrong(format!("{shut} of {} nodes can't have taken it ({short} full)", names.len()));
+            wrong(format!(
+                "{shut} of {} nodes can't have taken it ({short} full)",
+                names.len()
+            ));
         }
         if barred > listed {
             wrong(format!("{barred} of {listed} nodes are ruled out"));
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -40,8 +40,9 @@
 fn job(name: &str, work: &Work, rng: &mut impl Rng) -> Value {
     let pods = rng.random_range(work.pods[0]..=work.pods[1]);
     let [cores, memory] = work.shapes[rng.random_range(0..work.shapes.len())];
-    let life =
-        Exp::new(1.0 / work.life.max(0.01)).map_or(work.life, |d| d.sample(rng)).clamp(0.5, work.life * 3.0);
+    let life = Exp::new(1.0 / work.life.max(0.01))
+        .map_or(work.life, |d| d.sample(rng))
+        .clamp(0.5, work.life * 3.0);
     let mut annotations =
         json!({names::EXPECTED_SECONDS: format!("{:.2}", life * rng.random_range(0.8..1.25))});
     if let Some(give_up) = work.give_up {
@@ -82,10 +83,14 @@
 
 impl Day {
     fn with<T>(&self, act: impl FnOnce(&mut Cluster) -> T) -> Option<T> {
-        self.cluster.lock().ok().map(|mut cluster| act(&mut cluster))
+        self.cluster
+            .lock()
+            .ok()
+            .map(|mut cluster| act(&mut cluster))
     }
     fn trouble(&self, what: &str, on: &[String]) {
-        self.recorder.note("trouble", || json!({"trouble": what, "on": on}));
+        self.recorder
+            .note("trouble", || json!({"trouble": what, "on": on}));
         if let Ok(mut trouble) = self.progress.trouble.lock() {
             *trouble = format!("{what} on {}", on.join(", "));
         }
@@ -93,7 +98,12 @@
 }
 
 /// Plays a day; its recordings are in `records` afterwards.
-pub fn play(day: &Scenario, layout: Layout, records: &Path, progress: Arc<Progress>) -> Result<(), String> {
+pub fn play(
+    day: &Scenario,
+    layout: Layout,
+    records: &Path,
+    progress: Arc<Progress>,
+) -> Result<(), String> {
     let seed = layout.seed;
     let cluster = Cluster::start(Layout {
         nodes: day.nodes,
@@ -106,10 +116,19 @@
     let recorder = Recorder::to(&records.join("rig.jsonl"), "rig").map_err(|e| e.to_string())?;
     smol::block_on(async {
         cluster.wait_ready(60.0).await?;
-        let apis: Vec<String> = (0..day.edges).map(|edge| cluster.api(edge).to_owned()).collect();
+        let apis: Vec<String> = (0..day.edges)
+            .map(|edge| cluster.api(edge).to_owned())
+            .collect();
         let start = clock::now();
         let ends = start + day.seconds + day.rest;
-        let this = Arc::new(Day { cluster: Mutex::new(cluster), apis, recorder, progress, start, ends });
+        let this = Arc::new(Day {
+            cluster: Mutex::new(cluster),
+            apis,
+            recorder,
+            progress,
+            start,
+            ends,
+        });
         let submissions = draw(day, seed);
         let mut tasks = Vec::new();
         for edge in 0..day.edges {
@@ -118,19 +137,32 @@
         tasks.push(smol::spawn(sample_reasons(this.clone(), seed)));
         for (i, (name, trouble)) in day.trouble.iter().enumerate() {
             let rng = rand_pcg::Pcg32::seed_from_u64(seed.wrapping_add(31 * (i as u64 + 1)));
-            tasks.push(smol::spawn(strike(this.clone(), name.clone(), trouble.clone(), rng)));
+            tasks.push(smol::spawn(strike(
+                this.clone(),
+                name.clone(),
+                trouble.clone(),
+                rng,
+            )));
         }
         let mut clients = Vec::new();
         for client in 0..day.clients {
-            let part: Vec<Submission> =
-                submissions.iter().skip(client).step_by(day.clients).cloned().collect();
+            let part: Vec<Submission> = submissions
+                .iter()
+                .skip(client)
+                .step_by(day.clients)
+                .cloned()
+                .collect();
             clients.push(smol::spawn(submit(this.clone(), client % day.edges, part)));
         }
         for client in clients {
             client.await;
         }
         // The day is over when all Jobs are, and all troubles too.
-        let troubled = day.trouble.values().map(|t| t.at + t.seconds).fold(0.0, f64::max);
+        let troubled = day
+            .trouble
+            .values()
+            .map(|t| t.at + t.seconds)
+            .fold(0.0, f64::max);
         loop {
             let (mut open, mut done) = (0, 0);
             for api in &this.apis {
@@ -138,7 +170,10 @@
                 let path = "/apis/batch/v1/namespaces/default/jobs";
                 match client.send(Method::GET, path, "", Bytes::new(), 5.0).await {
                     Ok(reply) if reply.status.is_success() => {
-                        let jobs = reply.json()["items"].as_array().cloned().unwrap_or_default();
+                        let jobs = reply.json()["items"]
+                            .as_array()
+                            .cloned()
+                            .unwrap_or_default();
                         let over = |j: &&Value| {
                             meta::has_condition(j, "Complete") || meta::has_condition(j, "Failed")
                         };
@@ -152,7 +187,8 @@
             this.progress.done.store(done, Ordering::Relaxed);
             let now = clock::now();
             if now > ends || (open == 0 && now > start + troubled.max(day.seconds)) {
-                this.recorder.note("end", || json!({"open": open, "done": done}));
+                this.recorder
+                    .note("end", || json!({"open": open, "done": done}));
                 break;
             }
             clock::sleep(0.25).await;
@@ -172,9 +208,12 @@
         let path = "/apis/batch/v1/namespaces/default/jobs";
         // A client whose edge is away, or that is told to stay away, tries again until the day is over.
         while clock::now() < day.ends {
-            let sent = client.send(Method::POST, path, "application/json", body.clone(), 5.0).await;
+            let sent = client
+                .send(Method::POST, path, "application/json", body.clone(), 5.0)
+                .await;
             let status = sent.as_ref().map_or(0, |reply| reply.status.as_u16());
-            day.recorder.note("submitted", || json!({"job": one.name, "status": status}));
+            day.recorder
+                .note("submitted", || json!({"job": one.name, "status": status}));
             match status {
                 201 | 409 => {
                     day.progress.submitted.fetch_add(1, Ordering::Relaxed);
@@ -202,7 +241,9 @@
         });
     };
     while clock::now() < day.ends + 10.0 {
-        let listed = client.send(Method::GET, "/api/v1/pods", "", Bytes::new(), 5.0).await;
+        let listed = client
+            .send(Method::GET, "/api/v1/pods", "", Bytes::new(), 5.0)
+            .await;
         let list = match listed {
             Ok(reply) if reply.status.is_success() => reply.json(),
             _ => {
@@ -211,16 +252,26 @@
             }
         };
         day.recorder.note("listed", || json!({"edge": edge}));
-        list["items"].as_array().into_iter().flatten().for_each(|pod| note("LISTED", pod, false));
+        list["items"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .for_each(|pod| note("LISTED", pod, false));
         let mut version = meta::text(&list, &["metadata", "resourceVersion"]).to_owned();
         'resume: loop {
-            let path = format!("/api/v1/pods?watch=true&allowWatchBookmarks=true&resourceVersion={version}");
-            let Ok(mut lines) = client.lines(&path, 2.0).await else { break };
+            let path = format!(
+                "/api/v1/pods?watch=true&allowWatchBookmarks=true&resourceVersion={version}"
+            );
+            let Ok(mut lines) = client.lines(&path, 2.0).await else {
+                break;
+            };
             if !lines.status.is_success() {
                 break;
             }
             while let Ok(Some(line)) = lines.next().await {
-                let Ok(event) = serde_json::from_slice::<Value>(&line) else { break 'resume };
+                let Ok(event) = serde_json::from_slice::<Value>(&line) else {
+                    break 'resume;
+                };
                 let pod = &event["object"];
                 match event["type"].as_str().unwrap_or("") {
                     "ERROR" => break 'resume,
@@ -238,7 +289,9 @@
 async fn sample_reasons(day: Arc<Day>, seed: u64) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed ^ 0x0073_616d_706c_6572);
     let found = day.with(|c| (c.register.addresses[0].clone(), c.addresses(), c.admits()));
-    let Some((register, nodes, admits)) = found else { return };
+    let Some((register, nodes, admits)) = found else {
+        return;
+    };
     let mut sampler = crate::sample::Sampler::new(&day.apis[0], &register, nodes, admits);
     while clock::now() < day.ends + 10.0 {
         clock::sleep(rng.random_range(0.3..0.9)).await;
@@ -251,8 +304,11 @@
 async fn strike(day: Arc<Day>, name: String, trouble: Trouble, mut rng: rand_pcg::Pcg32) {
     clock::sleep(day.start + trouble.at - clock::now()).await;
     let until = clock::now() + trouble.seconds;
-    let sites = day.with(|cluster| cluster.sites.clone()).unwrap_or_default();
-    let count = ((sites.len() as f64 * trouble.share).round() as usize).clamp(1, sites.len().max(1));
+    let sites = day
+        .with(|cluster| cluster.sites.clone())
+        .unwrap_or_default();
+    let count =
+        ((sites.len() as f64 * trouble.share).round() as usize).clamp(1, sites.len().max(1));
     let mut order: Vec<usize> = (0..sites.len()).collect();
     order.shuffle(&mut rng);
     if trouble.rack
@@ -262,13 +318,24 @@
         let here = (sites[first].zone.clone(), sites[first].rack.clone());
         order.retain(|i| rack(i) == (&here.0, &here.1));
     }
-    let struck: Vec<String> = order.into_iter().take(count).map(|i| sites[i].name.clone()).collect();
+    let struck: Vec<String> = order
+        .into_iter()
+        .take(count)
+        .map(|i| sites[i].name.clone())
+        .collect();
     let seconds = trouble.seconds;
     let share = trouble.strength.clamp(0.0, 1.0);
     let fault = match trouble.kind {
-        Kind::Slow => Some(Fault::Slow { factor: trouble.strength, seconds }),
+        Kind::Slow => Some(Fault::Slow {
+            factor: trouble.strength,
+            seconds,
+        }),
         Kind::Hang => Some(Fault::Hang { seconds }),
-        Kind::AnswerLost => Some(Fault::LoseAnswers { share, reset: rng.random_bool(0.5), seconds }),
+        Kind::AnswerLost => Some(Fault::LoseAnswers {
+            share,
+            reset: rng.random_bool(0.5),
+            seconds,
+        }),
         Kind::FastErrors => Some(Fault::Errors { share, seconds }),
         Kind::UseAll => Some(Fault::UseAll { seconds }),
         Kind::Flush => Some(Fault::Flush),
@@ -291,7 +358,8 @@
             clock::sleep(until - clock::now()).await;
             for node in struck {
                 let this = day.clone();
-                let back = smol::unblock(move || this.with(|cluster| cluster.restart_node(&node))).await;
+                let back =
+                    smol::unblock(move || this.with(|cluster| cluster.restart_node(&node))).await;
                 if let Some(Err(problem)) = back {
                     tracing::error!(problem);
                 }
@@ -312,7 +380,12 @@
         Kind::RegisterDown => hold(&day, &["register".into()], until).await,
         Kind::PausePlanner => {
             let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
-            hold(&day, &[format!("planner-{}", rng.random_range(0..planners))], until).await;
+            hold(
+                &day,
+                &[format!("planner-{}", rng.random_range(0..planners))],
+                until,
+            )
+            .await;
         }
         Kind::ZoneCut => {
             let zones: Vec<String> = {
@@ -323,8 +396,20 @@
             };
             let cut = zones[rng.random_range(0..zones.len())].clone();
             for site in &sites {
-                let others = zones.iter().filter(|z| (**z == cut) != (site.zone == cut)).cloned().collect();
-                tell(&day, &site.name, &Fault::CutZones { zones: others, seconds }).await;
+                let others = zones
+                    .iter()
+                    .filter(|z| (**z == cut) != (site.zone == cut))
+                    .cloned()
+                    .collect();
+                tell(
+                    &day,
+                    &site.name,
+                    &Fault::CutZones {
+                        zones: others,
+                        seconds,
+                    },
+                )
+                .await;
             }
         }
         Kind::Drain => {
@@ -363,7 +448,9 @@
             day.with(|cluster| cluster.process(&name).map(|process| process.kill()));
             clock::sleep(until - clock::now()).await;
             let this = day.clone();
-            if let Some(Err(problem)) = smol::unblock(move || this.with(|c| c.restart_edge(&name))).await {
+            if let Some(Err(problem)) =
+                smol::unblock(move || this.with(|c| c.restart_edge(&name))).await
+            {
                 tracing::error!(problem);
             }
         }
@@ -382,7 +469,9 @@
 }
 
 async fn tell(day: &Day, node: &str, fault: &Fault) {
-    let address = day.with(|cluster| cluster.process(node).map(|p| p.addresses[0].clone())).flatten();
+    let address = day
+        .with(|cluster| cluster.process(node).map(|p| p.addresses[0].clone()))
+        .flatten();
     let Some(address) = address else { return };
     if let Err(problem) = fault_at(&address, fault).await {
         tracing::debug!(node, problem, "a fault did not get there");
@@ -391,10 +480,21 @@
 
 async fn cordon(day: &Day, node: &str, on: bool) {
     let client = Client::new(&day.apis[0], 1, vec![]);
-    let body: Bytes = json!({"spec": {"unschedulable": on}}).to_string().into_bytes().into();
+    let body: Bytes = json!({"spec": {"unschedulable": on}})
+        .to_string()
+        .into_bytes()
+        .into();
     let path = format!("/api/v1/nodes/{node}");
     for _ in 0..10 {
-        let sent = client.send(Method::PATCH, &path, "application/merge-patch+json", body.clone(), 2.0).await;
+        let sent = client
+            .send(
+                Method::PATCH,
+                &path,
+                "application/merge-patch+json",
+                body.clone(),
+                2.0,
+            )
+            .await;
         if sent.is_ok_and(|reply| reply.status.is_success()) {
             return;
         }
@@ -407,15 +507,26 @@
     for api in &day.apis {
         let client = Client::new(api, 4, vec![]);
         let path = "/apis/batch/v1/namespaces/default/jobs";
-        let Ok(reply) = client.send(Method::GET, path, "", Bytes::new(), 5.0).await else { continue };
-        let jobs = reply.json()["items"].as_array().cloned().unwrap_or_default();
-        for job in jobs.iter().filter(|job| !meta::has_condition(job, "Complete")) {
+        let Ok(reply) = client.send(Method::GET, path, "", Bytes::new(), 5.0).await else {
+            continue;
+        };
+        let jobs = reply.json()["items"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        for job in jobs
+            .iter()
+            .filter(|job| !meta::has_condition(job, "Complete"))
+        {
             if !rng.random_bool(share) {
                 continue;
             }
             let one = format!("{path}/{}", meta::name(job));
             for suspend in [true, false] {
-                let body = json!({"spec": {"suspend": suspend}}).to_string().into_bytes().into();
+                let body = json!({"spec": {"suspend": suspend}})
+                    .to_string()
+                    .into_bytes()
+                    .into();
                 let media = "application/merge-patch+json";
                 let _ = client.send(Method::PATCH, &one, media, body, 5.0).await;
             }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -27,8 +27,14 @@
         log: Option<PathBuf>,
         ready: bool,
     ) -> Result<Self, String> {
-        let mut process =
-            Self { name: name.to_owned(), program, arguments, log, child: None, addresses: vec![] };
+        let mut process = Self {
+            name: name.to_owned(),
+            program,
+            arguments,
+            log,
+            child: None,
+            addresses: vec![],
+        };
         process.spawn(ready)?;
         Ok(process)
     }
@@ -36,9 +42,13 @@
     fn spawn(&mut self, ready: bool) -> Result<(), String> {
         let problem = |e: std::io::Error| format!("{}: can't be started: {e}", self.name);
         let errors = match &self.log {
-            Some(path) => {
-                Stdio::from(std::fs::File::options().create(true).append(true).open(path).map_err(problem)?)
-            }
+            Some(path) => Stdio::from(
+                std::fs::File::options()
+                    .create(true)
+                    .append(true)
+                    .open(path)
+                    .map_err(problem)?,
+            ),
             None => Stdio::inherit(),
         };
         // The child ends itself when its standard input does, so that none outlives this process.
@@ -52,12 +62,17 @@
         if ready {
             let mut line = String::new();
             if let Some(output) = child.stdout.take() {
-                BufReader::new(output).read_line(&mut line).map_err(problem)?;
+                BufReader::new(output)
+                    .read_line(&mut line)
+                    .map_err(problem)?;
             }
             let Some(rest) = line.trim().strip_prefix("ready ") else {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{}: ended before it was ready (see its log)", self.name));
+                return Err(format!(
+                    "{}: ended before it was ready (see its log)",
+                    self.name
+                ));
             };
             self.addresses = rest.split(' ').map(str::to_owned).collect();
         }
@@ -85,7 +100,12 @@
     }
 
     fn signal(&self, signal: rustix::process::Signal) {
-        let Some(id) = self.id().and_then(|id| rustix::process::Pid::from_raw(id as i32)) else { return };
+        let Some(id) = self
+            .id()
+            .and_then(|id| rustix::process::Pid::from_raw(id as i32))
+        else {
+            return;
+        };
         if let Err(problem) = rustix::process::kill_process(id, signal) {
             tracing::warn!(name = self.name, %problem, "can't be signalled");
         }
@@ -96,7 +116,9 @@
         self.kill();
         for (key, value) in change {
             match self.arguments.iter().position(|a| a == key) {
-                Some(place) if place + 1 < self.arguments.len() => self.arguments[place + 1] = value.clone(),
+                Some(place) if place + 1 < self.arguments.len() => {
+                    self.arguments[place + 1] = value.clone()
+                }
                 _ => self.arguments.extend([(*key).to_owned(), value.clone()]),
             }
         }
@@ -105,7 +127,11 @@
 
     /// Stands it still, or lets it go on.
     pub fn pause(&self, still: bool) {
-        self.signal(if still { rustix::process::Signal::STOP } else { rustix::process::Signal::CONT });
+        self.signal(if still {
+            rustix::process::Signal::STOP
+        } else {
+            rustix::process::Signal::CONT
+        });
     }
 
     /// How it ended, if it did so by itself.
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -53,11 +53,23 @@
     /// # Errors
     /// Where the system gives no port.
     pub async fn start(to: &str) -> Result<Self, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
-        let address = listener.local_addr().map_err(|e| e.to_string())?.to_string();
-        let shared = Arc::new(Shared { way: Mutex::new(Way::Open), generation: AtomicU64::new(0) });
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| e.to_string())?;
+        let address = listener
+            .local_addr()
+            .map_err(|e| e.to_string())?
+            .to_string();
+        let shared = Arc::new(Shared {
+            way: Mutex::new(Way::Open),
+            generation: AtomicU64::new(0),
+        });
         let task = smol::spawn(accept(listener, to.to_owned(), shared.clone()));
-        Ok(Self { address, shared, _task: task })
+        Ok(Self {
+            address,
+            shared,
+            _task: task,
+        })
     }
 
     /// From now on it does this.
@@ -81,7 +93,9 @@
         }
         let (to, shared) = (to.clone(), shared.clone());
         smol::spawn(async move {
-            let Ok(there) = TcpStream::connect(&to).await else { return };
+            let Ok(there) = TcpStream::connect(&to).await else {
+                return;
+            };
             let born = shared.generation.load(Ordering::SeqCst);
             let ways = smol::future::or(
                 carry(here.clone(), there.clone(), &shared, Way::HoldThere),
@@ -108,8 +122,14 @@
             clock::sleep(LOOK).await;
         }
         let way = *shared.way();
-        let most = if matches!(way, Way::Trickle(_)) { 64 } else { buffer.len() };
-        let Ok(bytes) = from.read(&mut buffer[..most]).await else { return };
+        let most = if matches!(way, Way::Trickle(_)) {
+            64
+        } else {
+            buffer.len()
+        };
+        let Ok(bytes) = from.read(&mut buffer[..most]).await else {
+            return;
+        };
         match way {
             Way::Late(seconds) => clock::sleep(seconds).await,
             Way::Trickle(rate) => clock::sleep(bytes as f64 / rate.max(1.0)).await,
--- a/crates/rig/src/sample.rs
+++ b/crates/rig/src/sample.rs
@@ -15,7 +15,10 @@
 }
 
 async fn read(client: &Client, path: &str) -> Option<Value> {
-    let reply = client.send(Method::GET, path, "", Bytes::new(), 0.5).await.ok()?;
+    let reply = client
+        .send(Method::GET, path, "", Bytes::new(), 0.5)
+        .await
+        .ok()?;
     reply.status.is_success().then(|| reply.json())
 }
 
@@ -24,10 +27,23 @@
 }
 
 impl Sampler {
-    pub(crate) fn new(edge: &str, register: &str, nodes: Vec<(String, String)>, admits: [f64; 2]) -> Self {
+    pub(crate) fn new(
+        edge: &str,
+        register: &str,
+        nodes: Vec<(String, String)>,
+        admits: [f64; 2],
+    ) -> Self {
         let client = |address: &str| Client::new(address, 1, vec![]);
-        let nodes = nodes.iter().map(|(name, address)| (name.clone(), client(address))).collect();
-        Self { edge: client(edge), register: client(register), nodes, admits }
+        let nodes = nodes
+            .iter()
+            .map(|(name, address)| (name.clone(), client(address)))
+            .collect();
+        Self {
+            edge: client(edge),
+            register: client(register),
+            nodes,
+            admits,
+        }
     }
 
     /// One sample; `None` where the edge or the register does not answer now. A node that does not answer is left
@@ -41,7 +57,8 @@
             .filter(|pod| meta::text(pod, &["spec", "nodeName"]).is_empty())
             .map(|pod| {
                 // Written in whole seconds: it may have come up to a second later.
-                let since = meta::unix(meta::text(pod, &["metadata", "creationTimestamp"])).map(|t| t + 1.0);
+                let since = meta::unix(meta::text(pod, &["metadata", "creationTimestamp"]))
+                    .map(|t| t + 1.0);
                 json!({"name": meta::name(pod), "since": since})
             })
             .collect();
@@ -54,7 +71,9 @@
         let mut nodes = Vec::new();
         for told in asked_of {
             let (name, held) = told.await;
-            let Some(node) = items(&listed).find(|node| meta::name(node) == name) else { continue };
+            let Some(node) = items(&listed).find(|node| meta::name(node) == name) else {
+                continue;
+            };
             let Some(held) = held else { continue };
             let mut asked = [0.0; 2];
             for pod in items(&held) {
@@ -65,7 +84,8 @@
                 asked = [asked[0] + cores, asked[1] + memory];
             }
             let size = |key, unit: f64| {
-                quantity::parse(meta::text(node, &["status", "allocatable", key])).unwrap_or(0.0) / unit
+                quantity::parse(meta::text(node, &["status", "allocatable", key])).unwrap_or(0.0)
+                    / unit
             };
             let size = [size("cpu", 1.0), size("memory", names::MEMORY_UNIT)];
             let admits = [size[0] * self.admits[0], size[1] * self.admits[1]];
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -157,9 +157,15 @@
             || day.edges == 0
             || day.edges > 10
         {
-            return Err("nodes must be from 1 to 200, planners from 1 to 50, edges from 1 to 10".into());
+            return Err(
+                "nodes must be from 1 to 200, planners from 1 to 50, edges from 1 to 10".into(),
+            );
         }
-        if bad(day.seconds, 3600.0) || bad(day.rest, 3600.0) || day.clients == 0 || day.clients > 500 {
+        if bad(day.seconds, 3600.0)
+            || bad(day.rest, 3600.0)
+            || day.clients == 0
+            || day.clients > 500
+        {
             return Err("seconds and rest must be from 0 to 3600, clients from 1 to 500".into());
         }
         for (name, work) in &day.work {
--- a/crates/rig/src/simnet.rs
+++ b/crates/rig/src/simnet.rs
@@ -133,14 +133,27 @@
 impl Net {
     /// A network at time 0; all members that are there from the start join at once.
     pub fn new(script: Script) -> Self {
-        let settings = Settings { join: vec![address(0), address(1)], ..Settings::default() };
+        let settings = Settings {
+            join: vec![address(0), address(1)],
+            ..Settings::default()
+        };
         Self::with(script, settings)
     }
 
     /// The same with other settings of the members.
     pub fn with(script: Script, settings: Settings) -> Self {
-        let joins = script.faults.iter().filter(|(_, fault)| matches!(fault, Fault::Join { .. })).count();
-        let member = || Member { fleet: None, starts: 0, still: 0.0, socket: VecDeque::new(), wanted: false };
+        let joins = script
+            .faults
+            .iter()
+            .filter(|(_, fault)| matches!(fault, Fault::Join { .. }))
+            .count();
+        let member = || Member {
+            fleet: None,
+            starts: 0,
+            still: 0.0,
+            socket: VecDeque::new(),
+            wanted: false,
+        };
         let mut net = Self {
             rng: rand_pcg::Pcg32::seed_from_u64(script.seed),
             settings,
@@ -163,9 +176,21 @@
     fn start(&mut self, who: usize) {
         let member = &mut self.members[who];
         member.starts += 1;
-        let own = Id { name: name(who), address: address(who), born: member.starts, turn: 0 };
-        let role = if who.is_multiple_of(3) { Role::Edge } else { Role::Planner };
-        let facts = Facts { zone: format!("zone-{}", who % 3), ..Facts::of(role) };
+        let own = Id {
+            name: name(who),
+            address: address(who),
+            born: member.starts,
+            turn: 0,
+        };
+        let role = if who.is_multiple_of(3) {
+            Role::Edge
+        } else {
+            Role::Planner
+        };
+        let facts = Facts {
+            zone: format!("zone-{}", who % 3),
+            ..Facts::of(role)
+        };
         let seed = self.script.seed ^ ((who as u64) << 32) ^ member.starts;
         member.fleet = Fleet::new(self.settings.clone(), own, facts, seed, self.now).ok();
         member.wanted = true;
@@ -220,20 +245,25 @@
     /// Something that may make a live member look lost goes on, or was over just now.
     fn disturbed(&self) -> bool {
         let now = self.now;
-        let cut = |(until, fault): &(f64, Fault)| matches!(fault, Fault::Cut { .. }) && now < until + 5.0;
+        let cut =
+            |(until, fault): &(f64, Fault)| matches!(fault, Fault::Cut { .. }) && now < until + 5.0;
         let still = |member: &Member| now < member.still + 5.0 && member.still > 0.0;
         self.going_on.iter().any(cut) || self.members.iter().any(still)
     }
 
     fn step(&mut self, who: usize, inputs: Vec<Input>) {
         let mut out = Vec::new();
-        let Some(fleet) = self.members[who].fleet.as_mut() else { return };
+        let Some(fleet) = self.members[who].fleet.as_mut() else {
+            return;
+        };
         fleet.step(self.now, inputs, &mut out);
         for output in out {
             match output {
                 Output::Send(to, bytes) => self.send(who, to, bytes),
                 Output::Lost(lost) => {
-                    let runs = |(who, member): (usize, &Member)| member.fleet.is_some() && name(who) == lost;
+                    let runs = |(who, member): (usize, &Member)| {
+                        member.fleet.is_some() && name(who) == lost
+                    };
                     if self.members.iter().enumerate().any(runs) {
                         self.seen.lost.push((self.now, who, lost.clone()));
                         if !self.disturbed() {
@@ -256,9 +286,11 @@
         let (mut copies, mut slower) = (1, 0.0);
         for (_, fault) in &self.going_on {
             match fault {
-                Fault::Cut { from: senders, to: receivers, .. }
-                    if senders.contains(&from) && receivers.contains(&to) =>
-                {
+                Fault::Cut {
+                    from: senders,
+                    to: receivers,
+                    ..
+                } if senders.contains(&from) && receivers.contains(&to) => {
                     return;
                 }
                 Fault::Loss { share, .. } if self.rng.random_bool(*share) => return,
@@ -270,21 +302,42 @@
         for _ in 0..copies {
             self.numbered += 1;
             let at = self.now + ON_THE_WAY * self.rng.random_range(1.0..2.0) + slower;
-            self.flying.insert(((at * 1e6) as u64, self.numbered), (to, bytes.clone()));
+            self.flying
+                .insert(((at * 1e6) as u64, self.numbered), (to, bytes.clone()));
         }
     }
 
     /// Plays until this time.
     pub fn play(&mut self, until: f64) {
         loop {
-            let fault = self.script.faults.get(self.next).map_or(f64::INFINITY, |fault| fault.0);
-            let start = self.starts.iter().map(|start| start.0).fold(f64::INFINITY, f64::min);
-            let lands = self.flying.first_key_value().map_or(f64::INFINITY, |(at, _)| at.0 as f64 / 1e6);
-            let wake =
-                |member: &Member| member.fleet.as_ref().map(|fleet| fleet.next_wake().max(member.still));
-            let wakes =
-                self.members.iter().enumerate().filter_map(|(who, member)| Some((wake(member)?, who)));
-            let (wake, who) = wakes.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((f64::INFINITY, usize::MAX));
+            let fault = self
+                .script
+                .faults
+                .get(self.next)
+                .map_or(f64::INFINITY, |fault| fault.0);
+            let start = self
+                .starts
+                .iter()
+                .map(|start| start.0)
+                .fold(f64::INFINITY, f64::min);
+            let lands = self
+                .flying
+                .first_key_value()
+                .map_or(f64::INFINITY, |(at, _)| at.0 as f64 / 1e6);
+            let wake = |member: &Member| {
+                member
+                    .fleet
+                    .as_ref()
+                    .map(|fleet| fleet.next_wake().max(member.still))
+            };
+            let wakes = self
+                .members
+                .iter()
+                .enumerate()
+                .filter_map(|(who, member)| Some((wake(member)?, who)));
+            let (wake, who) = wakes
+                .min_by(|a, b| a.0.total_cmp(&b.0))
+                .unwrap_or((f64::INFINITY, usize::MAX));
             let at = fault.min(start).min(lands).min(wake);
             if at > until || !at.is_finite() {
                 self.now = until;
@@ -330,20 +383,29 @@
         if let Some((who, _)) = all().find(|(_, member)| member.wanted != member.fleet.is_some()) {
             return Some(format!("{} should run, or should not", name(who)));
         }
-        let run: Vec<String> =
-            all().filter(|(_, member)| member.fleet.is_some()).map(|(who, _)| name(who)).collect();
+        let run: Vec<String> = all()
+            .filter(|(_, member)| member.fleet.is_some())
+            .map(|(who, _)| name(who))
+            .collect();
         for (who, view) in self.views() {
             let live: Vec<&String> = view.live().map(|seen| &seen.id.name).collect();
             if !live.iter().copied().eq(run.iter()) {
-                let missing: Vec<&String> = run.iter().filter(|name| !live.contains(name)).collect();
+                let missing: Vec<&String> =
+                    run.iter().filter(|name| !live.contains(name)).collect();
                 let more: Vec<&&String> = live.iter().filter(|name| !run.contains(name)).collect();
-                return Some(format!("{} misses {missing:?}, has {more:?} too", name(who)));
+                return Some(format!(
+                    "{} misses {missing:?}, has {more:?} too",
+                    name(who)
+                ));
             }
             if let Some(seen) = view.live().find(|seen| seen.facts.is_none()) {
                 return Some(format!("{} knows no facts of {}", name(who), seen.id.name));
             }
             if !view.settled {
-                return Some(format!("{} does not know that the view is settled", name(who)));
+                return Some(format!(
+                    "{} does not know that the view is settled",
+                    name(who)
+                ));
             }
         }
         None
@@ -380,17 +442,53 @@
                 0 => {
                     let from = some(&mut rng);
                     let to: Vec<usize> = (0..members).filter(|who| !from.contains(who)).collect();
-                    faults.push((at, Fault::Cut { from: from.clone(), to: to.clone(), lasts }));
-                    faults.push((at, Fault::Cut { from: to, to: from, lasts }));
+                    faults.push((
+                        at,
+                        Fault::Cut {
+                            from: from.clone(),
+                            to: to.clone(),
+                            lasts,
+                        },
+                    ));
+                    faults.push((
+                        at,
+                        Fault::Cut {
+                            from: to,
+                            to: from,
+                            lasts,
+                        },
+                    ));
                 }
-                1 => faults.push((at, Fault::Cut { from: some(&mut rng), to: some(&mut rng), lasts })),
-                2 => faults.push((at, Fault::Loss { share: rng.random_range(0.02..0.3), lasts })),
-                3 => faults.push((at, Fault::Delay { most: rng.random_range(0.005..0.1), lasts })),
+                1 => faults.push((
+                    at,
+                    Fault::Cut {
+                        from: some(&mut rng),
+                        to: some(&mut rng),
+                        lasts,
+                    },
+                )),
+                2 => faults.push((
+                    at,
+                    Fault::Loss {
+                        share: rng.random_range(0.02..0.3),
+                        lasts,
+                    },
+                )),
+                3 => faults.push((
+                    at,
+                    Fault::Delay {
+                        most: rng.random_range(0.005..0.1),
+                        lasts,
+                    },
+                )),
                 4 => faults.push((at, Fault::Twice { share: 0.5, lasts })),
                 5 if !gone.contains(&who) => faults.push((at, Fault::Stop { who, lasts })),
                 6 => {
                     let share = rng.random_range(0.05..0.3);
-                    for who in (0..members).filter(|who| !gone.contains(who)).collect::<Vec<_>>() {
+                    for who in (0..members)
+                        .filter(|who| !gone.contains(who))
+                        .collect::<Vec<_>>()
+                    {
                         if rng.random_bool(share) {
                             let lasts = rng.random_range(0.2..6.0);
                             faults.push((at, Fault::Kill { who, lasts }));
@@ -398,7 +496,12 @@
                     }
                 }
                 7 => {
-                    faults.push((at, Fault::Join { who: members + joined }));
+                    faults.push((
+                        at,
+                        Fault::Join {
+                            who: members + joined,
+                        },
+                    ));
                     joined += 1;
                 }
                 8 if who > 1 && !gone.contains(&who) => {
@@ -409,14 +512,22 @@
             }
             at += rng.random_range(0.5..14.0);
         }
-        Self { seed, members, faults }
+        Self {
+            seed,
+            members,
+            faults,
+        }
     }
 
     /// Plays it, and says what is not settled `within` after the last fault.
     pub fn fails(&self, within: f64) -> Option<String> {
         let mut net = Net::new(self.clone());
         net.play(net.over_at() + 1e-3);
-        if net.settles(within).is_some() { None } else { net.unsettled() }
+        if net.settles(within).is_some() {
+            None
+        } else {
+            net.unsettled()
+        }
     }
 
     /// The same with as few faults as still fail.
--- a/crates/rig/src/supervisor.rs
+++ b/crates/rig/src/supervisor.rs
@@ -17,7 +17,12 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { first: 0.5, most: 10.0, steady: 30.0, tries: 6 }
+        Self {
+            first: 0.5,
+            most: 10.0,
+            steady: 30.0,
+            tries: 6,
+        }
     }
 }
 
@@ -49,15 +54,28 @@
 impl Supervisor {
     /// Children that all start now.
     pub fn new(settings: Settings, names: impl IntoIterator<Item = String>, now: f64) -> Self {
-        let child = |name| (name, Child { started: now, ..Child::default() });
-        Self { settings, children: names.into_iter().map(child).collect() }
+        let child = |name| {
+            (
+                name,
+                Child {
+                    started: now,
+                    ..Child::default()
+                },
+            )
+        };
+        Self {
+            settings,
+            children: names.into_iter().map(child).collect(),
+        }
     }
 
     /// Takes in which children do not run now, and says what is to be done.
     pub fn step(&mut self, now: f64, ended: &[String]) -> Vec<Action> {
         let mut out = Vec::new();
         for name in ended {
-            let Some(child) = self.children.get_mut(name) else { continue };
+            let Some(child) = self.children.get_mut(name) else {
+                continue;
+            };
             match child.start_at {
                 Some(at) if now >= at => {
                     (child.start_at, child.started) = (None, now);
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -59,7 +59,11 @@
 }
 
 fn broken(more: Vec<Value>, without: impl Fn(&Value) -> bool) -> Vec<String> {
-    let lines = clean().into_iter().filter(|line| !without(line)).chain(more).collect();
+    let lines = clean()
+        .into_iter()
+        .filter(|line| !without(line))
+        .chain(more)
+        .collect();
     let report = judge_traffic(&Traffic::new(lines), &Rules::parse(SETTINGS).unwrap(), 1);
     report.broken_rules
 }
@@ -82,20 +86,35 @@
 #[test]
 fn a_late_answer_is_a_lost_task() {
     assert_eq!(
-        broken(vec![pod(8.0, "u2", "web", "n1", ""), pod(1.0, "u2", "web", "", "")], none),
+        broken(
+            vec![
+                pod(8.0, "u2", "web", "n1", ""),
+                pod(1.0, "u2", "web", "", "")
+            ],
+            none
+        ),
         ["no task lost"]
     );
 }
 
 #[test]
 fn two_outcomes_are_one_too_many() {
-    assert_eq!(broken(vec![pod(1.4, "u1", "web", "", "PlacementRefused")], none), ["no task lost"]);
+    assert_eq!(
+        broken(vec![pod(1.4, "u1", "web", "", "PlacementRefused")], none),
+        ["no task lost"]
+    );
 }
 
 #[test]
 fn a_send_after_the_answer_is_seen() {
     assert_eq!(
-        broken(vec![send(2.0, "u1", "web", "s", "n2", 1), answer(2.1, "u1", "n2", 1, "accepted")], none),
+        broken(
+            vec![
+                send(2.0, "u1", "web", "s", "n2", 1),
+                answer(2.1, "u1", "n2", 1, "accepted")
+            ],
+            none
+        ),
         ["no task lost"]
     );
 }
@@ -116,7 +135,10 @@
 
 #[test]
 fn two_attempts_out_at_once_are_seen() {
-    let both = vec![send(2.0, "u9", "web", "t", "n1", 0), send(2.1, "u9", "web", "t", "n2", 1)];
+    let both = vec![
+        send(2.0, "u9", "web", "t", "n1", 0),
+        send(2.1, "u9", "web", "t", "n2", 1),
+    ];
     assert_eq!(broken(both, none), ["no double effect"]);
 }
 
@@ -145,7 +167,10 @@
 #[test]
 fn a_cold_node_pushed_over_by_those_who_knew_is_seen() {
     let fall = |known: bool| {
-        let mut lines = vec![up(4.0, "n2"), json!({"t": 4.9, "who": "n2", "what": "fell"})];
+        let mut lines = vec![
+            up(4.0, "n2"),
+            json!({"t": 4.9, "who": "n2", "what": "fell"}),
+        ];
         if known {
             lines.push(told(4.2, "n2", false, 4.0));
         }
@@ -163,19 +188,34 @@
     let copy = |i: u32| {
         let uid = format!("c{i}");
         let t = 2.0 + f64::from(i);
-        vec![send(t, &uid, "web", "many", "n1", 0), answer(t + 0.1, &uid, "n1", 0, "accepted")]
+        vec![
+            send(t, &uid, "web", "many", "n1", 0),
+            answer(t + 0.1, &uid, "n1", 0, "accepted"),
+        ]
     };
-    assert_eq!(broken([copy(0), copy(1)].concat(), none), Vec::<String>::new());
-    assert_eq!(broken([copy(0), copy(1), copy(2)].concat(), none), ["spread kept"]);
+    assert_eq!(
+        broken([copy(0), copy(1)].concat(), none),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        broken([copy(0), copy(1), copy(2)].concat(), none),
+        ["spread kept"]
+    );
 }
 
 #[test]
 fn scenarios_in_the_repository_are_read_and_bad_ones_are_named() {
-    for entry in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios")).unwrap() {
+    for entry in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios")).unwrap()
+    {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        tidespur_rig::scenario::Scenario::parse(&text).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        tidespur_rig::scenario::Scenario::parse(&text)
+            .unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     let bad = "seconds = 5\nwork \"w\" {\n class = \"web\"\n jobs = 1\n pods = [2, 1]\n shapes = [[1, 1]]\n life = 1\n}\n";
-    assert!(tidespur_rig::scenario::Scenario::parse(bad).unwrap_err().contains("work w"));
+    assert!(
+        tidespur_rig::scenario::Scenario::parse(bad)
+            .unwrap_err()
+            .contains("work w")
+    );
 }
--- a/crates/rig/tests/oracle.rs
+++ b/crates/rig/tests/oracle.rs
@@ -24,7 +24,10 @@
 #[test]
 fn the_truth_passes() {
     let verdict = day(|_, _| {});
-    assert!(verdict.judged >= 5 && verdict.falsified.is_empty() && verdict.missing.is_empty(), "{verdict:?}");
+    assert!(
+        verdict.judged >= 5 && verdict.falsified.is_empty() && verdict.missing.is_empty(),
+        "{verdict:?}"
+    );
 }
 
 #[test]
@@ -37,11 +40,20 @@
         })
     };
     let cases = [
-        ("a drain that is none", json!({"Spread": 1, "Draining": 2, "Memory": 1})),
+        (
+            "a drain that is none",
+            json!({"Spread": 1, "Draining": 2, "Memory": 1}),
+        ),
         ("a drain left out", json!({"Spread": 3, "Memory": 1})),
-        ("full nodes that have room", json!({"Memory": 3, "Draining": 1})),
+        (
+            "full nodes that have room",
+            json!({"Memory": 3, "Draining": 1}),
+        ),
         ("nodes called open that are shut", json!({"Draining": 1})),
-        ("more nodes than there are", json!({"Spread": 9, "Draining": 1, "Memory": 1})),
+        (
+            "more nodes than there are",
+            json!({"Spread": 9, "Draining": 1, "Memory": 1}),
+        ),
     ];
     for (what, case) in cases {
         let verdict = bars(case);
--- a/crates/rig/tests/supervisor.rs
+++ b/crates/rig/tests/supervisor.rs
@@ -30,5 +30,9 @@
     }
     assert_eq!(watch.step(60.0, &a), [Action::Start("a".into())]);
     assert_eq!(watch.step(61.0, &[]), []);
-    assert_eq!(watch.step(100.0, &a), [Action::Wait("a".into(), 0.5)], "after 40 steady seconds");
+    assert_eq!(
+        watch.step(100.0, &a),
+        [Action::Wait("a".into(), 0.5)],
+        "after 40 steady seconds"
+    );
 }
--- a/crates/settings/src/info.rs
+++ b/crates/settings/src/info.rs
@@ -59,7 +59,11 @@
         "cell" => Place::Cell,
         "machine" => Place::Machine,
         "none" | "" => return Ok(None),
-        other => return Err(format!("a place must be all, zone, cell, machine or none, not {other:?}")),
+        other => {
+            return Err(format!(
+                "a place must be all, zone, cell, machine or none, not {other:?}"
+            ));
+        }
     }))
 }
 
@@ -75,14 +79,20 @@
             ("classCalm", fam.class_calm.len(), self.services.len()),
             ("lostAfter", fam.lost_after.len(), self.services.len()),
             ("kindByClass", fam.kind_by_class.len(), self.services.len()),
-            ("priorityByClass", fam.priority_by_class.len(), self.services.len()),
+            (
+                "priorityByClass",
+                fam.priority_by_class.len(),
+                self.services.len(),
+            ),
             ("apartBy", fam.apart_by.len(), self.services.len()),
             ("togetherMax", fam.together_max.len(), self.services.len()),
             ("startSeconds", fam.start_seconds.len(), self.services.len()),
         ];
         for (field, is, wanted) in lengths {
             if is != wanted {
-                return Err(format!("settings: familyInfo.{field}: {is} values where {wanted} are needed"));
+                return Err(format!(
+                    "settings: familyInfo.{field}: {is} values where {wanted} are needed"
+                ));
             }
         }
         let mut classes = Vec::new();
@@ -90,10 +100,15 @@
             let effect = match s.effect.as_str() {
                 "safe" => Effect::Safe,
                 "unsafe" => Effect::Unsafe,
-                "keyed" => {
-                    Effect::Keyed { group: place_of(&s.group)?.unwrap_or(Place::Machine), window: s.window_s }
+                "keyed" => Effect::Keyed {
+                    group: place_of(&s.group)?.unwrap_or(Place::Machine),
+                    window: s.window_s,
+                },
+                other => {
+                    return Err(format!(
+                        "settings: services[].effect: {other:?} is not known"
+                    ));
                 }
-                other => return Err(format!("settings: services[].effect: {other:?} is not known")),
             };
             classes.push(Class {
                 aim: s.aim_s,
@@ -118,7 +133,10 @@
             tenants: self
                 .realms
                 .iter()
-                .map(|r| Tenant { share: r.share, quota_per_s: r.quota_per_s })
+                .map(|r| Tenant {
+                    share: r.share,
+                    quota_per_s: r.quota_per_s,
+                })
                 .collect(),
             kinds: fam
                 .kind_cores
@@ -141,7 +159,11 @@
             probes: limits.probes,
             messages: limits.peers,
             max_attempts: limits.max_attempts,
-            max_retry_after: if limits.retry_after { limits.max_retry_after_s } else { 0.0 },
+            max_retry_after: if limits.retry_after {
+                limits.max_retry_after_s
+            } else {
+                0.0
+            },
             over_share_worth: self.over_share_worth,
             safety: Safety {
                 answer_slack: safety.answer_slack_s,
@@ -170,12 +192,24 @@
     /// Names the field that can't be worked with.
     pub fn site(self) -> Result<Site, String> {
         Ok(Site {
-            classes: self.services.iter().map(|service| service.name.clone()).collect(),
+            classes: self
+                .services
+                .iter()
+                .map(|service| service.name.clone())
+                .collect(),
             tenants: self.realms.iter().map(|realm| realm.name.clone()).collect(),
             kinds: self.kinds.clone(),
             zones: self.zones.clone(),
-            connect_timeout: self.limits.connect_timeout_s.filter(|s| *s > 0.0).unwrap_or(CONNECT_TIMEOUT),
-            connection_idle: self.limits.conn_idle_s.filter(|s| *s > 0.0).unwrap_or(f64::INFINITY),
+            connect_timeout: self
+                .limits
+                .connect_timeout_s
+                .filter(|s| *s > 0.0)
+                .unwrap_or(CONNECT_TIMEOUT),
+            connection_idle: self
+                .limits
+                .conn_idle_s
+                .filter(|s| *s > 0.0)
+                .unwrap_or(f64::INFINITY),
             settings: self.settings()?,
         })
     }
--- a/crates/settings/src/words.rs
+++ b/crates/settings/src/words.rs
@@ -7,7 +7,12 @@
 pub fn report_of(values: BTreeMap<String, f64>) -> Report {
     let get = |name: &str| values.get(name).copied().filter(|v| v.is_finite());
     let waiting = get("q").or_else(|| get("queue"));
-    Report { free_cores: get("x0"), free_memory: get("x1"), waiting, busy: get("busy") }
+    Report {
+        free_cores: get("x0"),
+        free_memory: get("x1"),
+        waiting,
+        busy: get("busy"),
+    }
 }
 
 /// The reason with this number in an outcome; 0, or a number not known: not told.
@@ -38,5 +43,7 @@
 
 /// FNV-1a: the same number for a text at every instance.
 pub fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -56,7 +56,16 @@
         let none = vec![0.0; worths.len()];
         let aim = if aim.is_finite() { aim.max(0.0) } else { 1.0 };
         let (mix, parts) = (none.clone(), none);
-        Self { aim, worths, mix, parts, began: None, least: f64::INFINITY, before: 0.0, share: 0.0 }
+        Self {
+            aim,
+            worths,
+            mix,
+            parts,
+            began: None,
+            least: f64::INFINITY,
+            before: 0.0,
+            share: 0.0,
+        }
     }
 
     /// A loop in time, over classes by aim, in seconds, and worth: the shortest aim counts.
@@ -106,9 +115,20 @@
         let all: f64 = self.mix.iter().sum();
         let worth = self.worths[class];
         let below = |other: &(&f64, &f64)| *other.0 < worth;
-        let less: f64 = self.worths.iter().zip(&self.mix).filter(below).map(|(_, mix)| mix).sum();
-        let alike: f64 =
-            self.worths.iter().zip(&self.mix).filter(|o| *o.0 == worth).map(|(_, mix)| mix).sum();
+        let less: f64 = self
+            .worths
+            .iter()
+            .zip(&self.mix)
+            .filter(below)
+            .map(|(_, mix)| mix)
+            .sum();
+        let alike: f64 = self
+            .worths
+            .iter()
+            .zip(&self.mix)
+            .filter(|o| *o.0 == worth)
+            .map(|(_, mix)| mix)
+            .sum();
         if alike <= 0.0 {
             return self.share;
         }
--- a/crates/shedding/tests/shedding.rs
+++ b/crates/shedding/tests/shedding.rs
@@ -34,13 +34,27 @@
 
 #[test]
 fn a_loop_in_time_turns_nothing_away() {
-    assert!(play(|_| 90.0, 100.0, 30).iter().all(|second| second.2 == [0, 0]));
+    assert!(
+        play(|_| 90.0, 100.0, 30)
+            .iter()
+            .all(|second| second.2 == [0, 0])
+    );
 }
 
 #[test]
 fn a_burst_that_is_worked_off_in_a_window_sheds_nothing() {
-    let burst = |t: f64| if (3.0..3.05).contains(&t) { 400.0 } else { 50.0 };
-    assert!(play(burst, 100.0, 10).iter().all(|second| second.2 == [0, 0]));
+    let burst = |t: f64| {
+        if (3.0..3.05).contains(&t) {
+            400.0
+        } else {
+            50.0
+        }
+    };
+    assert!(
+        play(burst, 100.0, 10)
+            .iter()
+            .all(|second| second.2 == [0, 0])
+    );
 }
 
 #[test]
@@ -52,7 +66,9 @@
     }
     // It does not swing: the share that is shed stays within a band.
     let shares: Vec<f64> = told.iter().skip(20).map(|second| second.1).collect();
-    let (least, most) = shares.iter().fold((1.0_f64, 0.0_f64), |(a, b), s| (a.min(*s), b.max(*s)));
+    let (least, most) = shares
+        .iter()
+        .fold((1.0_f64, 0.0_f64), |(a, b), s| (a.min(*s), b.max(*s)));
     assert!(most - least <= 0.5, "from {least} to {most}");
 }
 
@@ -60,5 +76,9 @@
 fn once_the_cause_is_over_it_takes_all_again() {
     let told = play(|t| if t < 10.0 { 300.0 } else { 50.0 }, 100.0, 30);
     assert!(told[9].1 > 0.5);
-    assert!(told.iter().skip(20).all(|second| second.2 == [0, 0] && second.1 == 0.0));
+    assert!(
+        told.iter()
+            .skip(20)
+            .all(|second| second.2 == [0, 0] && second.1 == 0.0)
+    );
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,10 +9,12 @@
     let mut host = Host::default();
     let mut output = io::BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let answered = line.map_err(|e| e.to_string()).and_then(|line| match line.trim() {
-            "" => Ok(None),
-            text => host.line(text),
-        });
+        let answered = line
+            .map_err(|e| e.to_string())
+            .and_then(|line| match line.trim() {
+                "" => Ok(None),
+                text => host.line(text),
+            });
         let written = match answered {
             Ok(Some(reply)) => writeln!(output, "{reply}").and_then(|()| output.flush()),
             Ok(None) => Ok(()),
@@ -22,7 +24,10 @@
             }
         };
         if let Err(problem) = written {
-            eprintln!("tidespur-simhost: writing the reply to line {}: {problem}", number + 1);
+            eprintln!(
+                "tidespur-simhost: writing the reply to line {}: {problem}",
+                number + 1
+            );
             return ExitCode::FAILURE;
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -161,7 +161,11 @@
         "RST" => Ending::Broken(why),
         "CXL" => Ending::Cancelled,
         "NOP" => Ending::Void,
-        other => return Err(format!("an outcome was expected (GOOD, BAD, FULL, ...), not {other:?}")),
+        other => {
+            return Err(format!(
+                "an outcome was expected (GOOD, BAD, FULL, ...), not {other:?}"
+            ));
+        }
     })
 }
 
@@ -195,9 +199,15 @@
 impl Instance {
     fn task(&mut self, w: &WireTask, in_place: bool) -> Result<Task, String> {
         let (class, service) = if in_place {
-            (w.class.ok_or("`class` was expected in InPlace")?, w.service.as_str())
+            (
+                w.class.ok_or("`class` was expected in InPlace")?,
+                w.service.as_str(),
+            )
         } else {
-            let class = w.service.as_u64().ok_or("`service` of Submit must be a whole number")?;
+            let class = w
+                .service
+                .as_u64()
+                .ok_or("`service` of Submit must be a whole number")?;
             (class as usize, w.app.as_deref())
         };
         let service = service.ok_or("the name of the service was expected as a text")?;
@@ -246,7 +256,11 @@
         let ticket = |id: TaskId| &self.tickets.texts[id.0 as usize];
         let machine = |id: MachineId| &self.machines[&id];
         match action {
-            Action::Send { task, machine: m, wait } => {
+            Action::Send {
+                task,
+                machine: m,
+                wait,
+            } => {
                 json!({"Place": {"schedulerId": who, "ticket": ticket(task), "machine": machine(m), "tryForS": wait}})
             }
             Action::Refuse { task, retry_in } => {
@@ -300,18 +314,29 @@
     }
 
     fn run(&mut self, now: f64, name: &str, todo: &mut Vec<Value>) {
-        let Some(instance) = self.instances.get_mut(name) else { return };
+        let Some(instance) = self.instances.get_mut(name) else {
+            return;
+        };
         let events = std::mem::take(&mut instance.events);
         let mut actions = Vec::new();
-        let done = catch_unwind(AssertUnwindSafe(|| instance.scheduler.step(now, events, &mut actions)));
+        let done = catch_unwind(AssertUnwindSafe(|| {
+            instance.scheduler.step(now, events, &mut actions)
+        }));
         if done.is_err() {
-            todo.push(json!({"Panic": {"schedulerId": name, "what": "the decision module panicked"}}));
+            todo.push(
+                json!({"Panic": {"schedulerId": name, "what": "the decision module panicked"}}),
+            );
             return;
         }
         todo.extend(actions.into_iter().map(|a| instance.write(a)));
     }
 
-    fn take(&mut self, now: f64, arrival: Arrival, todo: &mut Vec<Value>) -> Result<Option<String>, String> {
+    fn take(
+        &mut self,
+        now: f64,
+        arrival: Arrival,
+        todo: &mut Vec<Value>,
+    ) -> Result<Option<String>, String> {
         let (name, event) = match arrival {
             Arrival::Page { page, members } => {
                 self.pages.insert(page, members);
@@ -336,7 +361,9 @@
                         return Ok(Some(name));
                     }
                     Err(what) => {
-                        todo.push(json!({"Panic": {"schedulerId": start.scheduler_id, "what": what}}));
+                        todo.push(
+                            json!({"Panic": {"schedulerId": start.scheduler_id, "what": what}}),
+                        );
                         return Ok(None);
                     }
                 }
@@ -347,10 +374,13 @@
                 return Ok(None);
             }
             Arrival::PeersKnown(known) => {
-                let Some(instance) = self.instances.get_mut(&known.scheduler_id) else { return Ok(None) };
+                let Some(instance) = self.instances.get_mut(&known.scheduler_id) else {
+                    return Ok(None);
+                };
                 let mut list = || {
                     let page = self.pages.get(&known.page);
-                    instance.entries(page.ok_or_else(|| format!("page {} was never sent", known.page))?)
+                    instance
+                        .entries(page.ok_or_else(|| format!("page {} was never sent", known.page))?)
                 };
                 let event = match known.kind.as_str() {
                     "update" => Event::ListChanges(list()?),
@@ -361,20 +391,30 @@
                 (known.scheduler_id, event)
             }
             Arrival::Submit(task) => {
-                let Some(instance) = self.instances.get_mut(&task.scheduler_id) else { return Ok(None) };
+                let Some(instance) = self.instances.get_mut(&task.scheduler_id) else {
+                    return Ok(None);
+                };
                 let event = Event::Submit(instance.task(&task, false)?);
                 (task.scheduler_id, event)
             }
             Arrival::InPlace(task) => {
-                let Some(instance) = self.instances.get_mut(&task.scheduler_id) else { return Ok(None) };
-                let machine = task.machine.as_deref().ok_or("`machine` was expected in InPlace")?;
+                let Some(instance) = self.instances.get_mut(&task.scheduler_id) else {
+                    return Ok(None);
+                };
+                let machine = task
+                    .machine
+                    .as_deref()
+                    .ok_or("`machine` was expected in InPlace")?;
                 let machine = instance.machine(machine);
                 let event = Event::InPlace(instance.task(&task, true)?, machine);
                 (task.scheduler_id, event)
             }
-            Arrival::Confirmed(of) => {
-                self.attempt(of, |task, of| Ok(Some(Event::Confirmed { task, attempt: of.copy })))?
-            }
+            Arrival::Confirmed(of) => self.attempt(of, |task, of| {
+                Ok(Some(Event::Confirmed {
+                    task,
+                    attempt: of.copy,
+                }))
+            })?,
             Arrival::UpdateOf(of) => self.attempt(of, |task, of| {
                 Ok(note_of(of.sort, of.level).map(|note| Event::Note { task, note }))
             })?,
@@ -388,15 +428,23 @@
                 }))
             })?,
             Arrival::Vanished(of) => {
-                let Some(instance) = self.instances.get_mut(&of.scheduler_id) else { return Ok(None) };
+                let Some(instance) = self.instances.get_mut(&of.scheduler_id) else {
+                    return Ok(None);
+                };
                 let event = Event::Dropped(TaskId(instance.tickets.number(&of.ticket)));
                 (of.scheduler_id, event)
             }
             Arrival::Reminder(of) => (of.scheduler_id, Event::Timer(of.token)),
             Arrival::Echo(of) => {
-                let Some(instance) = self.instances.get_mut(&of.scheduler_id) else { return Ok(None) };
-                let report = (of.result == "GOOD").then(|| of.report.map(report_of).unwrap_or_default());
-                let event = Event::Probed { machine: instance.machine(&of.machine), report };
+                let Some(instance) = self.instances.get_mut(&of.scheduler_id) else {
+                    return Ok(None);
+                };
+                let report =
+                    (of.result == "GOOD").then(|| of.report.map(report_of).unwrap_or_default());
+                let event = Event::Probed {
+                    machine: instance.machine(&of.machine),
+                    report,
+                };
                 (of.scheduler_id, event)
             }
             Arrival::Heard(of) => {
@@ -406,7 +454,9 @@
                 (of.scheduler_id, Event::Heard(bytes))
             }
         };
-        let Some(instance) = self.instances.get_mut(&name) else { return Ok(None) };
+        let Some(instance) = self.instances.get_mut(&name) else {
+            return Ok(None);
+        };
         instance.events.push(event);
         Ok(Some(name))
     }
@@ -416,7 +466,10 @@
         mut of: Attempt,
         event: impl Fn(TaskId, &mut Attempt) -> Result<Option<Event>, String>,
     ) -> Result<(String, Event), String> {
-        let number = self.instances.get_mut(&of.scheduler_id).map_or(0, |i| i.tickets.number(&of.ticket));
+        let number = self
+            .instances
+            .get_mut(&of.scheduler_id)
+            .map_or(0, |i| i.tickets.number(&of.ticket));
         // A note of a kind not known is passed on as nothing: a timer that nobody asked for.
         let event = event(TaskId(number), &mut of)?.unwrap_or(Event::Timer(0));
         Ok((of.scheduler_id, event))
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -26,8 +26,12 @@
 }
 
 fn start(info: &str) -> String {
-    let start = format!(r#"{{"Start":{{"schedulerId":"s_0","salt":1,"info":{}}}}}"#, info.replace('\n', ""));
-    let page = r#"{"Page":{"page":0,"members":[{"machine":"10.0.0.1:80","health":"Ready","odd":[1]}]}}"#;
+    let start = format!(
+        r#"{{"Start":{{"schedulerId":"s_0","salt":1,"info":{}}}}}"#,
+        info.replace('\n', "")
+    );
+    let page =
+        r#"{"Page":{"page":0,"members":[{"machine":"10.0.0.1:80","health":"Ready","odd":[1]}]}}"#;
     let known = r#"{"PeersKnown":{"schedulerId":"s_0","kind":"restored","version":1,"page":0}}"#;
     format!(r#"{{"atTimeS":5,"arrivals":[{start},{page},{known}]}}"#)
 }
@@ -54,8 +58,15 @@
     ] {
         let out = run(&[start(INFO), bad.to_owned()]);
         assert!(!out.status.success(), "{bad}");
-        assert!(String::from_utf8(out.stderr).unwrap().contains("line 2: "), "{bad}");
-        assert_eq!(String::from_utf8(out.stdout).unwrap().lines().count(), 1, "{bad}");
+        assert!(
+            String::from_utf8(out.stderr).unwrap().contains("line 2: "),
+            "{bad}"
+        );
+        assert_eq!(
+            String::from_utf8(out.stdout).unwrap().lines().count(),
+            1,
+            "{bad}"
+        );
     }
 }
 
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -243,7 +243,11 @@
 
     /// Zones that it is cut from now.
     pub fn cut_from(&self, now: f64) -> &[String] {
-        if now < self.troubles.cut.1 { &self.troubles.cut.0 } else { &[] }
+        if now < self.troubles.cut.1 {
+            &self.troubles.cut.0
+        } else {
+            &[]
+        }
     }
 
     /// Whether nobody can see what it holds.
@@ -259,20 +263,29 @@
     /// Cores and memory that nobody has asked for.
     pub fn unclaimed(&self) -> (f64, f64) {
         let sum = |of: fn(&Offer) -> f64| self.tasks.values().map(|t| of(&t.offer)).sum::<f64>();
-        (self.set.cores - sum(|o| o.cores), self.set.memory - sum(|o| o.memory))
+        (
+            self.set.cores - sum(|o| o.cores),
+            self.set.memory - sum(|o| o.memory),
+        )
     }
 
     /// Cores and memory not in use, and offers and starts that wait.
     pub fn load(&self) -> (f64, f64, usize) {
         let (cores, memory) = self.used();
         let waiting = self.line.len() + self.tasks.values().filter(|t| t.start_left > 0.0).count();
-        ((self.set.cores - cores).max(0.0), (self.set.memory - memory).max(0.0), waiting)
+        (
+            (self.set.cores - cores).max(0.0),
+            (self.set.memory - memory).max(0.0),
+            waiting,
+        )
     }
 
     fn used(&self) -> (f64, f64) {
         let all = self.now < self.troubles.use_all;
         let running = || self.tasks.values().filter(|t| t.start_left <= 0.0);
-        let cores = running().map(|t| if all { t.offer.cores } else { t.use_cores }).sum();
+        let cores = running()
+            .map(|t| if all { t.offer.cores } else { t.use_cores })
+            .sum();
         (cores, running().map(|t| t.use_memory).sum())
     }
 
@@ -285,7 +298,11 @@
     }
 
     fn pace(&self) -> f64 {
-        let slow = if self.now < self.troubles.slow.1 { self.troubles.slow.0.max(1.0) } else { 1.0 };
+        let slow = if self.now < self.troubles.slow.1 {
+            self.troubles.slow.0.max(1.0)
+        } else {
+            1.0
+        };
         self.warmth() / slow
     }
 
@@ -309,11 +326,23 @@
     /// When to step next.
     pub fn next_wake(&self) -> f64 {
         let (pace, served) = (self.pace().max(1e-3), self.served().max(1e-3));
-        let starts = self.tasks.values().filter(|t| t.starting).map(|t| t.start_left / pace);
-        let ends = self.tasks.values().filter(|t| t.start_left <= 0.0).map(|t| t.left / served);
+        let starts = self
+            .tasks
+            .values()
+            .filter(|t| t.starting)
+            .map(|t| t.start_left / pace);
+        let ends = self
+            .tasks
+            .values()
+            .filter(|t| t.start_left <= 0.0)
+            .map(|t| t.left / served);
         let first = starts.chain(ends).fold(f64::INFINITY, f64::min);
         // Paces change while it warms up.
-        let step = if pace < 1.0 && !self.tasks.is_empty() { 0.1 } else { 5.0 };
+        let step = if pace < 1.0 && !self.tasks.is_empty() {
+            0.1
+        } else {
+            5.0
+        };
         let away = self.send_away.map_or(f64::INFINITY, |(next, _)| next);
         let looked = self.looking_until.unwrap_or(f64::INFINITY);
         (self.now + first.min(step) + 1e-4).min(looked).min(away)
@@ -351,11 +380,17 @@
         }
         while self.used().1 > self.set.memory {
             let least = |t: &Task| (t.offer.priority, -t.use_memory);
-            let victim = self.tasks.iter().filter(|(_, t)| t.start_left <= 0.0).min_by(|a, b| {
-                let (a, b) = (least(a.1), least(b.1));
-                a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
-            });
-            let Some(name) = victim.map(|(name, _)| name.clone()) else { break };
+            let victim = self
+                .tasks
+                .iter()
+                .filter(|(_, t)| t.start_left <= 0.0)
+                .min_by(|a, b| {
+                    let (a, b) = (least(a.1), least(b.1));
+                    a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
+                });
+            let Some(name) = victim.map(|(name, _)| name.clone()) else {
+                break;
+            };
             self.remove(&name, Over::Evicted, out);
         }
         while let Some((next, every)) = self.send_away.filter(|(next, _)| *next <= now) {
@@ -374,8 +409,15 @@
         if self.looking_until.is_none() && !self.line.is_empty() {
             self.looking_until = Some(self.now + self.set.look / self.pace().clamp(1e-3, 1.0));
         }
-        let mut free = self.set.starts.saturating_sub(self.tasks.values().filter(|t| t.starting).count());
-        for task in self.tasks.values_mut().filter(|t| t.start_left > 0.0 && !t.starting) {
+        let mut free = self
+            .set
+            .starts
+            .saturating_sub(self.tasks.values().filter(|t| t.starting).count());
+        for task in self
+            .tasks
+            .values_mut()
+            .filter(|t| t.start_left > 0.0 && !t.starting)
+        {
             if free == 0 {
                 break;
             }
@@ -391,7 +433,9 @@
                 if self.fell {
                 } else if self.now < self.troubles.hang {
                     out.push(Action::Answer(id, Err(Refusal::Error), Way::Silent));
-                } else if self.now < self.troubles.errors.1 && self.rng.random_bool(self.troubles.errors.0) {
+                } else if self.now < self.troubles.errors.1
+                    && self.rng.random_bool(self.troubles.errors.0)
+                {
                     out.push(Action::Answer(id, Err(Refusal::Error), Way::Sent));
                 } else if self.line.len() >= self.set.line {
                     out.push(Action::Answer(id, Err(Refusal::Queue), Way::Sent));
@@ -410,10 +454,16 @@
         match fault {
             Fault::Slow { factor, seconds } => self.troubles.slow = (factor, now + seconds),
             Fault::Hang { seconds } => self.troubles.hang = now + seconds,
-            Fault::LoseAnswers { share, reset, seconds } => {
+            Fault::LoseAnswers {
+                share,
+                reset,
+                seconds,
+            } => {
                 self.troubles.lose = (share.clamp(0.0, 1.0), reset, now + seconds);
             }
-            Fault::Errors { share, seconds } => self.troubles.errors = (share.clamp(0.0, 1.0), now + seconds),
+            Fault::Errors { share, seconds } => {
+                self.troubles.errors = (share.clamp(0.0, 1.0), now + seconds)
+            }
             Fault::CutZones { zones, seconds } => {
                 self.troubles.cut = (zones, now + seconds);
                 out.push(Action::BreakWatches);
@@ -435,9 +485,18 @@
             return;
         }
         let set = &self.set;
-        let work = set.start * if self.holds(&offer.service) { 1.0 } else { set.setup };
+        let work = set.start
+            * if self.holds(&offer.service) {
+                1.0
+            } else {
+                set.setup
+            };
         self.recent.push_back((self.now, work));
-        while self.recent.front().is_some_and(|(at, _)| *at <= self.now - set.overload_for) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| *at <= self.now - set.overload_for)
+        {
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
@@ -461,11 +520,23 @@
             if self.now < until && self.rng.random_bool(share) {
                 way = if reset { Way::Reset } else { Way::Silent };
             }
-            let start_left = self.set.start * if self.holds(&offer.service) { 1.0 } else { self.set.setup };
+            let start_left = self.set.start
+                * if self.holds(&offer.service) {
+                    1.0
+                } else {
+                    self.set.setup
+                };
             let use_cores = offer.cores * self.rng.random_range(0.40..0.66);
             let use_memory = offer.memory * self.rng.random_range(0.52..0.80);
             let left = offer.runs;
-            let task = Task { start_left, starting: false, left, use_cores, use_memory, offer };
+            let task = Task {
+                start_left,
+                starting: false,
+                left,
+                use_cores,
+                use_memory,
+                offer,
+            };
             self.tasks.insert(task.offer.name.clone(), task);
         }
         out.push(Action::Answer(id, answer, way));
@@ -473,14 +544,24 @@
 
     fn judge(&self, offer: &Offer) -> Result<(), Refusal> {
         let (cores, memory) = self.unclaimed();
-        let over = |free: f64, size: f64, admit: f64, asked: f64| size - free + asked > size * admit + 1e-9;
+        let over = |free: f64, size: f64, admit: f64, asked: f64| {
+            size - free + asked > size * admit + 1e-9
+        };
         match () {
             () if self.now > offer.until => Err(Refusal::TooLate),
             () if self.draining || self.send_away.is_some() => Err(Refusal::Draining),
-            () if offer.kind.as_ref().is_some_and(|kind| *kind != self.set.kind) => Err(Refusal::Kind),
+            () if offer
+                .kind
+                .as_ref()
+                .is_some_and(|kind| *kind != self.set.kind) =>
+            {
+                Err(Refusal::Kind)
+            }
             () if self.tasks.contains_key(&offer.name) => Err(Refusal::Copy),
             () if self.tasks.values().any(|t| t.offer.key == offer.key) => Err(Refusal::Copy),
-            () if over(cores, self.set.cores, self.set.admit_cores, offer.cores) => Err(Refusal::OutOfCpu),
+            () if over(cores, self.set.cores, self.set.admit_cores, offer.cores) => {
+                Err(Refusal::OutOfCpu)
+            }
             () if over(memory, self.set.memory, self.set.admit_memory, offer.memory) => {
                 Err(Refusal::OutOfMemory)
             }
@@ -489,8 +570,14 @@
     }
 
     fn remove(&mut self, name: &(String, String), over: Over, out: &mut Vec<Action>) {
-        let Some(task) = self.tasks.remove(name) else { return };
-        if !self.tasks.values().any(|t| t.offer.service == task.offer.service) {
+        let Some(task) = self.tasks.remove(name) else {
+            return;
+        };
+        if !self
+            .tasks
+            .values()
+            .any(|t| t.offer.service == task.offer.service)
+        {
             self.kept.retain(|kept| *kept != task.offer.service);
             self.kept.push_back(task.offer.service);
             while self.kept.len() > self.set.kept {
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -62,11 +62,17 @@
 
 impl NodeHooks {
     fn inner(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.inner
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn zone_of(headers: &HeaderMap) -> String {
-        headers.get(names::ZONE_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("").to_owned()
+        headers
+            .get(names::ZONE_HEADER)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or("")
+            .to_owned()
     }
 
     /// Tells the model, and carries out what it says.
@@ -84,7 +90,8 @@
                     let object = inner.offered.remove(&id);
                     if let (Ok(()), Some(mut object)) = (answer, object) {
                         object["spec"]["nodeName"] = node.as_str().into();
-                        object["status"] = json!({"phase": "Pending", "startTime": meta::timestamp(now)});
+                        object["status"] =
+                            json!({"phase": "Pending", "startTime": meta::timestamp(now)});
                         let made = api.store().create(PODS, object, now);
                         if let Err(problem) = made {
                             tracing::warn!(%problem, "an accepted Pod can't be shown");
@@ -128,9 +135,17 @@
         self.changed.notify(usize::MAX);
     }
 
-    fn show(&self, api: &Api<NodeHooks>, space: &str, name: &str, change: impl FnOnce(&mut Object)) {
+    fn show(
+        &self,
+        api: &Api<NodeHooks>,
+        space: &str,
+        name: &str,
+        change: impl FnOnce(&mut Object),
+    ) {
         let mut store = api.store();
-        let Some(mut pod) = store.get(PODS, space, name).map(|pod| (**pod).clone()) else { return };
+        let Some(mut pod) = store.get(PODS, space, name).map(|pod| (**pod).clone()) else {
+            return;
+        };
         change(&mut pod);
         self.recorder.note("pod", || {
             json!({"uid": meta::annotation(&pod, names::UID), "key": meta::annotation(&pod, names::KEY),
@@ -141,11 +156,16 @@
 
     fn read_offer(&self, pod: &Object, until: f64) -> Offer {
         let ask = task::ask(pod);
-        let runs = meta::annotation(pod, "standin.tidespur.dev/run-seconds").and_then(|t| t.parse().ok());
-        let kind = meta::at(pod, &["spec", "nodeSelector"]).get(names::KIND).and_then(Value::as_str);
+        let runs =
+            meta::annotation(pod, "standin.tidespur.dev/run-seconds").and_then(|t| t.parse().ok());
+        let kind = meta::at(pod, &["spec", "nodeSelector"])
+            .get(names::KIND)
+            .and_then(Value::as_str);
         Offer {
             name: (ask.tenant, meta::name(pod).to_owned()),
-            uid: meta::annotation(pod, names::UID).unwrap_or(&ask.uid).to_owned(),
+            uid: meta::annotation(pod, names::UID)
+                .unwrap_or(&ask.uid)
+                .to_owned(),
             key: ask.key,
             service: ask.service,
             cores: ask.cores,
@@ -158,7 +178,13 @@
     }
 
     async fn offer(&self, object: &Object, headers: &HeaderMap) -> Result<Object, ApiError> {
-        let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
+        let text = |name: &str| {
+            headers
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or("")
+                .to_owned()
+        };
         let until = text(UNTIL_HEADER).parse().unwrap_or(f64::INFINITY);
         let offer = self.read_offer(object, until);
         let (uid, key, service) = (offer.uid.clone(), offer.key.clone(), offer.service.clone());
@@ -194,10 +220,16 @@
             Way::Silent => std::future::pending().await,
             Way::Reset => Err(ApiError::new(CUT, "Cut", "cut")),
             Way::Sent => {
-                let api = self.api.get().ok_or_else(|| ApiError::unavailable("starting", 1))?;
+                let api = self
+                    .api
+                    .get()
+                    .ok_or_else(|| ApiError::unavailable("starting", 1))?;
                 answer.map_err(|refusal| refused(refusal, meta::name(object)))?;
                 let (space, name) = (meta::namespace(object), meta::name(object));
-                let made = api.store().get(PODS, space, name).map(|pod| (**pod).clone());
+                let made = api
+                    .store()
+                    .get(PODS, space, name)
+                    .map(|pod| (**pod).clone());
                 Ok(made.unwrap_or_else(|| object.clone()))
             }
         }
@@ -216,8 +248,16 @@
         Refusal::Copy => return ApiError::exists("pods", name),
         Refusal::Error => return ApiError::new(500, "InternalError", "the node failed"),
     };
-    let mut error = ApiError::new(403, "Forbidden", format!("pods \"{name}\" is forbidden: {message}"));
-    error.causes = vec![Cause { reason, field: String::new(), message: message.into() }];
+    let mut error = ApiError::new(
+        403,
+        "Forbidden",
+        format!("pods \"{name}\" is forbidden: {message}"),
+    );
+    error.causes = vec![Cause {
+        reason,
+        field: String::new(),
+        message: message.into(),
+    }];
     error
 }
 
@@ -226,10 +266,16 @@
         resource.kind == "Pod"
     }
 
-    fn admit(&self, _store: &Store, _resource: &Resource, object: &mut Object) -> Result<(), ApiError> {
+    fn admit(
+        &self,
+        _store: &Store,
+        _resource: &Resource,
+        object: &mut Object,
+    ) -> Result<(), ApiError> {
         // Classes are the edge's matter; a node takes any.
         let spec = meta::map_mut(object, "spec");
-        spec.entry("containers").or_insert_with(|| json!([{"name": "main"}]));
+        spec.entry("containers")
+            .or_insert_with(|| json!([{"name": "main"}]));
         Ok(())
     }
 
@@ -271,7 +317,11 @@
         object: &Object,
         how: &DeleteOptions,
     ) -> Result<Object, ApiError> {
-        if how.uid.as_deref().is_some_and(|uid| uid != meta::uid(object)) {
+        if how
+            .uid
+            .as_deref()
+            .is_some_and(|uid| uid != meta::uid(object))
+        {
             return Err(ApiError::conflict(
                 "pods",
                 meta::name(object),
@@ -280,7 +330,10 @@
         }
         // The store is locked here, so the model hears of it right after, in `written`.
         let _ = store;
-        let (space, name) = (meta::namespace(object).to_owned(), meta::name(object).to_owned());
+        let (space, name) = (
+            meta::namespace(object).to_owned(),
+            meta::name(object).to_owned(),
+        );
         if let Ok(mut deletions) = self.deletions.lock() {
             deletions.push(Event::Delete(space, name));
         }
@@ -288,8 +341,11 @@
     }
 
     fn written(&self) {
-        let due =
-            self.deletions.lock().map(|mut deletions| std::mem::take(&mut *deletions)).unwrap_or_default();
+        let due = self
+            .deletions
+            .lock()
+            .map(|mut deletions| std::mem::take(&mut *deletions))
+            .unwrap_or_default();
         if !due.is_empty() {
             self.step(due);
         }
@@ -297,7 +353,10 @@
 
     fn headers(&self) -> Vec<(&'static str, String)> {
         let (cores, memory, queue) = self.inner().model.load();
-        vec![(names::LOAD_HEADER, format!("cores={cores:.2};memory={memory:.2};queue={queue}"))]
+        vec![(
+            names::LOAD_HEADER,
+            format!("cores={cores:.2};memory={memory:.2};queue={queue}"),
+        )]
     }
 
     fn other(&self, method: &str, path: &str, body: &[u8]) -> Option<Result<Object, ApiError>> {
@@ -310,7 +369,9 @@
                 self.step(vec![Event::Fault(fault)]);
                 Ok(json!({}))
             }
-            Err(problem) => Err(ApiError::bad_request(format!("no fault that is known: {problem}"))),
+            Err(problem) => Err(ApiError::bad_request(format!(
+                "no fault that is known: {problem}"
+            ))),
         })
     }
 }
@@ -344,10 +405,16 @@
         recorder,
         priorities: options.priorities.clone(),
     };
-    let limits = Limits { bookmark_every: HEARTBEAT, ..Limits::default() };
+    let limits = Limits {
+        bookmark_every: HEARTBEAT,
+        ..Limits::default()
+    };
     // Versions of a node that comes back must be above those that it handed out before.
-    let store =
-        Store::new(tidespur_store::Limits::default(), options.settings.seed, (up_since * 1000.0) as u64);
+    let store = Store::new(
+        tidespur_store::Limits::default(),
+        options.settings.seed,
+        (up_since * 1000.0) as u64,
+    );
     let api = Arc::new(Api::new(store, limits, hooks));
     let _ = api.hooks.api.set(api.clone());
     let driver = api.clone();
@@ -363,10 +430,18 @@
     })
     .detach();
     let teller = api.clone();
-    let (register, at, set) = (options.register.clone(), address.clone(), options.settings.clone());
-    smol::spawn(async move { tell_register(teller, &register, &at, &set, up_since).await }).detach();
+    let (register, at, set) = (
+        options.register.clone(),
+        address.clone(),
+        options.settings.clone(),
+    );
+    smol::spawn(async move { tell_register(teller, &register, &at, &set, up_since).await })
+        .detach();
     ready(&address);
-    let limits = server::ServerLimits { connections: 1024, head_timeout: 30.0 };
+    let limits = server::ServerLimits {
+        connections: 1024,
+        head_timeout: 30.0,
+    };
     server::serve(listener, limits, Arc::new(Served(api))).await;
     Ok(())
 }
@@ -381,7 +456,11 @@
 ) {
     let client = Client::new(register, 1, vec![]);
     // One that is not cold has been up for long, whenever its process was started.
-    let up_since = if set.cold > 0.0 { up_since } else { up_since - LONG_UP };
+    let up_since = if set.cold > 0.0 {
+        up_since
+    } else {
+        up_since - LONG_UP
+    };
     loop {
         let (cores, memory) = api.hooks.inner().model.unclaimed();
         let fallen = api.hooks.inner().model.fallen();
@@ -389,14 +468,23 @@
             "memory": set.memory, "address": address, "up_since": up_since, "free_cores": cores, "free_memory": memory});
         if !fallen {
             let bytes = body.to_string().into_bytes().into();
-            let sent =
-                client.send(hyper::Method::POST, "/standin/heartbeat", "application/json", bytes, 1.0).await;
+            let sent = client
+                .send(
+                    hyper::Method::POST,
+                    "/standin/heartbeat",
+                    "application/json",
+                    bytes,
+                    1.0,
+                )
+                .await;
             match sent {
                 Ok(reply) if reply.status.is_success() => {
                     let draining = reply.json()["unschedulable"].as_bool().unwrap_or(false);
                     api.hooks.step(vec![Event::Draining(draining)]);
                 }
-                Ok(reply) => tracing::warn!(status = %reply.status, "the register refuses the node"),
+                Ok(reply) => {
+                    tracing::warn!(status = %reply.status, "the register refuses the node")
+                }
                 Err(problem) => tracing::debug!(%problem, "the register can't be reached"),
             }
         }
--- a/crates/standin/src/register.rs
+++ b/crates/standin/src/register.rs
@@ -57,7 +57,8 @@
 }
 
 fn show(beat: &Heartbeat, unschedulable: bool) -> Object {
-    let capacity = json!({"cpu": format!("{}", beat.cores), "memory": format!("{}Gi", beat.memory)});
+    let capacity =
+        json!({"cpu": format!("{}", beat.cores), "memory": format!("{}Gi", beat.memory)});
     json!({"kind": "Node", "apiVersion": "v1",
         "metadata": {"name": beat.name,
             "labels": {names::ZONE: beat.zone, names::RACK: beat.rack, names::KIND: beat.kind},
@@ -71,15 +72,23 @@
 
 impl RegisterHooks {
     fn truth(&self) -> std::sync::MutexGuard<'_, Truth> {
-        self.truth.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.truth
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn beat(&self, beat: Heartbeat) -> Object {
         let now = clock::now();
         let mut truth = self.truth();
-        let unschedulable = truth.unschedulable.get(&beat.name).copied().unwrap_or(false);
+        let unschedulable = truth
+            .unschedulable
+            .get(&beat.name)
+            .copied()
+            .unwrap_or(false);
         let object = show(&beat, unschedulable);
-        truth.coming.push_back((now + self.delay, beat.name.clone(), Some(object)));
+        truth
+            .coming
+            .push_back((now + self.delay, beat.name.clone(), Some(object)));
         truth.nodes.insert(beat.name.clone(), (beat, now));
         json!({"unschedulable": unschedulable})
     }
@@ -101,11 +110,15 @@
         }
         let mut changed = false;
         while truth.coming.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, name, object)) = truth.coming.pop_front() else { break };
+            let Some((_, name, object)) = truth.coming.pop_front() else {
+                break;
+            };
             let mut store = api.store();
             let stood = store.get(NODES, "", &name).cloned();
             let shown = match (object, &stood) {
-                (Some(object), Some(_)) => store.update(NODES, object, &Expect::default()).map(drop),
+                (Some(object), Some(_)) => {
+                    store.update(NODES, object, &Expect::default()).map(drop)
+                }
                 (Some(object), None) => store.create(NODES, object, now).map(drop),
                 (None, Some(_)) => store.delete(NODES, "", &name, &Expect::default()).map(drop),
                 (None, None) => Ok(()),
@@ -137,14 +150,21 @@
         if verb != Verb::Update {
             return Some(Err(ApiError::method()));
         }
-        let unschedulable = meta::at(object, &["spec", "unschedulable"]).as_bool().unwrap_or(false);
+        let unschedulable = meta::at(object, &["spec", "unschedulable"])
+            .as_bool()
+            .unwrap_or(false);
         let name = meta::name(object).to_owned();
-        self.recorder.note("mark", || json!({"node": name, "unschedulable": unschedulable}));
+        self.recorder.note(
+            "mark",
+            || json!({"node": name, "unschedulable": unschedulable}),
+        );
         let mut truth = self.truth();
         truth.unschedulable.insert(name.clone(), unschedulable);
         if let Some((beat, _)) = truth.nodes.get(&name) {
             let shown = show(beat, unschedulable);
-            truth.coming.push_back((clock::now() + self.delay, name, Some(shown)));
+            truth
+                .coming
+                .push_back((clock::now() + self.delay, name, Some(shown)));
         }
         Some(Ok(object.clone()))
     }
@@ -168,11 +188,18 @@
         Some(path) => Recorder::to(path, "register")?,
         None => Recorder::default(),
     };
-    let hooks =
-        RegisterHooks { truth: Mutex::default(), api: OnceLock::new(), delay: options.delay, recorder };
+    let hooks = RegisterHooks {
+        truth: Mutex::default(),
+        api: OnceLock::new(),
+        delay: options.delay,
+        recorder,
+    };
     let version = (clock::now() * 1000.0) as u64;
     let store = Store::new(tidespur_store::Limits::default(), 1, version);
-    let limits = Limits { bookmark_every: 0.5, ..Limits::default() };
+    let limits = Limits {
+        bookmark_every: 0.5,
+        ..Limits::default()
+    };
     let api = Arc::new(Api::new(store, limits, hooks));
     let _ = api.hooks.api.set(api.clone());
     let turning = api.clone();
@@ -184,7 +211,10 @@
     })
     .detach();
     ready(&address);
-    let limits = server::ServerLimits { connections: 1024, head_timeout: 30.0 };
+    let limits = server::ServerLimits {
+        connections: 1024,
+        head_timeout: 30.0,
+    };
     server::serve(listener, limits, Arc::new(Served(api))).await;
     Ok(())
 }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -26,13 +26,26 @@
     pub fn new(resource: &'static Resource) -> Self {
         // No store's history reaches back to a version below its first, so the first read compares.
         let cursor = Cursor::new(resource.index, 0);
-        Self { resource, cursor, seen: BTreeMap::new(), behind: 0 }
+        Self {
+            resource,
+            cursor,
+            seen: BTreeMap::new(),
+            behind: 0,
+        }
     }
 
     /// A reader for which all that stands now is known already, as after a return.
     pub fn standing(resource: &'static Resource, store: &Store) -> Self {
-        let seen = store.all(resource, "").map(|object| (key(object), object.clone())).collect();
-        Self { resource, cursor: Cursor::new(resource.index, store.version()), seen, behind: 0 }
+        let seen = store
+            .all(resource, "")
+            .map(|object| (key(object), object.clone()))
+            .collect();
+        Self {
+            resource,
+            cursor: Cursor::new(resource.index, store.version()),
+            seen,
+            behind: 0,
+        }
     }
 
     /// Whether all that the store holds has been read.
@@ -78,7 +91,12 @@
                 Some(old) if meta::version(&old) == meta::version(object) => continue,
                 Some(old) => (ChangeKind::Modified, Some(old)),
             };
-            stands.push(Change { version: meta::version(object), kind, object: object.clone(), before });
+            stands.push(Change {
+                version: meta::version(object),
+                kind,
+                object: object.clone(),
+                before,
+            });
         }
         gone.extend(before.into_values());
         let ended = |old: Arc<Object>| Change {
@@ -94,5 +112,8 @@
 }
 
 fn key(object: &Object) -> (String, String) {
-    (meta::namespace(object).to_owned(), meta::name(object).to_owned())
+    (
+        meta::namespace(object).to_owned(),
+        meta::name(object).to_owned(),
+    )
 }
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -39,7 +39,11 @@
 
 impl std::fmt::Display for Expired {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "too old resource version: {} ({})", self.asked, self.oldest)
+        write!(
+            f,
+            "too old resource version: {} ({})",
+            self.asked, self.oldest
+        )
     }
 }
 
@@ -75,7 +79,11 @@
 
 impl History {
     pub(crate) fn new(most: usize, version: u64) -> Self {
-        Self { changes: VecDeque::new(), most: most.max(1), complete_from: version }
+        Self {
+            changes: VecDeque::new(),
+            most: most.max(1),
+            complete_from: version,
+        }
     }
 
     pub(crate) fn push(&mut self, change: Change) {
@@ -96,7 +104,10 @@
 
     pub(crate) fn check(&self, version: u64) -> Result<(), Expired> {
         if version < self.complete_from {
-            return Err(Expired { asked: version, oldest: self.complete_from });
+            return Err(Expired {
+                asked: version,
+                oldest: self.complete_from,
+            });
         }
         Ok(())
     }
@@ -109,8 +120,13 @@
         out: &mut Vec<Change>,
     ) -> Result<(), Expired> {
         self.check(cursor.version)?;
-        let from = self.changes.partition_point(|change| change.version <= cursor.version);
-        let to = from.max(self.changes.partition_point(|change| change.version <= upto));
+        let from = self
+            .changes
+            .partition_point(|change| change.version <= cursor.version);
+        let to = from.max(
+            self.changes
+                .partition_point(|change| change.version <= upto),
+        );
         for change in self.changes.range(from..to).take(most) {
             cursor.version = change.version;
             out.push(change.clone());
--- a/crates/store/src/kept.rs
+++ b/crates/store/src/kept.rs
@@ -9,7 +9,11 @@
     /// Takes in an object as an earlier store had it, version and uid included. Only before anything is written or
     /// watched: its version must not be above the one that this store began at.
     pub fn recall(&mut self, resource: &Resource, object: Object) {
-        let key = key(resource, tidespur_api::meta::namespace(&object), tidespur_api::meta::name(&object));
+        let key = key(
+            resource,
+            tidespur_api::meta::namespace(&object),
+            tidespur_api::meta::name(&object),
+        );
         if self.objects.insert(key, Arc::new(object)).is_none() {
             self.counts[resource.index] += 1;
         }
@@ -23,7 +27,9 @@
     /// What was written or removed since the last call, each as it stands now; one that is gone without its object.
     pub fn take_unkept(&mut self) -> Vec<(Key, Option<Arc<Object>>)> {
         let keys = self.unkept.as_mut().map(std::mem::take).unwrap_or_default();
-        keys.into_iter().map(|key| (key.clone(), self.objects.get(&key).cloned())).collect()
+        keys.into_iter()
+            .map(|key| (key.clone(), self.objects.get(&key).cloned()))
+            .collect()
     }
 
     /// Watches may see all up to this version. A store that nobody keeps shows all.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -38,7 +38,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { history: 16_384, snapshots: 64, objects: 200_000 }
+        Self {
+            history: 16_384,
+            snapshots: 64,
+            objects: 200_000,
+        }
     }
 }
 
@@ -107,7 +111,9 @@
     /// Five characters for a generated name, of the published alphabet without vowels.
     pub fn suffix(&mut self) -> String {
         const LETTERS: &[u8] = b"bcdfghjklmnpqrstvwxz2456789";
-        (0..5).map(|_| LETTERS[self.rng.next_u32() as usize % LETTERS.len()] as char).collect()
+        (0..5)
+            .map(|_| LETTERS[self.rng.next_u32() as usize % LETTERS.len()] as char)
+            .collect()
     }
 
     /// The object, if it stands.
@@ -140,12 +146,22 @@
     }
 
     /// The next change for the cursor, at most `most` looked at; it moves on.
-    pub fn poll(&self, cursor: &mut Cursor, most: usize, out: &mut Vec<Change>) -> Result<(), Expired> {
+    pub fn poll(
+        &self,
+        cursor: &mut Cursor,
+        most: usize,
+        out: &mut Vec<Change>,
+    ) -> Result<(), Expired> {
         self.histories[cursor.resource()].read(cursor, most, self.version, out)
     }
 
     /// The same, but for what may not be shown yet: see [`Store::show`].
-    pub fn poll_shown(&self, cursor: &mut Cursor, most: usize, out: &mut Vec<Change>) -> Result<(), Expired> {
+    pub fn poll_shown(
+        &self,
+        cursor: &mut Cursor,
+        most: usize,
+        out: &mut Vec<Change>,
+    ) -> Result<(), Expired> {
         self.histories[cursor.resource()].read(cursor, most, self.version.min(self.shown), out)
     }
 
--- a/crates/store/src/list.rs
+++ b/crates/store/src/list.rs
@@ -37,28 +37,47 @@
 impl Store {
     /// One page. Pages of one list show one moment; that is kept for a bounded number of moments.
     pub fn list(&mut self, resource: &Resource, request: &PageRequest) -> Result<Page, ListError> {
-        let gone =
-            || ApiError::expired("the provided continue parameter is too old: list again from the start");
+        let gone = || {
+            ApiError::expired(
+                "the provided continue parameter is too old: list again from the start",
+            )
+        };
         let (version, after) = match &request.continue_token {
             Some(token) => {
-                let bad =
-                    || ApiError::bad_request("the continue token is not one that this server handed out");
+                let bad = || {
+                    ApiError::bad_request(
+                        "the continue token is not one that this server handed out",
+                    )
+                };
                 let mut parts = token.splitn(3, '/');
-                let version = parts.next().and_then(|v| v.parse::<u64>().ok()).ok_or_else(bad)?;
+                let version = parts
+                    .next()
+                    .and_then(|v| v.parse::<u64>().ok())
+                    .ok_or_else(bad)?;
                 let namespace = parts.next().ok_or_else(bad)?;
                 let name = parts.next().ok_or_else(bad)?;
-                (version, Some((resource.index, namespace.to_owned(), name.to_owned())))
+                (
+                    version,
+                    Some((resource.index, namespace.to_owned(), name.to_owned())),
+                )
             }
             None => (request.exact.unwrap_or(self.version), None),
         };
         let objects = if version == self.version {
             self.objects.clone()
         } else {
-            let snapshot = self.snapshots.iter().find(|(v, _)| *v == version).ok_or_else(gone)?;
+            let snapshot = self
+                .snapshots
+                .iter()
+                .find(|(v, _)| *v == version)
+                .ok_or_else(gone)?;
             snapshot.1.clone()
         };
         let namespace = request.namespace.as_str();
-        let from: Key = after.clone().unwrap_or((resource.index, namespace.to_owned(), String::new()));
+        let from: Key =
+            after
+                .clone()
+                .unwrap_or((resource.index, namespace.to_owned(), String::new()));
         let inside = |k: &Key| k.0 == resource.index && (namespace.is_empty() || k.1 == namespace);
         let (mut items, mut last, mut left) = (Vec::new(), None, 0);
         for (key, object) in objects.range(from..).take_while(|(k, _)| inside(k)) {
@@ -74,13 +93,19 @@
             }
             last = Some(key);
         }
-        let next = last.filter(|_| left > 0).map(|k| (format!("{version}/{}/{}", k.1, k.2), left));
+        let next = last
+            .filter(|_| left > 0)
+            .map(|k| (format!("{version}/{}/{}", k.1, k.2), left));
         if next.is_some() && !self.snapshots.iter().any(|(v, _)| *v == version) {
             while self.snapshots.len() >= self.limits.snapshots.max(1) {
                 self.snapshots.pop_front();
             }
             self.snapshots.push_back((version, objects));
         }
-        Ok(Page { items, version, next })
+        Ok(Page {
+            items,
+            version,
+            next,
+        })
     }
 }
--- a/crates/store/src/write.rs
+++ b/crates/store/src/write.rs
@@ -25,7 +25,11 @@
         }
         let uid = self.new_uid();
         meta::set(&mut object, "uid", uid.into());
-        meta::set(&mut object, "creationTimestamp", meta::timestamp(now).into());
+        meta::set(
+            &mut object,
+            "creationTimestamp",
+            meta::timestamp(now).into(),
+        );
         if object.get("spec").is_some() {
             meta::set(&mut object, "generation", 1.into());
         }
@@ -45,7 +49,13 @@
             return Err(ApiError::not_found(resource.plural, &key.2));
         };
         check_expected(resource, &old, expect)?;
-        for field in ["uid", "creationTimestamp", "resourceVersion", "generation", "deletionTimestamp"] {
+        for field in [
+            "uid",
+            "creationTimestamp",
+            "resourceVersion",
+            "generation",
+            "deletionTimestamp",
+        ] {
             let value = meta::at(&old, &["metadata", field]).clone();
             match value.is_null() {
                 true => drop(meta::map_mut(&mut object, "metadata").remove(field)),
@@ -56,7 +66,9 @@
             return Ok(old);
         }
         if object.get("spec") != old.get("spec") {
-            let generation = meta::at(&old, &["metadata", "generation"]).as_i64().unwrap_or(0);
+            let generation = meta::at(&old, &["metadata", "generation"])
+                .as_i64()
+                .unwrap_or(0);
             meta::set(&mut object, "generation", (generation + 1).into());
         }
         Ok(self.put(resource, key, object, Some(old)))
@@ -80,7 +92,11 @@
         self.counts[resource.index] -= 1;
         self.version += 1;
         let mut last = (*old).clone();
-        meta::set(&mut last, "resourceVersion", self.version.to_string().into());
+        meta::set(
+            &mut last,
+            "resourceVersion",
+            self.version.to_string().into(),
+        );
         let last = Arc::new(last);
         let change = Change {
             version: self.version,
@@ -106,12 +122,25 @@
         before: Option<Arc<Object>>,
     ) -> Arc<Object> {
         self.version += 1;
-        meta::set(&mut object, "resourceVersion", self.version.to_string().into());
+        meta::set(
+            &mut object,
+            "resourceVersion",
+            self.version.to_string().into(),
+        );
         let object = Arc::new(object);
-        let kind = if before.is_some() { ChangeKind::Modified } else { ChangeKind::Added };
+        let kind = if before.is_some() {
+            ChangeKind::Modified
+        } else {
+            ChangeKind::Added
+        };
         self.note(&key);
         self.objects.insert(key, object.clone());
-        let change = Change { version: self.version, kind, object: object.clone(), before };
+        let change = Change {
+            version: self.version,
+            kind,
+            object: object.clone(),
+            before,
+        };
         self.histories[resource.index].push(change);
         object
     }
@@ -119,13 +148,22 @@
 
 fn check_expected(resource: &Resource, old: &Object, expect: &Expect) -> Result<(), ApiError> {
     let name = meta::name(old);
-    if expect.uid.as_deref().is_some_and(|uid| uid != meta::uid(old)) {
-        let why = format!("the uid in the precondition does not match the uid in record: {}", meta::uid(old));
+    if expect
+        .uid
+        .as_deref()
+        .is_some_and(|uid| uid != meta::uid(old))
+    {
+        let why = format!(
+            "the uid in the precondition does not match the uid in record: {}",
+            meta::uid(old)
+        );
         return Err(ApiError::conflict(resource.plural, name, &why));
     }
-    if expect.version.is_some_and(|version| version != meta::version(old)) {
-        let why =
-            "the object has been modified; please apply your changes to the latest version and try again";
+    if expect
+        .version
+        .is_some_and(|version| version != meta::version(old))
+    {
+        let why = "the object has been modified; please apply your changes to the latest version and try again";
         return Err(ApiError::conflict(resource.plural, name, why));
     }
     Ok(())
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -12,7 +12,15 @@
 }
 
 fn store(history: usize) -> Store {
-    Store::new(Limits { history, snapshots: 2, objects: 1000 }, 1, 100)
+    Store::new(
+        Limits {
+            history,
+            snapshots: 2,
+            objects: 1000,
+        },
+        1,
+        100,
+    )
 }
 
 #[test]
@@ -21,13 +29,28 @@
     let first = store.create(PODS, pod("a"), 0.0).unwrap();
     let mut changed = (*first).clone();
     changed["metadata"]["labels"] = json!({"x": "1"});
-    let expect = Expect { version: Some(meta::version(&first)), ..Expect::default() };
+    let expect = Expect {
+        version: Some(meta::version(&first)),
+        ..Expect::default()
+    };
     store.update(PODS, changed.clone(), &expect).unwrap();
     changed["metadata"]["labels"] = json!({"x": "2"});
     assert_eq!(store.update(PODS, changed, &expect).unwrap_err().code, 409);
-    assert_eq!(store.create(PODS, pod("a"), 0.0).unwrap_err().reason, "AlreadyExists");
-    let other = Expect { uid: Some("x".into()), ..Expect::default() };
-    assert_eq!(store.delete(PODS, "default", "a", &other).unwrap_err().reason, "Conflict");
+    assert_eq!(
+        store.create(PODS, pod("a"), 0.0).unwrap_err().reason,
+        "AlreadyExists"
+    );
+    let other = Expect {
+        uid: Some("x".into()),
+        ..Expect::default()
+    };
+    assert_eq!(
+        store
+            .delete(PODS, "default", "a", &other)
+            .unwrap_err()
+            .reason,
+        "Conflict"
+    );
 }
 
 #[test]
@@ -42,7 +65,10 @@
     store.poll(&mut second, 2, &mut seen).unwrap();
     assert_eq!(seen.len(), 2);
     store.create(PODS, pod("p4"), 0.0).unwrap();
-    assert!(store.poll(&mut cursor, 9, &mut seen).is_err(), "the first change is gone");
+    assert!(
+        store.poll(&mut cursor, 9, &mut seen).is_err(),
+        "the first change is gone"
+    );
     store.poll(&mut second, 9, &mut seen).unwrap();
     assert_eq!(seen.len(), 5, "the other goes on");
 }
@@ -64,16 +90,33 @@
     for i in 0..5 {
         store.create(PODS, pod(&format!("p{i}")), 0.0).unwrap();
     }
-    let mut request = PageRequest { limit: 2, ..PageRequest::default() };
+    let mut request = PageRequest {
+        limit: 2,
+        ..PageRequest::default()
+    };
     let first = store.list(PODS, &request).unwrap();
-    store.delete(PODS, "default", "p3", &Expect::default()).unwrap();
+    store
+        .delete(PODS, "default", "p3", &Expect::default())
+        .unwrap();
     request.continue_token = first.next.map(|n| n.0);
     let second = store.list(PODS, &request).unwrap();
     let names: Vec<&str> = second.items.iter().map(|o| meta::name(o)).collect();
-    assert_eq!(names, ["p2", "p3"], "the deletion came after the first page");
+    assert_eq!(
+        names,
+        ["p2", "p3"],
+        "the deletion came after the first page"
+    );
     for i in 0..3 {
         store.create(PODS, pod(&format!("q{i}")), 0.0).unwrap();
-        store.list(PODS, &PageRequest { limit: 1, ..PageRequest::default() }).unwrap();
+        store
+            .list(
+                PODS,
+                &PageRequest {
+                    limit: 1,
+                    ..PageRequest::default()
+                },
+            )
+            .unwrap();
     }
     assert_eq!(store.list(PODS, &request).unwrap_err().code, 410);
 }
--- a/crates/waiting/src/diagnosis.rs
+++ b/crates/waiting/src/diagnosis.rs
@@ -61,13 +61,25 @@
     /// Counts a node that was ruled out.
     pub fn bar(&mut self, node: &str, zone: &str, code: Code, short: f64) {
         *self.bars.entry(code).or_default() += 1;
-        *self.zones.entry(zone.to_owned()).or_default().entry(code).or_default() += 1;
+        *self
+            .zones
+            .entry(zone.to_owned())
+            .or_default()
+            .entry(code)
+            .or_default() += 1;
         let nearer = self.nearest.as_ref().is_none_or(|nearest| {
-            let order = rank(code).cmp(&rank(nearest.code)).then(short.total_cmp(&nearest.short));
+            let order = rank(code)
+                .cmp(&rank(nearest.code))
+                .then(short.total_cmp(&nearest.short));
             order.is_lt()
         });
         if nearer {
-            self.nearest = Some(Nearest { node: node.to_owned(), zone: zone.to_owned(), code, short });
+            self.nearest = Some(Nearest {
+                node: node.to_owned(),
+                zone: zone.to_owned(),
+                code,
+                short,
+            });
         }
     }
 
@@ -78,7 +90,11 @@
 
     /// What rules nodes out and how many, the one that rules out most first.
     fn ordered(&self) -> Vec<(Code, u32)> {
-        let mut bars: Vec<(Code, u32)> = self.bars.iter().map(|(code, count)| (*code, *count)).collect();
+        let mut bars: Vec<(Code, u32)> = self
+            .bars
+            .iter()
+            .map(|(code, count)| (*code, *count))
+            .collect();
         bars.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
         bars
     }
@@ -98,13 +114,22 @@
     /// Zones in which a reason rules out nodes.
     pub fn zones_of(&self, code: Code) -> impl Iterator<Item = &str> {
         let there = move |(_, bars): &(&String, &BTreeMap<Code, u32>)| bars.contains_key(&code);
-        self.zones.iter().filter(there).map(|(zone, _)| zone.as_str())
+        self.zones
+            .iter()
+            .filter(there)
+            .map(|(zone, _)| zone.as_str())
     }
 
     /// Whether it says the same, leaving out by how much a node missed: that changes all the time.
     pub fn same(&self, other: &Self) -> bool {
         (self.nodes, &self.bars, &self.zones, self.block, &self.limit)
-            == (other.nodes, &other.bars, &other.zones, other.block, &other.limit)
+            == (
+                other.nodes,
+                &other.bars,
+                &other.zones,
+                other.block,
+                &other.limit,
+            )
     }
 
     /// In the style of the published scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
@@ -117,13 +142,20 @@
         }
         let one = |(code, count): (Code, u32)| match (&self.limit, code) {
             (Some(limit), Code::Spread) => {
-                format!("{count} {} limit of the service ({})", limit.place, limit.most)
+                format!(
+                    "{count} {} limit of the service ({})",
+                    limit.place, limit.most
+                )
             }
             _ => format!("{count} {}", code.words()),
         };
         let list: Vec<String> = self.ordered().into_iter().map(one).collect();
         let head = format!("{}/{} nodes are available", self.free(), self.nodes);
-        if list.is_empty() { head } else { format!("{head}: {}", list.join(", ")) }
+        if list.is_empty() {
+            head
+        } else {
+            format!("{head}: {}", list.join(", "))
+        }
     }
 
     /// What would have to change, in words.
@@ -132,17 +164,28 @@
             return Some(format!("nothing can be sent any more: {}", block.words()));
         }
         let nearest = self.nearest.as_ref()?;
-        let at = if nearest.zone.is_empty() { String::new() } else { format!(" in {}", nearest.zone) };
+        let at = if nearest.zone.is_empty() {
+            String::new()
+        } else {
+            format!(" in {}", nearest.zone)
+        };
         let node = &nearest.node;
         Some(match (nearest.code, &self.limit) {
             (Code::Cores, _) => format!("{:.1} cores more free on {node}{at}", nearest.short),
-            (Code::Memory, _) => format!("{:.1} memory units more free on {node}{at}", nearest.short),
+            (Code::Memory, _) => {
+                format!("{:.1} memory units more free on {node}{at}", nearest.short)
+            }
             (Code::Spread, Some(limit)) => {
-                format!("one copy of the service fewer in the {} of {node}{at}", limit.place)
+                format!(
+                    "one copy of the service fewer in the {} of {node}{at}",
+                    limit.place
+                )
             }
             (Code::SetAside, _) => format!("{node}{at} is tried again in {:.1} s", nearest.short),
             (Code::Line, _) => format!("an answer of {node}{at}"),
-            (Code::ColdBudget, _) => format!("{node}{at} has just come up and takes more in a moment"),
+            (Code::ColdBudget, _) => {
+                format!("{node}{at} has just come up and takes more in a moment")
+            }
             (Code::Draining, _) => format!("{node}{at} taken back into service"),
             (code, _) => format!("{node}{at}: {}", code.words()),
         })
--- a/crates/waiting/src/ledger.rs
+++ b/crates/waiting/src/ledger.rs
@@ -18,7 +18,11 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { most: 20_000, write_every: 1.0, after: 0.3 }
+        Self {
+            most: 20_000,
+            write_every: 1.0,
+            after: 0.3,
+        }
     }
 }
 
@@ -78,7 +82,14 @@
     /// Without records.
     pub fn new(settings: Settings) -> Self {
         let (records, names) = (BTreeMap::new(), BTreeMap::new());
-        Self { settings, records, names, past: VecDeque::new(), refused: 0, recent: VecDeque::new() }
+        Self {
+            settings,
+            records,
+            names,
+            past: VecDeque::new(),
+            refused: 0,
+            recent: VecDeque::new(),
+        }
     }
 
     /// A task waits from now on. Beyond the bound it gets no record, and that is counted.
@@ -87,14 +98,30 @@
             self.refused += 1;
             return;
         }
-        let record = Record { since: now, seen: now, ..record };
-        self.names.insert((record.namespace.clone(), record.pod.clone()), uid.to_owned());
-        self.records.insert(uid.to_owned(), Entry { record, written: None, count: 0 });
+        let record = Record {
+            since: now,
+            seen: now,
+            ..record
+        };
+        self.names.insert(
+            (record.namespace.clone(), record.pod.clone()),
+            uid.to_owned(),
+        );
+        self.records.insert(
+            uid.to_owned(),
+            Entry {
+                record,
+                written: None,
+                count: 0,
+            },
+        );
     }
 
     /// It waits no longer.
     pub fn close(&mut self, uid: &str) {
-        let Some(entry) = self.records.remove(uid) else { return };
+        let Some(entry) = self.records.remove(uid) else {
+            return;
+        };
         let key = (entry.record.namespace.clone(), entry.record.pod.clone());
         if self.names.get(&key).is_some_and(|known| known == uid) {
             self.names.remove(&key);
@@ -122,7 +149,9 @@
                 self.recent.push_back(word.diagnosis.clone());
             }
         }
-        let Some(entry) = self.records.get_mut(&word.uid) else { return };
+        let Some(entry) = self.records.get_mut(&word.uid) else {
+            return;
+        };
         let message = match &word.out {
             Some(node) => format!("an offer is out to {node}"),
             None => word.diagnosis.message(),
@@ -132,14 +161,18 @@
             None => message,
         };
         let bars = word.diagnosis.clone();
-        entry.hold(now, word.codes(), message, |code| bars.bars.get(&code).copied().unwrap_or(0));
+        entry.hold(now, word.codes(), message, |code| {
+            bars.bars.get(&code).copied().unwrap_or(0)
+        });
         entry.record.hint = word.diagnosis.hint();
         entry.record.word = Some(word);
     }
 
     /// The edge's own reason: nobody has it. A planner's older word does not hold any more.
     pub fn edge(&mut self, now: f64, uid: &str, code: Code) {
-        let Some(entry) = self.records.get_mut(uid) else { return };
+        let Some(entry) = self.records.get_mut(uid) else {
+            return;
+        };
         entry.record.word = None;
         entry.record.hint = Some(match code {
             Code::NoPlanner => "a planner that connects".to_owned(),
@@ -151,7 +184,11 @@
 
     /// A planner has taken it: what the edge said does not hold any more, and the planner has said nothing yet.
     pub fn taken(&mut self, now: f64, uid: &str) {
-        let Some(entry) = self.records.get_mut(uid).filter(|entry| !entry.record.codes.is_empty()) else {
+        let Some(entry) = self
+            .records
+            .get_mut(uid)
+            .filter(|entry| !entry.record.codes.is_empty())
+        else {
             return;
         };
         entry.hold(now, vec![], String::new(), |_| 0);
@@ -162,16 +199,25 @@
     pub fn due(&mut self, now: f64) -> Vec<Write> {
         let mut due = Vec::new();
         for (uid, entry) in &mut self.records {
-            let Some(&code) = entry.record.codes.first() else { continue };
+            let Some(&code) = entry.record.codes.first() else {
+                continue;
+            };
             let fresh = match &entry.written {
                 None => now - entry.record.since >= self.settings.after,
-                Some((at, text)) => now - at >= self.settings.write_every && *text != entry.record.message,
+                Some((at, text)) => {
+                    now - at >= self.settings.write_every && *text != entry.record.message
+                }
             };
             if fresh {
                 let message = entry.record.message.clone();
                 entry.written = Some((now, message.clone()));
                 entry.count += 1;
-                due.push(Write { uid: uid.clone(), message, code, count: entry.count });
+                due.push(Write {
+                    uid: uid.clone(),
+                    message,
+                    code,
+                    count: entry.count,
+                });
             }
         }
         due
@@ -180,15 +226,27 @@
     /// The record of a Pod: of one that waits, or the last one of that name that did.
     pub fn of(&self, namespace: &str, pod: &str) -> Option<&Record> {
         let key = (namespace.to_owned(), pod.to_owned());
-        let waits = self.names.get(&key).and_then(|uid| self.records.get(uid)).map(|entry| &entry.record);
-        let past = || self.past.iter().rev().find(|r| r.namespace == namespace && r.pod == pod);
+        let waits = self
+            .names
+            .get(&key)
+            .and_then(|uid| self.records.get(uid))
+            .map(|entry| &entry.record);
+        let past = || {
+            self.past
+                .iter()
+                .rev()
+                .find(|r| r.namespace == namespace && r.pod == pod)
+        };
         waits.or_else(past)
     }
 
     /// All that wait, of one namespace or of all ("").
     pub fn all<'a>(&'a self, namespace: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
         let wanted = move |record: &Record| namespace.is_empty() || record.namespace == namespace;
-        let all = self.records.iter().map(|(uid, entry)| (uid.as_str(), &entry.record));
+        let all = self
+            .records
+            .iter()
+            .map(|(uid, entry)| (uid.as_str(), &entry.record));
         all.filter(move |(_, record)| wanted(record))
     }
 
@@ -199,13 +257,24 @@
         for (_, record) in self.all("") {
             for &code in &record.codes {
                 let diagnosis = record.word.as_ref().map(|word| &word.diagnosis);
-                let mut zones: Vec<&str> = diagnosis.iter().flat_map(|found| found.zones_of(code)).collect();
+                let mut zones: Vec<&str> = diagnosis
+                    .iter()
+                    .flat_map(|found| found.zones_of(code))
+                    .collect();
                 if zones.is_empty() {
                     zones.push("");
                 }
                 for zone in zones {
-                    let key = (record.class.clone(), record.namespace.clone(), zone.to_owned(), code);
-                    let new = || Held { oldest: f64::INFINITY, ..Held::default() };
+                    let key = (
+                        record.class.clone(),
+                        record.namespace.clone(),
+                        zone.to_owned(),
+                        code,
+                    );
+                    let new = || Held {
+                        oldest: f64::INFINITY,
+                        ..Held::default()
+                    };
                     let held = fleet.entry(key).or_insert_with(new);
                     held.tasks += 1;
                     held.cores += record.asks[0];
--- a/crates/waiting/src/teller.rs
+++ b/crates/waiting/src/teller.rs
@@ -76,7 +76,8 @@
 
 impl Told {
     fn same(&self, draft: &Draft<'_>) -> bool {
-        let diagnosis = Arc::ptr_eq(&self.diagnosis, draft.diagnosis) || self.diagnosis.same(draft.diagnosis);
+        let diagnosis =
+            Arc::ptr_eq(&self.diagnosis, draft.diagnosis) || self.diagnosis.same(draft.diagnosis);
         // Answers only ever come: as many are the same, until the oldest are forgotten at their bound.
         diagnosis && self.out.as_deref() == draft.out && self.answers == draft.answers.len()
     }
@@ -97,7 +98,13 @@
     /// Tells of one task at most every `every` seconds, of an unchanged one every `repeat`, and of at most `most` in
     /// one go.
     pub fn new(every: f64, repeat: f64, most: usize) -> Self {
-        Self { every, repeat, most, told: BTreeMap::new(), steps: 0 }
+        Self {
+            every,
+            repeat,
+            most,
+            told: BTreeMap::new(),
+            steps: 0,
+        }
     }
 
     /// All that waits now; what of it is to be told. Tasks that are not in it any more are forgotten. Those that are
@@ -124,7 +131,13 @@
         due.into_iter()
             .map(|(_, draft)| {
                 let (diagnosis, out) = (draft.diagnosis.clone(), draft.out.map(str::to_owned));
-                let told = Told { at: now, diagnosis, out, answers: draft.answers.len(), step };
+                let told = Told {
+                    at: now,
+                    diagnosis,
+                    out,
+                    answers: draft.answers.len(),
+                    step,
+                };
                 self.told.insert(draft.uid.to_owned(), told);
                 draft.word()
             })
--- a/crates/waiting/tests/waiting.rs
+++ b/crates/waiting/tests/waiting.rs
@@ -5,7 +5,11 @@
 use tidespur_waiting::*;
 
 fn diagnosis(nodes: u32, bars: &[(Code, u32)]) -> Arc<Diagnosis> {
-    Arc::new(Diagnosis { nodes, bars: bars.iter().copied().collect(), ..Diagnosis::default() })
+    Arc::new(Diagnosis {
+        nodes,
+        bars: bars.iter().copied().collect(),
+        ..Diagnosis::default()
+    })
 }
 
 fn word(uid: &str, diagnosis: &Arc<Diagnosis>) -> Word {
@@ -48,22 +52,34 @@
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(Settings { most: 3, ..Settings::default() })
+    Ledger::new(Settings {
+        most: 3,
+        ..Settings::default()
+    })
 }
 
 #[test]
 fn a_message_counts_nodes_by_what_ruled_them_out_and_the_nearest_tells_what_would_help() {
-    let mut found = Diagnosis { nodes: 6, ..Diagnosis::default() };
+    let mut found = Diagnosis {
+        nodes: 6,
+        ..Diagnosis::default()
+    };
     found.bar("n1", "a", Code::Draining, 0.0);
     found.bar("n2", "a", Code::Memory, 2.5);
     found.bar("n3", "b", Code::Memory, 7.0);
     found.bar("n4", "b", Code::Spread, 0.0);
-    found.limit = Some(Limit { place: "rack".into(), most: 3 });
+    found.limit = Some(Limit {
+        place: "rack".into(),
+        most: 3,
+    });
     assert_eq!(
         found.message(),
         "2/6 nodes are available: 2 no memory, 1 draining, 1 rack limit of the service (3)"
     );
-    assert_eq!(found.hint().unwrap(), "2.5 memory units more free on n2 in a");
+    assert_eq!(
+        found.hint().unwrap(),
+        "2.5 memory units more free on n2 in a"
+    );
     assert_eq!(found.codes().first(), Some(&Code::Memory));
     assert_eq!(found.zones_of(Code::Memory).collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(found.zones_of(Code::Spread).collect::<Vec<_>>(), ["b"]);
@@ -75,14 +91,29 @@
 fn a_rack_that_fills_frees_and_fills_again_within_a_second_is_one_span_seen_twice() {
     let mut ledger = ledger();
     ledger.open(0.0, "u", record("p"));
-    for (at, code) in [(0.1, Code::Spread), (0.4, Code::Memory), (0.7, Code::Spread)] {
+    for (at, code) in [
+        (0.1, Code::Spread),
+        (0.4, Code::Memory),
+        (0.7, Code::Spread),
+    ] {
         ledger.told(at, word("u", &diagnosis(4, &[(code, 4)])));
     }
     let record = ledger.of("default", "p").unwrap();
     assert_eq!(record.codes, [Code::Spread]);
-    let spread = record.spans.iter().find(|span| span.code == Code::Spread).unwrap();
-    assert_eq!((spread.count, spread.first, spread.last, spread.over), (2, 0.1, 0.7, false));
-    let memory = record.spans.iter().find(|span| span.code == Code::Memory).unwrap();
+    let spread = record
+        .spans
+        .iter()
+        .find(|span| span.code == Code::Spread)
+        .unwrap();
+    assert_eq!(
+        (spread.count, spread.first, spread.last, spread.over),
+        (2, 0.1, 0.7, false)
+    );
+    let memory = record
+        .spans
+        .iter()
+        .find(|span| span.code == Code::Memory)
+        .unwrap();
     assert!(memory.over && memory.last == 0.4);
     // One write at first, then not again within a second.
     assert_eq!(ledger.due(0.7).len(), 1);
@@ -97,14 +128,27 @@
 fn a_nodes_refusal_stands_beside_the_policys_choice_and_is_told_apart() {
     let mut ledger = ledger();
     ledger.open(0.0, "u", record("p"));
-    let mut told = word("u", &diagnosis(2, &[(Code::Memory, 1), (Code::SetAside, 1)]));
+    let mut told = word(
+        "u",
+        &diagnosis(2, &[(Code::Memory, 1), (Code::SetAside, 1)]),
+    );
     told.answers.push(("n1".into(), "OutOfcpu".into()));
     ledger.told(0.5, told);
     let record = ledger.of("default", "p").unwrap();
-    let source = |code: Code| record.spans.iter().find(|span| span.code == code).map(|span| span.source);
+    let source = |code: Code| {
+        record
+            .spans
+            .iter()
+            .find(|span| span.code == code)
+            .map(|span| span.source)
+    };
     assert_eq!(source(Code::NodeRefused), Some(Source::Node));
     assert_eq!(source(Code::Memory), Some(Source::Policy));
-    assert!(record.message.ends_with("n1 answered: OutOfcpu"), "{}", record.message);
+    assert!(
+        record.message.ends_with("n1 answered: OutOfcpu"),
+        "{}",
+        record.message
+    );
 }
 
 #[test]
@@ -114,7 +158,10 @@
     ledger.told(0.5, word("u", &diagnosis(2, &[(Code::Memory, 2)])));
     ledger.edge(0.8, "u", Code::NoPlanner);
     let record = ledger.of("default", "p").unwrap();
-    assert_eq!((record.codes.as_slice(), record.word.is_none()), (&[Code::NoPlanner][..], true));
+    assert_eq!(
+        (record.codes.as_slice(), record.word.is_none()),
+        (&[Code::NoPlanner][..], true)
+    );
     assert_eq!(record.spans.len(), 2, "the history is kept");
 }
 
@@ -130,7 +177,12 @@
         ledger.told(0.5, word(uid, &shared));
     }
     let fleet = ledger.fleet();
-    let held = &fleet[&("termin-web".to_owned(), "default".to_owned(), String::new(), Code::Cores)];
+    let held = &fleet[&(
+        "termin-web".to_owned(),
+        "default".to_owned(),
+        String::new(),
+        Code::Cores,
+    )];
     assert_eq!((held.tasks, held.cores, held.memory), (3, 3.0, 6.0));
     ledger.close("a");
     let past = ledger.of("default", "a").unwrap();
--- a/fuzz/fuzz_targets/parsers.rs
+++ b/fuzz/fuzz_targets/parsers.rs
@@ -9,7 +9,9 @@
 use tidespur_api::{quantity, validate};
 use tidespur_link::{Decoder, ToEdge, ToPlanner, encode};
 
-fn frames<T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(data: &[u8]) {
+fn frames<T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(
+    data: &[u8],
+) {
     let mut decoder = Decoder::default();
     // In two parts, as a socket may bring it.
     let (a, b) = data.split_at(data.len() / 2);
@@ -17,7 +19,9 @@
     let _ = decoder.message::<T>();
     decoder.feed(b);
     while let Ok(Some(message)) = decoder.message::<T>() {
-        let Ok(bytes) = encode(&message) else { continue };
+        let Ok(bytes) = encode(&message) else {
+            continue;
+        };
         let mut again = Decoder::default();
         again.feed(&bytes);
         assert!(matches!(again.message::<T>(), Ok(Some(_))));
@@ -33,7 +37,11 @@
     if first.is_err() {
         return;
     }
-    let mut read: Vec<u8> = first.into_iter().flatten().flat_map(|message| message.bytes()).collect();
+    let mut read: Vec<u8> = first
+        .into_iter()
+        .flatten()
+        .flat_map(|message| message.bytes())
+        .collect();
     while let Ok(Some(message)) = decoder.message() {
         read.extend(message.bytes());
     }
@@ -41,7 +49,9 @@
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((first, data)) = data.split_first() else { return };
+    let Some((first, data)) = data.split_first() else {
+        return;
+    };
     let text = std::str::from_utf8(data).unwrap_or("");
     match first % 7 {
         0 => frames::<ToEdge>(data),
