--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -4,10 +4,10 @@
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 use std::sync::Arc;
-use tidespur_rig::checker::{self, Traffic};
-use tidespur_rig::oracle;
-use tidespur_rig::play::{Progress, play};
-use tidespur_rig::scenario::Scenario;
+use tidespur_testbed::checker::{self, Traffic};
+use tidespur_testbed::oracle;
+use tidespur_testbed::play::{Progress, play};
+use tidespur_testbed::scenario::Scenario;
 
 /// The day that is played where no file is named.
 pub const BAD_DAY: &str = include_str!("../../../scenarios/bad-day.hcl");
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use tidespur_rig::checker;
-use tidespur_rig::play::{Progress, play};
-use tidespur_rig::scenario::Scenario;
+use tidespur_testbed::checker;
+use tidespur_testbed::play::{Progress, play};
+use tidespur_testbed::scenario::Scenario;
 
 #[derive(Args)]
 pub struct DemoOptions {
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use tidespur_net::clock;
-use tidespur_rig::supervisor::{self, Action, Supervisor};
-use tidespur_rig::{Cluster, Layout};
+use tidespur_testbed::supervisor::{self, Action, Supervisor};
+use tidespur_testbed::{Cluster, Layout};
 
 #[derive(Args)]
 pub struct UpOptions {
@@ -170,14 +170,14 @@
     let mut layout = layout(options.nodes, options.planners, 1)?;
     layout.logs = Some(scratch.path().join("logs"));
     let (watchers, each) = (options.watchers.max(1), options.each.max(1));
-    let mut all = vec![tidespur_rig::measure::measure(
+    let mut all = vec![tidespur_testbed::measure::measure(
         layout.clone(),
         watchers,
         each,
     )?];
     if let Some(folder) = options.data {
         layout.data = Some(folder);
-        all.push(tidespur_rig::measure::measure(layout, watchers, each)?);
+        all.push(tidespur_testbed::measure::measure(layout, watchers, each)?);
     }
     for figures in all {
         println!(
--- a/crates/cli/tests/common/fleet.rs
+++ b/crates/cli/tests/common/fleet.rs
@@ -9,8 +9,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::sync::atomic::{AtomicU8, Ordering};
-use tidespur_rig::process::Process;
-use tidespur_rig::relay::Relay;
+use tidespur_testbed::process::Process;
+use tidespur_testbed::relay::Relay;
 
 /// The fleet; it ends with this value.
 pub struct Fleet {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use tidespur_rig::{Cluster, Layout};
+use tidespur_testbed::{Cluster, Layout};
 
 /// Clusters run one after the other, so that a small machine gives the same verdict.
 static ONE: Mutex<()> = Mutex::new(());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use tidespur_net::{Client, clock};
-use tidespur_rig::process::Process;
+use tidespur_testbed::process::Process;
 
 /// How long a view may take to settle. Waited for, not measured: small machines are slow.
 const WITHIN: f64 = 40.0;
--- a/crates/cli/tests/full.rs
+++ b/crates/cli/tests/full.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
-use tidespur_rig::process::Process;
+use tidespur_testbed::process::Process;
 
 const PATH: &str = "/apis/batch/v1/namespaces/default/jobs";
 
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng};
 use std::path::Path;
 use std::time::Duration;
-use tidespur_rig::process::Process;
-use tidespur_rig::relay::{Relay, Way};
+use tidespur_testbed::process::Process;
+use tidespur_testbed::relay::{Relay, Way};
 
 /// Drawn from this; LEDGER_ROUNDS plays more, outside CI.
 const SEED: u64 = 1_202;
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -21,7 +21,7 @@
 
 const JOBS: &str = "/apis/batch/v1/namespaces/default/jobs";
 
-fn remembering(layout: &mut tidespur_rig::Layout, folder: &Path) {
+fn remembering(layout: &mut tidespur_testbed::Layout, folder: &Path) {
     layout.data = Some(folder.join("data"));
 }
 
@@ -206,7 +206,7 @@
         let words = line.split(' ').map(str::to_owned).collect();
         let program = env!("CARGO_BIN_EXE_tidespur").into();
         let started =
-            tidespur_rig::process::Process::start(name, program, words, Some(log.clone()), true);
+            tidespur_testbed::process::Process::start(name, program, words, Some(log.clone()), true);
         assert!(started.is_err(), "{name} has started");
         std::fs::read_to_string(log).unwrap()
     };
--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -8,8 +8,8 @@
 
 use common::*;
 use fleet::*;
-use tidespur_rig::process::Process;
-use tidespur_rig::relay::Way;
+use tidespur_testbed::process::Process;
+use tidespur_testbed::relay::Way;
 
 /// What a planner goes by now: how many share, and the token under which that was said.
 fn shares(fleet: &Fleet, planner: usize) -> Option<(u32, u64)> {
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -13,7 +13,7 @@
 use kube::runtime::{WatchStreamExt, reflector, watcher};
 use serde_json::json;
 use std::collections::BTreeMap;
-use tidespur_standin::Fault;
+use tidespur_emulator::Fault;
 
 #[test]
 fn a_job_is_placed_runs_and_completes_before_the_eyes_of_a_watch() {
--- a/crates/ledger-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -12,8 +12,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use streams::Streams;
 use tidespur_config::Config;
-use tidespur_durable::{Disk, Recalled};
-use tidespur_ledger::{Input, Ledger, Settings, Standing};
+use tidespur_persistence::{Disk, Recalled};
+use tidespur_coordination::{Input, Ledger, Settings, Standing};
 use tidespur_net::{clock, routes::Routes};
 
 /// The lease of the one edge that acts for the whole fleet.
@@ -154,7 +154,7 @@
     pub fn report(&self) -> Value {
         let ledger = lock(&self.ledger);
         let now = clock::now();
-        let lease = |(name, lease): (&String, &tidespur_ledger::Lease)| {
+        let lease = |(name, lease): (&String, &tidespur_coordination::Lease)| {
             let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
             json!({"name": name, "token": lease.token, "holder": holder,
                 "mayActHere": ledger.may_act(now, name)})
--- a/crates/ledger-net/src/pack.rs
+++ b/crates/coordination-net/src/pack.rs
@@ -2,7 +2,7 @@
 //! missed, and those that were folded all say the same.
 
 use crate::streams::Frame;
-use tidespur_ledger::Word;
+use tidespur_coordination::Word;
 
 /// Words beyond so many bytes are packed.
 const PACK_FROM: usize = 64 << 10;
@@ -41,7 +41,7 @@
     use super::*;
     use omnipaxos::messages::Message;
     use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
-    use tidespur_ledger::Entry;
+    use tidespur_coordination::Entry;
 
     /// Guards a voter that was away for long: beyond a frame's bound its stream would break each time it is brought up
     /// to date, for ever.
@@ -54,7 +54,7 @@
             msg,
         });
         let frame = pack(Word::Agree(Box::new(message))).expect("within bounds");
-        let encoded = tidespur_link::encode(&frame).expect("it fits");
+        let encoded = tidespur_planner_protocol::encode(&frame).expect("it fits");
         assert!(
             encoded.len() < 1 << 18,
             "a frame may have four times as much"
--- a/crates/ledger-net/src/streams.rs
+++ b/crates/coordination-net/src/streams.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tidespur_config::Voters;
-use tidespur_ledger::Word;
+use tidespur_coordination::Word;
 use tidespur_net::routes::Routes;
 use tidespur_net::{clock, frames};
 
--- a/crates/ledger-net/src/turn.rs
+++ b/crates/coordination-net/src/turn.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use tidespur_durable::{Disk, Outbox};
-use tidespur_ledger::{Input, Ledger, Output, Standing, Word};
+use tidespur_persistence::{Disk, Outbox};
+use tidespur_coordination::{Input, Ledger, Output, Standing, Word};
 use tidespur_net::clock;
 
 /// Inputs that are taken into one step.
--- a/crates/ledger/examples/holder.rs
+++ b/crates/coordination/examples/holder.rs
@@ -1,5 +1,5 @@
 //! How long nobody holds a lease after its holder is killed, stands still or is cut off, and what an idle ledger says:
-//! `cargo run --release -p tidespur-ledger --example holder`. Simulated time and network; the term is 3 s.
+//! `cargo run --release -p tidespur-coordination --example holder`. Simulated time and network; the term is 3 s.
 
 #[allow(unused, reason = "the tests' world; each user takes a part")]
 #[path = "../tests/common/mod.rs"]
@@ -56,7 +56,7 @@
             world.cut(holder, i, 30.0);
             world.cut(i, holder, 30.0);
         }),
-        _ => world.tell(holder, tidespur_ledger::Input::GiveBack("l".into())),
+        _ => world.tell(holder, tidespur_coordination::Input::GiveBack("l".into())),
     }
     while world.now < from + 60.0 && !(0..voters).any(|i| i != holder && world.may_act(i).is_some())
     {
--- a/crates/ledger/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -5,7 +5,7 @@
 //! Harm: none known; a holder that is refused by name has lost its lease already.
 
 use std::collections::BTreeMap;
-use tidespur_durable::{Batch, Recalled};
+use tidespur_persistence::{Batch, Recalled};
 
 const FENCE: &str = "fence";
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -7,7 +7,7 @@
 use omnipaxos::OmniPaxos;
 use omnipaxos::util::NodeId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tidespur_durable::{Batch, Recalled};
+use tidespur_persistence::{Batch, Recalled};
 
 mod agree;
 mod talk;
--- a/crates/ledger/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -4,7 +4,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::de::DeserializeOwned;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use tidespur_durable::{Batch, Recalled};
+use tidespur_persistence::{Batch, Recalled};
 
 mod kept;
 mod storage;
--- a/crates/ledger/src/log/kept.rs
+++ b/crates/coordination/src/log/kept.rs
@@ -4,7 +4,7 @@
 use crate::{Entry, State};
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::Serialize;
-use tidespur_durable::Batch;
+use tidespur_persistence::Batch;
 
 #[derive(Debug, Default)]
 pub(super) struct Kept {
--- a/crates/ledger/src/words.rs
+++ b/crates/coordination/src/words.rs
@@ -4,7 +4,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
-use tidespur_durable::Batch;
+use tidespur_persistence::Batch;
 
 /// What a voter is started with.
 #[derive(Clone, Debug)]
--- a/crates/ledger/tests/sim.rs
+++ b/crates/coordination/tests/sim.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tidespur_ledger::{Input, Standing};
+use tidespur_coordination::{Input, Standing};
 
 /// Drawn runs; more by LEDGER_SEEDS, outside CI.
 fn seeds() -> u64 {
@@ -127,7 +127,7 @@
     world.run(10.0);
     assert_eq!(world.voting(), 3);
     world.kill(2);
-    world.voters[2].disk = tidespur_durable::Recalled {
+    world.voters[2].disk = tidespur_persistence::Recalled {
         begun: 77,
         ..Default::default()
     };
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 use std::time::Instant;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_durable::{Batch, Identity, Memory};
+use tidespur_persistence::{Batch, Identity, Memory};
 use tidespur_edge::core::Core;
 use tidespur_store::{Limits, Store};
 
@@ -37,7 +37,7 @@
         memory.write(&batch)?;
         drop(memory);
         let size =
-            std::fs::metadata(folder.path().join(tidespur_durable::FILE))?.len() as f64 / 1e6;
+            std::fs::metadata(folder.path().join(tidespur_persistence::FILE))?.len() as f64 / 1e6;
         let start = Instant::now();
         let (_memory, back) = Memory::open(folder.path(), &who)?;
         let opened = start.elapsed().as_secs_f64();
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -10,10 +10,10 @@
 use tidespur_api::resource::{EVENTS, JOBS, PODS};
 use tidespur_api::{Object, meta};
 use tidespur_config::{Config, Effect};
-use tidespur_controller::{self as controller, Controller};
-use tidespur_link::{ToEdge, ToPlanner};
+use tidespur_job_controller::{self as controller, Controller};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_store::{Follower, Store};
-use tidespur_waiting::Ledger;
+use tidespur_pending::Ledger;
 
 mod nodes;
 mod read;
--- a/crates/edge/src/core/read.rs
+++ b/crates/edge/src/core/read.rs
@@ -7,7 +7,7 @@
 use tidespur_api::resource::PODS;
 use tidespur_api::{Object, meta, names, task};
 use tidespur_config::Effect;
-use tidespur_controller::{self as controller, JobView, PodView};
+use tidespur_job_controller::{self as controller, JobView, PodView};
 use tidespur_store::{ChangeKind, Expect, Store};
 
 impl Core {
--- a/crates/edge/src/core/says.rs
+++ b/crates/edge/src/core/says.rs
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use tidespur_api::resource::{EVENTS, JOBS, PODS};
 use tidespur_api::{Object, meta, names};
-use tidespur_controller::{self as controller, PodView, SlotId};
-use tidespur_link::ToPlanner;
+use tidespur_job_controller::{self as controller, PodView, SlotId};
+use tidespur_planner_protocol::ToPlanner;
 use tidespur_store::{Expect, Store};
 
 impl Core {
--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -3,10 +3,10 @@
 use crate::run::Loop;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use tidespur_fleet::{Role, Standing};
-use tidespur_ledger::Input;
-use tidespur_ledger_net::FLEET;
-use tidespur_link::ToPlanner;
+use tidespur_membership::{Role, Standing};
+use tidespur_coordination::Input;
+use tidespur_coordination_net::FLEET;
+use tidespur_planner_protocol::ToPlanner;
 use tidespur_net::clock;
 use tidespur_recovery::{Output, Seen, Sharers};
 
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_api::task::Ask;
-use tidespur_link::{Found, ToPlanner};
-use tidespur_waiting::Code;
+use tidespur_planner_protocol::{Found, ToPlanner};
+use tidespur_pending::Code;
 
 mod deal;
 mod due;
--- a/crates/edge/src/desk/deal.rs
+++ b/crates/edge/src/desk/deal.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::hash::Hasher;
 use tidespur_api::task::Ask;
-use tidespur_link::ToPlanner;
+use tidespur_planner_protocol::ToPlanner;
 
 impl Desk {
     /// Gives queued tasks to planners with room.
--- a/crates/edge/src/desk/due.rs
+++ b/crates/edge/src/desk/due.rs
@@ -1,7 +1,7 @@
 //! What is due: answers at deadlines, and answers to questions.
 
 use super::{Action, Desk, Question, Stage, Task};
-use tidespur_link::{End, Found, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToPlanner};
 
 impl Desk {
     /// Answers what has no answer at its deadline. A planner that is alive has answered by then, so this is for one
--- a/crates/edge/src/desk/planners.rs
+++ b/crates/edge/src/desk/planners.rs
@@ -1,7 +1,7 @@
 //! Planners that are lost, and what planners say.
 
 use super::{Action, Desk, PlannerId, Stage, Task};
-use tidespur_link::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 
 impl Desk {
     /// What a lost planner had been told to place may have been offered: it fails, which promises nothing, or is
--- a/crates/edge/src/desk/words.rs
+++ b/crates/edge/src/desk/words.rs
@@ -2,7 +2,7 @@
 
 use super::PlannerId;
 use tidespur_api::task::Ask;
-use tidespur_link::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 
 /// Bounds and times.
 #[derive(Clone, Debug)]
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -12,13 +12,13 @@
 use tidespur_api::resource::{EVENTS, JOBS, NAMESPACES, PODS};
 use tidespur_api::status::Cause;
 use tidespur_api::{ApiError, Object, Resource, meta, names};
-use tidespur_fleet_net::Member;
-use tidespur_ledger_net::Voter;
+use tidespur_membership_net::Member;
+use tidespur_coordination_net::Voter;
 use tidespur_net::{Client, NetError, Recorder, clock};
 use tidespur_rest::{DeleteOptions, Hooks, Seen, Verb};
-use tidespur_shedding::LoadShedder;
+use tidespur_load_shedding::LoadShedder;
 use tidespur_store::{Expect, Store};
-use tidespur_waiting::Ledger;
+use tidespur_pending::Ledger;
 
 mod parts;
 mod waits;
@@ -234,7 +234,7 @@
                 ([], "GET") => Ok(voter.report()),
                 // An operator's word.
                 (["readmit", name], "POST") => {
-                    voter.tell(tidespur_ledger::Input::Readmit((*name).to_owned()));
+                    voter.tell(tidespur_coordination::Input::Readmit((*name).to_owned()));
                     Ok(voter.report())
                 }
                 _ => Err(ApiError::method()),
@@ -243,7 +243,7 @@
         if let (["debug", "fleet"], "GET") = (parts.as_slice(), method) {
             let off = || ApiError::not_found("fleet", "none: this edge has joined no fleet");
             let report =
-                |member: &Arc<Member>| tidespur_fleet_net::report(&member.view(), clock::now());
+                |member: &Arc<Member>| tidespur_membership_net::report(&member.view(), clock::now());
             return Some(self.member.as_ref().map(report).ok_or_else(off));
         }
         let ["debug", "waits", rest @ ..] = parts.as_slice() else {
--- a/crates/edge/src/hooks/waits.rs
+++ b/crates/edge/src/hooks/waits.rs
@@ -3,7 +3,7 @@
 use super::RECORDS_MOST;
 use serde_json::json;
 use tidespur_api::{ApiError, Object};
-use tidespur_waiting::{Code, Held, Ledger, Record};
+use tidespur_pending::{Code, Held, Ledger, Record};
 
 pub(super) fn told(ledger: &Ledger, rest: &[&str]) -> Result<Object, ApiError> {
     match rest {
--- a/crates/edge/src/keep.rs
+++ b/crates/edge/src/keep.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS, RESOURCES};
 use tidespur_api::{Object, Resource};
-use tidespur_controller::Kept;
-use tidespur_durable::{Batch, Error};
+use tidespur_job_controller::Kept;
+use tidespur_persistence::{Batch, Error};
 use tidespur_store::Store;
 
 mod recall;
--- a/crates/edge/src/keep/recall.rs
+++ b/crates/edge/src/keep/recall.rs
@@ -8,10 +8,10 @@
 use tidespur_api::resource::{JOBS, PODS, RESOURCES};
 use tidespur_api::{Object, meta, names, task};
 use tidespur_config::Effect;
-use tidespur_controller::{
+use tidespur_job_controller::{
     self as controller, JobView, Kept, Past, Phase, PodEnd, PodPhase, PodView,
 };
-use tidespur_durable::Recalled;
+use tidespur_persistence::Recalled;
 use tidespur_store::{Follower, Store};
 
 /// A record that this program wrote and can't read.
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tidespur_config::Config;
-use tidespur_durable::{Identity, Memory, Recalled};
+use tidespur_persistence::{Identity, Memory, Recalled};
 use tidespur_store::Store;
 
 /// The disk as all of the edge's loops see it; `None` where all is kept in memory only.
@@ -16,7 +16,7 @@
 /// The disk, and how far what was told rests on it.
 pub(crate) struct Disk {
     /// Where batches go.
-    pub(crate) disk: Arc<tidespur_durable::Disk>,
+    pub(crate) disk: Arc<tidespur_persistence::Disk>,
     /// Versions up to this are safe.
     safe: AtomicU64,
     bell: Event,
@@ -43,7 +43,7 @@
         name,
         cluster: config.cluster().to_owned(),
     };
-    tidespur_durable::Disk::open(&folder, &who)
+    tidespur_persistence::Disk::open(&folder, &who)
         .map(Some)
         .map_err(|e| e.to_string())
 }
@@ -93,7 +93,7 @@
             .recall(now, recalled, store)
             .map_err(|e| e.to_string())?;
         tracing::info!(?back, "returned");
-        let disk = Arc::new(tidespur_durable::Disk::start(memory).map_err(|e| e.to_string())?);
+        let disk = Arc::new(tidespur_persistence::Disk::start(memory).map_err(|e| e.to_string())?);
         store.keep();
         store.show(store.version());
         Ok(Self {
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::AtomicU64;
-use tidespur_waiting::Ledger;
+use tidespur_pending::Ledger;
 
 /// Namespaces that are shown by name.
 const NAMESPACES_MOST: usize = 50;
@@ -30,7 +30,7 @@
     open: usize,
     planners: usize,
     behind: u64,
-    disk: Option<&tidespur_durable::Disk>,
+    disk: Option<&tidespur_persistence::Disk>,
 ) -> String {
     let mut registry = Registry::with_prefix("tidespur");
     let (tasks, cores, memory) = (Gauges::default(), Gauges::default(), Gauges::default());
@@ -90,7 +90,7 @@
         "Tasks beyond the most records that are kept",
         unrecorded,
     );
-    let mut sums: BTreeMap<(String, String, String, tidespur_waiting::Code), [f64; 3]> =
+    let mut sums: BTreeMap<(String, String, String, tidespur_pending::Code), [f64; 3]> =
         BTreeMap::new();
     let (mut namespaces, mut zones) = (BTreeSet::new(), BTreeSet::new());
     let bounded = |named: &mut BTreeSet<String>, name: String, most: usize| {
--- a/crates/edge/src/pods.rs
+++ b/crates/edge/src/pods.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
-use tidespur_controller::{Adopt, JobStatus, Phase, SlotId};
-use tidespur_link::End;
+use tidespur_job_controller::{Adopt, JobStatus, Phase, SlotId};
+use tidespur_planner_protocol::End;
 
 /// A Pod of a Job's slot.
 pub(crate) fn make(
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -7,10 +7,10 @@
 use async_channel::Receiver;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use tidespur_durable::Outbox;
-use tidespur_fleet::Facts;
-use tidespur_fleet_net::{Ending, Member};
-use tidespur_link::ToPlanner;
+use tidespur_persistence::Outbox;
+use tidespur_membership::Facts;
+use tidespur_membership_net::{Ending, Member};
+use tidespur_planner_protocol::ToPlanner;
 use tidespur_net::clock;
 
 /// Inputs that are taken into one step.
--- a/crates/edge/tests/desk.rs
+++ b/crates/edge/tests/desk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use tidespur_api::task::Ask;
 use tidespur_edge::desk::*;
-use tidespur_link::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 
 fn desk() -> Desk {
     Desk::new(Settings {
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -6,10 +6,10 @@
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT, parse};
-use tidespur_durable::{Batch, Recalled};
+use tidespur_persistence::{Batch, Recalled};
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
-use tidespur_link::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
 /// What really runs, whoever knows of it: it outlives every cut.
--- a/crates/platform-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -3,8 +3,8 @@
 use crate::StartError;
 use serde::Deserialize;
 use std::path::PathBuf;
-use tidespur_platform::discovery::{self, Delivery, WireEvent};
-use tidespur_settings::{Info, Site};
+use tidespur_gateway::discovery::{self, Delivery, WireEvent};
+use tidespur_site_settings::{Info, Site};
 
 #[derive(Deserialize)]
 struct Wire {
@@ -73,7 +73,7 @@
         .map(|notice| discovery::read(&site, notice))
         .collect();
     let seed = u64::from_str_radix(&wire.seed, 16)
-        .unwrap_or_else(|_| tidespur_settings::words::hash(&wire.seed));
+        .unwrap_or_else(|_| tidespur_site_settings::words::hash(&wire.seed));
     Ok(Config {
         name: wire.name,
         listen: wire.listen,
--- a/crates/platform-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tidespur_net::{Client, clock};
-use tidespur_platform::discovery::Events;
+use tidespur_gateway::discovery::Events;
 
 /// A comment comes each second: silence for this long is an end.
 const SILENCE: f64 = 2.0;
--- a/crates/platform-net/src/lib.rs
+++ b/crates/gateway-net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets, timers and signals of the platform's gateway. Decides nothing: see [`tidespur_platform::Gateway`].
+//! Sockets, timers and signals of the platform's gateway. Decides nothing: see [`tidespur_gateway::Gateway`].
 
 pub mod config;
 mod discovery;
--- a/crates/platform-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -17,10 +17,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use tidespur_net::clock;
-use tidespur_platform::input_queue::{InputQueue, Sequence};
-use tidespur_platform::message::{Decoder, Id, Message};
-use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId};
+use tidespur_gateway::input_queue::{InputQueue, Sequence};
+use tidespur_gateway::message::{Decoder, Id, Message};
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId};
 use upstream::Upstream;
 
 /// A line of counters goes to the log this often.
--- a/crates/platform-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -27,7 +27,7 @@
         let (this, that) = (self.clone(), self.clone());
         let delivered = move || this.gateway.borrow().delivered();
         let take = move |data: &str| {
-            let event = tidespur_platform::discovery::event(that.gateway.borrow().site(), data);
+            let event = tidespur_gateway::discovery::event(that.gateway.borrow().site(), data);
             match event {
                 Ok(event) => that.step(vec![Input::Delivered(event)]),
                 Err(problem) => tracing::warn!(scheduler = that.name, %problem),
--- a/crates/platform-net/src/socket.rs
+++ b/crates/gateway-net/src/socket.rs
@@ -223,7 +223,7 @@
     /// Its bytes.
     pub socket: Rc<Socket>,
     /// What was read of the peer's next message.
-    pub decoder: RefCell<tidespur_platform::message::Decoder>,
+    pub decoder: RefCell<tidespur_gateway::message::Decoder>,
     /// Since when a message is begun and not whole.
     pub half_since: Cell<Option<f64>>,
     /// When it was accepted.
@@ -233,7 +233,7 @@
     /// Its end, or what can't be read, was seen: nothing more is read.
     pub ended: Cell<bool>,
     /// The last of what it said.
-    pub said: Cell<tidespur_platform::input_queue::Sequence>,
+    pub said: Cell<tidespur_gateway::input_queue::Sequence>,
 }
 
 impl Connection {
--- a/crates/platform-net/tests/socket.rs
+++ b/crates/gateway-net/tests/socket.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use tidespur_platform_net::socket::{Socket, Wrote};
+use tidespur_gateway_net::socket::{Socket, Wrote};
 
 fn pair() -> (Socket, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/platform/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -3,7 +3,7 @@
 use crate::message::{Message, code};
 use std::collections::BTreeMap;
 use tidespur_policy::interface::{Note, Report, Seconds, ServiceId, Task, TaskId, Why};
-use tidespur_settings::{Site, words};
+use tidespur_site_settings::{Site, words};
 
 /// An owner that says that it waits longer than this is not believed.
 const WAIT_MOST: Seconds = 3600.0;
--- a/crates/platform/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use tidespur_policy::interface::{Entry, MachineId, Standing};
-use tidespur_settings::{Site, words};
+use tidespur_site_settings::{Site, words};
 
 /// One event may hold so many bytes.
 const EVENT_MOST: usize = 1 << 20;
--- a/crates/platform/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -26,8 +26,8 @@
 use tidespur_policy::interface::{
     Action, Effect, Ending, Event, MachineId, Report, Seconds, Standing, TaskId, Why,
 };
-use tidespur_settings::Site;
-use tidespur_shedding::LoadShedder;
+use tidespur_site_settings::Site;
+use tidespur_load_shedding::LoadShedder;
 
 /// Set-ups without an answer on one connection; more are refused at once.
 const OPEN_MOST: usize = 256;
--- a/crates/platform/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tidespur_platform::message::{Id, Kind, Message, cause, code};
-use tidespur_platform::{DownstreamId, Input, Output};
+use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::{DownstreamId, Input, Output};
 
 #[test]
 fn set_ups_that_cant_be_used_are_told_so_at_once_and_reach_no_machine() {
--- a/crates/platform/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Bytes to messages and back, whatever the bytes are. proptest prints the seed of what fails.
 
 use proptest::prelude::*;
-use tidespur_platform::message::{Decoder, Id, Kind, MESSAGE_MOST, Message, MessageError};
+use tidespur_gateway::message::{Decoder, Id, Kind, MESSAGE_MOST, Message, MessageError};
 
 fn kinds() -> impl Strategy<Value = Kind> {
     prop::sample::select(vec![
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::{IpAddr, Ipv4Addr};
-use tidespur_platform::message::{Decoder, Id, Kind, Message, code};
-use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{
+use tidespur_gateway::message::{Decoder, Id, Kind, Message, code};
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{
     DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
 };
-use tidespur_settings::{Info, Site};
+use tidespur_site_settings::{Info, Site};
 
 pub const OWNER: DownstreamId = DownstreamId(1);
 pub const OTHER: DownstreamId = DownstreamId(2);
--- a/crates/platform/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -6,13 +6,13 @@
 
 use super::common::*;
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_platform::input_queue::InputQueue;
-use tidespur_platform::message::{Id, Kind, Message, cause, code};
-use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{
+use tidespur_gateway::input_queue::InputQueue;
+use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{
     DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
 };
-use tidespur_settings::Info;
+use tidespur_site_settings::Info;
 
 pub const MACHINES: usize = 400;
 pub const LOST: usize = 140;
--- a/crates/platform/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use std::collections::BTreeMap;
-use tidespur_platform::message::{Id, Kind, Message, cause, code};
-use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{Input, Limits, Output, UpstreamId};
+use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{Input, Limits, Output, UpstreamId};
 
 #[test]
 fn an_end_that_came_before_a_write_failed_is_not_lost() {
--- a/crates/platform/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tidespur_platform::Input;
-use tidespur_platform::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::Input;
+use tidespur_gateway::message::{Id, Kind, Message, cause, code};
 
 #[test]
 fn a_task_is_offered_and_the_machines_description_passed_on_unchanged() {
--- a/crates/platform/tests/input_queue.rs
+++ b/crates/gateway/tests/input_queue.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use tidespur_platform::input_queue::{InputQueue, Sequence};
-use tidespur_platform::message::{Id, Kind, cause};
-use tidespur_platform::{Input, UpstreamId};
+use tidespur_gateway::input_queue::{InputQueue, Sequence};
+use tidespur_gateway::message::{Id, Kind, cause};
+use tidespur_gateway::{Input, UpstreamId};
 
 fn is_asked(input: &Input) -> bool {
     matches!(
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tidespur_platform::message::{Id, Kind, cause};
-use tidespur_platform::{DownstreamId, Input, Output, Seen};
+use tidespur_gateway::message::{Id, Kind, cause};
+use tidespur_gateway::{DownstreamId, Input, Output, Seen};
 
 fn ends(p: &Played) -> bool {
     p.out.iter().any(|output| matches!(output, Output::End(_)))
--- a/crates/platform/tests/standing.rs
+++ b/crates/gateway/tests/standing.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tidespur_platform::Input;
-use tidespur_platform::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::Input;
+use tidespur_gateway::message::{Id, Kind, Message, cause, code};
 
 #[test]
 fn the_end_of_a_standing_task_is_passed_on_from_any_connection_to_its_machine() {
@@ -84,7 +84,7 @@
     let text = r#"{"rev":3,"pool":{"reset":false,"instances":[{"instanceId":"new","hostPort":"127.0.1.1:9",
         "zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","startedAtMs":5}]}}"#;
     p.step(Input::Delivered(
-        tidespur_platform::discovery::event(&site(), text).unwrap(),
+        tidespur_gateway::discovery::event(&site(), text).unwrap(),
     ));
     assert_eq!(p.told(OWNER), [release(5, cause::FAILED)]);
 }
@@ -104,7 +104,7 @@
         let both = if new_first { [new, old] } else { [old, new] }.join(",");
         let text = format!(r#"{{"rev":3,"pool":{{"reset":false,"instances":[{both}]}}}}"#);
         p.step(Input::Delivered(
-            tidespur_platform::discovery::event(&site(), &text).unwrap(),
+            tidespur_gateway::discovery::event(&site(), &text).unwrap(),
         ));
         assert_eq!(
             p.told(OWNER),
--- a/crates/platform/tests/withheld.rs
+++ b/crates/gateway/tests/withheld.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::*;
-use tidespur_platform::message::{Id, Kind, cause};
-use tidespur_platform::pool::PoolAction;
-use tidespur_platform::{Input, Output, Seen, UpstreamId};
+use tidespur_gateway::message::{Id, Kind, cause};
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{Input, Output, Seen, UpstreamId};
 
 /// One input without the answers to looks; tells who is to be looked at.
-fn plain(p: &mut Played, input: Input) -> Vec<tidespur_platform::DownstreamId> {
+fn plain(p: &mut Played, input: Input) -> Vec<tidespur_gateway::DownstreamId> {
     p.out.clear();
     p.gateway.step(p.now, [input], &mut p.out);
     let looks = |output: &Output| match output {
--- a/crates/controller/src/job.rs
+++ b/crates/job-controller/src/job.rs
@@ -5,7 +5,7 @@
 use crate::{Action, JobView, PodEnd, PodPhase, PodView, Settings};
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
-use tidespur_link::Found;
+use tidespur_planner_protocol::Found;
 
 mod shape;
 
--- a/crates/controller/src/slot.rs
+++ b/crates/job-controller/src/slot.rs
@@ -3,7 +3,7 @@
 use crate::{PodEnd, PodPhase, PodView, Settings};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
-use tidespur_link::{End, Found};
+use tidespur_planner_protocol::{End, Found};
 
 /// Names a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/controller/src/words.rs
+++ b/crates/job-controller/src/words.rs
@@ -1,7 +1,7 @@
 //! What the controller is told, and what it wants done.
 
 use crate::{Adopt, JobStatus, JobView, Kept, Past, PodView, SlotId};
-use tidespur_link::Found;
+use tidespur_planner_protocol::Found;
 
 /// What the controller is told.
 #[derive(Clone, Debug)]
--- a/crates/controller/tests/owner.rs
+++ b/crates/job-controller/tests/owner.rs
@@ -1,8 +1,8 @@
 //! The owner: how many Pods stand, when one is asked for again, and that nothing guarded starts twice.
 
 use std::collections::BTreeSet;
-use tidespur_controller::*;
-use tidespur_link::Found;
+use tidespur_job_controller::*;
+use tidespur_planner_protocol::Found;
 
 struct World {
     controller: Controller,
--- a/crates/shedding/tests/shedding.rs
+++ b/crates/load-shedding/tests/shedding.rs
@@ -1,6 +1,6 @@
 //! A loop with a modelled speed, under more work than it can do, and after that.
 
-use tidespur_shedding::LoadShedder;
+use tidespur_load_shedding::LoadShedder;
 
 /// Plays `rate(t)` pieces of work a second, each worth by turns 1 and 5, to a loop that does `speed` a second
 /// and turns away those that `shedding` does not admit. Tells by second: the lateness at its end, the share shed,
--- a/crates/fleet-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tidespur_config::Config;
-use tidespur_fleet::{DATAGRAM_MOST, Facts, Fleet, Id, Input, Output, Settings, View};
+use tidespur_membership::{DATAGRAM_MOST, Facts, Fleet, Id, Input, Output, Settings, View};
 use tidespur_net::clock;
 
 /// Datagrams that are taken into one step.
@@ -270,7 +270,7 @@
 
 /// A view as JSON, for operators and their tools. `now` is the asked member's clock.
 pub fn report(view: &View, now: f64) -> Value {
-    let member = |seen: &tidespur_fleet::Seen| {
+    let member = |seen: &tidespur_membership::Seen| {
         let facts = seen.facts.as_ref();
         json!({"name": seen.id.name, "address": seen.id.address.to_string(), "incarnation": seen.id.born,
             "turn": seen.id.turn, "state": seen.standing.word(), "for": (now - seen.since).max(0.0),
--- a/crates/fleet/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,7 +1,7 @@
 //! One or a few members, with what comes from outside.
 
 use std::net::SocketAddr;
-use tidespur_fleet::{
+use tidespur_membership::{
     DATAGRAM_MOST, Drop, Facts, Fleet, Id, Input, Output, Role, Settings, Standing,
 };
 
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -5,7 +5,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use smol::net::TcpStream;
 use std::sync::Mutex;
-use tidespur_link::{Decoder, FrameError, Liveness, encode};
+use tidespur_planner_protocol::{Decoder, FrameError, Liveness, encode};
 
 /// Reads frames until the socket ends; `Err` says why it can't go on.
 pub struct FrameReader {
--- a/crates/waiting/tests/waiting.rs
+++ b/crates/pending/tests/waiting.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::sync::Arc;
-use tidespur_waiting::*;
+use tidespur_pending::*;
 
 fn diagnosis(nodes: u32, bars: &[(Code, u32)]) -> Arc<Diagnosis> {
     Arc::new(Diagnosis {
--- a/crates/durable/tests/cuts.rs
+++ b/crates/persistence/tests/cuts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io::Error as BackendIoError;
 use std::sync::{Arc, Mutex};
-use tidespur_durable::{Batch, Identity, Memory, Record};
+use tidespur_persistence::{Batch, Identity, Memory, Record};
 
 #[derive(Clone, Debug)]
 enum Op {
--- a/crates/durable/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 use std::time::Duration;
-use tidespur_durable::{Batch, Error, FILE, Identity, Memory, Outbox, Writer, export};
+use tidespur_persistence::{Batch, Error, FILE, Identity, Memory, Outbox, Writer, export};
 
 fn who(name: &str, cluster: &str) -> Identity {
     Identity {
@@ -195,7 +195,7 @@
         );
     }
     let mut batch = Batch::default();
-    let large = batch.put("object", "x", vec![0; tidespur_durable::RECORD_MOST]);
+    let large = batch.put("object", "x", vec![0; tidespur_persistence::RECORD_MOST]);
     assert!(matches!(large, Err(Error::TooLarge { .. })) && batch.is_empty());
 }
 
--- a/crates/link/src/message.rs
+++ b/crates/planner-protocol/src/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::task::Ask;
-use tidespur_waiting::Word;
+use tidespur_pending::Word;
 
 /// From an edge to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/link/tests/frames.rs
+++ b/crates/planner-protocol/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use tidespur_api::task::Ask;
-use tidespur_link::*;
+use tidespur_planner_protocol::*;
 
 fn message(uid: &str, n: u32) -> ToPlanner {
     match n % 3 {
@@ -30,7 +30,7 @@
 #[test]
 fn a_frame_too_long_is_refused_by_its_head() {
     let mut decoder = Decoder::default();
-    let version = tidespur_link::VERSION.to_be_bytes();
+    let version = tidespur_planner_protocol::VERSION.to_be_bytes();
     decoder.feed(&[0xff, 0xff, 0xff, 0xff, version[0], version[1]]);
     assert!(matches!(
         decoder.message::<ToPlanner>(),
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tidespur_api::task::Ask;
-use tidespur_link::{ToEdge, ToPlanner};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_planner::core::{Core, Input, Output};
 
 const NODES: usize = 200;
--- a/crates/planner/src/attempts.rs
+++ b/crates/planner/src/attempts.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_durable::{Batch, Recalled};
+use tidespur_persistence::{Batch, Recalled};
 
 const ATTEMPT: &str = "attempt";
 /// An offer that can't be read any more at its node may still be worked on there for this long, in seconds.
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -10,11 +10,11 @@
 use tidespur_api::task::Ask;
 use tidespur_api::{Object, meta, names};
 use tidespur_config::Config;
-use tidespur_durable::Batch;
-use tidespur_ledger::Fence;
+use tidespur_persistence::Batch;
+use tidespur_coordination::Fence;
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::{Effect, Event, SettingsError, TaskId};
-use tidespur_shedding::LoadShedder;
+use tidespur_load_shedding::LoadShedder;
 
 mod acts;
 mod edges;
--- a/crates/planner/src/core/acts.rs
+++ b/crates/planner/src/core/acts.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, LOCATE_FOR, Output, UNWANTED_FOR};
 use crate::book::Stage;
-use tidespur_link::{End, Found, ToEdge};
+use tidespur_planner_protocol::{End, Found, ToEdge};
 use tidespur_policy::interface::Action;
 
 impl Core {
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -5,7 +5,7 @@
 use crate::nodes::Standing;
 use crate::words;
 use tidespur_api::task::Ask;
-use tidespur_link::{End, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, ToEdge, ToPlanner};
 use tidespur_policy::interface::{Ending, Event, Task, TaskId};
 
 impl Core {
--- a/crates/planner/src/core/nodes.rs
+++ b/crates/planner/src/core/nodes.rs
@@ -4,7 +4,7 @@
 use crate::book::Stage;
 use crate::nodes::Held;
 use crate::words::{self, AtNode};
-use tidespur_link::{End, ToEdge};
+use tidespur_planner_protocol::{End, ToEdge};
 use tidespur_policy::interface::{Ending, Event, TaskId};
 
 impl Core {
--- a/crates/planner/src/core/take.rs
+++ b/crates/planner/src/core/take.rs
@@ -4,7 +4,7 @@
 use crate::nodes::Standing;
 use crate::words::{self, AtNode};
 use std::collections::BTreeSet;
-use tidespur_link::End;
+use tidespur_planner_protocol::End;
 use tidespur_policy::interface::{Entry, Event, Standing as Listing};
 
 impl Core {
--- a/crates/planner/src/core/talk.rs
+++ b/crates/planner/src/core/talk.rs
@@ -3,7 +3,7 @@
 use crate::book::EdgeId;
 use tidespur_api::Object;
 use tidespur_api::task::Ask;
-use tidespur_link::{ToEdge, ToPlanner};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_policy::interface::{Ending, Report, TaskId};
 
 /// What the planner is told.
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use tidespur_fleet::{Facts, Role, Standing};
-use tidespur_fleet_net::{Ending, Member};
-use tidespur_link::{ToEdge, ToPlanner};
+use tidespur_membership::{Facts, Role, Standing};
+use tidespur_membership_net::{Ending, Member};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_net::{clock, frames};
 
 impl Loop {
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -30,7 +30,7 @@
     let arguments = Arguments::parse();
     tidespur_net::logs(arguments.log_json);
     let ran = match (arguments.front, arguments.options) {
-        (Some(Front::Platform), _) => tidespur_platform_net::run().map_err(|e| e.to_string()),
+        (Some(Front::Platform), _) => tidespur_gateway_net::run().map_err(|e| e.to_string()),
         (None, Some(options)) => tidespur_config::load_or_default(options.config.as_deref())
             .map_err(|e| e.to_string())
             .and_then(|config| smol::block_on(tidespur_planner::run(config, options))),
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::words::AtNode;
 use std::collections::BTreeMap;
-use tidespur_link::{End, Found};
+use tidespur_planner_protocol::{End, Found};
 use tidespur_policy::interface::Entry;
 
 /// How the watch on a node stands.
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tidespur_config::Config;
-use tidespur_durable::{Disk, Identity, Outbox, Recalled};
-use tidespur_fleet::{Facts, Role};
-use tidespur_fleet_net::{Ending, Member, told_to_end};
-use tidespur_ledger::Fence;
-use tidespur_link::ToEdge;
+use tidespur_persistence::{Disk, Identity, Outbox, Recalled};
+use tidespur_membership::{Facts, Role};
+use tidespur_membership_net::{Ending, Member, told_to_end};
+use tidespur_coordination::Fence;
+use tidespur_planner_protocol::ToEdge;
 use tidespur_net::{Client, Recorder, clock};
 
 /// Inputs that may wait for the core.
--- a/crates/planner/src/waits.rs
+++ b/crates/planner/src/waits.rs
@@ -1,4 +1,4 @@
-//! Which tasks wait here, and why, in the words of `tidespur-waiting`. The policy says what bars a machine; this only
+//! Which tasks wait here, and why, in the words of `tidespur-pending`. The policy says what bars a machine; this only
 //! translates and counts, for tasks of one shape once.
 
 use crate::book::{Book, EdgeId, Known, Names, Stage};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_config::Config;
-use tidespur_link::ToEdge;
+use tidespur_planner_protocol::ToEdge;
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::{Bar, Block, TaskId, Waiting};
-use tidespur_waiting::{Code, Diagnosis, Draft, Limit, Teller};
+use tidespur_pending::{Code, Diagnosis, Draft, Limit, Teller};
 
 /// Tasks that wait are looked at this often: no reason that is told is older than this and one way of the link,
 /// while what waits has no more shapes than [`LOOKS_MOST`] allows.
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/words.rs
@@ -135,12 +135,12 @@
     /// It runs.
     Runs,
     /// It has ended.
-    Over(tidespur_link::End),
+    Over(tidespur_planner_protocol::End),
 }
 
 /// Reads the state of a Pod at a node.
 pub fn at_node(pod: &Object) -> AtNode {
-    use tidespur_link::End;
+    use tidespur_planner_protocol::End;
     match (
         meta::text(pod, &["status", "phase"]),
         meta::text(pod, &["status", "reason"]),
@@ -157,8 +157,8 @@
 }
 
 /// An end in the policy's words.
-pub fn ending(end: tidespur_link::End) -> Ending {
-    use tidespur_link::End;
+pub fn ending(end: tidespur_planner_protocol::End) -> Ending {
+    use tidespur_planner_protocol::End;
     match end {
         End::Succeeded => Ending::Finished,
         // The program ran to its own end; that says nothing about the machine.
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -4,9 +4,9 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_durable::{Batch, Recalled};
-use tidespur_ledger::Fence;
-use tidespur_link::{Found, ToEdge, ToPlanner};
+use tidespur_persistence::{Batch, Recalled};
+use tidespur_coordination::Fence;
+use tidespur_planner_protocol::{Found, ToEdge, ToPlanner};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Core, Input, Output};
 
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use tidespur_api::task::Ask;
 use tidespur_config::{Config, DEFAULT, parse};
-use tidespur_link::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 use tidespur_planner::core::{Answer, Core, Input, Output};
 use tidespur_policy::interface::{Ending, Why};
 
@@ -485,7 +485,7 @@
     );
 }
 
-fn waits(out: &[Output]) -> Vec<tidespur_waiting::Word> {
+fn waits(out: &[Output]) -> Vec<tidespur_pending::Word> {
     let words = out.iter().filter_map(|o| match o {
         Output::Edge(1, ToEdge::Waits(words)) => Some(words.clone()),
         _ => None,
@@ -495,7 +495,7 @@
 
 #[test]
 fn an_edge_is_told_why_its_tasks_wait_and_told_anew_when_that_changes() {
-    use tidespur_waiting::Code;
+    use tidespur_pending::Code;
     let mut world = World::new(&["a"]);
     let large = |uid: &str| Ask {
         cores: 500.0,
@@ -552,7 +552,7 @@
     assert_eq!(
         words
             .iter()
-            .map(tidespur_waiting::Word::codes)
+            .map(tidespur_pending::Word::codes)
             .collect::<Vec<_>>(),
         [[Code::Draining]; 2]
     );
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -4,9 +4,9 @@
 use serde_json::json;
 use tidespur_api::task::Ask;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_durable::{Batch, Recalled};
-use tidespur_ledger::Fence;
-use tidespur_link::{ToEdge, ToPlanner};
+use tidespur_persistence::{Batch, Recalled};
+use tidespur_coordination::Fence;
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Answer, Core, Input, Output};
 use tidespur_policy::interface::Ending;
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use tidespur_simhost::wire::Host;
+use tidespur_simulator_adapter::wire::Host;
 
 fn main() -> ExitCode {
     let mut host = Host::default();
@@ -19,13 +19,13 @@
             Ok(Some(reply)) => writeln!(output, "{reply}").and_then(|()| output.flush()),
             Ok(None) => Ok(()),
             Err(problem) => {
-                eprintln!("tidespur-simhost: line {}: {problem}", number + 1);
+                eprintln!("tidespur-simulator-adapter: line {}: {problem}", number + 1);
                 return ExitCode::FAILURE;
             }
         };
         if let Err(problem) = written {
             eprintln!(
-                "tidespur-simhost: writing the reply to line {}: {problem}",
+                "tidespur-simulator-adapter: writing the reply to line {}: {problem}",
                 number + 1
             );
             return ExitCode::FAILURE;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -9,8 +9,8 @@
 
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::*;
-use tidespur_settings::Info;
-use tidespur_settings::words::{hash, note_of, report_of, why_of};
+use tidespur_site_settings::Info;
+use tidespur_site_settings::words::{hash, note_of, report_of, why_of};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -12,7 +12,7 @@
  "tariffs":{}}"#;
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tidespur-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_tidespur-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/rig/examples/fleet.rs
+++ b/crates/testbed/examples/fleet.rs
@@ -1,6 +1,6 @@
 //! How long a simulated fleet takes to settle, and what that costs, by its size. A table for `docs/measurements.md`.
 
-use tidespur_rig::simnet::{Fault, Net, Script};
+use tidespur_testbed::simnet::{Fault, Net, Script};
 
 const SEEDS: u64 = 10;
 
--- a/crates/rig/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use std::path::Path;
 use tidespur_net::{Client, clock};
-use tidespur_standin::Fault;
+use tidespur_emulator::Fault;
 
 /// Seconds in which a node that came up cold is warm.
 const COLD: f64 = 18.0;
--- a/crates/rig/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use tidespur_api::{meta, names};
 use tidespur_net::{Client, Recorder, clock};
-use tidespur_standin::Fault;
+use tidespur_emulator::Fault;
 
 /// One Job to submit.
 #[derive(Clone, Debug)]
--- a/crates/rig/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tidespur_fleet::{Facts, Fleet, Id, Input, Output, Role, Settings, View};
+use tidespur_membership::{Facts, Fleet, Id, Input, Output, Role, Settings, View};
 
 /// One thing that goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/rig/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker catches each rule broken on purpose, and finds nothing in a clean day.
 
 use serde_json::{Value, json};
-use tidespur_rig::checker::{Rules, Traffic, judge_traffic};
+use tidespur_testbed::checker::{Rules, Traffic, judge_traffic};
 
 const SETTINGS: &str = r#"
 class "web" {
@@ -209,12 +209,12 @@
     {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        tidespur_rig::scenario::Scenario::parse(&text)
+        tidespur_testbed::scenario::Scenario::parse(&text)
             .unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     }
     let bad = "seconds = 5\nwork \"w\" {\n class = \"web\"\n jobs = 1\n pods = [2, 1]\n shapes = [[1, 1]]\n life = 1\n}\n";
     assert!(
-        tidespur_rig::scenario::Scenario::parse(bad)
+        tidespur_testbed::scenario::Scenario::parse(bad)
             .unwrap_err()
             .contains("work w")
     );
--- a/crates/rig/tests/oracle.rs
+++ b/crates/testbed/tests/oracle.rs
@@ -1,8 +1,8 @@
 //! The oracle of reasons catches a reason that was falsified, and one that is missing.
 
 use serde_json::{Value, json};
-use tidespur_rig::checker::Traffic;
-use tidespur_rig::oracle::{Verdict, judge};
+use tidespur_testbed::checker::Traffic;
+use tidespur_testbed::oracle::{Verdict, judge};
 
 /// A day of four nodes: one drains, one is full, two have room but the service's limit holds there.
 fn day(change: impl Fn(usize, &mut Value)) -> Verdict {
--- a/crates/rig/tests/simnet.rs
+++ b/crates/testbed/tests/simnet.rs
@@ -1,6 +1,6 @@
 //! Many members of a fleet in simulated time. A run that fails is printed as the shortest script that still does.
 
-use tidespur_rig::simnet::{Fault, Net, Script};
+use tidespur_testbed::simnet::{Fault, Net, Script};
 
 /// Seconds after the last fault in which all must be settled.
 const WITHIN: f64 = 10.0;
--- a/crates/rig/tests/supervisor.rs
+++ b/crates/testbed/tests/supervisor.rs
@@ -1,6 +1,6 @@
 //! Children that end are started again, more slowly each time, and not for ever.
 
-use tidespur_rig::supervisor::{Action, Settings, Supervisor};
+use tidespur_testbed::supervisor::{Action, Settings, Supervisor};
 
 #[test]
 fn a_child_that_ends_is_started_again_after_a_pause_that_grows_until_all_is_given_up() {
--- /dev/null
+++ b/crates/units/src/lib.rs
@@ -0,0 +1,99 @@
+//! Units that all packages share. No I/O and no state.
+
+use std::ops::{Add, AddAssign, Div, Neg, Sub, SubAssign};
+
+/// Seconds: a point on the caller's clock, or a length of time.
+pub type Seconds = f64;
+
+/// An amount of each resource that a machine has and a task asks for.
+///
+/// Also used for ratios of two such amounts, one for each resource.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Resources {
+    /// CPU, in cores.
+    pub cpu: f64,
+    /// Memory, in the caller's units.
+    pub memory: f64,
+}
+
+impl Resources {
+    /// Nothing of either.
+    pub const ZERO: Self = Self::new(0.0, 0.0);
+
+    /// An amount of `cpu` cores and `memory` units.
+    #[must_use]
+    pub const fn new(cpu: f64, memory: f64) -> Self {
+        Self { cpu, memory }
+    }
+
+    /// The result of `function` for each resource.
+    #[must_use]
+    pub fn map(self, function: impl Fn(f64) -> f64) -> Self {
+        Self::new(function(self.cpu), function(self.memory))
+    }
+
+    /// The result of `function` for each resource of both amounts.
+    #[must_use]
+    pub fn zip_with(self, other: Self, function: impl Fn(f64, f64) -> f64) -> Self {
+        Self::new(
+            function(self.cpu, other.cpu),
+            function(self.memory, other.memory),
+        )
+    }
+
+    /// The larger of both amounts, for each resource.
+    #[must_use]
+    pub fn max(self, other: Self) -> Self {
+        self.zip_with(other, f64::max)
+    }
+
+    /// The larger of the two components; meaningful for ratios.
+    #[must_use]
+    pub fn max_component(self) -> f64 {
+        self.cpu.max(self.memory)
+    }
+}
+
+impl Add for Resources {
+    type Output = Self;
+
+    fn add(self, other: Self) -> Self {
+        self.zip_with(other, |a, b| a + b)
+    }
+}
+
+impl Sub for Resources {
+    type Output = Self;
+
+    fn sub(self, other: Self) -> Self {
+        self.zip_with(other, |a, b| a - b)
+    }
+}
+
+impl Div for Resources {
+    type Output = Self;
+
+    fn div(self, other: Self) -> Self {
+        self.zip_with(other, |a, b| a / b)
+    }
+}
+
+impl Neg for Resources {
+    type Output = Self;
+
+    fn neg(self) -> Self {
+        self.map(|amount| -amount)
+    }
+}
+
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Self) {
+        *self = *self + other;
+    }
+}
+
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Self) {
+        *self = *self - other;
+    }
+}
--- a/fuzz/fuzz_targets/parsers.rs
+++ b/fuzz/fuzz_targets/parsers.rs
@@ -7,7 +7,7 @@
 use tidespur_api::resource::RESOURCES;
 use tidespur_api::selector::Selector;
 use tidespur_api::{quantity, validate};
-use tidespur_link::{Decoder, ToEdge, ToPlanner, encode};
+use tidespur_planner_protocol::{Decoder, ToEdge, ToPlanner, encode};
 
 fn frames<T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(
     data: &[u8],
@@ -29,7 +29,7 @@
 }
 
 fn platform(data: &[u8]) {
-    let mut decoder = tidespur_platform::message::Decoder::default();
+    let mut decoder = tidespur_gateway::message::Decoder::default();
     let (a, b) = data.split_at(data.len() / 2);
     decoder.feed(a);
     let first = decoder.message();
@@ -63,7 +63,7 @@
         }
         4 => platform(data),
         5 => {
-            let mut events = tidespur_platform::discovery::Events::default();
+            let mut events = tidespur_gateway::discovery::Events::default();
             for line in data.split(|&byte| byte == b'\n') {
                 let Ok(event) = events.line(line) else { return };
                 assert!(event.is_none_or(|event| !event.is_empty()));
