--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 use tidespur_config::Config;
-use tidespur_testbed::process::end_with_parent;
 use tidespur_emulator::{NodeSettings, node, register};
+use tidespur_testbed::process::end_with_parent;
 
 /// Settings from a file, or the built-in ones.
 pub fn config(path: Option<&PathBuf>) -> Result<Config, String> {
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -205,8 +205,13 @@
         );
         let words = line.split(' ').map(str::to_owned).collect();
         let program = env!("CARGO_BIN_EXE_tidespur").into();
-        let started =
-            tidespur_testbed::process::Process::start(name, program, words, Some(log.clone()), true);
+        let started = tidespur_testbed::process::Process::start(
+            name,
+            program,
+            words,
+            Some(log.clone()),
+            true,
+        );
         assert!(started.is_err(), "{name} has started");
         std::fs::read_to_string(log).unwrap()
     };
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -3,12 +3,12 @@
 use crate::{Config, Effect, Place};
 use tidespur_policy::interface as policy;
 
-fn place(place: Place) -> policy::Place {
+fn place(place: Place) -> policy::FailureDomain {
     match place {
-        Place::All => policy::Place::All,
-        Place::Zone => policy::Place::Zone,
-        Place::Rack => policy::Place::Cell,
-        Place::Node => policy::Place::Machine,
+        Place::All => policy::FailureDomain::All,
+        Place::Zone => policy::FailureDomain::Zone,
+        Place::Rack => policy::FailureDomain::Cell,
+        Place::Node => policy::FailureDomain::Machine,
     }
 }
 
@@ -21,27 +21,29 @@
     /// What a planner of that number and zone tells its policy at the start.
     pub fn policy(&self, ordinal: usize, zone: usize) -> policy::Settings {
         let class = |c: &crate::Class| policy::Class {
-            aim: c.aim,
+            latency_objective: c.aim,
             deadline: c.deadline,
-            effect: match (c.effect, c.group, c.window) {
-                (Effect::Safe, ..) => policy::Effect::Safe,
-                (Effect::Keyed, Some(group), Some(window)) => policy::Effect::Keyed {
-                    group: place(group),
-                    window,
-                },
-                _ => policy::Effect::Unsafe,
+            retry_safety: match (c.effect, c.group, c.window) {
+                (Effect::Safe, ..) => policy::RetrySafety::Idempotent,
+                (Effect::Keyed, Some(group), Some(window)) => {
+                    policy::RetrySafety::IdempotencyKeyed {
+                        domain: place(group),
+                        window,
+                    }
+                }
+                _ => policy::RetrySafety::NonIdempotent,
             },
-            worth: c.worth,
-            start_worth: c.start_worth,
-            calm: c.calm,
-            fade: c.fade,
-            kind: c
+            priority_weight: c.worth,
+            start_weight: c.start_worth,
+            full_service_utilization: c.calm,
+            degradation_range: c.fade,
+            machine_type: c
                 .kind
                 .as_ref()
                 .and_then(|kind| self.kind.get_index_of(kind)),
             priority: c.priority,
-            spread: c.spread.map(place),
-            spread_most: c.spread_most,
+            spread_domain: c.spread.map(place),
+            max_per_spread_domain: c.spread_most,
         };
         let (n, s, p) = (&self.nodes, &self.safety, &self.prices);
         // Where the ledger counts planners, one that was not told yet takes the smallest part: one offer in a window.
@@ -52,59 +54,57 @@
         };
         policy::Settings {
             ordinal,
-            schedulers: self.planner.planners.max(ordinal as u32 + 1).max(uncounted) as usize,
+            scheduler_count: self.planner.planners.max(ordinal as u32 + 1).max(uncounted) as usize,
             zone,
             classes: self.class.values().map(class).collect(),
             tenants: self
                 .tenant
                 .values()
                 .map(|t| policy::Tenant {
-                    share: t.share,
-                    quota_per_s: t.quota_per_s,
+                    quota_fraction: t.share,
+                    quota_per_second: t.quota_per_s,
                 })
                 .collect(),
-            kinds: self
+            machine_types: self
                 .kind
                 .values()
-                .map(|k| policy::Kind {
-                    cores: k.cores,
-                    memory: k.memory,
+                .map(|k| policy::MachineType {
+                    capacity: policy::Resources::new(k.cores, k.memory),
                 })
                 .collect(),
-            admit_cores: n.admit_cores,
-            admit_memory: n.admit_memory,
-            one_home: self.edge.one_home,
+            overcommit: policy::Resources::new(n.admit_cores, n.admit_memory),
+            single_scheduler_per_service: self.edge.one_home,
             confirm_when_running: false,
-            subscribe: true,
-            lists_free: n.lists_free,
-            reports: if n.reports {
-                policy::Reports::Answers
+            requires_subscription: true,
+            lists_unclaimed: n.lists_free,
+            load_reports: if n.reports {
+                policy::LoadReportSource::WithAnswers
             } else {
-                policy::Reports::None
+                policy::LoadReportSource::None
             },
-            reports_use: n.reports_use,
-            probes: n.probes,
-            messages: false,
+            reports_measured_usage: n.reports_use,
+            allows_load_polls: n.probes,
+            allows_gossip: false,
             max_attempts: n.max_attempts,
             max_retry_after: 0.0,
-            over_share_worth: 1.0,
-            safety: policy::Safety {
+            over_quota_weight: 1.0,
+            safety_limits: policy::SafetyLimits {
                 answer_slack: s.answer_slack,
-                ask_within: s.ask_within,
-                cold_from: s.cold_from,
-                cold: s.cold,
-                cold_bears: s.cold_bears,
+                max_poll_interval: s.ask_within,
+                slow_start_speed: s.cold_from,
+                slow_start_duration: s.cold,
+                slow_start_offers: s.cold_bears,
                 drain_grace: s.drain_grace,
-                fall_multiple: s.fall_multiple,
-                overload_for: s.overload_for,
+                overload_ratio: s.fall_multiple,
+                overload_window: s.overload_for,
             },
-            prices: policy::Prices {
-                machines: p.machines,
-                refused: p.refused,
-                moves: p.moves,
-                eviction_as_moves: p.eviction_as_moves,
-                probe: p.probe,
-                message: p.message,
+            costs: policy::CostModel {
+                idle_machines: p.machines,
+                rejected_offer: p.refused,
+                migration: p.moves,
+                eviction_in_migrations: p.eviction_as_moves,
+                load_poll: p.probe,
+                gossip_message: p.message,
             },
         }
     }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -27,14 +27,14 @@
     ));
     assert_eq!(
         (
-            of(DEFAULT).schedulers,
-            counted.schedulers,
-            counted.safety.cold_bears
+            of(DEFAULT).scheduler_count,
+            counted.scheduler_count,
+            counted.safety_limits.slow_start_offers
         ),
         (1, 8, 8.0)
     );
     let many = DEFAULT.replace("planners         = 1 ", "planners         = 30 ");
-    assert_eq!(of(&many).schedulers, 30);
+    assert_eq!(of(&many).scheduler_count, 30);
 }
 
 #[test]
--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -12,9 +12,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use streams::Streams;
 use tidespur_config::Config;
-use tidespur_persistence::{Disk, Recalled};
 use tidespur_coordination::{Input, Ledger, Settings, Standing};
 use tidespur_net::{clock, routes::Routes};
+use tidespur_persistence::{Disk, Recalled};
 
 /// The lease of the one edge that acts for the whole fleet.
 pub const FLEET: &str = "fleet";
--- a/crates/coordination-net/src/turn.rs
+++ b/crates/coordination-net/src/turn.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use tidespur_persistence::{Disk, Outbox};
 use tidespur_coordination::{Input, Ledger, Output, Standing, Word};
 use tidespur_net::clock;
+use tidespur_persistence::{Disk, Outbox};
 
 /// Inputs that are taken into one step.
 const STEP_MOST: usize = 256;
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tidespur_persistence::{Batch, Recalled};
 use tidespur_coordination::{Fence, Input, Ledger, Output, Settings, Standing, Word};
+use tidespur_persistence::{Batch, Recalled};
 
 pub const STEP: f64 = 0.01;
 pub const TERM: f64 = 3.0;
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 use std::time::Instant;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_persistence::{Batch, Identity, Memory};
 use tidespur_edge::core::Core;
+use tidespur_persistence::{Batch, Identity, Memory};
 use tidespur_store::{Limits, Store};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -11,9 +11,9 @@
 use tidespur_api::{Object, meta};
 use tidespur_config::{Config, Effect};
 use tidespur_job_controller::{self as controller, Controller};
+use tidespur_pending::Ledger;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_store::{Follower, Store};
-use tidespur_pending::Ledger;
 
 mod nodes;
 mod read;
--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -3,11 +3,11 @@
 use crate::run::Loop;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use tidespur_membership::{Role, Standing};
 use tidespur_coordination::Input;
 use tidespur_coordination_net::FLEET;
-use tidespur_planner_protocol::ToPlanner;
+use tidespur_membership::{Role, Standing};
 use tidespur_net::clock;
+use tidespur_planner_protocol::ToPlanner;
 use tidespur_recovery::{Output, Seen, Sharers};
 
 /// The ledger's notes of planners that count begin with this.
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_api::task::Ask;
-use tidespur_planner_protocol::{Found, ToPlanner};
 use tidespur_pending::Code;
+use tidespur_planner_protocol::{Found, ToPlanner};
 
 mod deal;
 mod due;
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -12,13 +12,13 @@
 use tidespur_api::resource::{EVENTS, JOBS, NAMESPACES, PODS};
 use tidespur_api::status::Cause;
 use tidespur_api::{ApiError, Object, Resource, meta, names};
-use tidespur_membership_net::Member;
 use tidespur_coordination_net::Voter;
+use tidespur_load_shedding::LoadShedder;
+use tidespur_membership_net::Member;
 use tidespur_net::{Client, NetError, Recorder, clock};
+use tidespur_pending::Ledger;
 use tidespur_rest::{DeleteOptions, Hooks, Seen, Verb};
-use tidespur_load_shedding::LoadShedder;
 use tidespur_store::{Expect, Store};
-use tidespur_pending::Ledger;
 
 mod parts;
 mod waits;
@@ -242,8 +242,9 @@
         }
         if let (["debug", "fleet"], "GET") = (parts.as_slice(), method) {
             let off = || ApiError::not_found("fleet", "none: this edge has joined no fleet");
-            let report =
-                |member: &Arc<Member>| tidespur_membership_net::report(&member.view(), clock::now());
+            let report = |member: &Arc<Member>| {
+                tidespur_membership_net::report(&member.view(), clock::now())
+            };
             return Some(self.member.as_ref().map(report).ok_or_else(off));
         }
         let ["debug", "waits", rest @ ..] = parts.as_slice() else {
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 use smol::net::{TcpListener, TcpStream};
 use std::sync::Arc;
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_net::follow::{Followed, follow};
 use tidespur_net::{Client, clock, frames};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
 impl Loop {
     pub(crate) async fn accept(self: Arc<Self>, listener: TcpListener) {
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -13,14 +13,14 @@
 use std::sync::{Arc, Mutex};
 use tidespur_api::resource::NAMESPACES;
 use tidespur_config::Config;
+use tidespur_coordination_net::Voter;
+use tidespur_load_shedding::LoadShedder;
 use tidespur_membership::{Facts, Role};
 use tidespur_membership_net::{Ending, Member, told_to_end};
-use tidespur_coordination_net::Voter;
-use tidespur_planner_protocol::ToPlanner;
 use tidespur_net::routes::Routes;
 use tidespur_net::{Client, Recorder, clock, server};
+use tidespur_planner_protocol::ToPlanner;
 use tidespur_rest::{Api, Limits, Served};
-use tidespur_load_shedding::LoadShedder;
 
 /// Inputs that may wait for the core.
 const INPUTS_MOST: usize = 16_384;
@@ -81,7 +81,9 @@
         remembered.as_ref().map(|(_, back)| back),
     )?;
     let (memory, back) = remembered.unzip();
-    let incarnation = back.as_ref().map(tidespur_persistence::Recalled::incarnation);
+    let incarnation = back
+        .as_ref()
+        .map(tidespur_persistence::Recalled::incarnation);
     let mut core = Core::new(config.clone(), options.seed);
     let disk = match (memory, &back) {
         (Some(memory), Some(back)) => Some(Arc::new(Disk::start(
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -7,11 +7,11 @@
 use async_channel::Receiver;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use tidespur_persistence::Outbox;
 use tidespur_membership::Facts;
 use tidespur_membership_net::{Ending, Member};
-use tidespur_planner_protocol::ToPlanner;
 use tidespur_net::clock;
+use tidespur_persistence::Outbox;
+use tidespur_planner_protocol::ToPlanner;
 
 /// Inputs that are taken into one step.
 const STEP_MOST: usize = 512;
--- a/crates/edge/src/waits.rs
+++ b/crates/edge/src/waits.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tidespur_api::resource::{EVENTS, PODS};
 use tidespur_api::{Object, meta, task::Ask};
-use tidespur_store::{Expect, Store};
 use tidespur_pending::{Ledger, Record, Settings, Word, Write};
+use tidespur_store::{Expect, Store};
 
 /// The desk is asked this often what nobody has taken.
 const LOOK_EVERY: f64 = 0.25;
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -5,9 +5,9 @@
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT, parse};
 use tidespur_edge::core::{Core, Input};
+use tidespur_pending::Code;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_store::{Expect, Limits, Store};
-use tidespur_pending::Code;
 
 struct World {
     core: Core,
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -6,9 +6,9 @@
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT, parse};
-use tidespur_persistence::{Batch, Recalled};
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
+use tidespur_persistence::{Batch, Recalled};
 use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -2,8 +2,8 @@
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use tidespur_net::{Client, clock};
 use tidespur_gateway::discovery::Events;
+use tidespur_net::{Client, clock};
 
 /// A comment comes each second: silence for this long is an end.
 const SILENCE: f64 = 2.0;
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -16,11 +16,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
-use tidespur_net::clock;
 use tidespur_gateway::input_queue::{InputQueue, Sequence};
 use tidespur_gateway::message::{Decoder, Id, Message};
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId};
+use tidespur_net::clock;
 use upstream::Upstream;
 
 /// A line of counters goes to the log this often.
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -2,7 +2,9 @@
 
 use crate::message::{Message, code};
 use std::collections::BTreeMap;
-use tidespur_policy::interface::{Note, Report, Seconds, ServiceId, Task, TaskId, Why};
+use tidespur_policy::interface::{
+    AttemptProgress, FailureCause, LoadReport, Resources, Seconds, ServiceId, Task, TaskId,
+};
 use tidespur_site_settings::{Site, words};
 
 /// An owner that says that it waits longer than this is not believed.
@@ -82,16 +84,23 @@
     };
     let asks = fields(text(code::ASKS, "what the task asks for")?);
     let field = |name: &'static str| asks.get(name).copied().ok_or(AskError::Missing(name));
-    let most = |of: fn(&tidespur_policy::interface::Kind) -> f64, admit: f64| {
-        site.settings.kinds.iter().map(of).fold(0.0, f64::max) * admit.max(1.0)
+    let most = |of: fn(&tidespur_policy::interface::MachineType) -> f64, admit: f64| {
+        site.settings
+            .machine_types
+            .iter()
+            .map(of)
+            .fold(0.0, f64::max)
+            * admit.max(1.0)
     };
     let cores = number("cores", field("cores")?)?;
     let memory = number("memory", field("memory")?)?;
     // No machine admits more, however empty: waiting would not help.
-    if !(cores > 0.0 && cores <= most(|kind| kind.cores, site.settings.admit_cores)) {
+    if !(cores > 0.0 && cores <= most(|kind| kind.capacity.cpu, site.settings.overcommit.cpu)) {
         return Err(AskError::Range("cores"));
     }
-    if !(memory >= 0.0 && memory <= most(|kind| kind.memory, site.settings.admit_memory)) {
+    if !(memory >= 0.0
+        && memory <= most(|kind| kind.capacity.memory, site.settings.overcommit.memory))
+    {
         return Err(AskError::Range("memory"));
     }
     let service = field("service")?;
@@ -124,10 +133,9 @@
         tenant,
         service: ServiceId(words::hash(service)),
         deadline,
-        life,
-        cores,
-        memory,
-        returned: message.text(code::RETRY) == Some("1"),
+        expected_duration: life,
+        request: Resources::new(cores, memory),
+        is_resubmission: message.text(code::RETRY) == Some("1"),
     };
     Ok(Ask { task, at })
 }
@@ -151,17 +159,17 @@
 }
 
 /// The load that came along, if any of it can be read.
-pub fn report(message: &Message) -> Option<Report> {
+pub fn report(message: &Message) -> Option<LoadReport> {
     let values = fields(message.text(code::LOAD)?);
     let values = values
         .into_iter()
         .filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)))
         .collect();
-    Some(words::report_of(values)).filter(|report| *report != Report::default())
+    Some(words::report_of(values)).filter(|report| *report != LoadReport::default())
 }
 
 /// Why something was refused or released.
-pub fn why(message: &Message) -> Why {
+pub fn why(message: &Message) -> FailureCause {
     const WORDS: [&str; 7] = [
         "lack_cpu",
         "lack_ram",
@@ -181,7 +189,7 @@
 }
 
 /// What a note tells; `None` for one that is not known.
-pub fn note(message: &Message) -> Option<Note> {
+pub fn note(message: &Message) -> Option<AttemptProgress> {
     const WORDS: [&str; 5] = ["running", "use_cpu", "use_ram", "health", "ram_high"];
     let word = message.text(code::WORD)?;
     let sort = WORDS.iter().position(|w| *w == word)? as u32 + 1;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The notice board: server-sent events to numbered changes of the list of machines.
 
 use serde::Deserialize;
-use tidespur_policy::interface::{Entry, MachineId, Standing};
+use tidespur_policy::interface::{Endpoint, EndpointStatus, MachineId, Resources};
 use tidespur_site_settings::{Site, words};
 
 /// One event may hold so many bytes.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// What the policy is told.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// The machine's name on the platform.
     pub name: String,
     /// Where it listens.
@@ -102,22 +102,21 @@
         |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
     let listed = pool.instances.into_iter().map(|wire| {
         let standing = match wire.lifecycle.as_str() {
-            "Ready" => Standing::Ready,
-            "Gone" => Standing::Gone,
+            "Ready" => EndpointStatus::Ready,
+            "Gone" => EndpointStatus::Gone,
             // A state not known takes nothing new, and that is the safe reading.
-            _ => Standing::Draining,
+            _ => EndpointStatus::Draining,
         };
         let [free_cores, free_memory] = wire.left_over.unwrap_or_default();
         let started = wire.started_at_ms.unwrap_or(0.0) / 1000.0;
-        let entry = Entry {
+        let entry = Endpoint {
             machine: machine_id(&wire.instance_id),
-            kind: index(&site.kinds, &wire.machine_type),
+            machine_type: index(&site.kinds, &wire.machine_type),
             cell: wire.cell,
             zone: index(&site.zones, &wire.zone),
-            standing,
-            up_since: (started > 0.0).then_some(started),
-            free_cores,
-            free_memory,
+            status: standing,
+            started_at: (started > 0.0).then_some(started),
+            unclaimed: Resources::new(free_cores, free_memory),
         };
         Listed {
             entry,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -22,12 +22,13 @@
 use crate::{DownstreamId, UpstreamId, ask, discovery};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
+use tidespur_load_shedding::LoadShedder;
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::{
-    Action, Effect, Ending, Event, MachineId, Report, Seconds, Standing, TaskId, Why,
+    Action, AttemptOutcome, EndpointStatus, Event, FailureCause, LoadReport, MachineId,
+    RetrySafety, Seconds, TaskId,
 };
 use tidespur_site_settings::Site;
-use tidespur_load_shedding::LoadShedder;
 
 /// Set-ups without an answer on one connection; more are refused at once.
 const OPEN_MOST: usize = 256;
@@ -79,7 +80,7 @@
             site.settings
                 .classes
                 .iter()
-                .map(|class| (class.aim, class.worth)),
+                .map(|class| (class.latency_objective, class.priority_weight)),
         );
         let times = Times {
             connect_within: site.connect_timeout,
@@ -118,7 +119,7 @@
 
     /// Machines, and connections to them, that were looked at so far: the work of choosing.
     pub fn looked(&self) -> [u64; 2] {
-        [self.policy.looked(), self.pool.looked()]
+        [self.policy.machines_examined(), self.pool.looked()]
     }
 
     /// What was done so far.
@@ -234,7 +235,7 @@
     fn pass(&mut self, now: Seconds, out: &mut Vec<Output>) {
         while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= micros(now)) {
             self.timers.remove(&(at, token));
-            self.events.push(Event::Timer(token));
+            self.events.push(Event::TimerFired(token));
         }
         self.overdue(now, out);
         self.look_again(now, out);
@@ -258,12 +259,18 @@
 }
 
 fn event(
-    (task, attempt, ending, closed, report): (TaskId, u32, Ending, bool, Option<Report>),
+    (task, attempt, ending, closed, report): (
+        TaskId,
+        u32,
+        AttemptOutcome,
+        bool,
+        Option<LoadReport>,
+    ),
 ) -> Event {
-    Event::Outcome {
+    Event::AttemptEnded {
         task,
         attempt,
-        ending,
+        outcome: ending,
         closed,
         report,
     }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -5,12 +5,12 @@
 impl Gateway {
     pub(super) fn carry_out(&mut self, now: Seconds, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send {
+            Action::Offer {
                 task,
                 machine,
-                wait,
+                timeout: wait,
             } => self.send(now, task, machine, wait, out),
-            Action::Refuse { task, .. } => {
+            Action::Reject { task, .. } => {
                 self.counts.refused += 1;
                 self.finish(now, task, cause::FULL, out);
             }
@@ -18,7 +18,7 @@
                 self.counts.failed += 1;
                 self.finish(now, task, cause::FAILED, out);
             }
-            Action::Move(task) => {
+            Action::Migrate(task) => {
                 let Some(id) = self.table.id(task) else {
                     return;
                 };
@@ -32,16 +32,16 @@
                 }
             }
             // The board is followed all the time: there is nothing to ask for.
-            Action::Subscribe => self.events.push(Event::ListChanges(Vec::new())),
-            Action::Timer { after, token } => {
-                drop(self.timers.insert((micros(now + after), token)))
+            Action::SubscribeEndpoints => self.events.push(Event::EndpointsChanged(Vec::new())),
+            Action::SetTimer { after, token } => {
+                self.timers.insert((micros(now + after), token));
             }
             // The platform has no way to ask for a load alone, and none to other schedulers that is used here.
-            Action::Probe(machine) => self.events.push(Event::Probed {
+            Action::PollLoad(machine) => self.events.push(Event::LoadPolled {
                 machine,
                 report: None,
             }),
-            Action::Tell(_) => {}
+            Action::Gossip(_) => {}
             Action::Log(line) => out.push(Output::Log(line)),
         }
     }
@@ -109,8 +109,13 @@
             }
             None => {
                 self.counts.unsent += 1;
-                self.events
-                    .push(event((task, number, Ending::NoConnection, false, None)));
+                self.events.push(event((
+                    task,
+                    number,
+                    AttemptOutcome::ConnectFailed,
+                    false,
+                    None,
+                )));
             }
         }
     }
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -45,13 +45,18 @@
             return;
         };
         self.downstreams.count_open(now, request.client, false);
-        self.events.push(Event::Dropped(task));
+        self.events.push(Event::TaskCancelled(task));
         if let Some(attempt) = attempt {
             self.on_pool(out, |pool, acts| {
                 pool.cancel(now, attempt.line, id, false, acts)
             });
-            self.events
-                .push(event((task, attempt.number, Ending::Cancelled, true, None)));
+            self.events.push(event((
+                task,
+                attempt.number,
+                AttemptOutcome::Cancelled,
+                true,
+                None,
+            )));
         }
     }
 
@@ -104,16 +109,21 @@
         self.attempt_ended(
             id,
             if never_left {
-                Ending::Void
+                AttemptOutcome::NeverSent
             } else {
-                Ending::Late
+                AttemptOutcome::TimedOut
             },
             None,
         );
     }
 
     /// The attempt that is out has ended without an answer that the task stands.
-    pub(super) fn attempt_ended(&mut self, id: Id, ending: Ending, report: Option<Report>) {
+    pub(super) fn attempt_ended(
+        &mut self,
+        id: Id,
+        ending: AttemptOutcome,
+        report: Option<LoadReport>,
+    ) {
         let Some(request) = self.table.get(id) else {
             return;
         };
@@ -127,7 +137,7 @@
         let task = request.task;
         let ran = !matches!(
             ending,
-            Ending::Full(_) | Ending::NoConnection | Ending::Void
+            AttemptOutcome::Rejected(_) | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
         self.pool.settled(attempt.line, id);
         if !(may_have_run || ran) {
@@ -154,7 +164,7 @@
         };
         let ended = Message::release(id, cause::ENDED).bytes();
         self.on_pool(out, |pool, acts| pool.tell(now, machine, ended, acts));
-        self.end(now, id, attempt, Ending::Cancelled, None);
+        self.end(now, id, attempt, AttemptOutcome::Cancelled, None);
     }
 
     /// A standing task has ended.
@@ -163,8 +173,8 @@
         now: Seconds,
         id: Id,
         attempt: u32,
-        ending: Ending,
-        report: Option<Report>,
+        ending: AttemptOutcome,
+        report: Option<LoadReport>,
     ) {
         let Some(request) = self.table.remove(id) else {
             return;
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -86,7 +86,7 @@
                 self.on_pool(out, |pool, acts| {
                     pool.cancel(now, upstream, id, false, acts)
                 });
-                self.attempt_ended(id, Ending::Void, None);
+                self.attempt_ended(id, AttemptOutcome::NeverSent, None);
             } else if self.on_pool(out, |pool, acts| pool.leaves(upstream, id, acts)) {
                 self.table.begins(now, id);
             }
@@ -111,9 +111,9 @@
             .settings
             .classes
             .get(request.class_index)
-            .map(|class| class.effect)
+            .map(|class| class.retry_safety)
         {
-            Some(Effect::Keyed { window, .. }) => window,
+            Some(RetrySafety::IdempotencyKeyed { window, .. }) => window,
             _ => return false,
         };
         request.began.is_some_and(|began| now > began + window)
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -78,7 +78,7 @@
                 self.pool.hold(now, from, true);
                 self.downstreams.count_open(now, client, false);
                 self.downstreams.count_standing(client, true);
-                self.events.push(Event::Confirmed {
+                self.events.push(Event::AttemptConfirmed {
                     task,
                     attempt: attempt.number,
                 });
@@ -97,14 +97,14 @@
             ) if attempt.line == line => {
                 let why = ask::why(message);
                 let ending = match message.cause() {
-                    Some(cause::FULL) => Ending::Full(why),
-                    Some(cause::ERROR) => Ending::Failed,
-                    Some(cause::MOOT) => Ending::Void,
-                    _ => Ending::Broken(why),
+                    Some(cause::FULL) => AttemptOutcome::Rejected(why),
+                    Some(cause::ERROR) => AttemptOutcome::Failed,
+                    Some(cause::MOOT) => AttemptOutcome::NeverSent,
+                    _ => AttemptOutcome::Interrupted(why),
                 };
                 match ending {
-                    Ending::Full(_) => self.counts.full += 1,
-                    Ending::Failed => self.counts.errors += 1,
+                    AttemptOutcome::Rejected(_) => self.counts.full += 1,
+                    AttemptOutcome::Failed => self.counts.errors += 1,
                     _ => self.counts.broken += 1,
                 }
                 self.attempt_ended(id, ending, ask::report(message));
@@ -125,9 +125,9 @@
                 )));
                 let word = message.cause().unwrap_or(cause::FAILED);
                 let ending = match word {
-                    cause::NORMAL => Ending::Finished,
-                    cause::ENDED => Ending::Cancelled,
-                    _ => Ending::Broken(ask::why(message)),
+                    cause::NORMAL => AttemptOutcome::Finished,
+                    cause::ENDED => AttemptOutcome::Cancelled,
+                    _ => AttemptOutcome::Interrupted(ask::why(message)),
                 };
                 if word != cause::ENDED {
                     self.reply(id, Message::release(id, word).bytes(), out);
@@ -145,7 +145,10 @@
             }
             (Kind::Note, Some((task, _, Stage::Standing { machine, .. }))) if machine == from => {
                 if let Some(note) = ask::note(message) {
-                    self.events.push(Event::Note { task, note });
+                    self.events.push(Event::AttemptProgressed {
+                        task,
+                        progress: note,
+                    });
                 }
             }
             (Kind::Test, _) => {
@@ -169,15 +172,19 @@
             match news {
                 News::Unsent(id) => {
                     self.counts.unsent += 1;
-                    self.attempt_ended(id, Ending::NoConnection, None);
+                    self.attempt_ended(id, AttemptOutcome::ConnectFailed, None);
                 }
                 News::Broken(id) => {
                     self.counts.broken += 1;
-                    self.attempt_ended(id, Ending::Broken(Why::Unknown), None);
+                    self.attempt_ended(
+                        id,
+                        AttemptOutcome::Interrupted(FailureCause::Unspecified),
+                        None,
+                    );
                 }
                 News::Withdrawn(id) => {
                     self.counts.unsent += 1;
-                    self.attempt_ended(id, Ending::Void, None);
+                    self.attempt_ended(id, AttemptOutcome::NeverSent, None);
                 }
                 News::Failed(machine) => {
                     let name = self
@@ -209,7 +216,13 @@
             }
             self.counts.lost += 1;
             self.reply(id, Message::release(id, cause::FAILED).bytes(), out);
-            self.end(now, id, attempt, Ending::Broken(Why::Unknown), None);
+            self.end(
+                now,
+                id,
+                attempt,
+                AttemptOutcome::Interrupted(FailureCause::Unspecified),
+                None,
+            );
         }
     }
 
@@ -237,16 +250,16 @@
         for listed in notice.listed {
             let (machine, gone) = (
                 listed.entry.machine,
-                listed.entry.standing == Standing::Gone,
+                listed.entry.status == EndpointStatus::Gone,
             );
-            if listed.entry.standing != Standing::Ready {
+            if listed.entry.status != EndpointStatus::Ready {
                 leaving.push(machine);
             }
             self.pool.listed(now, machine, &listed.address, gone);
             let before = self
                 .known
-                .insert(machine, (listed.name, listed.entry.up_since));
-            if let (Some((_, before)), Some(up)) = (before, listed.entry.up_since)
+                .insert(machine, (listed.name, listed.entry.started_at));
+            if let (Some((_, before)), Some(up)) = (before, listed.entry.started_at)
                 && before.is_none_or(|before| up > before)
             {
                 // It has started anew: what stood there before is over.
@@ -262,9 +275,9 @@
         }
         self.hear(now, news, out);
         self.events.push(if notice.whole {
-            Event::ListWhole(entries)
+            Event::EndpointsListed(entries)
         } else {
-            Event::ListChanges(entries)
+            Event::EndpointsChanged(entries)
         });
     }
 }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -137,7 +137,7 @@
             self.table.add(id, request);
             self.pool.hold(now, machine, true);
             self.downstreams.count_standing(client, true);
-            self.events.push(Event::InPlace(ask.task, machine));
+            self.events.push(Event::TaskAdopted(ask.task, machine));
             return;
         }
         if !self.downstreams.is_there(client) {
@@ -165,7 +165,7 @@
         self.downstreams.proves(now, client);
         self.downstreams.count_open(now, client, true);
         self.table.add(id, request);
-        self.events.push(Event::Submit(ask.task));
+        self.events.push(Event::TaskSubmitted(ask.task));
     }
 
     /// A set-up that can't be used is told so at once.
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,9 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use tidespur_gateway::message::{Decoder, Id, Kind, Message, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{
-    DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
-};
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
 use tidespur_site_settings::{Info, Site};
 
 pub const OWNER: DownstreamId = DownstreamId(1);
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -9,9 +9,7 @@
 use tidespur_gateway::input_queue::InputQueue;
 use tidespur_gateway::message::{Id, Kind, Message, cause, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{
-    DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery,
-};
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
 use tidespur_site_settings::Info;
 
 pub const MACHINES: usize = 400;
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 use tidespur_api::task::Ask;
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_planner::core::{Core, Input, Output};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
 const NODES: usize = 200;
 const SECONDS: f64 = 5.0;
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -10,11 +10,11 @@
 use tidespur_api::task::Ask;
 use tidespur_api::{Object, meta, names};
 use tidespur_config::Config;
-use tidespur_persistence::Batch;
 use tidespur_coordination::Fence;
-use tidespur_policy::Scheduler;
-use tidespur_policy::interface::{Effect, Event, SettingsError, TaskId};
 use tidespur_load_shedding::LoadShedder;
+use tidespur_persistence::Batch;
+use tidespur_policy::Scheduler;
+use tidespur_policy::interface::{Event, RetrySafety, SettingsError, TaskId};
 
 mod acts;
 mod edges;
@@ -86,13 +86,13 @@
         let guarded = settings
             .classes
             .iter()
-            .map(|c| c.effect != Effect::Safe)
+            .map(|c| c.retry_safety != RetrySafety::Idempotent)
             .collect();
         let shedder = LoadShedder::of(
             settings
                 .classes
                 .iter()
-                .map(|class| (class.aim, class.worth)),
+                .map(|class| (class.latency_objective, class.priority_weight)),
         );
         Ok(Self {
             scheduler: Scheduler::new(settings, seed)?,
@@ -155,7 +155,7 @@
         let mut events: Vec<Event> = self
             .sharers
             .take()
-            .map(|all| Event::Sharers(all as usize))
+            .map(|all| Event::SchedulerCountChanged(all as usize))
             .into_iter()
             .collect();
         self.stood_still(now, &mut events, out);
--- a/crates/planner/src/core/acts.rs
+++ b/crates/planner/src/core/acts.rs
@@ -8,10 +8,10 @@
 impl Core {
     pub(super) fn carry_out(&mut self, now: f64, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send {
+            Action::Offer {
                 task,
                 machine,
-                wait,
+                timeout: wait,
             } => {
                 let (Some(known), Some(node)) =
                     (self.book.get_mut(task), self.machines.of(machine))
@@ -39,7 +39,10 @@
                     wait,
                 });
             }
-            Action::Refuse { task, retry_in } => {
+            Action::Reject {
+                task,
+                retry_after: retry_in,
+            } => {
                 let Some(known) = self.book.close(task) else {
                     return;
                 };
@@ -72,7 +75,7 @@
                     },
                 ));
             }
-            Action::Move(task) => {
+            Action::Migrate(task) => {
                 let Some(known) = self.book.get(task) else {
                     return;
                 };
@@ -84,9 +87,9 @@
                     );
                 }
             }
-            Action::Subscribe => out.push(Output::Subscribe),
-            Action::Timer { after, token } => out.push(Output::Timer(after, token)),
-            Action::Probe(machine) => {
+            Action::SubscribeEndpoints => out.push(Output::Subscribe),
+            Action::SetTimer { after, token } => out.push(Output::Timer(after, token)),
+            Action::PollLoad(machine) => {
                 if let Some(node) = self.machines.of(machine)
                     && let Some(known) = self.nodes.0.get(node)
                 {
@@ -94,7 +97,7 @@
                 }
             }
             // Planners share nothing here; the settings say so, and the policy then tells nothing.
-            Action::Tell(_) => {}
+            Action::Gossip(_) => {}
             Action::Log(line) => out.push(Output::Log(line)),
         }
     }
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -6,7 +6,7 @@
 use crate::words;
 use tidespur_api::task::Ask;
 use tidespur_planner_protocol::{End, ToEdge, ToPlanner};
-use tidespur_policy::interface::{Ending, Event, Task, TaskId};
+use tidespur_policy::interface::{AttemptOutcome, Event, Resources, Task, TaskId};
 
 impl Core {
     pub(super) fn edge(
@@ -92,7 +92,7 @@
                 let safe = !self.guarded[task.class];
                 if let Some(id) = self.book.open(ask, edge, safe, Stage::Open, 0) {
                     task.id = id;
-                    events.push(Event::Submit(task));
+                    events.push(Event::TaskSubmitted(task));
                 }
             }
             ToPlanner::InPlace { ask, node } => {
@@ -112,7 +112,7 @@
                 task.id = id;
                 let machine = words::machine(&node);
                 self.machines.learn(machine, &node);
-                events.push(Event::InPlace(task, machine));
+                events.push(Event::TaskAdopted(task, machine));
                 out.push(Output::Edge(
                     edge,
                     ToEdge::Placed {
@@ -209,10 +209,9 @@
             tenant,
             service: words::service(&ask.service),
             deadline: now + within.unwrap_or(0.0),
-            life: ask.life,
-            cores: ask.cores,
-            memory: ask.memory,
-            returned: ask.returned,
+            expected_duration: ask.life,
+            request: Resources::new(ask.cores, ask.memory),
+            is_resubmission: ask.returned,
         })
     }
 
@@ -229,11 +228,11 @@
         self.delete_at(&node, name, out);
         let uid = known.ask.uid.clone();
         self.attempts.proved(&uid, &node);
-        let ending = Ending::Cancelled;
-        events.push(Event::Outcome {
+        let ending = AttemptOutcome::Cancelled;
+        events.push(Event::AttemptEnded {
             task: id,
             attempt,
-            ending,
+            outcome: ending,
             closed: true,
             report: None,
         });
@@ -250,7 +249,7 @@
             Stage::Out { attempt, node } => known.stage = Stage::Leaving { attempt, node },
             Stage::Bound { .. } | Stage::Leaving { .. } => return,
         }
-        events.push(Event::Dropped(id));
+        events.push(Event::TaskCancelled(id));
     }
 
     /// The edge is lost. What was not yet answered is nobody's now; what runs runs on.
--- a/crates/planner/src/core/nodes.rs
+++ b/crates/planner/src/core/nodes.rs
@@ -5,7 +5,7 @@
 use crate::nodes::Held;
 use crate::words::{self, AtNode};
 use tidespur_planner_protocol::{End, ToEdge};
-use tidespur_policy::interface::{Ending, Event, TaskId};
+use tidespur_policy::interface::{AttemptOutcome, Event, TaskId};
 
 impl Core {
     pub(super) fn answered(
@@ -29,7 +29,7 @@
         if leaving {
             // Nobody waits: what was accepted is stopped, what may have been is stopped when it turns up.
             let ending = match answer {
-                Answer::Accepted(_) => Ending::Cancelled,
+                Answer::Accepted(_) => AttemptOutcome::Cancelled,
                 Answer::Ended(ending, ..) => ending,
             };
             if never_ran(&ending)
@@ -37,10 +37,10 @@
             {
                 self.attempts.proved(&known.ask.uid, &node);
             }
-            events.push(Event::Outcome {
+            events.push(Event::AttemptEnded {
                 task: id,
                 attempt,
-                ending,
+                outcome: ending,
                 closed: true,
                 report: None,
             });
@@ -62,9 +62,9 @@
                 };
                 let (edge, uid) = (known.edge, known.ask.uid.clone());
                 let name = (known.ask.tenant.clone(), known.ask.name.clone());
-                events.push(Event::Confirmed { task: id, attempt });
+                events.push(Event::AttemptConfirmed { task: id, attempt });
                 if report.is_some() {
-                    events.push(Event::Probed {
+                    events.push(Event::LoadPolled {
                         machine: words::machine(&node),
                         report,
                     });
@@ -96,7 +96,12 @@
                     known.answers.remove(0);
                 }
                 known.answers.push((node.clone(), words));
-                if matches!(ending, Ending::Late | Ending::Broken(_) | Ending::Failed) && known.safe
+                if matches!(
+                    ending,
+                    AttemptOutcome::TimedOut
+                        | AttemptOutcome::Interrupted(_)
+                        | AttemptOutcome::Failed
+                ) && known.safe
                 {
                     // It is sent again, so what the node shows of this attempt is one copy too many.
                     let name = (known.ask.tenant.clone(), known.ask.name.clone());
@@ -109,10 +114,10 @@
                         self.delete_at(&node, name, out);
                     }
                 }
-                events.push(Event::Outcome {
+                events.push(Event::AttemptEnded {
                     task: id,
                     attempt,
-                    ending,
+                    outcome: ending,
                     closed: false,
                     report,
                 });
@@ -204,9 +209,9 @@
                         uid: known.ask.uid.clone(),
                     },
                 ));
-                events.push(Event::Note {
+                events.push(Event::AttemptProgressed {
                     task: id,
-                    note: tidespur_policy::interface::Note::Runs,
+                    progress: tidespur_policy::interface::AttemptProgress::Started,
                 });
             }
             AtNode::Over(end) => self.ended(id, end, events, out),
@@ -231,10 +236,10 @@
             self.attempts.proved(&known.ask.uid, node);
         }
         let ending = words::ending(end);
-        events.push(Event::Outcome {
+        events.push(Event::AttemptEnded {
             task: id,
             attempt,
-            ending,
+            outcome: ending,
             closed: true,
             report: None,
         });
@@ -272,9 +277,9 @@
 }
 
 /// Whether this answer proves that nothing of the attempt runs.
-fn never_ran(ending: &Ending) -> bool {
+fn never_ran(ending: &AttemptOutcome) -> bool {
     matches!(
         ending,
-        Ending::NoConnection | Ending::Full(_) | Ending::Void
+        AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected(_) | AttemptOutcome::NeverSent
     )
 }
--- a/crates/planner/src/core/take.rs
+++ b/crates/planner/src/core/take.rs
@@ -5,7 +5,7 @@
 use crate::words::{self, AtNode};
 use std::collections::BTreeSet;
 use tidespur_planner_protocol::End;
-use tidespur_policy::interface::{Entry, Event, Standing as Listing};
+use tidespur_policy::interface::{Endpoint, EndpointStatus as Listing, Event};
 
 impl Core {
     pub(super) fn take(
@@ -33,7 +33,7 @@
                     .collect();
                 self.listed = true;
                 let entries = list.into_iter().map(|node| self.learn(node, out)).collect();
-                events.push(Event::ListWhole(entries));
+                events.push(Event::EndpointsListed(entries));
                 gone.into_iter()
                     .for_each(|node| self.node_gone(now, &node, events, out));
             }
@@ -42,16 +42,16 @@
                     return;
                 };
                 if deleted {
-                    node.entry.standing = Listing::Gone;
+                    node.entry.status = Listing::Gone;
                 }
-                let (name, gone) = (node.name.clone(), node.entry.standing == Listing::Gone);
+                let (name, gone) = (node.name.clone(), node.entry.status == Listing::Gone);
                 let entry = self.learn(node, out);
-                events.push(Event::ListChanges(vec![entry]));
+                events.push(Event::EndpointsChanged(vec![entry]));
                 if gone {
                     self.node_gone(now, &name, events, out);
                 }
             }
-            Input::ListFailed => events.push(Event::ListFailed),
+            Input::ListFailed => events.push(Event::EndpointListFailed),
             Input::Answered {
                 task,
                 attempt,
@@ -71,7 +71,7 @@
                         known
                             .entry
                             .clone()
-                            .map(|entry| Event::ListChanges(vec![entry])),
+                            .map(|entry| Event::EndpointsChanged(vec![entry])),
                     );
                 }
                 (known.standing, known.heard) = (Standing::Watched, now);
@@ -138,11 +138,11 @@
                     }
                 }
             }
-            Input::Probed(node, report) => events.push(Event::Probed {
+            Input::Probed(node, report) => events.push(Event::LoadPolled {
                 machine: words::machine(&node),
                 report,
             }),
-            Input::Timer(token) => events.push(Event::Timer(token)),
+            Input::Timer(token) => events.push(Event::TimerFired(token)),
             Input::Sent(at) => self.shedder.mark(now, now - at),
             Input::Tick => {}
         }
@@ -151,17 +151,17 @@
     /// A line of the list, as the policy is to know it: a node that has not said what it holds is offered nothing. Guards
     /// against a planner that begins, or a fleet that returns, and offers before it knows what runs there. Harm: a node
     /// whose watch can't be opened gets nothing though it might answer offers.
-    pub(super) fn learn(&mut self, node: words::Listed, out: &mut Vec<Output>) -> Entry {
+    pub(super) fn learn(&mut self, node: words::Listed, out: &mut Vec<Output>) -> Endpoint {
         self.machines.learn(node.entry.machine, &node.name);
         if self.nodes.list(&node.name, &node.address, &node.zone) {
             out.push(Output::WatchNode(node.name.clone(), node.address));
         }
         if let Some(known) = self.nodes.0.get_mut(&node.name) {
-            known.listed = node.entry.standing != Listing::Gone;
+            known.listed = node.entry.status != Listing::Gone;
             known.entry = Some(node.entry.clone());
             if !known.is_known() {
-                return Entry {
-                    standing: Listing::Gone,
+                return Endpoint {
+                    status: Listing::Gone,
                     ..node.entry
                 };
             }
--- a/crates/planner/src/core/talk.rs
+++ b/crates/planner/src/core/talk.rs
@@ -4,7 +4,7 @@
 use tidespur_api::Object;
 use tidespur_api::task::Ask;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
-use tidespur_policy::interface::{Ending, Report, TaskId};
+use tidespur_policy::interface::{AttemptOutcome, LoadReport, TaskId};
 
 /// What the planner is told.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     /// A node's watch broke; true: it refuses connections.
     NodeDown(String, bool),
     /// A probe's answer.
-    Probed(String, Option<Report>),
+    Probed(String, Option<LoadReport>),
     /// A timer of the policy is due.
     Timer(u64),
     /// This was put into the queue of inputs at that time: how far the planner is behind its work.
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     /// The node has it.
-    Accepted(Option<Report>),
+    Accepted(Option<LoadReport>),
     /// The node's other answers: the ending, its words, its load.
-    Ended(Ending, String, Option<Report>),
+    Ended(AttemptOutcome, String, Option<LoadReport>),
 }
 
 /// What is to be done.
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use tidespur_membership::{Facts, Role, Standing};
 use tidespur_membership_net::{Ending, Member};
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_net::{clock, frames};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
 impl Loop {
     /// Keeps a link to each edge that the fleet lists; ends with the member.
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -3,7 +3,7 @@
 use crate::words::AtNode;
 use std::collections::BTreeMap;
 use tidespur_planner_protocol::{End, Found};
-use tidespur_policy::interface::Entry;
+use tidespur_policy::interface::Endpoint;
 
 /// How the watch on a node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// The register lists it.
     pub listed: bool,
     /// What the register says of it.
-    pub entry: Option<Entry>,
+    pub entry: Option<Endpoint>,
     /// What it holds, by namespace and name.
     pub pods: BTreeMap<(String, String), Held>,
 }
--- a/crates/planner/src/offers.rs
+++ b/crates/planner/src/offers.rs
@@ -8,7 +8,7 @@
 use tidespur_api::task::Ask;
 use tidespur_api::{Object, names};
 use tidespur_net::{Client, NetError, clock};
-use tidespur_policy::interface::{Ending, Why};
+use tidespur_policy::interface::{AttemptOutcome, FailureCause};
 
 impl Loop {
     pub(crate) fn client(&self, address: &str) -> Client {
@@ -63,10 +63,10 @@
             Err(problem) => {
                 let ending = match &problem {
                     NetError::Connect(_) | NetError::Refused | NetError::Request(_) => {
-                        Ending::NoConnection
+                        AttemptOutcome::ConnectFailed
                     }
-                    NetError::Timeout => Ending::Late,
-                    NetError::Broken(_) => Ending::Broken(Why::Unknown),
+                    NetError::Timeout => AttemptOutcome::TimedOut,
+                    NetError::Broken(_) => AttemptOutcome::Interrupted(FailureCause::Unspecified),
                 };
                 (
                     Answer::Ended(ending, problem.to_string(), None),
@@ -130,7 +130,7 @@
     }
 }
 
-pub(crate) fn load(reply: &tidespur_net::Reply) -> Option<tidespur_policy::interface::Report> {
+pub(crate) fn load(reply: &tidespur_net::Reply) -> Option<tidespur_policy::interface::LoadReport> {
     words::report(reply.headers.get(names::LOAD_HEADER)?.to_str().ok()?)
 }
 
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tidespur_config::Config;
-use tidespur_persistence::{Disk, Identity, Outbox, Recalled};
+use tidespur_coordination::Fence;
 use tidespur_membership::{Facts, Role};
 use tidespur_membership_net::{Ending, Member, told_to_end};
-use tidespur_coordination::Fence;
-use tidespur_planner_protocol::ToEdge;
 use tidespur_net::{Client, Recorder, clock};
+use tidespur_persistence::{Disk, Identity, Outbox, Recalled};
+use tidespur_planner_protocol::ToEdge;
 
 /// Inputs that may wait for the core.
 const INPUTS_MOST: usize = 16_384;
@@ -252,7 +252,7 @@
         return None;
     };
     let answer = Answer::Ended(
-        tidespur_policy::interface::Ending::Void,
+        tidespur_policy::interface::AttemptOutcome::NeverSent,
         "the planner's disk was too slow".into(),
         None,
     );
--- a/crates/planner/src/waits.rs
+++ b/crates/planner/src/waits.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_config::Config;
+use tidespur_pending::{Code, Diagnosis, Draft, Limit, Teller};
 use tidespur_planner_protocol::ToEdge;
 use tidespur_policy::Scheduler;
-use tidespur_policy::interface::{Bar, Block, TaskId, Waiting};
-use tidespur_pending::{Code, Diagnosis, Draft, Limit, Teller};
+use tidespur_policy::interface::{FilterReason, PendingDiagnosis, RetryBlocker, TaskId};
 
 /// Tasks that wait are looked at this often: no reason that is told is older than this and one way of the link,
 /// while what waits has no more shapes than [`LOOKS_MOST`] allows.
@@ -148,7 +148,7 @@
                 Some(old) if *old.diagnosis == diagnosis => old.diagnosis.clone(),
                 _ => Arc::new(diagnosis),
             };
-            let (until, next_look) = (waiting.until, waiting.next_look);
+            let (until, next_look) = (waiting.send_deadline, waiting.next_attempt_at);
             self.shapes.insert(
                 shape.clone(),
                 Found {
@@ -158,7 +158,7 @@
                     next_look,
                 },
             );
-            left = left.saturating_sub(waiting.machines.max(1));
+            left = left.saturating_sub(waiting.machine_count.max(1));
             if left == 0 {
                 return;
             }
@@ -182,27 +182,27 @@
 /// The policy's words as a diagnosis.
 fn diagnose(
     now: f64,
-    waiting: &Waiting,
+    waiting: &PendingDiagnosis,
     limit: Option<Limit>,
     nodes: &Nodes,
     names: &Names,
 ) -> Diagnosis {
-    let block = waiting.block.map(|block| match block {
-        Block::Attempts => Code::AttemptsUsed,
-        Block::MayHaveRun => Code::MayHaveRun,
-        Block::Window => Code::WindowOver,
-        Block::Late => Code::GivesUp,
+    let block = waiting.blocker.map(|block| match block {
+        RetryBlocker::AttemptsExhausted => Code::AttemptsUsed,
+        RetryBlocker::MayHaveRun => Code::MayHaveRun,
+        RetryBlocker::DeduplicationWindowElapsed => Code::WindowOver,
+        RetryBlocker::DeadlineExceeded => Code::GivesUp,
     });
     let mut diagnosis = Diagnosis {
-        nodes: waiting.machines as u32,
+        nodes: waiting.machine_count as u32,
         block,
         ..Diagnosis::default()
     };
-    for (machine, bar) in &waiting.bars {
+    for (machine, bar) in &waiting.rejections {
         let node = names.of(*machine).unwrap_or("");
         let zone = nodes.0.get(node).map_or("", |node| node.zone.as_str());
         let (code, short) = match *bar {
-            Bar::Unlisted
+            FilterReason::NotListed
                 if nodes
                     .0
                     .get(node)
@@ -210,16 +210,16 @@
             {
                 (Code::Unheard, 0.0)
             }
-            Bar::Unlisted => (Code::Unlisted, 0.0),
-            Bar::Draining => (Code::Draining, 0.0),
-            Bar::Kind => (Code::WrongKind, 0.0),
-            Bar::Group => (Code::OutsideGroup, 0.0),
-            Bar::Cold => (Code::ColdBudget, 0.0),
-            Bar::Spread(_) => (Code::Spread, 0.0),
-            Bar::Aside(until) => (Code::SetAside, (until - now).max(0.0)),
-            Bar::Line => (Code::Line, 0.0),
-            Bar::Cores(short) => (Code::Cores, short),
-            Bar::Memory(short) => (Code::Memory, short),
+            FilterReason::NotListed => (Code::Unlisted, 0.0),
+            FilterReason::Draining => (Code::Draining, 0.0),
+            FilterReason::MachineTypeMismatch => (Code::WrongKind, 0.0),
+            FilterReason::OutsideDeduplicationDomain => (Code::OutsideGroup, 0.0),
+            FilterReason::SlowStart => (Code::ColdBudget, 0.0),
+            FilterReason::SpreadLimit(_) => (Code::Spread, 0.0),
+            FilterReason::CircuitOpen(until) => (Code::SetAside, (until - now).max(0.0)),
+            FilterReason::TooManyOffersInFlight => (Code::Line, 0.0),
+            FilterReason::InsufficientCpu(short) => (Code::Cores, short),
+            FilterReason::InsufficientMemory(short) => (Code::Memory, short),
         };
         // Nodes that left the list are no nodes any more, as far as an owner is concerned.
         if code == Code::Unlisted {
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/words.rs
@@ -3,7 +3,10 @@
 use std::hash::Hasher;
 use tidespur_api::{Object, meta, names, quantity};
 use tidespur_config::Config;
-use tidespur_policy::interface::{Ending, Entry, MachineId, Report, ServiceId, Standing, Why};
+use tidespur_policy::interface::{
+    AttemptOutcome, Endpoint, EndpointStatus, FailureCause, LoadReport, MachineId, Resources,
+    ServiceId,
+};
 
 fn hash(text: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
@@ -36,7 +39,7 @@
     /// Its zone, for people.
     pub zone: String,
     /// The line of the list.
-    pub entry: Entry,
+    pub entry: Endpoint,
 }
 
 /// Reads a Node; `None` where its kind is not in the settings or it says nowhere to send to.
@@ -58,22 +61,24 @@
                 .any(|c| c["type"] == "Ready" && c["status"] != "True")
         });
     let standing = match meta::at(object, &["spec", "unschedulable"]).as_bool() {
-        _ if unready => Standing::Gone,
-        Some(true) => Standing::Draining,
-        _ => Standing::Ready,
+        _ if unready => EndpointStatus::Gone,
+        Some(true) => EndpointStatus::Draining,
+        _ => EndpointStatus::Ready,
     };
     let memory = allocatable("memory").map(|bytes| bytes / names::MEMORY_UNIT);
-    let entry = Entry {
+    let entry = Endpoint {
         machine: machine(&name),
-        kind,
+        machine_type: kind,
         cell: place(&rack),
         zone: place(zone),
-        standing,
-        up_since: number(names::UP_SINCE),
-        free_cores: number(names::FREE_CORES)
-            .or(allocatable("cpu"))
-            .unwrap_or(0.0),
-        free_memory: number(names::FREE_MEMORY).or(memory).unwrap_or(0.0),
+        status: standing,
+        started_at: number(names::UP_SINCE),
+        unclaimed: Resources::new(
+            number(names::FREE_CORES)
+                .or(allocatable("cpu"))
+                .unwrap_or(0.0),
+            number(names::FREE_MEMORY).or(memory).unwrap_or(0.0),
+        ),
     };
     let address = meta::annotation(object, names::ADDRESS)?.to_owned();
     Some(Listed {
@@ -85,16 +90,16 @@
 }
 
 /// Reads the load header.
-pub fn report(header: &str) -> Option<Report> {
-    let mut report = Report::default();
+pub fn report(header: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in header.split(';') {
         let (key, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite())?;
         match key.trim() {
-            "cores" => report.free_cores = Some(value),
+            "cores" => report.free_cpu = Some(value),
             "memory" => report.free_memory = Some(value),
-            "queue" => report.waiting = Some(value),
-            "util" => report.busy = Some(value),
+            "queue" => report.queued = Some(value),
+            "util" => report.cpu_utilization = Some(value),
             // A newer node may tell more.
             _ => {}
         }
@@ -103,17 +108,17 @@
 }
 
 /// What a node's answer to an offer says: `None` where it was accepted.
-pub fn answer(status: u16, body: &Object) -> Option<Ending> {
+pub fn answer(status: u16, body: &Object) -> Option<AttemptOutcome> {
     let cause = meta::at(body, &["details", "causes"])
         .get(0)
         .map_or("", |c| meta::text(c, &["reason"]));
     Some(match (status, cause) {
         (200..=299, _) => return None,
-        (429, _) => Ending::Full(Why::Queue),
-        (_, "OutOfcpu") => Ending::Full(Why::Cores),
-        (_, "OutOfmemory") => Ending::Full(Why::Memory),
-        (400..=499, _) => Ending::Full(Why::NotHere),
-        _ => Ending::Failed,
+        (429, _) => AttemptOutcome::Rejected(FailureCause::QueueFull),
+        (_, "OutOfcpu") => AttemptOutcome::Rejected(FailureCause::InsufficientCpu),
+        (_, "OutOfmemory") => AttemptOutcome::Rejected(FailureCause::InsufficientMemory),
+        (400..=499, _) => AttemptOutcome::Rejected(FailureCause::NotEligible),
+        _ => AttemptOutcome::Failed,
     })
 }
 
@@ -157,16 +162,16 @@
 }
 
 /// An end in the policy's words.
-pub fn ending(end: tidespur_planner_protocol::End) -> Ending {
+pub fn ending(end: tidespur_planner_protocol::End) -> AttemptOutcome {
     use tidespur_planner_protocol::End;
     match end {
-        End::Succeeded => Ending::Finished,
+        End::Succeeded => AttemptOutcome::Finished,
         // The program ran to its own end; that says nothing about the machine.
-        End::Failed => Ending::Finished,
-        End::Evicted => Ending::Broken(Why::Evicted),
-        End::PushedOut => Ending::Broken(Why::PushedOut),
-        End::SentAway => Ending::Broken(Why::SentAway),
-        End::Lost => Ending::Broken(Why::Unknown),
-        End::Stopped => Ending::Cancelled,
+        End::Failed => AttemptOutcome::Finished,
+        End::Evicted => AttemptOutcome::Interrupted(FailureCause::Evicted),
+        End::PushedOut => AttemptOutcome::Interrupted(FailureCause::Preempted),
+        End::SentAway => AttemptOutcome::Interrupted(FailureCause::Drained),
+        End::Lost => AttemptOutcome::Interrupted(FailureCause::Unspecified),
+        End::Stopped => AttemptOutcome::Cancelled,
     }
 }
--- a/crates/planner/tests/asked_first.rs
+++ b/crates/planner/tests/asked_first.rs
@@ -3,9 +3,9 @@
 use serde_json::{Value, json};
 use tidespur_api::task::Ask;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
-use tidespur_planner::core::{Core, Input, Output};
 use tidespur_pending::Code;
+use tidespur_planner::core::{Core, Input, Output};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
 fn node(name: &str) -> Value {
     json!({"metadata": {"name": name, "labels": {"node.kubernetes.io/instance-type": "std-24"},
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -4,11 +4,11 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_persistence::{Batch, Recalled};
 use tidespur_coordination::Fence;
-use tidespur_planner_protocol::{Found, ToEdge, ToPlanner};
+use tidespur_persistence::{Batch, Recalled};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Core, Input, Output};
+use tidespur_planner_protocol::{Found, ToEdge, ToPlanner};
 
 const UID: &str = "6d0f-1";
 
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core.rs
@@ -3,9 +3,9 @@
 use serde_json::{Value, json};
 use tidespur_api::task::Ask;
 use tidespur_config::{Config, DEFAULT, parse};
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 use tidespur_planner::core::{Answer, Core, Input, Output};
-use tidespur_policy::interface::{Ending, Why};
+use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_policy::interface::{AttemptOutcome, FailureCause};
 
 fn config() -> Config {
     parse("built-in", DEFAULT).unwrap()
@@ -180,7 +180,7 @@
             node: at
         }]
     );
-    let late = Answer::Ended(Ending::Late, "no answer in time".into(), None);
+    let late = Answer::Ended(AttemptOutcome::TimedOut, "no answer in time".into(), None);
     assert_eq!(
         told(&world.step(vec![Input::Answered {
             task,
@@ -195,7 +195,11 @@
 fn an_unsafe_task_that_may_have_run_fails_and_is_not_sent_again() {
     let mut world = World::new(&["n1", "n2"]);
     let (task, attempt, _) = offer(&world.place("u", "slot-abgleich")).unwrap();
-    let broken = Answer::Ended(Ending::Broken(Why::Unknown), "reset".into(), None);
+    let broken = Answer::Ended(
+        AttemptOutcome::Interrupted(FailureCause::Unspecified),
+        "reset".into(),
+        None,
+    );
     let out = world.step(vec![Input::Answered {
         task,
         attempt,
@@ -215,7 +219,7 @@
 fn a_copy_of_a_safe_task_that_turns_up_elsewhere_is_deleted() {
     let mut world = World::new(&["n1", "n2", "n3"]);
     let (task, attempt, first) = offer(&world.place("u", "termin-web")).unwrap();
-    let late = Answer::Ended(Ending::Late, "no answer in time".into(), None);
+    let late = Answer::Ended(AttemptOutcome::TimedOut, "no answer in time".into(), None);
     let out = world.step(vec![Input::Answered {
         task,
         attempt,
@@ -357,7 +361,7 @@
     let (task, attempt, _) = offer(&world.place("b", "termin-web")).unwrap();
     let out = world.step(vec![Input::EdgeLost(1)]);
     assert!(!out.iter().any(|o| matches!(o, Output::Delete { .. })));
-    let late = Answer::Ended(Ending::Late, String::new(), None);
+    let late = Answer::Ended(AttemptOutcome::TimedOut, String::new(), None);
     let out = world.step(vec![Input::Answered {
         task,
         attempt,
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -4,12 +4,12 @@
 use serde_json::json;
 use tidespur_api::task::Ask;
 use tidespur_config::{DEFAULT, parse};
-use tidespur_persistence::{Batch, Recalled};
 use tidespur_coordination::Fence;
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
+use tidespur_persistence::{Batch, Recalled};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Answer, Core, Input, Output};
-use tidespur_policy::interface::Ending;
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
+use tidespur_policy::interface::AttemptOutcome;
 
 fn after(batch: &Batch) -> Recalled {
     let mut back = Recalled {
@@ -109,7 +109,7 @@
         for output in out {
             if let Output::Offer { task, attempt, .. } = output {
                 offers += 1;
-                let answer = Answer::Ended(Ending::Void, String::new(), None);
+                let answer = Answer::Ended(AttemptOutcome::NeverSent, String::new(), None);
                 inputs.push(Input::Answered {
                     task,
                     attempt,
--- a/crates/policy/examples/cost.rs
+++ b/crates/policy/examples/cost.rs
@@ -12,31 +12,31 @@
 /// Two classes that wait for ever, one of them spread.
 fn settings() -> Settings {
     let class = Class {
-        aim: 1e6,
+        latency_objective: 1e6,
         deadline: 1e6,
-        ..common::class(Effect::Safe)
+        ..common::class(RetrySafety::Idempotent)
     };
     let spread = Class {
-        worth: 3.0,
-        spread: Some(Place::Machine),
-        spread_most: 2,
+        priority_weight: 3.0,
+        spread_domain: Some(FailureDomain::Machine),
+        max_per_spread_domain: 2,
         ..class.clone()
     };
     let set = common::settings(vec![class, spread]);
     Settings {
-        schedulers: 16,
-        reports_use: false,
+        scheduler_count: 16,
+        reports_measured_usage: false,
         max_attempts: 1_000,
         ..set
     }
 }
 
-fn entry(machine: u64, free: f64) -> Entry {
+fn entry(machine: u64, free: f64) -> Endpoint {
     let id = MachineId(machine.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    Entry {
+    Endpoint {
         machine: id,
         zone: machine as usize % 3,
-        free_cores: free,
+        unclaimed: Resources::new(free, 60.0),
         ..common::entry(machine)
     }
 }
@@ -44,9 +44,11 @@
 fn task(id: u64) -> Task {
     Task {
         service: ServiceId(id % 50),
-        life: Some(60.0),
-        cores: [0.5, 1.0, 2.0][id as usize % 3],
-        memory: [1.0, 2.0][id as usize % 2],
+        expected_duration: Some(60.0),
+        request: Resources::new(
+            [0.5, 1.0, 2.0][id as usize % 3],
+            [1.0, 2.0][id as usize % 2],
+        ),
         ..common::task(id, usize::from(id.is_multiple_of(4)), 1e7)
     }
 }
@@ -75,13 +77,15 @@
                 scheduler.step(now, events, &mut out);
                 out
             };
-            step(&mut scheduler, 0.0, vec![Event::ListWhole(list)]);
-            let submits = (0..waiting).map(|id| Event::Submit(task(id))).collect();
+            step(&mut scheduler, 0.0, vec![Event::EndpointsListed(list)]);
+            let submits = (0..waiting)
+                .map(|id| Event::TaskSubmitted(task(id)))
+                .collect();
             step(&mut scheduler, 0.1, submits);
-            let look = least(|_| drop(step(&mut scheduler, 5.0, vec![Event::Timer(0)])));
-            let note = Event::Note {
+            let look = least(|_| drop(step(&mut scheduler, 5.0, vec![Event::TimerFired(0)])));
+            let note = Event::AttemptProgressed {
                 task: TaskId(0),
-                note: Note::Served(1.0),
+                progress: AttemptProgress::ServiceLevel(1.0),
             };
             let event = least(|_| drop(step(&mut scheduler, 1e-6, vec![note.clone()])));
             let decision = least(|n| {
@@ -92,11 +96,11 @@
                     service: ServiceId(99),
                     ..task(1)
                 };
-                let free = Event::ListChanges(vec![entry(n as u64, 30.0)]);
-                let out = step(&mut scheduler, 1e-6, vec![free, Event::Submit(one)]);
+                let free = Event::EndpointsChanged(vec![entry(n as u64, 30.0)]);
+                let out = step(&mut scheduler, 1e-6, vec![free, Event::TaskSubmitted(one)]);
                 assert!(
                     out.iter()
-                        .any(|action| matches!(action, Action::Send { .. })),
+                        .any(|action| matches!(action, Action::Offer { .. })),
                     "nothing was sent"
                 );
             });
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -36,10 +36,10 @@
 const ASK_AGAIN: Seconds = 0.8; // First pause before asking for the list again, drawn from half to whole.
 
 /// A class and a tenant.
-type Whose = (usize, usize);
+type TrafficClass = (usize, usize);
 
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-enum State {
+enum TaskState {
     #[default]
     Held,
     Out,
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 struct Job {
     task: Task,
-    state: State,
+    state: TaskState,
     sends: u32,
     sent_at: Seconds,
     machine: MachineId,
@@ -63,7 +63,7 @@
 
 /// What one of our tasks asks of its machine, and how far it has come.
 #[derive(Debug)]
-struct Load {
+struct Reservation {
     asked: [f64; 2],
     ends: Seconds, // When its hinted life runs out.
     sent_at: Seconds,
@@ -75,19 +75,19 @@
 
 #[derive(Debug, Default)]
 struct Machine {
-    entry: Option<Entry>, // What the list tells of it.
+    entry: Option<Endpoint>, // What the list tells of it.
     leaving: bool,
     size: [f64; 2],
     cold_until: Seconds,
-    tasks: BTreeMap<TaskId, Load>, // Ours, offered or placed.
-    own: [f64; 2],                 // Cores and memory that they ask for,
-    lagged: [f64; 2],              // as they stood a view's lag before
+    tasks: BTreeMap<TaskId, Reservation>, // Ours, offered or placed.
+    own: [f64; 2],                        // Cores and memory that they ask for,
+    lagged: [f64; 2],                     // as they stood a view's lag before
     lagged_at: Seconds,
     others: [f64; 2], // and those that others' tasks ask for.
     used: [Mean; 2],  // Use of what is asked, where reports tell.
     /// What failed, for one class and tenant or for all: how often in a row, until when it bars. After that
     /// pause, which doubles, one task at a time is let through until one succeeds (a circuit breaker).
-    troubles: BTreeMap<Option<Whose>, (i32, Seconds)>,
+    troubles: BTreeMap<Option<TrafficClass>, (i32, Seconds)>,
     offered_at: Seconds, // The last offer while it was cold.
     report_at: Seconds,
     probe_at: Seconds,
@@ -106,9 +106,9 @@
 /// What a look at all that waits has found, while machines only fill. Guards against a scheduler that drowns:
 /// a walk over all machines for each waiting task costs more than it has.
 #[derive(Debug, Default)]
-struct Look {
+struct CandidateCache {
     /// Machines that nothing bars for a class and tenant whatever the task, in order of ids.
-    open: BTreeMap<Whose, Vec<MachineId>>,
+    open: BTreeMap<TrafficClass, Vec<MachineId>>,
     /// Cores and memory that no machine takes, by class, tenant and, where it counts, service.
     full: BTreeMap<(usize, usize, ServiceId), Vec<[f64; 2]>>,
     looked: u64, // Machines that were looked at, for one task or for many.
@@ -170,7 +170,7 @@
             programs: BTreeMap::new(),
             to_tell: Vec::new(),
             list: List {
-                subscribed: !settings.subscribe,
+                subscribed: !settings.requires_subscription,
                 ..List::default()
             },
             life: Mean::default(),
@@ -218,7 +218,7 @@
     }
 
     /// Machines that were looked at so far, for one task or for many: the work of choosing.
-    pub fn looked(&self) -> u64 {
+    pub fn machines_examined(&self) -> u64 {
         self.looked
     }
 }
--- a/crates/policy/src/choice/bars.rs
+++ b/crates/policy/src/choice/bars.rs
@@ -9,16 +9,16 @@
     /// Lets this scheduler's part of what cold machines bear grow: what all may offer to all of them, as
     /// schedulers can't agree on one. At first each has a random part of it, else all would offer at once.
     pub(super) fn refill_cold(&mut self, now: Seconds) {
-        let safety = &self.settings.safety;
+        let safety = &self.settings.safety_limits;
         let cold = self
             .machines
             .values()
             .filter(|m| m.ready() && cold(m, safety, now))
             .count();
-        let part = cold as f64 * safety.cold_bears / self.settings.schedulers as f64;
+        let part = cold as f64 * safety.slow_start_offers / self.settings.scheduler_count as f64;
         let left = match self.cold_offers {
             _ if cold == 0 => None,
-            (Some(left), at) => Some(left + part * (now - at) / safety.overload_for.max(1e-3)),
+            (Some(left), at) => Some(left + part * (now - at) / safety.overload_window.max(1e-3)),
             (None, _) => Some(self.rng.random_range(0.0..part.max(1.0))),
         };
         self.cold_offers = (left.map(|left| left.min(part.max(1.0))), now);
@@ -28,12 +28,16 @@
     /// Where more schedulers share it than chance is allowed, groups take turns, at each machine other ones:
     /// a window sees two turns at most, so no more offers than two groups have members, whoever chooses what.
     fn bears(&self, now: Seconds, machine: &Machine) -> bool {
-        let (safety, all) = (&self.settings.safety, self.settings.schedulers as u64);
+        let (safety, all) = (
+            &self.settings.safety_limits,
+            self.settings.scheduler_count as u64,
+        );
         let (bears, id) = (
-            safety.cold_bears.max(1.0),
+            safety.slow_start_offers.max(1.0),
             machine.entry.as_ref().map_or(0, |e| e.machine.0),
         );
-        let pause = safety.overload_for.max(1e-3) * SLACK / (bears / all as f64).floor().max(1.0);
+        let pause =
+            safety.overload_window.max(1e-3) * SLACK / (bears / all as f64).floor().max(1.0);
         let most = (bears + 2.0 * bears.sqrt() + 2.0) as u64; // Chance may add so many to what it bears.
         let groups = if all > most {
             all.div_ceil(most / 2)
@@ -50,11 +54,14 @@
 
     /// Until when this task may be sent, were a machine found.
     pub(super) fn may_send_until(&self, job: &Job) -> Seconds {
-        let repeats = match (job.may_run, self.settings.classes[job.task.class].effect) {
+        let repeats = match (
+            job.may_run,
+            self.settings.classes[job.task.class].retry_safety,
+        ) {
             _ if job.sends >= self.settings.max_attempts => 0.0,
-            (None, _) | (_, Effect::Safe) => f64::INFINITY,
-            (_, Effect::Unsafe) => 0.0,
-            (Some((at, _)), Effect::Keyed { window, .. }) => at + window,
+            (None, _) | (_, RetrySafety::Idempotent) => f64::INFINITY,
+            (_, RetrySafety::NonIdempotent) => 0.0,
+            (Some((at, _)), RetrySafety::IdempotencyKeyed { window, .. }) => at + window,
         };
         job.task.deadline.min(repeats) - LEEWAY
     }
@@ -66,7 +73,7 @@
         job: &Job,
         id: MachineId,
         machine: &Machine,
-    ) -> Option<Bar> {
+    ) -> Option<FilterReason> {
         let bars = [
             self.bar_of_all(now, &job.task, machine),
             self.bar_of_own(job, id, machine),
@@ -77,30 +84,44 @@
     }
 
     /// What bars all tasks of its class and tenant alike.
-    pub(super) fn bar_of_all(&self, now: Seconds, task: &Task, machine: &Machine) -> Option<Bar> {
+    pub(super) fn bar_of_all(
+        &self,
+        now: Seconds,
+        task: &Task,
+        machine: &Machine,
+    ) -> Option<FilterReason> {
         let class = &self.settings.classes[task.class];
         let (kind, standing) = machine
             .entry
             .as_ref()
-            .map(|entry| (entry.kind, entry.standing))
+            .map(|entry| (entry.machine_type, entry.status))
             .unzip();
         match () {
-            () if !machine.ready() && standing == Some(Standing::Draining) => Some(Bar::Draining),
-            () if !machine.ready() => Some(Bar::Unlisted),
-            () if class.kind.is_some() && class.kind != kind => Some(Bar::Kind),
-            () if !self.bears(now, machine) => Some(Bar::Cold),
+            () if !machine.ready() && standing == Some(EndpointStatus::Draining) => {
+                Some(FilterReason::Draining)
+            }
+            () if !machine.ready() => Some(FilterReason::NotListed),
+            () if class.machine_type.is_some() && class.machine_type != kind => {
+                Some(FilterReason::MachineTypeMismatch)
+            }
+            () if !self.bears(now, machine) => Some(FilterReason::SlowStart),
             () if !machine.open(now, (task.class, task.tenant)) => {
-                Some(Bar::Aside(machine.aside_until(now)))
+                Some(FilterReason::CircuitOpen(machine.aside_until(now)))
             }
-            () => (machine.unanswered() >= LINE).then_some(Bar::Line),
+            () => (machine.unanswered() >= LINE).then_some(FilterReason::TooManyOffersInFlight),
         }
     }
 
     /// What bars this task, by where it may have run and where its service is.
-    pub(super) fn bar_of_own(&self, job: &Job, id: MachineId, machine: &Machine) -> Option<Bar> {
+    pub(super) fn bar_of_own(
+        &self,
+        job: &Job,
+        id: MachineId,
+        machine: &Machine,
+    ) -> Option<FilterReason> {
         let class = &self.settings.classes[job.task.class];
-        let in_group = match (job.may_run, class.effect) {
-            (Some((_, first)), Effect::Keyed { group, .. }) => {
+        let in_group = match (job.may_run, class.retry_safety) {
+            (Some((_, first)), RetrySafety::IdempotencyKeyed { domain: group, .. }) => {
                 self.same_place(group, id, machine, first)
             }
             _ => true,
@@ -115,25 +136,30 @@
                 .sum::<u32>()
         };
         let full = class
-            .spread
-            .filter(|&place| there(place) >= class.spread_most);
+            .spread_domain
+            .filter(|&place| there(place) >= class.max_per_spread_domain);
         if in_group {
-            full.map(Bar::Spread)
+            full.map(FilterReason::SpreadLimit)
         } else {
-            Some(Bar::Group)
+            Some(FilterReason::OutsideDeduplicationDomain)
         }
     }
 
     /// Why a task waits: what bars it from each machine, by the predicates that decide. Changes nothing.
-    pub fn explain(&self, now: Seconds, id: TaskId) -> Option<Waiting> {
-        let job = self.jobs.get(&id).filter(|job| job.state == State::Held)?;
+    pub fn explain(&self, now: Seconds, id: TaskId) -> Option<PendingDiagnosis> {
+        let job = self
+            .jobs
+            .get(&id)
+            .filter(|job| job.state == TaskState::Held)?;
         let until = self.may_send_until(job);
-        let block = match self.settings.classes[job.task.class].effect {
+        let block = match self.settings.classes[job.task.class].retry_safety {
             _ if now < until => None,
-            _ if job.sends >= self.settings.max_attempts => Some(Block::Attempts),
-            Effect::Unsafe if job.may_run.is_some() => Some(Block::MayHaveRun),
-            Effect::Keyed { .. } if now < job.task.deadline - LEEWAY => Some(Block::Window),
-            _ => Some(Block::Late),
+            _ if job.sends >= self.settings.max_attempts => Some(RetryBlocker::AttemptsExhausted),
+            RetrySafety::NonIdempotent if job.may_run.is_some() => Some(RetryBlocker::MayHaveRun),
+            RetrySafety::IdempotencyKeyed { .. } if now < job.task.deadline - LEEWAY => {
+                Some(RetryBlocker::DeduplicationWindowElapsed)
+            }
+            _ => Some(RetryBlocker::DeadlineExceeded),
         };
         let bar = |(&to, m): (&MachineId, &Machine)| {
             Some((
@@ -142,12 +168,12 @@
                     .or_else(|| self.lacks(&job.task, m))?,
             ))
         };
-        Some(Waiting {
-            bars: self.machines.iter().filter_map(bar).collect(),
-            machines: self.machines.len(),
-            block,
-            until,
-            next_look: if self.retry_at.is_finite() {
+        Some(PendingDiagnosis {
+            rejections: self.machines.iter().filter_map(bar).collect(),
+            machine_count: self.machines.len(),
+            blocker: block,
+            send_deadline: until,
+            next_attempt_at: if self.retry_at.is_finite() {
                 self.retry_at
             } else {
                 now
@@ -157,34 +183,43 @@
     }
 
     /// What the machine lacks to admit the task, as far as is known: of cores and memory what lacks more.
-    pub(super) fn lacks(&self, task: &Task, machine: &Machine) -> Option<Bar> {
+    pub(super) fn lacks(&self, task: &Task, machine: &Machine) -> Option<FilterReason> {
         let asked = [
-            machine.asked(0) + task.cores,
-            machine.asked(1) + task.memory,
+            machine.asked(0) + task.request.cpu,
+            machine.asked(1) + task.request.memory,
         ];
         let asked = [asked[0] / machine.size[0], asked[1] / machine.size[1]];
-        let admits =
-            [self.settings.admit_cores, self.settings.admit_memory].map(|most| most * ADMIT_FULL);
+        let admits = [
+            self.settings.overcommit.cpu,
+            self.settings.overcommit.memory,
+        ]
+        .map(|most| most * ADMIT_FULL);
         let over = [0, 1].map(|i| (asked[i] - admits[i]) / admits[i]);
         let short = |i: usize| (asked[i] - admits[i]) * machine.size[i];
         match () {
             () if !(0..2).any(|i| asked[i] > admits[i]) => None,
-            () if over[0] > over[1] => Some(Bar::Cores(short(0))),
-            () => Some(Bar::Memory(short(1))),
+            () if over[0] > over[1] => Some(FilterReason::InsufficientCpu(short(0))),
+            () => Some(FilterReason::InsufficientMemory(short(1))),
         }
     }
 
-    fn same_place(&self, place: Place, id: MachineId, machine: &Machine, other: MachineId) -> bool {
+    fn same_place(
+        &self,
+        place: FailureDomain,
+        id: MachineId,
+        machine: &Machine,
+        other: MachineId,
+    ) -> bool {
         let entry =
             |machine: &Machine| machine.entry.as_ref().map(|entry| (entry.zone, entry.cell));
         let (here, there) = (entry(machine), self.machines.get(&other).and_then(entry));
         match place {
-            Place::All => true,
-            Place::Machine => id == other,
-            Place::Zone => here
+            FailureDomain::All => true,
+            FailureDomain::Machine => id == other,
+            FailureDomain::Zone => here
                 .zip(there)
                 .is_some_and(|(here, there)| here.0 == there.0),
-            Place::Cell => here
+            FailureDomain::Cell => here
                 .zip(there)
                 .is_some_and(|(here, there)| here.1 == there.1),
         }
--- a/crates/policy/src/choice/events.rs
+++ b/crates/policy/src/choice/events.rs
@@ -17,14 +17,17 @@
 impl Scheduler {
     pub(super) fn observe(&mut self, now: Seconds, event: Event) {
         match event {
-            Event::Submit(task) => self.take_task(now, task, None),
-            Event::InPlace(task, machine) => self.take_task(now, task, Some(machine)),
-            Event::Confirmed { task, attempt } => self.confirmed(now, task, attempt),
-            Event::Note { task, note } => self.note(now, task, note),
-            Event::Outcome {
+            Event::TaskSubmitted(task) => self.take_task(now, task, None),
+            Event::TaskAdopted(task, machine) => self.take_task(now, task, Some(machine)),
+            Event::AttemptConfirmed { task, attempt } => self.confirmed(now, task, attempt),
+            Event::AttemptProgressed {
+                task,
+                progress: note,
+            } => self.note(now, task, note),
+            Event::AttemptEnded {
                 task,
                 attempt,
-                ending,
+                outcome: ending,
                 closed,
                 report,
             } => {
@@ -32,20 +35,20 @@
                 self.take_report(now, machine, report);
                 self.outcome(now, task, attempt, ending, closed);
             }
-            Event::Dropped(id) => match self.jobs.get_mut(&id) {
-                Some(job) if job.state == State::Held => drop(self.jobs.remove(&id)),
-                Some(job) => job.state = State::Over,
+            Event::TaskCancelled(id) => match self.jobs.get_mut(&id) {
+                Some(job) if job.state == TaskState::Held => drop(self.jobs.remove(&id)),
+                Some(job) => job.state = TaskState::Over,
                 None => {}
             },
-            Event::Timer(_) => self.next_wake = f64::INFINITY,
-            Event::ListChanges(list) => self.take_list(now, list, false),
-            Event::ListWhole(list) => self.take_list(now, list, true),
-            Event::ListFailed => {
-                let most = (self.settings.safety.ask_within / 2.0).max(ASK_AGAIN);
+            Event::TimerFired(_) => self.next_wake = f64::INFINITY,
+            Event::EndpointsChanged(list) => self.take_list(now, list, false),
+            Event::EndpointsListed(list) => self.take_list(now, list, true),
+            Event::EndpointListFailed => {
+                let most = (self.settings.safety_limits.max_poll_interval / 2.0).max(ASK_AGAIN);
                 let pause =
                     doubled(ASK_AGAIN, self.list.fails, most) * self.rng.random_range(0.5..1.0);
                 let fails = (self.list.fails + 1).min(STRIKES_MOST);
-                let subscribed = !self.settings.subscribe;
+                let subscribed = !self.settings.requires_subscription;
                 self.list = List {
                     subscribed,
                     asked_at: None,
@@ -53,7 +56,7 @@
                     fails,
                 };
             }
-            Event::Heard(bytes) => {
+            Event::GossipReceived(bytes) => {
                 for told in bytes.chunks_exact(8) {
                     let half =
                         |i: usize| (0..4).rev().fold(0, |x, k| x << 8 | u32::from(told[i + k]));
@@ -62,8 +65,10 @@
                         .insert(pair, now + if gone { KEPT_FOR } else { HEARD_FOR });
                 }
             }
-            Event::Sharers(all) => self.settings.schedulers = all.max(self.settings.ordinal + 1),
-            Event::Probed { machine, report } => {
+            Event::SchedulerCountChanged(all) => {
+                self.settings.scheduler_count = all.max(self.settings.ordinal + 1)
+            }
+            Event::LoadPolled { machine, report } => {
                 self.machines
                     .get_mut(&machine)
                     .into_iter()
@@ -77,11 +82,11 @@
         if self.jobs.contains_key(&task.id) {
             return;
         }
-        let life = task.life.unwrap_or(self.life.value);
+        let life = task.expected_duration.unwrap_or(self.life.value);
         self.life.learn(life, MEAN_WEIGHT);
-        self.work.learn(life * task.cores, MEAN_WEIGHT);
-        self.sizes[0].learn(task.cores, MEAN_WEIGHT);
-        self.sizes[1].learn(task.memory, MEAN_WEIGHT);
+        self.work.learn(life * task.request.cpu, MEAN_WEIGHT);
+        self.sizes[0].learn(task.request.cpu, MEAN_WEIGHT);
+        self.sizes[1].learn(task.request.memory, MEAN_WEIGHT);
         let (rate, at) = self.rate;
         self.rate = (
             1.0 / RATE_OVER + rate * (-(now - at) / RATE_OVER).exp(),
@@ -96,7 +101,7 @@
             },
         );
         if let Some(machine) = machine {
-            (job.machine, job.state, job.sends) = (machine, State::Bound, 1);
+            (job.machine, job.state, job.sends) = (machine, TaskState::Bound, 1);
             self.jobs.insert(id, job);
             self.count(now, id);
         } else {
@@ -109,10 +114,10 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.state != State::Out || attempt + 1 != job.sends {
+        if job.state != TaskState::Out || attempt + 1 != job.sends {
             return;
         }
-        job.state = State::Bound;
+        job.state = TaskState::Bound;
         let wait = now - job.sent_at;
         if let Some(machine) = self.machines.get_mut(&job.machine) {
             machine
@@ -130,16 +135,18 @@
         }
     }
 
-    fn note(&mut self, now: Seconds, id: TaskId, note: Note) {
+    fn note(&mut self, now: Seconds, id: TaskId, note: AttemptProgress) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let settled = job.state == State::Bound && now - job.sent_at > SETTLED;
+        let settled = job.state == TaskState::Bound && now - job.sent_at > SETTLED;
         let (i, share) = match note {
-            Note::Runs => return self.started(now, id),
-            Note::UsesCores(level) => (0, level / job.task.cores),
-            Note::UsesMemory(level) => (1, level / job.task.memory),
-            Note::Served(_) | Note::MachineMemory(_) => return,
+            AttemptProgress::Started => return self.started(now, id),
+            AttemptProgress::CpuUsage(level) => (0, level / job.task.request.cpu),
+            AttemptProgress::MemoryUsage(level) => (1, level / job.task.request.memory),
+            AttemptProgress::ServiceLevel(_) | AttemptProgress::MachineMemoryUtilization(_) => {
+                return;
+            }
         };
         if settled && share.is_finite() {
             self.used[i].learn(share.clamp(0.0, 3.0), MEAN_WEIGHT);
@@ -167,7 +174,14 @@
         }
     }
 
-    fn outcome(&mut self, now: Seconds, id: TaskId, attempt: u32, ending: Ending, closed: bool) {
+    fn outcome(
+        &mut self,
+        now: Seconds,
+        id: TaskId,
+        attempt: u32,
+        ending: AttemptOutcome,
+        closed: bool,
+    ) {
         let Some(job) = self.jobs.get(&id).filter(|job| attempt + 1 == job.sends) else {
             return;
         };
@@ -179,32 +193,41 @@
         self.uncount(now, id);
         let machine = self.machines.entry(to).or_default();
         match ending {
-            Ending::Finished | Ending::Cancelled | Ending::Void => {}
-            Ending::Full(Why::Queue) => machine.strike(now, None, LINE_FOR, LINE_FOR),
+            AttemptOutcome::Finished | AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
+            AttemptOutcome::Rejected(FailureCause::QueueFull) => {
+                machine.strike(now, None, LINE_FOR, LINE_FOR)
+            }
             // Refusals hold a while, longer when they go on: full, leaving before the list tells, or, where
             // the reason is none of the machine's, full for this class or tenant. Harm: one with room waits.
-            Ending::Full(Why::Cores | Why::Memory) | Ending::Broken(Why::SentAway) => {
+            AttemptOutcome::Rejected(
+                FailureCause::InsufficientCpu | FailureCause::InsufficientMemory,
+            )
+            | AttemptOutcome::Interrupted(FailureCause::Drained) => {
                 machine.strike(now, None, FULL_FOR, FULL_MOST);
             }
-            Ending::Full(_) => machine.strike(now, whose, FULL_FOR, FULL_MOST),
-            Ending::Broken(Why::Evicted | Why::PushedOut) => {
+            AttemptOutcome::Rejected(_) => machine.strike(now, whose, FULL_FOR, FULL_MOST),
+            AttemptOutcome::Interrupted(FailureCause::Evicted | FailureCause::Preempted) => {
                 machine.strike(now, None, FULL_FOR, FULL_FOR)
             }
             // An error at a second machine is the task's own and strikes neither. Guards against owners
             // of tasks that no machine can start. Harm: where most machines fail, some are found later.
-            Ending::Failed if own_error => {}
-            Ending::Failed if failed_at.is_some_and(|first| first != to) => {
+            AttemptOutcome::Failed if own_error => {}
+            AttemptOutcome::Failed if failed_at.is_some_and(|first| first != to) => {
                 let first = failed_at.and_then(|first| self.machines.get_mut(&first));
                 first.into_iter().for_each(|first| first.acquit(whose));
             }
             // Failures before the confirmation: errors, silence, answers lost. Only this class of this tenant
             // is known to be struck. Harm: the task's own first error counts against its machine for a while.
-            Ending::Failed | Ending::Late => machine.strike(now, whose, aside, ASIDE_MOST),
-            Ending::Broken(_) if was == State::Out => machine.strike(now, whose, aside, ASIDE_MOST),
+            AttemptOutcome::Failed | AttemptOutcome::TimedOut => {
+                machine.strike(now, whose, aside, ASIDE_MOST)
+            }
+            AttemptOutcome::Interrupted(_) if was == TaskState::Out => {
+                machine.strike(now, whose, aside, ASIDE_MOST)
+            }
             // It has died or is cut off: the list tells late, so it counts as cold once it answers again.
-            Ending::NoConnection | Ending::Broken(_) => {
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Interrupted(_) => {
                 machine.strike(now, None, aside, ASIDE_MOST);
-                machine.cold_until = now + self.settings.safety.cold;
+                machine.cold_until = now + self.settings.safety_limits.slow_start_duration;
                 self.programs
                     .retain(|pair, _| pair.1 != to.0 as u32 & !GONE);
             }
@@ -212,30 +235,33 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if closed || was != State::Out {
+        if closed || was != TaskState::Out {
             self.jobs.remove(&id);
             return;
         }
         if matches!(
             ending,
-            Ending::Failed | Ending::Late | Ending::Broken(_) | Ending::Cancelled
+            AttemptOutcome::Failed
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Interrupted(_)
+                | AttemptOutcome::Cancelled
         ) {
             job.may_run.get_or_insert((sent_at, to));
         }
-        job.own_error |= ending == Ending::Failed && *job.failed_at.get_or_insert(to) != to;
-        job.state = State::Held;
+        job.own_error |= ending == AttemptOutcome::Failed && *job.failed_at.get_or_insert(to) != to;
+        job.state = TaskState::Held;
         self.fresh.push(id);
     }
 
-    fn take_report(&mut self, now: Seconds, id: Option<MachineId>, report: Option<Report>) {
+    fn take_report(&mut self, now: Seconds, id: Option<MachineId>, report: Option<LoadReport>) {
         let machine = id.and_then(|id| self.machines.get_mut(&id));
         let (Some(machine), Some(report)) = (machine, report) else {
             return;
         };
         machine.report_at = now;
-        let free = [report.free_cores, report.free_memory];
+        let free = [report.free_cpu, report.free_memory];
         let taken = [0, 1].map(|i| free[i].map(|free| machine.size[i] - free));
-        if self.settings.reports_use {
+        if self.settings.reports_measured_usage {
             machine.add(now, [0.0; 2]);
             for (i, taken) in taken.into_iter().enumerate() {
                 let asked = machine.lagged[i] + machine.others[i];
@@ -245,13 +271,13 @@
             }
         } else {
             machine.see_asked(now, taken);
-            if let Some(busy) = report.busy {
+            if let Some(busy) = report.cpu_utilization {
                 machine.see_used(0, busy * machine.size[0], machine.asked(0));
             }
         }
     }
 
-    fn take_list(&mut self, now: Seconds, list: Vec<Entry>, whole: bool) {
+    fn take_list(&mut self, now: Seconds, list: Vec<Endpoint>, whole: bool) {
         (self.list.asked_at, self.list.fails) = (None, 0);
         if whole {
             self.machines
@@ -259,24 +285,24 @@
                 .for_each(|machine| machine.leaving = true);
         }
         for entry in list {
-            let Some(kind) = self.settings.kinds.get(entry.kind) else {
+            let Some(kind) = self.settings.machine_types.get(entry.machine_type) else {
                 continue;
             };
             let machine = self.machines.entry(entry.machine).or_default();
             if machine
                 .entry
                 .as_ref()
-                .is_some_and(|known| entry.up_since > known.up_since)
+                .is_some_and(|known| entry.started_at > known.started_at)
             {
                 self.programs
                     .retain(|pair, _| pair.1 != entry.machine.0 as u32 & !GONE);
             }
-            machine.size = [kind.cores, kind.memory];
-            machine.leaving = entry.standing != Standing::Ready;
-            if self.settings.lists_free {
+            machine.size = [kind.capacity.cpu, kind.capacity.memory];
+            machine.leaving = entry.status != EndpointStatus::Ready;
+            if self.settings.lists_unclaimed {
                 let asked = [
-                    kind.cores - entry.free_cores,
-                    kind.memory - entry.free_memory,
+                    kind.capacity.cpu - entry.unclaimed.cpu,
+                    kind.capacity.memory - entry.unclaimed.memory,
                 ];
                 machine.see_asked(now, asked.map(Some));
             }
@@ -287,7 +313,7 @@
             let drains = machine
                 .entry
                 .as_ref()
-                .is_some_and(|entry| entry.standing == Standing::Draining);
+                .is_some_and(|entry| entry.status == EndpointStatus::Draining);
             machine.leaving && machine.tasks.is_empty() && !drains
         };
         if self
--- a/crates/policy/src/choice/machine.rs
+++ b/crates/policy/src/choice/machine.rs
@@ -9,7 +9,7 @@
     pub(super) fn strike(
         &mut self,
         now: Seconds,
-        whose: Option<Whose>,
+        whose: Option<TrafficClass>,
         first: Seconds,
         most: Seconds,
     ) {
@@ -19,7 +19,7 @@
     }
 
     /// What struck it last was not its fault.
-    pub(super) fn acquit(&mut self, whose: Option<Whose>) {
+    pub(super) fn acquit(&mut self, whose: Option<TrafficClass>) {
         if let Some(trouble) = self.troubles.get_mut(&whose) {
             *trouble = (trouble.0 - 1, 0.0);
         }
@@ -27,7 +27,7 @@
     }
 
     /// An answer to this class and tenant takes back half of what stands against them.
-    pub(super) fn relieve(&mut self, whose: Whose) {
+    pub(super) fn relieve(&mut self, whose: TrafficClass) {
         for (_, trouble) in self
             .troubles
             .iter_mut()
@@ -41,7 +41,7 @@
     /// Whether a task of this class and tenant may be sent. What struck several classes or tenants strikes
     /// all that share what these have in common: guards against a tenant that is throttled, a class that
     /// fails, a machine that hangs, and mixtures. Harm: two troubles at once look like one that strikes all.
-    pub(super) fn open(&self, now: Seconds, whose: Whose) -> bool {
+    pub(super) fn open(&self, now: Seconds, whose: TrafficClass) -> bool {
         let bars = |after: Seconds| {
             let (mut first, mut same) = (None, (true, true));
             for (struck, _) in self
@@ -108,7 +108,7 @@
     }
 }
 
-pub(super) fn cold(machine: &Machine, safety: &Safety, now: Seconds) -> bool {
-    let up_since = machine.entry.as_ref().and_then(|entry| entry.up_since);
-    up_since.is_some_and(|up| now < up + safety.cold) || now < machine.cold_until
+pub(super) fn cold(machine: &Machine, safety: &SafetyLimits, now: Seconds) -> bool {
+    let up_since = machine.entry.as_ref().and_then(|entry| entry.started_at);
+    up_since.is_some_and(|up| now < up + safety.slow_start_duration) || now < machine.cold_until
 }
--- a/crates/policy/src/choice/ordinary.rs
+++ b/crates/policy/src/choice/ordinary.rs
@@ -61,27 +61,28 @@
         let (class, task) = (&self.settings.classes[job.task.class], &job.task);
         let use_of = |i: usize| machine.used[i].or(self.used[i].value).max(0.05);
         let asked = [
-            machine.asked(0) + task.cores,
-            machine.asked(1) + task.memory,
+            machine.asked(0) + task.request.cpu,
+            machine.asked(1) + task.request.memory,
         ];
         let asked = [asked[0] / machine.size[0], asked[1] / machine.size[1]];
         let used = [asked[0] * use_of(0), asked[1] * use_of(1)];
         if self.lacks(task, machine).is_some() {
             return None;
         }
-        let own = ((used[0] - class.calm) / class.fade.max(0.01)).clamp(0.0, 1.0);
+        let own = ((used[0] - class.full_service_utilization) / class.degradation_range.max(0.01))
+            .clamp(0.0, 1.0);
         let crowded = own
             + CROWDING * (used[0] - CORES_FULL).max(0.0)
             + CROWDING_MEMORY * (used[1] - MEMORY_FULL).max(0.0);
         let opened = if machine.asked(0) > 0.0 { 1.0 } else { 2.0 };
         let in_use = if machine.spare {
-            self.settings.prices.machines * IN_USE * opened
+            self.settings.costs.idle_machines * IN_USE * opened
         } else {
             0.0
         };
         let [with, without] = self.starts.map(|start| start.value / self.starts[0].value);
         // What came back was late already, or has had its first start: only the time it waits is lost.
-        let waited = if task.returned {
+        let waited = if task.is_resubmission {
             class.deadline
         } else {
             now + class.deadline - task.deadline
@@ -89,15 +90,15 @@
         // Starts of ours that wait there tell of its pace, where it grows slower.
         let starts = || machine.tasks.values().filter(|load| !load.runs);
         let before: f64 = starts().map(|load| load.start).sum();
-        let age = |load: &Load| (now - load.sent_at) / load.start;
+        let age = |load: &Reservation| (now - load.sent_at) / load.start;
         let pace = starts().map(age).fold(self.starts[0].value, f64::max);
         let late = |work: f64| {
             let takes = pace * (before + work);
-            let late = ((waited + takes) / class.aim.max(1e-3) - IN_TIME) / LATE_OVER;
-            class.start_worth * late.clamp(0.0, 1.0) + STARTING * takes
+            let late = ((waited + takes) / class.latency_objective.max(1e-3) - IN_TIME) / LATE_OVER;
+            class.start_weight * late.clamp(0.0, 1.0) + STARTING * takes
         };
         let late = program * late(with) + (1.0 - program) * late(without);
-        let life = task.life.unwrap_or(self.life.value);
+        let life = task.expected_duration.unwrap_or(self.life.value);
         Some(late + life * crowded + in_use * self.life.value)
     }
 
@@ -116,25 +117,31 @@
 
     /// The machine for one more send of this task, if there is one. Of the tasks that wait only the first of
     /// a shape walks all machines in a look: while they only fill, what takes none takes none that is larger.
-    pub(super) fn pick(&mut self, now: Seconds, id: TaskId, look: &mut Look) -> Option<MachineId> {
-        let (job, safety) = (&self.jobs[&id], &self.settings.safety);
+    pub(super) fn pick(
+        &mut self,
+        now: Seconds,
+        id: TaskId,
+        look: &mut CandidateCache,
+    ) -> Option<MachineId> {
+        let (job, safety) = (&self.jobs[&id], &self.settings.safety_limits);
         let (service, class) = (job.task.service, &self.settings.classes[job.task.class]);
         let whose = (job.task.class, job.task.tenant);
-        if job.state != State::Held {
+        if job.state != TaskState::Held {
             return None;
         }
         // What finds no place for one that is bound to a group says nothing of others: they may go elsewhere.
-        let bound = job.may_run.is_some() && matches!(class.effect, Effect::Keyed { .. });
+        let bound = job.may_run.is_some()
+            && matches!(class.retry_safety, RetrySafety::IdempotencyKeyed { .. });
         let shape = (
             whose.0,
             whose.1,
-            if class.spread.is_some() {
+            if class.spread_domain.is_some() {
                 service
             } else {
                 ServiceId(0)
             },
         );
-        let asks = [job.task.cores, job.task.memory];
+        let asks = [job.task.request.cpu, job.task.request.memory];
         let fulls = look.full.get(&shape);
         if fulls.is_some_and(|fulls| {
             fulls
@@ -210,8 +217,8 @@
         }
         let work = job
             .task
-            .life
-            .map_or(self.work.value, |life| life * job.task.cores);
+            .expected_duration
+            .map_or(self.work.value, |life| life * job.task.request.cpu);
         let ids: Vec<MachineId> = candidates.iter().map(|c| c.0).collect();
         Some(ids[dice(&backlogs, work, self.work.value, &mut self.rng)])
     }
--- a/crates/policy/src/choice/place.rs
+++ b/crates/policy/src/choice/place.rs
@@ -14,7 +14,7 @@
     /// Where machines in use cost, marks those that are not needed at comfort for what all tasks use now: the
     /// emptiest, so that the same ones run empty at all schedulers.
     pub(super) fn mark_spare(&mut self, now: Seconds) {
-        if self.settings.prices.machines <= 0.0 || now < self.spare_at {
+        if self.settings.costs.idle_machines <= 0.0 || now < self.spare_at {
             return;
         }
         self.spare_at = now + VIEW_LAG / 2.0;
@@ -36,7 +36,10 @@
             .collect();
         self.need = need;
         // What a machine holds of them: up to comfort, and no more than it admits.
-        let admits = [self.settings.admit_cores, self.settings.admit_memory];
+        let admits = [
+            self.settings.overcommit.cpu,
+            self.settings.overcommit.memory,
+        ];
         let full = [CORES_FULL, MEMORY_FULL];
         let holds =
             [0, 1].map(|i| full[i].min(admits[i] * ADMIT_FULL * self.used[i].value) * WORKING);
@@ -63,11 +66,11 @@
         let worth = |id: &TaskId| {
             self.jobs
                 .get(id)
-                .map_or(0.0, |job| classes[job.task.class].worth)
+                .map_or(0.0, |job| classes[job.task.class].priority_weight)
         };
         let mut held: Vec<(f64, TaskId)> = held.into_iter().map(|id| (worth(&id), id)).collect();
         held.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let mut look = Look::default();
+        let mut look = CandidateCache::default();
         for (_, id) in held {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -97,11 +100,11 @@
     }
 
     /// After a send: what it bars from now on.
-    fn look_again(&mut self, now: Seconds, to: MachineId, look: &mut Look) {
+    fn look_again(&mut self, now: Seconds, to: MachineId, look: &mut CandidateCache) {
         let Some(machine) = self.machines.get(&to) else {
             return;
         };
-        if cold(machine, &self.settings.safety, now) {
+        if cold(machine, &self.settings.safety_limits, now) {
             return look.open.clear(); // It spent of what all cold machines bear.
         }
         for (&(class, tenant), open) in &mut look.open {
@@ -122,14 +125,15 @@
             return;
         };
         let class = &self.settings.classes[job.task.class];
-        let once = self.settings.confirm_when_running || class.effect == Effect::Unsafe;
+        let once =
+            self.settings.confirm_when_running || class.retry_safety == RetrySafety::NonIdempotent;
         let repeated = doubled(timeout, job.sends as i32, class.deadline);
         let wait = if once { class.deadline / 2.0 } else { repeated };
         let wait = wait.min(job.task.deadline - now - LEEWAY / 2.0);
-        (job.state, job.sent_at, job.machine) = (State::Out, now, to);
+        (job.state, job.sent_at, job.machine) = (TaskState::Out, now, to);
         job.sends += 1;
         self.count(now, id);
-        let safety = &self.settings.safety;
+        let safety = &self.settings.safety_limits;
         if let Some(machine) = self
             .machines
             .get_mut(&to)
@@ -138,10 +142,10 @@
             self.cold_offers.0 = self.cold_offers.0.map(|left| left - 1.0);
             machine.offered_at = now;
         }
-        out.push(Action::Send {
+        out.push(Action::Offer {
             task: id,
             machine: to,
-            wait,
+            timeout: wait,
         });
     }
 
@@ -151,15 +155,15 @@
             return;
         };
         let harmless = job.may_run.is_none()
-            || match self.settings.classes[job.task.class].effect {
-                Effect::Safe => true,
-                Effect::Keyed { group, .. } => group == Place::All,
-                Effect::Unsafe => false,
+            || match self.settings.classes[job.task.class].retry_safety {
+                RetrySafety::Idempotent => true,
+                RetrySafety::IdempotencyKeyed { domain: group, .. } => group == FailureDomain::All,
+                RetrySafety::NonIdempotent => false,
             };
         out.push(if harmless {
-            Action::Refuse {
+            Action::Reject {
                 task: id,
-                retry_in: 0.0,
+                retry_after: 0.0,
             }
         } else {
             Action::Fail(id)
@@ -180,7 +184,10 @@
         *self.spread.entry((service, to)).or_default() += 1;
         self.to_tell.push(pair(service, to));
         let machine = self.machines.entry(to).or_default();
-        let (out, asked) = (job.state == State::Out, [job.task.cores, job.task.memory]);
+        let (out, asked) = (
+            job.state == TaskState::Out,
+            [job.task.request.cpu, job.task.request.memory],
+        );
         job.warm = warm;
         let start = if warm {
             1.0
@@ -188,8 +195,8 @@
             self.starts[1].value / self.starts[0].value
         };
         let alone = machine.tasks.values().all(|load| load.runs);
-        let ends = now + job.task.life.unwrap_or(mean_life);
-        let load = Load {
+        let ends = now + job.task.expected_duration.unwrap_or(mean_life);
+        let load = Reservation {
             asked,
             ends,
             sent_at: now,
@@ -216,7 +223,7 @@
             return;
         };
         machine.tasks.remove(&id);
-        machine.add(now, [-job.task.cores, -job.task.memory]);
+        machine.add(now, [-job.task.request.cpu, -job.task.request.memory]);
         let key = (job.task.service, job.machine);
         let Some(there) = self.spread.get_mut(&key) else {
             return;
--- a/crates/policy/src/choice/plain.rs
+++ b/crates/policy/src/choice/plain.rs
@@ -7,10 +7,10 @@
     /// What the walk over all machines for this task alone picks, and the chance that is left after it.
     pub(super) fn plain(&self, now: Seconds, id: TaskId) -> (Option<MachineId>, rand_pcg::Pcg32) {
         let mut rng = self.rng.clone();
-        let (job, safety) = (&self.jobs[&id], &self.settings.safety);
+        let (job, safety) = (&self.jobs[&id], &self.settings.safety_limits);
         let service = job.task.service;
         let gate = |to: MachineId, machine: &Machine| {
-            let open = job.state == State::Held && now < self.may_send_until(job);
+            let open = job.state == TaskState::Held && now < self.may_send_until(job);
             open && self.bar(now, job, to, machine).is_none()
         };
         let mut candidates: Vec<(MachineId, &Machine, f64)> = Vec::new();
@@ -60,99 +60,101 @@
         let backlogs: Vec<f64> = backlogs.iter().zip(&candidates).map(of).collect();
         let work = job
             .task
-            .life
-            .map_or(self.work.value, |life| life * job.task.cores);
+            .expected_duration
+            .map_or(self.work.value, |life| life * job.task.request.cpu);
         let picked = candidates[dice(&backlogs, work, self.work.value, &mut rng)].0;
         (Some(picked), rng)
     }
 }
 
 fn settings(rng: &mut rand_pcg::Pcg32) -> Settings {
-    let places = [Place::All, Place::Zone, Place::Cell, Place::Machine];
+    let places = [
+        FailureDomain::All,
+        FailureDomain::Zone,
+        FailureDomain::Cell,
+        FailureDomain::Machine,
+    ];
     let effects = [
-        Effect::Safe,
-        Effect::Keyed {
-            group: places[rng.random_range(0..4)],
+        RetrySafety::Idempotent,
+        RetrySafety::IdempotencyKeyed {
+            domain: places[rng.random_range(0..4)],
             window: 2.0,
         },
-        Effect::Unsafe,
+        RetrySafety::NonIdempotent,
     ];
     let mut class = |effect| Class {
-        aim: 0.7,
+        latency_objective: 0.7,
         deadline: 4.0,
-        effect,
-        worth: rng.random_range(1..4).into(),
-        start_worth: 10.0,
-        calm: 1.0,
-        fade: 1.0,
-        kind: rng.random_bool(0.2).then_some(0),
+        retry_safety: effect,
+        priority_weight: rng.random_range(1..4).into(),
+        start_weight: 10.0,
+        full_service_utilization: 1.0,
+        degradation_range: 1.0,
+        machine_type: rng.random_bool(0.2).then_some(0),
         priority: 0,
-        spread: [None, Some(places[1]), Some(places[2]), Some(places[3])][rng.random_range(0..4)],
-        spread_most: 2,
+        spread_domain: [None, Some(places[1]), Some(places[2]), Some(places[3])]
+            [rng.random_range(0..4)],
+        max_per_spread_domain: 2,
     };
     Settings {
         ordinal: 0,
-        schedulers: 2,
+        scheduler_count: 2,
         zone: 0,
         classes: effects.map(&mut class).to_vec(),
         tenants: vec![],
-        kinds: vec![
-            Kind {
-                cores: 4.0,
-                memory: 8.0,
+        machine_types: vec![
+            MachineType {
+                capacity: Resources::new(4.0, 8.0),
             },
-            Kind {
-                cores: 8.0,
-                memory: 16.0,
+            MachineType {
+                capacity: Resources::new(8.0, 16.0),
             },
         ],
-        admit_cores: 1.5,
-        admit_memory: 1.2,
-        one_home: rng.random_bool(0.5),
+        overcommit: Resources::new(1.5, 1.2),
+        single_scheduler_per_service: rng.random_bool(0.5),
         confirm_when_running: false,
-        subscribe: false,
-        lists_free: true,
-        reports: Reports::Answers,
-        reports_use: true,
-        probes: false,
-        messages: false,
+        requires_subscription: false,
+        lists_unclaimed: true,
+        load_reports: LoadReportSource::WithAnswers,
+        reports_measured_usage: true,
+        allows_load_polls: false,
+        allows_gossip: false,
         max_attempts: 4,
         max_retry_after: 0.0,
-        over_share_worth: 0.1,
-        safety: Safety {
+        over_quota_weight: 0.1,
+        safety_limits: SafetyLimits {
             answer_slack: 0.05,
-            ask_within: 10.0,
-            cold_from: 0.15,
-            cold: 3.0,
-            cold_bears: 8.0,
+            max_poll_interval: 10.0,
+            slow_start_speed: 0.15,
+            slow_start_duration: 3.0,
+            slow_start_offers: 8.0,
             drain_grace: 0.5,
-            fall_multiple: 2.5,
-            overload_for: 1.0,
+            overload_ratio: 2.5,
+            overload_window: 1.0,
         },
-        prices: Prices {
-            machines: if rng.random_bool(0.5) { 0.1 } else { 0.0 },
-            ..Prices::default()
+        costs: CostModel {
+            idle_machines: if rng.random_bool(0.5) { 0.1 } else { 0.0 },
+            ..CostModel::default()
         },
     }
 }
 
-fn entry(rng: &mut rand_pcg::Pcg32, machine: u64, now: Seconds) -> Entry {
+fn entry(rng: &mut rand_pcg::Pcg32, machine: u64, now: Seconds) -> Endpoint {
     let standing = match rng.random_range(0..12) {
-        0 => Standing::Draining,
-        1 => Standing::Gone,
-        _ => Standing::Ready,
+        0 => EndpointStatus::Draining,
+        1 => EndpointStatus::Gone,
+        _ => EndpointStatus::Ready,
     };
-    Entry {
+    Endpoint {
         machine: MachineId(machine),
-        kind: (machine % 2) as usize,
+        machine_type: (machine % 2) as usize,
         cell: (machine / 4) as usize,
         zone: (machine / 8) as usize,
-        standing,
-        up_since: rng
+        status: standing,
+        started_at: rng
             .random_bool(0.2)
             .then(|| now - rng.random_range(0.0..3.0)),
-        free_cores: rng.random_range(0.0..4.0),
-        free_memory: rng.random_range(0.0..8.0),
+        unclaimed: Resources::new(rng.random_range(0.0..4.0), rng.random_range(0.0..8.0)),
     }
 }
 
@@ -165,14 +167,14 @@
     let mut scheduler = Scheduler::new(settings, seed).expect("settings are sound");
     let mut out: BTreeMap<TaskId, u32> = BTreeMap::new();
     let (mut now, mut next, mut sent, mut waited) = (1000.0, 0, 0, 0);
-    let mut events = vec![Event::ListWhole(
+    let mut events = vec![Event::EndpointsListed(
         (0..24).map(|m| entry(&mut rng, m, now)).collect(),
     )];
     for _ in 0..400 {
         let mut actions = Vec::new();
         scheduler.step(now, std::mem::take(&mut events), &mut actions);
         for action in actions {
-            if let Action::Send { task, .. } = action {
+            if let Action::Offer { task, .. } = action {
                 *out.entry(task).or_default() += 1;
                 sent += 1;
             }
@@ -187,16 +189,15 @@
             let (class, service) = (rng.random_range(0..3), ServiceId(rng.random_range(0..4)));
             let (id, tenant, returned) =
                 (TaskId(next), rng.random_range(0..2), rng.random_bool(0.2));
-            events.push(Event::Submit(Task {
+            events.push(Event::TaskSubmitted(Task {
                 id,
                 class,
                 tenant,
                 service,
                 deadline,
-                life,
-                cores,
-                memory,
-                returned,
+                expected_duration: life,
+                request: Resources::new(cores, memory),
+                is_resubmission: returned,
             }));
             next += 1;
         }
@@ -205,33 +206,33 @@
             let bound = scheduler
                 .jobs
                 .get(&task)
-                .is_some_and(|job| job.state == State::Bound);
+                .is_some_and(|job| job.state == TaskState::Bound);
             let ending = match rng.random_range(0..60) {
                 0..3 => {
-                    events.push(Event::Confirmed { task, attempt });
+                    events.push(Event::AttemptConfirmed { task, attempt });
                     continue;
                 }
-                3 => Ending::Full(Why::Cores),
-                4 => Ending::Full(Why::Queue),
-                5 => Ending::Late,
-                6 => Ending::Failed,
-                7 => Ending::NoConnection,
-                8 => Ending::Broken(Why::Unknown),
-                9 => Ending::Full(Why::NotHere),
-                10 | 11 if bound => Ending::Finished,
+                3 => AttemptOutcome::Rejected(FailureCause::InsufficientCpu),
+                4 => AttemptOutcome::Rejected(FailureCause::QueueFull),
+                5 => AttemptOutcome::TimedOut,
+                6 => AttemptOutcome::Failed,
+                7 => AttemptOutcome::ConnectFailed,
+                8 => AttemptOutcome::Interrupted(FailureCause::Unspecified),
+                9 => AttemptOutcome::Rejected(FailureCause::NotEligible),
+                10 | 11 if bound => AttemptOutcome::Finished,
                 _ => continue,
             };
-            events.push(Event::Outcome {
+            events.push(Event::AttemptEnded {
                 task,
                 attempt,
-                ending,
+                outcome: ending,
                 closed: bound,
                 report: None,
             });
         }
         if rng.random_bool(0.1) {
             let machine = rng.random_range(0..24);
-            events.push(Event::ListChanges(vec![entry(&mut rng, machine, now)]));
+            events.push(Event::EndpointsChanged(vec![entry(&mut rng, machine, now)]));
         }
     }
     (sent, waited)
--- a/crates/policy/src/choice/tell.rs
+++ b/crates/policy/src/choice/tell.rs
@@ -19,7 +19,7 @@
                 .iter()
                 .flat_map(|pair| [pair.0.to_le_bytes(), pair.1.to_le_bytes()]);
             let bytes: Vec<u8> = bytes.flatten().collect();
-            out.extend(bytes.chunks(256).map(|part| Action::Tell(part.to_vec())));
+            out.extend(bytes.chunks(256).map(|part| Action::Gossip(part.to_vec())));
         }
         if self.programs.len() > KNOWN_MOST {
             self.programs.retain(|_, &mut until| now < until);
@@ -27,13 +27,17 @@
     }
 
     fn tells(&self) -> bool {
-        let share = (self.settings.schedulers - 1) as f64 * 8.0 / 256.0;
-        self.settings.messages && share > 0.0 && self.settings.prices.message * share <= TELL_SPEND
+        let share = (self.settings.scheduler_count - 1) as f64 * 8.0 / 256.0;
+        self.settings.allows_gossip
+            && share > 0.0
+            && self.settings.costs.gossip_message * share <= TELL_SPEND
     }
 
     /// Whether the programs of a service are known here: its tasks come here alone, or all tell of theirs.
     pub(super) fn informed(&self) -> bool {
-        self.settings.one_home || self.settings.schedulers == 1 || self.tells()
+        self.settings.single_scheduler_per_service
+            || self.settings.scheduler_count == 1
+            || self.tells()
     }
 
     pub(super) fn keep_list(&mut self, now: Seconds, out: &mut Vec<Action>) {
@@ -43,16 +47,17 @@
         }
         if !list.subscribed && now >= list.ask_at {
             (list.subscribed, list.asked_at) = (true, Some(now));
-            out.push(Action::Subscribe);
+            out.push(Action::SubscribeEndpoints);
         }
     }
 
     /// Probes machines whose reports are old, as often as the price allows.
     pub(super) fn probe(&mut self, now: Seconds, out: &mut Vec<Action>) {
-        if !self.settings.probes || self.settings.reports == Reports::None {
+        if !self.settings.allows_load_polls || self.settings.load_reports == LoadReportSource::None
+        {
             return;
         }
-        let price = self.settings.prices.probe;
+        let price = self.settings.costs.load_poll;
         let spend = if price > 0.0 {
             PROBE_SPEND / price
         } else {
@@ -61,15 +66,15 @@
         let each = (self.machines.len() as f64 / (self.rate.0 * spend).max(0.1)).max(STALE);
         for (&id, machine) in &mut self.machines {
             let due = now - machine.report_at.max(machine.probe_at) >= each;
-            if due && machine.ready() && !cold(machine, &self.settings.safety, now) {
+            if due && machine.ready() && !cold(machine, &self.settings.safety_limits, now) {
                 machine.probe_at = now;
-                out.push(Action::Probe(id));
+                out.push(Action::PollLoad(id));
             }
         }
     }
 
     pub(super) fn wake(&mut self, now: Seconds, out: &mut Vec<Action>) {
-        let probe = if self.settings.probes {
+        let probe = if self.settings.allows_load_polls {
             now + STALE / 2.0
         } else {
             f64::INFINITY
@@ -82,7 +87,7 @@
         let at = probe.min(list).min(self.retry_at);
         if at.is_finite() && at < self.next_wake {
             self.next_wake = at;
-            out.push(Action::Timer {
+            out.push(Action::SetTimer {
                 after: (at - now).max(0.001),
                 token: (at.max(0.0) * 1e6) as u64,
             });
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -11,8 +11,7 @@
 pub use events::*;
 pub use settings::*;
 
-/// Seconds, as a point on the caller's clock or as a length.
-pub type Seconds = f64;
+pub use tidespur_units::{Resources, Seconds};
 
 /// One request to place a task. Never reused: a task that comes again has a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -6,38 +6,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Offer the task to a machine. Attempts of a task count from 0 in order of sends.
-    Send {
+    Offer {
         /// The request.
         task: TaskId,
         /// Where to.
         machine: MachineId,
         /// Wait this long for the confirmation.
-        wait: Seconds,
+        timeout: Seconds,
     },
     /// Final answer: not placed, asking again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         task: TaskId,
         /// Advice to stay away this long; 0: none.
-        retry_in: Seconds,
+        retry_after: Seconds,
     },
     /// Final answer: failed, no claim whether it ran.
     Fail(TaskId),
     /// Stop a placed task; its owner asks again.
-    Move(TaskId),
+    Migrate(TaskId),
     /// Subscribe to the machine list.
-    Subscribe,
+    SubscribeEndpoints,
     /// Ask for a `Timer` event.
-    Timer {
+    SetTimer {
         /// How long from now.
         after: Seconds,
         /// Comes back with the event.
         token: u64,
     },
     /// Ask a machine for its load.
-    Probe(MachineId),
+    PollLoad(MachineId),
     /// Tell all other schedulers these bytes, 256 at most.
-    Tell(Vec<u8>),
+    Gossip(Vec<u8>),
     /// A line for the operators.
     Log(String),
 }
@@ -45,55 +45,55 @@
 /// What keeps a task from one machine. Amounts are those of the moment of the question. Of several the first
 /// in this order is told.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub enum Bar {
+pub enum FilterReason {
     /// The list does not show it, or shows it as gone.
-    Unlisted,
+    NotListed,
     /// It drains.
     Draining,
     /// It is not of the kind that the class needs.
-    Kind,
+    MachineTypeMismatch,
     /// An earlier attempt may have run, and repeats are dropped elsewhere.
-    Group,
+    OutsideDeduplicationDomain,
     /// It has just come up and bears no more offers now.
-    Cold,
+    SlowStart,
     /// As many tasks of the service as may be are in that place.
-    Spread(Place),
+    SpreadLimit(FailureDomain),
     /// Set aside after troubles until this time; then one task at a time is let through.
-    Aside(Seconds),
+    CircuitOpen(Seconds),
     /// As many offers of ours as may be wait there for an answer.
-    Line,
+    TooManyOffersInFlight,
     /// So many cores too few.
-    Cores(f64),
+    InsufficientCpu(f64),
     /// So much memory too little.
-    Memory(f64),
+    InsufficientMemory(f64),
 }
 
 /// What keeps a task from all machines alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Block {
+pub enum RetryBlocker {
     /// All its attempts are used up.
-    Attempts,
+    AttemptsExhausted,
     /// An earlier attempt may have run, and a second start does harm.
     MayHaveRun,
     /// An earlier attempt may have run, and the time in which repeats are dropped is over.
-    Window,
+    DeduplicationWindowElapsed,
     /// Its owner gives up now.
-    Late,
+    DeadlineExceeded,
 }
 
 /// Why a task waits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct PendingDiagnosis {
     /// What keeps it from each machine, in order of their ids; machines without an entry would take it.
-    pub bars: Vec<(MachineId, Bar)>,
+    pub rejections: Vec<(MachineId, FilterReason)>,
     /// Machines that were looked at.
-    pub machines: usize,
+    pub machine_count: usize,
     /// What keeps it from all.
-    pub block: Option<Block>,
+    pub blocker: Option<RetryBlocker>,
     /// Until when it can be sent.
-    pub until: Seconds,
+    pub send_deadline: Seconds,
     /// When it is looked at next.
-    pub next_look: Seconds,
+    pub next_attempt_at: Seconds,
     /// Attempts made.
     pub attempts: u32,
 }
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -16,18 +16,16 @@
     /// When the owner gives up on this request; may be infinite.
     pub deadline: Seconds,
     /// How long it is expected to run, roughly.
-    pub life: Option<Seconds>,
-    /// Cores asked.
-    pub cores: f64,
-    /// Memory asked.
-    pub memory: f64,
+    pub expected_duration: Option<Seconds>,
+    /// CPU and memory that it asks for.
+    pub request: Resources,
     /// It came back after a refusal, failure, move or loss.
-    pub returned: bool,
+    pub is_resubmission: bool,
 }
 
 /// State of a machine in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// Takes tasks.
     Ready,
     /// Finishes its work; nothing new may be sent.
@@ -38,148 +36,146 @@
 
 /// A line of the machine list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct Endpoint {
     /// The machine.
     pub machine: MachineId,
-    /// Index into [`Settings::kinds`].
-    pub kind: usize,
+    /// Index into [`Settings::machine_types`].
+    pub machine_type: usize,
     /// Its cell.
     pub cell: usize,
     /// Its zone.
     pub zone: usize,
     /// Whether it takes tasks.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// When it last started; `None`: long ago.
-    pub up_since: Option<Seconds>,
-    /// Cores that no accepted task asks for, a while ago; below 0 where more was accepted.
-    pub free_cores: f64,
-    /// Likewise memory.
-    pub free_memory: f64,
+    pub started_at: Option<Seconds>,
+    /// CPU and memory that no accepted task asks for, a while ago; below 0 where more was accepted.
+    pub unclaimed: Resources,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The task has finished.
     Finished,
     /// The machine returned an error; the task may have run.
     Failed,
     /// Turned away, never ran.
-    Full(Why),
+    Rejected(FailureCause),
     /// No answer in time; it may have run.
-    Late,
+    TimedOut,
     /// No connection, never ran.
-    NoConnection,
+    ConnectFailed,
     /// Before confirmation: answer cut short, may have run. After it: evicted, sent away or lost.
-    Broken(Why),
+    Interrupted(FailureCause),
     /// Given up or moved; may have run unless it was confirmed.
     Cancelled,
     /// Never sent.
-    Void,
+    NeverSent,
 }
 
 /// The reason that came with an ending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureCause {
     /// Not told.
-    Unknown,
+    Unspecified,
     /// No cores left.
-    Cores,
+    InsufficientCpu,
     /// No memory left.
-    Memory,
+    InsufficientMemory,
     /// Too many offers wait there.
-    Queue,
+    QueueFull,
     /// Wrong kind, leaving, too late, or a copy stands.
-    NotHere,
+    NotEligible,
     /// Evicted for memory.
     Evicted,
     /// Pushed out by a higher priority.
-    PushedOut,
+    Preempted,
     /// Sent away by a machine that leaves.
-    SentAway,
+    Drained,
 }
 
 /// Load of a machine, some time ago; what is not told is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Cores not in use or not asked for, see [`Settings::reports_use`].
-    pub free_cores: Option<f64>,
+pub struct LoadReport {
+    /// Cores not in use or not asked for, see [`Settings::reports_measured_usage`].
+    pub free_cpu: Option<f64>,
     /// Memory, likewise.
     pub free_memory: Option<f64>,
     /// Offers and starts that wait.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Fraction of the cores that is busy.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
 }
 
 /// News of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptProgress {
     /// The task runs now.
-    Runs,
+    Started,
     /// Cores that it uses now.
-    UsesCores(f64),
+    CpuUsage(f64),
     /// Memory that it uses now.
-    UsesMemory(f64),
+    MemoryUsage(f64),
     /// Share of full service that it gets.
-    Served(f64),
+    ServiceLevel(f64),
     /// Share of its machine's memory that is in use.
-    MachineMemory(f64),
+    MachineMemoryUtilization(f64),
 }
 
 /// What a scheduler is told. Events of one step share its time and stand in the order of arrival.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A task to place. Exactly one final answer is owed.
-    Submit(Task),
+    TaskSubmitted(Task),
     /// A task that already runs on a machine is now this scheduler's. Attempt 0 counts as made.
-    InPlace(Task, MachineId),
+    TaskAdopted(Task, MachineId),
     /// The task is placed by this attempt: the final answer. An `Outcome` tells its end.
-    Confirmed {
+    AttemptConfirmed {
         /// The request.
         task: TaskId,
         /// Which attempt.
         attempt: u32,
     },
     /// News of an attempt that has no outcome yet.
-    Note {
+    AttemptProgressed {
         /// The request.
         task: TaskId,
         /// What is told.
-        note: Note,
+        progress: AttemptProgress,
     },
     /// The one end of an attempt.
-    Outcome {
+    AttemptEnded {
         /// The request.
         task: TaskId,
         /// Which attempt.
         attempt: u32,
         /// How it ended.
-        ending: Ending,
+        outcome: AttemptOutcome,
         /// The request is closed; if not, a final answer may still be owed.
         closed: bool,
         /// Load of the machine, where it came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The request is over; nothing is owed.
-    Dropped(TaskId),
+    TaskCancelled(TaskId),
     /// A timer is due.
-    Timer(u64),
+    TimerFired(u64),
     /// Changes of the machine list.
-    ListChanges(Vec<Entry>),
+    EndpointsChanged(Vec<Endpoint>),
     /// The whole machine list; what is absent is gone.
-    ListWhole(Vec<Entry>),
+    EndpointsListed(Vec<Endpoint>),
     /// A subscription or a call for the list failed or broke.
-    ListFailed,
+    EndpointListFailed,
     /// What a probe brought; `None`: it failed.
-    Probed {
+    LoadPolled {
         /// The machine.
         machine: MachineId,
         /// Its load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// What another scheduler told; may be late, and some are lost.
-    Heard(Vec<u8>),
+    GossipReceived(Vec<u8>),
     /// So many schedulers share what cold machines bear, from now on; this one is counted.
-    Sharers(usize),
+    SchedulerCountChanged(usize),
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -4,7 +4,7 @@
 
 /// The machines that a group or a spread rule speaks of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
-pub enum Place {
+pub enum FailureDomain {
     /// All machines together.
     All,
     /// One zone.
@@ -17,112 +17,110 @@
 
 /// What a second run of a task would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Nothing: repeat at will.
-    Safe,
+    Idempotent,
     /// Machines of one group drop repeats for a while after the first send that may have run.
-    Keyed {
+    IdempotencyKeyed {
         /// Where repeats are dropped.
-        group: Place,
+        domain: FailureDomain,
         /// For how long.
         window: Seconds,
     },
     /// Harm: never send again unless every earlier attempt is known not to have run.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of tasks.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// A first start within this time earns its full worth.
-    pub aim: Seconds,
+    pub latency_objective: Seconds,
     /// How long owners wait for a placement.
     pub deadline: Seconds,
     /// What repeats do.
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     /// Worth of one second of full service.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Seconds of service that a timely start is worth.
-    pub start_worth: Seconds,
+    pub start_weight: Seconds,
     /// Share of the machine's cores up to which the class is served in full.
-    pub calm: f64,
+    pub full_service_utilization: f64,
     /// Service drops to nothing over this much more.
-    pub fade: f64,
+    pub degradation_range: f64,
     /// The kind of machine it needs, if any.
-    pub kind: Option<usize>,
+    pub machine_type: Option<usize>,
     /// Higher goes first.
     pub priority: u32,
     /// Where `spread_most` counts; `None` where tasks may crowd.
-    pub spread: Option<Place>,
+    pub spread_domain: Option<FailureDomain>,
     /// The most tasks of one service in one such place.
-    pub spread_most: u32,
+    pub max_per_spread_domain: u32,
 }
 
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Its fraction of the service.
-    pub share: f64,
+    pub quota_fraction: f64,
     /// New tasks a second, over all schedulers, within the share.
-    pub quota_per_s: f64,
+    pub quota_per_second: f64,
 }
 
 /// A kind of machine.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    /// Cores of a machine.
-    pub cores: f64,
-    /// Memory of a machine.
-    pub memory: f64,
+pub struct MachineType {
+    /// CPU and memory of a machine.
+    pub capacity: Resources,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// Nowhere.
     None,
     /// With outcomes and probes.
-    Answers,
+    WithAnswers,
     /// With probes alone.
-    Probes,
+    PollsOnly,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug)]
-pub struct Safety {
+pub struct SafetyLimits {
     /// A final answer counts until this long after the deadline.
     pub answer_slack: Seconds,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Seconds,
+    pub max_poll_interval: Seconds,
     /// A machine that has just come up starts tasks at this fraction of its pace, or above.
-    pub cold_from: f64,
+    pub slow_start_speed: f64,
     /// It is warm no later than this.
-    pub cold: Seconds,
+    pub slow_start_duration: Seconds,
     /// Offers within `overload_for`, from all schedulers together, that a cold machine always bears.
-    pub cold_bears: f64,
+    pub slow_start_offers: f64,
     /// Sends to a leaving machine must stop within this of being told.
     pub drain_grace: Seconds,
     /// More than this multiple of present capacity ...
-    pub fall_multiple: f64,
+    pub overload_ratio: f64,
     /// ... for this long pushes a cold machine over.
-    pub overload_for: Seconds,
+    pub overload_window: Seconds,
 }
 
 /// What the result is charged for.
 #[derive(Clone, Debug, Default)]
-pub struct Prices {
+pub struct CostModel {
     /// All machines in use beyond those needed.
-    pub machines: f64,
+    pub idle_machines: f64,
     /// One refused offer for each task.
-    pub refused: f64,
+    pub rejected_offer: f64,
     /// One move for each task.
-    pub moves: f64,
+    pub migration: f64,
     /// Moves that one eviction counts as.
-    pub eviction_as_moves: f64,
+    pub eviction_in_migrations: f64,
     /// One probe for each task.
-    pub probe: f64,
+    pub load_poll: f64,
     /// One full message for each task.
-    pub message: f64,
+    pub gossip_message: f64,
 }
 
 /// What a scheduler is told before it starts.
@@ -131,7 +129,7 @@
     /// Number of this scheduler, from 0.
     pub ordinal: usize,
     /// How many schedulers share the machines.
-    pub schedulers: usize,
+    pub scheduler_count: usize,
     /// The zone that this scheduler is in.
     pub zone: usize,
     /// The classes; tasks name theirs by index.
@@ -139,37 +137,35 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The kinds of machines.
-    pub kinds: Vec<Kind>,
-    /// Machines accept until tasks ask for this multiple of their cores.
-    pub admit_cores: f64,
-    /// Or this multiple of their memory.
-    pub admit_memory: f64,
+    pub machine_types: Vec<MachineType>,
+    /// Machines accept tasks until these ask for this multiple of their CPU, or of their memory.
+    pub overcommit: Resources,
     /// The tasks of a service come to one scheduler while that is up (else to any).
-    pub one_home: bool,
+    pub single_scheduler_per_service: bool,
     /// `Confirmed` arrives when the task runs (else when it is accepted).
     pub confirm_when_running: bool,
     /// The list of machines must be subscribed to (else changes arrive unasked).
-    pub subscribe: bool,
+    pub requires_subscription: bool,
     /// List entries carry unclaimed cores and memory.
-    pub lists_free: bool,
+    pub lists_unclaimed: bool,
     /// Where reports come from.
-    pub reports: Reports,
+    pub load_reports: LoadReportSource,
     /// Reports tell cores and memory not in use (else not asked for).
-    pub reports_use: bool,
+    pub reports_measured_usage: bool,
     /// Probes are permitted.
-    pub probes: bool,
+    pub allows_load_polls: bool,
     /// Schedulers may tell each other things.
-    pub messages: bool,
+    pub allows_gossip: bool,
     /// Attempts that one request may have.
     pub max_attempts: u32,
     /// The longest advice to stay away that is followed, 0 if none is.
     pub max_retry_after: Seconds,
     /// Worth of a task beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Figures of the rules.
-    pub safety: Safety,
+    pub safety_limits: SafetyLimits,
     /// What costs.
-    pub prices: Prices,
+    pub costs: CostModel,
 }
 
 impl Settings {
@@ -185,51 +181,61 @@
         if self.classes.is_empty() {
             return fail("classes", "at least one is needed");
         }
-        if self.kinds.is_empty()
+        if self.machine_types.is_empty()
             || self
-                .kinds
+                .machine_types
                 .iter()
-                .any(|k| !(k.cores > 0.0 && k.memory > 0.0))
+                .any(|k| !(k.capacity.cpu > 0.0 && k.capacity.memory > 0.0))
         {
             return fail(
                 "kinds",
                 "at least one is needed, each with cores and memory above 0",
             );
         }
-        if self.schedulers == 0 || self.ordinal >= self.schedulers {
+        if self.scheduler_count == 0 || self.ordinal >= self.scheduler_count {
             return fail("schedulers", "must be above the ordinal of this one");
         }
         for c in &self.classes {
-            if [c.aim, c.deadline, c.worth, c.start_worth, c.calm, c.fade]
-                .into_iter()
-                .any(bad)
+            if [
+                c.latency_objective,
+                c.deadline,
+                c.priority_weight,
+                c.start_weight,
+                c.full_service_utilization,
+                c.degradation_range,
+            ]
+            .into_iter()
+            .any(bad)
             {
                 return fail("classes", "a negative time, worth or share");
             }
-            if c.kind.is_some_and(|k| k >= self.kinds.len()) {
+            if c.machine_type
+                .is_some_and(|k| k >= self.machine_types.len())
+            {
                 return fail("classes", "a kind that is not among the kinds");
             }
-            if matches!(c.effect, Effect::Keyed { window, .. } if bad(window)) {
+            if matches!(c.retry_safety, RetrySafety::IdempotencyKeyed { window, .. } if bad(window))
+            {
                 return fail("classes", "a negative window");
             }
         }
-        let s = &self.safety;
+        let s = &self.safety_limits;
         let times = [
             s.answer_slack,
-            s.ask_within,
-            s.cold,
+            s.max_poll_interval,
+            s.slow_start_duration,
             s.drain_grace,
-            s.overload_for,
-            s.cold_bears,
+            s.overload_window,
+            s.slow_start_offers,
         ];
         if times
             .into_iter()
-            .chain([s.cold_from, s.fall_multiple])
+            .chain([s.slow_start_speed, s.overload_ratio])
             .any(bad)
         {
             return fail("safety", "a negative figure");
         }
-        if bad(self.admit_cores) || bad(self.admit_memory) {
+        if bad(self.overcommit.cpu) || bad(self.overcommit.memory) {
             return fail("admit_cores", "a negative figure");
         }
         Ok(())
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -12,28 +12,31 @@
 /// Gives the most offers that a machine got in any window, what is allowed, and the offers in all.
 fn play(schedulers: usize, seed: u64, restarts: bool) -> (usize, f64, usize) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut set = settings(vec![class(Effect::Safe), class(Effect::Unsafe)]);
-    set.schedulers = schedulers;
-    set.safety.cold_bears = rng.random_range(1.0..40.0);
-    set.safety.overload_for = rng.random_range(0.5..2.0);
+    let mut set = settings(vec![
+        class(RetrySafety::Idempotent),
+        class(RetrySafety::NonIdempotent),
+    ]);
+    set.scheduler_count = schedulers;
+    set.safety_limits.slow_start_offers = rng.random_range(1.0..40.0);
+    set.safety_limits.overload_window = rng.random_range(0.5..2.0);
     let machines = rng.random_range(1..5);
     let up: Vec<Seconds> = (0..machines)
         .map(|_| 999.0 + rng.random_range(0.0..2.0))
         .collect();
-    let list: Vec<Entry> = (0..machines)
-        .map(|m| Entry {
-            up_since: Some(up[m as usize]),
+    let list: Vec<Endpoint> = (0..machines)
+        .map(|m| Endpoint {
+            started_at: Some(up[m as usize]),
             ..entry(m * 7_919 + seed)
         })
         .collect();
-    let bears = set.safety.cold_bears;
+    let bears = set.safety_limits.slow_start_offers;
     let start = |ordinal, seed| {
         let set = Settings {
             ordinal,
             ..set.clone()
         };
         let scheduler = Scheduler::new(set, seed).expect("settings are sound");
-        (scheduler, vec![Event::ListWhole(list.clone())])
+        (scheduler, vec![Event::EndpointsListed(list.clone())])
     };
     let mut fleet: Vec<(Scheduler, Vec<Event>)> =
         (0..schedulers).map(|n| start(n, rng.random())).collect();
@@ -56,7 +59,7 @@
         }
         if all_at_once
             && sends.values().map(Vec::len).sum::<usize>()
-                >= schedulers.min(set.safety.cold_bears as usize)
+                >= schedulers.min(set.safety_limits.slow_start_offers as usize)
         {
             all_at_once = false;
             fleet = (0..schedulers).map(|n| start(n, rng.random())).collect();
@@ -70,12 +73,11 @@
         } {
             next += 1;
             let work = Task {
-                cores: 0.1,
-                memory: 0.1,
-                life: Some(0.5),
+                request: Resources::new(0.1, 0.1),
+                expected_duration: Some(0.5),
                 ..task(next, 0, now + 3.0)
             };
-            events.push(Event::Submit(Task {
+            events.push(Event::TaskSubmitted(Task {
                 class: rng.random_range(0..2),
                 ..work
             }));
@@ -83,29 +85,32 @@
         let mut actions = Vec::new();
         scheduler.step(now, std::mem::take(events), &mut actions);
         for action in actions {
-            let Action::Send { task, machine, .. } = action else {
+            let Action::Offer { task, machine, .. } = action else {
                 continue;
             };
             sends.entry(machine).or_default().push(now);
             // Answered by the next step, and over soon, so that nothing but the ramp holds offers back.
             let attempt = *attempts.entry(task).and_modify(|n| *n += 1).or_insert(0);
-            let ends = |ending, closed| Event::Outcome {
+            let ends = |ending, closed| Event::AttemptEnded {
                 task,
                 attempt,
-                ending,
+                outcome: ending,
                 closed,
                 report: None,
             };
             match rng.random_range(0..4) {
-                0 => events.push(ends(Ending::Full(Why::Queue), false)),
+                0 => events.push(ends(
+                    AttemptOutcome::Rejected(FailureCause::QueueFull),
+                    false,
+                )),
                 _ => events.extend([
-                    Event::Confirmed { task, attempt },
-                    ends(Ending::Finished, true),
+                    Event::AttemptConfirmed { task, attempt },
+                    ends(AttemptOutcome::Finished, true),
                 ]),
             }
         }
     }
-    let window = set.safety.overload_for;
+    let window = set.safety_limits.overload_window;
     let in_window = |times: &Vec<Seconds>| {
         let from = |i: usize| {
             times[i..]
@@ -168,50 +173,52 @@
 /// Sixteen schedulers, each counted alone at first, hear of all at drawn moments: from the last of these on the sum holds.
 #[test]
 fn schedulers_that_hear_of_more_take_a_smaller_part_each() {
-    let mut set = settings(vec![class(Effect::Safe)]);
-    set.safety.cold_bears = 16.0;
-    let list = vec![Entry {
-        up_since: Some(999.5),
+    let mut set = settings(vec![class(RetrySafety::Idempotent)]);
+    set.safety_limits.slow_start_offers = 16.0;
+    let list = vec![Endpoint {
+        started_at: Some(999.5),
         ..entry(7)
     }];
     let mut sent = Vec::new();
     for ordinal in 0..16 {
         set.ordinal = ordinal;
-        set.schedulers = ordinal + 1;
+        set.scheduler_count = ordinal + 1;
         let mut scheduler =
             Scheduler::new(set.clone(), ordinal as u64).expect("settings are sound");
         let mut now = 1000.0;
-        let mut events = vec![Event::ListWhole(list.clone()), Event::Sharers(16)];
+        let mut events = vec![
+            Event::EndpointsListed(list.clone()),
+            Event::SchedulerCountChanged(16),
+        ];
         while now < 1006.0 {
             let id = (ordinal * 10_000) as u64 + (now * 100.0) as u64 % 10_000;
             let work = Task {
-                cores: 0.1,
-                memory: 0.1,
-                life: Some(0.5),
+                request: Resources::new(0.1, 0.1),
+                expected_duration: Some(0.5),
                 ..task(id, 0, now + 3.0)
             };
-            events.push(Event::Submit(work));
+            events.push(Event::TaskSubmitted(work));
             let mut actions = Vec::new();
             scheduler.step(now, std::mem::take(&mut events), &mut actions);
             for action in actions {
-                let Action::Send { task, .. } = action else {
+                let Action::Offer { task, .. } = action else {
                     continue;
                 };
                 sent.push(now);
-                let ends = Event::Outcome {
+                let ends = Event::AttemptEnded {
                     task,
                     attempt: 0,
-                    ending: Ending::Finished,
+                    outcome: AttemptOutcome::Finished,
                     closed: true,
                     report: None,
                 };
-                events.extend([Event::Confirmed { task, attempt: 0 }, ends]);
+                events.extend([Event::AttemptConfirmed { task, attempt: 0 }, ends]);
             }
             now += 0.05;
         }
     }
     sent.sort_by(f64::total_cmp);
-    let window = set.safety.overload_for;
+    let window = set.safety_limits.overload_window;
     let most = sent
         .iter()
         .map(|&from| {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,70 +5,67 @@
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::*;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
-        aim: 0.7,
+        latency_objective: 0.7,
         deadline: 6.0,
-        effect,
-        worth: 1.0,
-        start_worth: 10.0,
-        calm: 1.0,
-        fade: 1.0,
-        kind: None,
+        retry_safety: effect,
+        priority_weight: 1.0,
+        start_weight: 10.0,
+        full_service_utilization: 1.0,
+        degradation_range: 1.0,
+        machine_type: None,
         priority: 0,
-        spread: None,
-        spread_most: 0,
+        spread_domain: None,
+        max_per_spread_domain: 0,
     }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         ordinal: 0,
-        schedulers: 2,
+        scheduler_count: 2,
         zone: 0,
         classes,
         tenants: vec![],
-        kinds: vec![Kind {
-            cores: 32.0,
-            memory: 64.0,
+        machine_types: vec![MachineType {
+            capacity: Resources::new(32.0, 64.0),
         }],
-        admit_cores: 2.5,
-        admit_memory: 1.5,
-        one_home: false,
+        overcommit: Resources::new(2.5, 1.5),
+        single_scheduler_per_service: false,
         confirm_when_running: false,
-        subscribe: false,
-        lists_free: true,
-        reports: Reports::Answers,
-        reports_use: true,
-        probes: false,
-        messages: false,
+        requires_subscription: false,
+        lists_unclaimed: true,
+        load_reports: LoadReportSource::WithAnswers,
+        reports_measured_usage: true,
+        allows_load_polls: false,
+        allows_gossip: false,
         max_attempts: 4,
         max_retry_after: 0.0,
-        over_share_worth: 0.1,
-        safety: Safety {
+        over_quota_weight: 0.1,
+        safety_limits: SafetyLimits {
             answer_slack: 0.008,
-            ask_within: 10.0,
-            cold_from: 0.15,
-            cold: 18.0,
-            cold_bears: 8.0,
+            max_poll_interval: 10.0,
+            slow_start_speed: 0.15,
+            slow_start_duration: 18.0,
+            slow_start_offers: 8.0,
             drain_grace: 0.5,
-            fall_multiple: 2.5,
-            overload_for: 1.0,
+            overload_ratio: 2.5,
+            overload_window: 1.0,
         },
-        prices: Prices::default(),
+        costs: CostModel::default(),
     }
 }
 
-pub fn entry(machine: u64) -> Entry {
-    Entry {
+pub fn entry(machine: u64) -> Endpoint {
+    Endpoint {
         machine: MachineId(machine),
-        kind: 0,
+        machine_type: 0,
         cell: machine as usize / 4,
         zone: machine as usize / 8,
-        standing: Standing::Ready,
-        up_since: None,
-        free_cores: 30.0,
-        free_memory: 60.0,
+        status: EndpointStatus::Ready,
+        started_at: None,
+        unclaimed: Resources::new(30.0, 60.0),
     }
 }
 
@@ -79,18 +76,17 @@
         tenant: 0,
         service: ServiceId(id % 5),
         deadline,
-        life: Some(12.0),
-        cores: 1.0,
-        memory: 2.0,
-        returned: false,
+        expected_duration: Some(12.0),
+        request: Resources::new(1.0, 2.0),
+        is_resubmission: false,
     }
 }
 
-pub fn outcome(task: u64, attempt: u32, ending: Ending) -> Event {
-    Event::Outcome {
+pub fn outcome(task: u64, attempt: u32, ending: AttemptOutcome) -> Event {
+    Event::AttemptEnded {
         task: TaskId(task),
         attempt,
-        ending,
+        outcome: ending,
         closed: false,
         report: None,
     }
@@ -101,7 +97,7 @@
     pub scheduler: Scheduler,
     set: Settings,
     pub tasks: BTreeMap<TaskId, Seen>,
-    pub list: BTreeMap<MachineId, Entry>,
+    pub list: BTreeMap<MachineId, Endpoint>,
     /// Offers to cold machines.
     cold: Vec<(Seconds, MachineId)>,
 }
@@ -110,17 +106,21 @@
 pub struct Seen {
     pub task: Task,
     /// Machine, time, and the ending once told.
-    pub attempts: Vec<(MachineId, Seconds, Option<Ending>)>,
+    pub attempts: Vec<(MachineId, Seconds, Option<AttemptOutcome>)>,
     pub answered: bool,
     pub confirmed: bool,
 }
 
 impl Seen {
     fn may_have_run(&self) -> Option<(MachineId, Seconds)> {
-        let never = |e: &Option<Ending>| {
+        let never = |e: &Option<AttemptOutcome>| {
             matches!(
                 e,
-                Some(Ending::Full(_) | Ending::NoConnection | Ending::Void)
+                Some(
+                    AttemptOutcome::Rejected(_)
+                        | AttemptOutcome::ConnectFailed
+                        | AttemptOutcome::NeverSent
+                )
             )
         };
         self.attempts
@@ -152,7 +152,7 @@
             self.check(now, action);
         }
         for (id, seen) in &self.tasks {
-            let late = now > seen.task.deadline + self.set.safety.answer_slack;
+            let late = now > seen.task.deadline + self.set.safety_limits.answer_slack;
             assert!(
                 seen.answered || !late,
                 "{id:?} had no answer by {now}: {seen:?}"
@@ -163,7 +163,7 @@
 
     fn note(&mut self, event: &Event, now: Seconds) {
         match event {
-            Event::Submit(task) => {
+            Event::TaskSubmitted(task) => {
                 let seen = Seen {
                     task: task.clone(),
                     attempts: vec![],
@@ -172,7 +172,7 @@
                 };
                 self.tasks.entry(task.id).or_insert(seen);
             }
-            Event::InPlace(task, machine) => {
+            Event::TaskAdopted(task, machine) => {
                 let attempts = vec![(*machine, now, None)];
                 let seen = Seen {
                     task: task.clone(),
@@ -182,14 +182,14 @@
                 };
                 self.tasks.entry(task.id).or_insert(seen);
             }
-            Event::Confirmed { task, .. } => {
+            Event::AttemptConfirmed { task, .. } => {
                 let seen = self.tasks.get_mut(task).unwrap();
                 (seen.answered, seen.confirmed) = (true, true);
             }
-            Event::Outcome {
+            Event::AttemptEnded {
                 task,
                 attempt,
-                ending,
+                outcome: ending,
                 closed,
                 ..
             } => {
@@ -198,16 +198,16 @@
                     seen.answered |= closed;
                 }
             }
-            Event::Dropped(task) => {
+            Event::TaskCancelled(task) => {
                 if let Some(seen) = self.tasks.get_mut(task) {
                     seen.answered = true;
                 }
             }
-            Event::ListChanges(list) => {
+            Event::EndpointsChanged(list) => {
                 self.list
                     .extend(list.iter().map(|e| (e.machine, e.clone())));
             }
-            Event::ListWhole(list) => {
+            Event::EndpointsListed(list) => {
                 self.list = list.iter().map(|e| (e.machine, e.clone())).collect();
             }
             _ => {}
@@ -216,14 +216,15 @@
 
     fn check(&mut self, now: Seconds, action: &Action) {
         match action {
-            Action::Send { task, machine, .. } => self.check_send(now, *task, *machine),
-            Action::Refuse { task, .. } => {
+            Action::Offer { task, machine, .. } => self.check_send(now, *task, *machine),
+            Action::Reject { task, .. } => {
                 let seen = self.tasks.get_mut(task).unwrap();
                 assert!(!seen.answered, "{task:?} was answered twice");
-                let harmless = match self.set.classes[seen.task.class].effect {
-                    Effect::Safe => true,
-                    Effect::Keyed {
-                        group: Place::All, ..
+                let harmless = match self.set.classes[seen.task.class].retry_safety {
+                    RetrySafety::Idempotent => true,
+                    RetrySafety::IdempotencyKeyed {
+                        domain: FailureDomain::All,
+                        ..
                     } => true,
                     _ => seen.may_have_run().is_none(),
                 };
@@ -244,7 +245,11 @@
             .list
             .get(&machine)
             .unwrap_or_else(|| panic!("{machine:?} is not listed"));
-        assert_eq!(to.standing, Standing::Ready, "sent to a leaving machine");
+        assert_eq!(
+            to.status,
+            EndpointStatus::Ready,
+            "sent to a leaving machine"
+        );
         let seen = &self.tasks[&id];
         let class = &self.set.classes[seen.task.class];
         assert!(!seen.answered, "{id:?} was sent after its end");
@@ -253,54 +258,58 @@
             "two attempts of {id:?} are out"
         );
         if let Some((first, at)) = seen.may_have_run() {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("{id:?} may have run and was sent again"),
-                Effect::Keyed { group, window } => {
+            match class.retry_safety {
+                RetrySafety::Idempotent => {}
+                RetrySafety::NonIdempotent => panic!("{id:?} may have run and was sent again"),
+                RetrySafety::IdempotencyKeyed {
+                    domain: group,
+                    window,
+                } => {
                     assert!(
                         now < at + window,
                         "{id:?} was sent again outside its window"
                     );
                     let same = match (group, self.list.get(&first)) {
-                        (Place::All, _) => true,
-                        (Place::Machine, _) => first == machine,
-                        (Place::Cell, Some(f)) => f.cell == to.cell,
-                        (Place::Zone, Some(f)) => f.zone == to.zone,
+                        (FailureDomain::All, _) => true,
+                        (FailureDomain::Machine, _) => first == machine,
+                        (FailureDomain::Cell, Some(f)) => f.cell == to.cell,
+                        (FailureDomain::Zone, Some(f)) => f.zone == to.zone,
                         _ => false,
                     };
                     assert!(same, "{id:?} was sent again outside its group");
                 }
             }
         }
-        let in_place = |m: &MachineId| match class.spread {
-            Some(Place::Machine) => *m == machine,
-            Some(Place::Cell) => self.list.get(m).is_some_and(|e| e.cell == to.cell),
-            Some(Place::Zone) => self.list.get(m).is_some_and(|e| e.zone == to.zone),
+        let in_place = |m: &MachineId| match class.spread_domain {
+            Some(FailureDomain::Machine) => *m == machine,
+            Some(FailureDomain::Cell) => self.list.get(m).is_some_and(|e| e.cell == to.cell),
+            Some(FailureDomain::Zone) => self.list.get(m).is_some_and(|e| e.zone == to.zone),
             _ => true,
         };
-        if class.spread.is_some() {
+        if class.spread_domain.is_some() {
             let service = seen.task.service;
             let there = self.tasks.values().filter(|t| t.task.service == service);
             let there = there
                 .flat_map(|t| &t.attempts)
                 .filter(|a| a.2.is_none() && in_place(&a.0));
             assert!(
-                there.count() < class.spread_most as usize,
+                there.count() < class.max_per_spread_domain as usize,
                 "{id:?} breaks the spread"
             );
         }
         if to
-            .up_since
-            .is_some_and(|up| now < up + self.set.safety.cold)
+            .started_at
+            .is_some_and(|up| now < up + self.set.safety_limits.slow_start_duration)
         {
             self.cold.push((now, machine));
-            let from = now - self.set.safety.overload_for;
+            let from = now - self.set.safety_limits.overload_window;
             let sent = self
                 .cold
                 .iter()
                 .filter(|c| c.1 == machine && c.0 > from)
                 .count() as f64;
-            let most = (self.set.safety.cold_bears / self.set.schedulers as f64).max(1.0);
+            let most = (self.set.safety_limits.slow_start_offers / self.set.scheduler_count as f64)
+                .max(1.0);
             assert!(sent <= most, "a cold machine gets {sent} offers");
         }
         self.tasks
@@ -313,7 +322,7 @@
 
 pub fn sends(actions: &[Action]) -> Vec<(TaskId, MachineId)> {
     let send = |a: &Action| match a {
-        Action::Send { task, machine, .. } => Some((*task, *machine)),
+        Action::Offer { task, machine, .. } => Some((*task, *machine)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
--- a/crates/policy/tests/explain.rs
+++ b/crates/policy/tests/explain.rs
@@ -11,17 +11,17 @@
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let spread = [
         None,
-        Some(Place::Machine),
-        Some(Place::Cell),
-        Some(Place::Zone),
+        Some(FailureDomain::Machine),
+        Some(FailureDomain::Cell),
+        Some(FailureDomain::Zone),
     ];
-    let keyed = Effect::Keyed {
-        group: Place::Cell,
+    let keyed = RetrySafety::IdempotencyKeyed {
+        domain: FailureDomain::Cell,
         window: 2.0,
     };
-    let classes = [Effect::Safe, keyed, Effect::Unsafe].map(|e| Class {
-        spread: spread[rng.random_range(0..4)],
-        spread_most: 1,
+    let classes = [RetrySafety::Idempotent, keyed, RetrySafety::NonIdempotent].map(|e| Class {
+        spread_domain: spread[rng.random_range(0..4)],
+        max_per_spread_domain: 1,
         deadline: 20.0,
         ..class(e)
     });
@@ -29,7 +29,7 @@
     let machines = rng.random_range(2..10);
     let (mut now, mut next) = (1000.0, 0);
     let (mut chosen, mut held) = (0, 0);
-    let mut events = vec![Event::ListWhole((0..machines).map(entry).collect())];
+    let mut events = vec![Event::EndpointsListed((0..machines).map(entry).collect())];
     while now < 1012.0 {
         w.step(now, std::mem::take(&mut events));
         // Time passes and nothing else happens: what was ruled out at this time must not be chosen now.
@@ -39,16 +39,18 @@
             .keys()
             .filter_map(|id| Some((*id, w.scheduler.explain(now, *id)?)))
             .collect();
-        let look = before.iter().any(|(_, waiting)| now >= waiting.next_look);
-        let actions = w.step(now, vec![Event::Timer(0)]);
+        let look = before
+            .iter()
+            .any(|(_, waiting)| now >= waiting.next_attempt_at);
+        let actions = w.step(now, vec![Event::TimerFired(0)]);
         if let Some((task, machine)) = sends(&actions).first()
             && let Some((_, waiting)) = before.iter().find(|(id, _)| id == task)
         {
             chosen += 1;
-            let bar = waiting.bars.iter().find(|(to, _)| to == machine);
+            let bar = waiting.rejections.iter().find(|(to, _)| to == machine);
             // What cold machines bear grows within the step itself.
             assert!(
-                bar.is_none_or(|(_, bar)| *bar == Bar::Cold),
+                bar.is_none_or(|(_, bar)| *bar == FilterReason::SlowStart),
                 "seed {seed}: {task:?} went to {bar:?}"
             );
         }
@@ -57,11 +59,12 @@
                 continue;
             };
             held += 1;
-            codes.extend(waiting.bars.iter().map(|(_, bar)| {
+            codes.extend(waiting.rejections.iter().map(|(_, bar)| {
                 let text = format!("{bar:?}");
                 text.split('(').next().unwrap_or("").to_owned()
             }));
-            let all = waiting.bars.len() == waiting.machines || waiting.block.is_some();
+            let all =
+                waiting.rejections.len() == waiting.machine_count || waiting.blocker.is_some();
             assert!(
                 all,
                 "seed {seed}: {id:?} waits though a machine is open: {waiting:?}"
@@ -69,8 +72,9 @@
         }
         for _ in 0..rng.random_range(0..4) {
             let mut new = task(next, rng.random_range(0..3), now + 20.0);
-            (new.cores, new.memory) = (rng.random_range(1.0..30.0), rng.random_range(1.0..40.0));
-            events.push(Event::Submit(new));
+            (new.request.cpu, new.request.memory) =
+                (rng.random_range(1.0..30.0), rng.random_range(1.0..40.0));
+            events.push(Event::TaskSubmitted(new));
             next += 1;
         }
         for (&id, seen) in &w.tasks {
@@ -80,22 +84,22 @@
             let ending = match rng.random_range(0..40) {
                 _ if last.2.is_some() => continue,
                 0..8 if !seen.answered => {
-                    events.push(Event::Confirmed {
+                    events.push(Event::AttemptConfirmed {
                         task: id,
                         attempt: n as u32,
                     });
                     continue;
                 }
-                8 => Ending::Full(Why::Memory),
-                9 => Ending::Late,
-                10 if seen.confirmed => Ending::Finished,
+                8 => AttemptOutcome::Rejected(FailureCause::InsufficientMemory),
+                9 => AttemptOutcome::TimedOut,
+                10 if seen.confirmed => AttemptOutcome::Finished,
                 _ => continue,
             };
             let (attempt, closed) = (n as u32, seen.confirmed);
-            events.push(Event::Outcome {
+            events.push(Event::AttemptEnded {
                 task: id,
                 attempt,
-                ending,
+                outcome: ending,
                 closed,
                 report: None,
             });
@@ -103,11 +107,11 @@
         if rng.random_bool(0.1) {
             let mut changed = entry(rng.random_range(0..machines));
             match rng.random_range(0..3) {
-                0 => changed.standing = Standing::Draining,
-                1 => changed.up_since = Some(now),
+                0 => changed.status = EndpointStatus::Draining,
+                1 => changed.started_at = Some(now),
                 _ => {}
             }
-            events.push(Event::ListChanges(vec![changed]));
+            events.push(Event::EndpointsChanged(vec![changed]));
         }
     }
     (chosen, held)
@@ -126,7 +130,14 @@
         "{chosen} choices and {held} waits test nothing"
     );
     for code in [
-        "Draining", "Group", "Cold", "Spread", "Aside", "Line", "Cores", "Memory",
+        "Draining",
+        "OutsideDeduplicationDomain",
+        "SlowStart",
+        "SpreadLimit",
+        "CircuitOpen",
+        "TooManyOffersInFlight",
+        "InsufficientCpu",
+        "InsufficientMemory",
     ] {
         assert!(codes.contains(code), "{code} never came up: {codes:?}");
     }
@@ -137,19 +148,25 @@
     let run = |ask: bool| {
         let mut w = Watched::new(
             settings(vec![Class {
-                spread: Some(Place::Cell),
-                spread_most: 1,
-                ..class(Effect::Safe)
+                spread_domain: Some(FailureDomain::Cell),
+                max_per_spread_domain: 1,
+                ..class(RetrySafety::Idempotent)
             }]),
             3,
         );
         let mut all = Vec::new();
-        w.step(0.0, vec![Event::ListWhole((0..6).map(entry).collect())]);
+        w.step(
+            0.0,
+            vec![Event::EndpointsListed((0..6).map(entry).collect())],
+        );
         for i in 0..80u64 {
             let now = 0.1 + i as f64 * 0.05;
             all.extend(w.step(
                 now,
-                vec![Event::Submit(task(i, 0, now + 6.0)), Event::Timer(0)],
+                vec![
+                    Event::TaskSubmitted(task(i, 0, now + 6.0)),
+                    Event::TimerFired(0),
+                ],
             ));
             if ask {
                 (0..=i).for_each(|id| drop(w.scheduler.explain(now, TaskId(id))));
@@ -162,11 +179,11 @@
 
 #[test]
 fn a_block_names_what_keeps_it_from_all() {
-    let mut set = settings(vec![class(Effect::Unsafe)]);
+    let mut set = settings(vec![class(RetrySafety::NonIdempotent)]);
     set.max_attempts = 1;
     let mut w = Watched::new(set, 1);
-    w.step(0.0, vec![Event::ListWhole(vec![entry(0)])]);
-    w.step(0.1, vec![Event::Submit(task(1, 0, 6.0))]);
+    w.step(0.0, vec![Event::EndpointsListed(vec![entry(0)])]);
+    w.step(0.1, vec![Event::TaskSubmitted(task(1, 0, 6.0))]);
     assert_eq!(
         w.scheduler.explain(0.1, TaskId(1)),
         None,
@@ -174,16 +191,22 @@
     );
     assert_eq!(w.scheduler.explain(0.1, TaskId(9)), None, "nobody knows it");
     // With nothing listed a task waits, and no machine was looked at.
-    let mut w = Watched::new(settings(vec![class(Effect::Safe)]), 1);
-    w.step(0.0, vec![Event::Submit(task(1, 0, 6.0))]);
+    let mut w = Watched::new(settings(vec![class(RetrySafety::Idempotent)]), 1);
+    w.step(0.0, vec![Event::TaskSubmitted(task(1, 0, 6.0))]);
     let waiting = w.scheduler.explain(0.01, TaskId(1)).unwrap();
     assert_eq!(
-        (waiting.machines, waiting.bars.len(), waiting.block),
+        (
+            waiting.machine_count,
+            waiting.rejections.len(),
+            waiting.blocker
+        ),
         (0, 0, None)
     );
-    assert!(waiting.until > 5.9 && waiting.until < 6.0 && waiting.next_look > 0.0);
+    assert!(
+        waiting.send_deadline > 5.9 && waiting.send_deadline < 6.0 && waiting.next_attempt_at > 0.0
+    );
     assert_eq!(
-        w.scheduler.explain(6.0, TaskId(1)).unwrap().block,
-        Some(Block::Late)
+        w.scheduler.explain(6.0, TaskId(1)).unwrap().blocker,
+        Some(RetryBlocker::DeadlineExceeded)
     );
 }
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -7,35 +7,40 @@
 
 fn play(seed: u64) -> (usize, Vec<Action>) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let keyed = Effect::Keyed {
-        group: [Place::All, Place::Zone, Place::Cell, Place::Machine][rng.random_range(0..4)],
+    let keyed = RetrySafety::IdempotencyKeyed {
+        domain: [
+            FailureDomain::All,
+            FailureDomain::Zone,
+            FailureDomain::Cell,
+            FailureDomain::Machine,
+        ][rng.random_range(0..4)],
         window: 2.0,
     };
     let spread = [
         None,
-        Some(Place::Machine),
-        Some(Place::Cell),
-        Some(Place::Zone),
+        Some(FailureDomain::Machine),
+        Some(FailureDomain::Cell),
+        Some(FailureDomain::Zone),
     ];
-    let classes = [Effect::Safe, keyed, Effect::Unsafe].map(|e| Class {
-        spread: spread[rng.random_range(0..4)],
-        spread_most: 3,
+    let classes = [RetrySafety::Idempotent, keyed, RetrySafety::NonIdempotent].map(|e| Class {
+        spread_domain: spread[rng.random_range(0..4)],
+        max_per_spread_domain: 3,
         ..class(e)
     });
     let mut set = settings(classes.to_vec());
-    set.schedulers = rng.random_range(1..4);
-    set.probes = rng.random_bool(0.5);
-    set.subscribe = rng.random_bool(0.5);
-    set.lists_free = rng.random_bool(0.5);
+    set.scheduler_count = rng.random_range(1..4);
+    set.allows_load_polls = rng.random_bool(0.5);
+    set.requires_subscription = rng.random_bool(0.5);
+    set.lists_unclaimed = rng.random_bool(0.5);
     let machines = rng.random_range(1..16);
     let mut w = Watched::new(set, seed);
     let (mut now, mut next, mut all) = (1000.0, 0, Vec::new());
     let mut timers: Vec<Seconds> = Vec::new();
-    let mut events = vec![Event::ListWhole((0..machines).map(entry).collect())];
+    let mut events = vec![Event::EndpointsListed((0..machines).map(entry).collect())];
     while now < 1030.0 {
         let actions = w.step(now, std::mem::take(&mut events));
         for action in &actions {
-            if let Action::Timer { after, .. } = action {
+            if let Action::SetTimer { after, .. } = action {
                 timers.push(now + after);
             }
         }
@@ -44,7 +49,7 @@
         now = (now + rng.random_range(0.001..0.1)).min(due.max(now + 0.001));
         if due <= now {
             timers.retain(|&t| t > now);
-            events.push(Event::Timer(0));
+            events.push(Event::TimerFired(0));
         }
         if now < 1022.0 && rng.random_bool(0.7) {
             let mut new = task(
@@ -52,8 +57,8 @@
                 rng.random_range(0..3),
                 now + rng.random_range(0.0..6.0),
             );
-            new.life = rng.random_bool(0.8).then(|| rng.random_range(0.0..8.0));
-            events.push(Event::Submit(new));
+            new.expected_duration = rng.random_bool(0.8).then(|| rng.random_range(0.0..8.0));
+            events.push(Event::TaskSubmitted(new));
             next += 1;
         }
         for (&id, seen) in &w.tasks {
@@ -67,27 +72,27 @@
             let closed = seen.confirmed;
             let ending = match rng.random_range(0..60) {
                 0..4 if !seen.answered => {
-                    events.push(Event::Confirmed { task: id, attempt });
+                    events.push(Event::AttemptConfirmed { task: id, attempt });
                     continue;
                 }
-                4 => Ending::Full(Why::Cores),
-                5 => Ending::Late,
-                6 => Ending::Failed,
-                7 => Ending::NoConnection,
-                8 => Ending::Broken(Why::Unknown),
-                9 => Ending::Broken(Why::SentAway),
-                10 if closed => Ending::Finished,
+                4 => AttemptOutcome::Rejected(FailureCause::InsufficientCpu),
+                5 => AttemptOutcome::TimedOut,
+                6 => AttemptOutcome::Failed,
+                7 => AttemptOutcome::ConnectFailed,
+                8 => AttemptOutcome::Interrupted(FailureCause::Unspecified),
+                9 => AttemptOutcome::Interrupted(FailureCause::Drained),
+                10 if closed => AttemptOutcome::Finished,
                 11 if rng.random_bool(0.1) => {
-                    events.push(Event::Dropped(id));
+                    events.push(Event::TaskCancelled(id));
                     continue;
                 }
-                _ if !seen.answered && now >= seen.task.deadline - 0.02 => Ending::Late,
+                _ if !seen.answered && now >= seen.task.deadline - 0.02 => AttemptOutcome::TimedOut,
                 _ => continue,
             };
-            events.push(Event::Outcome {
+            events.push(Event::AttemptEnded {
                 task: id,
                 attempt,
-                ending,
+                outcome: ending,
                 closed,
                 report: None,
             });
@@ -95,14 +100,14 @@
         if rng.random_bool(0.05) {
             let mut changed = entry(rng.random_range(0..machines));
             match rng.random_range(0..4) {
-                0 => changed.standing = Standing::Draining,
-                1 => changed.standing = Standing::Gone,
-                2 => changed.up_since = Some(now - rng.random_range(0.0..3.0)),
+                0 => changed.status = EndpointStatus::Draining,
+                1 => changed.status = EndpointStatus::Gone,
+                2 => changed.started_at = Some(now - rng.random_range(0.0..3.0)),
                 _ => {}
             }
-            events.push(Event::ListChanges(vec![changed]));
+            events.push(Event::EndpointsChanged(vec![changed]));
         } else if rng.random_bool(0.01) {
-            events.push(Event::ListFailed);
+            events.push(Event::EndpointListFailed);
         }
     }
     assert!(w.tasks.values().all(|t| t.answered));
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -150,17 +150,17 @@
     report: Option<BTreeMap<String, f64>>,
 }
 
-fn ending_of(result: &str, remark: u32) -> Result<Ending, String> {
+fn ending_of(result: &str, remark: u32) -> Result<AttemptOutcome, String> {
     let why = why_of(remark);
     Ok(match result {
-        "GOOD" => Ending::Finished,
-        "BAD" => Ending::Failed,
-        "FULL" => Ending::Full(why),
-        "LATE" => Ending::Late,
-        "NOCONN" => Ending::NoConnection,
-        "RST" => Ending::Broken(why),
-        "CXL" => Ending::Cancelled,
-        "NOP" => Ending::Void,
+        "GOOD" => AttemptOutcome::Finished,
+        "BAD" => AttemptOutcome::Failed,
+        "FULL" => AttemptOutcome::Rejected(why),
+        "LATE" => AttemptOutcome::TimedOut,
+        "NOCONN" => AttemptOutcome::ConnectFailed,
+        "RST" => AttemptOutcome::Interrupted(why),
+        "CXL" => AttemptOutcome::Cancelled,
+        "NOP" => AttemptOutcome::NeverSent,
         other => {
             return Err(format!(
                 "an outcome was expected (GOOD, BAD, FULL, ...), not {other:?}"
@@ -217,10 +217,9 @@
             tenant: w.party,
             service: ServiceId(hash(service)),
             deadline: w.deadline_s.unwrap_or(f64::INFINITY),
-            life: w.life_s,
-            cores: w.cpu_ask,
-            memory: w.mem_needed,
-            returned: w.returned,
+            expected_duration: w.life_s,
+            request: Resources::new(w.cpu_ask, w.mem_needed),
+            is_resubmission: w.returned,
         })
     }
 
@@ -230,22 +229,21 @@
         id
     }
 
-    fn entries(&mut self, members: &[Member]) -> Result<Vec<Entry>, String> {
+    fn entries(&mut self, members: &[Member]) -> Result<Vec<Endpoint>, String> {
         let mut entry = |m: &Member| {
-            Ok(Entry {
+            Ok(Endpoint {
                 machine: self.machine(&m.machine),
-                kind: m.kind,
+                machine_type: m.kind,
                 cell: m.block,
                 zone: m.region_part,
-                standing: match m.health.as_str() {
-                    "Ready" => Standing::Ready,
-                    "Terminating" => Standing::Draining,
-                    "Gone" => Standing::Gone,
+                status: match m.health.as_str() {
+                    "Ready" => EndpointStatus::Ready,
+                    "Terminating" => EndpointStatus::Draining,
+                    "Gone" => EndpointStatus::Gone,
                     other => return Err(format!("health {other:?} is not known")),
                 },
-                up_since: m.up_since_s.filter(|&t| t > 0.0),
-                free_cores: m.cores_free,
-                free_memory: m.memory_free,
+                started_at: m.up_since_s.filter(|&t| t > 0.0),
+                unclaimed: Resources::new(m.cores_free, m.memory_free),
             })
         };
         members.iter().map(&mut entry).collect()
@@ -256,24 +254,29 @@
         let ticket = |id: TaskId| &self.tickets.texts[id.0 as usize];
         let machine = |id: MachineId| &self.machines[&id];
         match action {
-            Action::Send {
+            Action::Offer {
                 task,
                 machine: m,
-                wait,
+                timeout: wait,
             } => {
                 json!({"Place": {"schedulerId": who, "ticket": ticket(task), "machine": machine(m), "tryForS": wait}})
             }
-            Action::Refuse { task, retry_in } => {
+            Action::Reject {
+                task,
+                retry_after: retry_in,
+            } => {
                 json!({"Decline": {"schedulerId": who, "ticket": ticket(task), "retryInS": retry_in}})
             }
             Action::Fail(task) => json!({"Error": {"schedulerId": who, "ticket": ticket(task)}}),
-            Action::Move(task) => json!({"Relocate": {"schedulerId": who, "ticket": ticket(task)}}),
-            Action::Subscribe => json!({"Watch": {"schedulerId": who, "active": true}}),
-            Action::Timer { after, token } => {
+            Action::Migrate(task) => {
+                json!({"Relocate": {"schedulerId": who, "ticket": ticket(task)}})
+            }
+            Action::SubscribeEndpoints => json!({"Watch": {"schedulerId": who, "active": true}}),
+            Action::SetTimer { after, token } => {
                 json!({"Schedule": {"schedulerId": who, "inS": after, "token": token}})
             }
-            Action::Probe(m) => json!({"Check": {"schedulerId": who, "machine": machine(m)}}),
-            Action::Tell(bytes) => {
+            Action::PollLoad(m) => json!({"Check": {"schedulerId": who, "machine": machine(m)}}),
+            Action::Gossip(bytes) => {
                 let payload = BASE64_STANDARD.encode(bytes);
                 json!({"BroadcastTo": {"schedulerId": who, "recipient": -1, "payload": payload}})
             }
@@ -383,9 +386,9 @@
                         .entries(page.ok_or_else(|| format!("page {} was never sent", known.page))?)
                 };
                 let event = match known.kind.as_str() {
-                    "update" => Event::ListChanges(list()?),
-                    "replace" | "restored" => Event::ListWhole(list()?),
-                    "unavailable" => Event::ListFailed,
+                    "update" => Event::EndpointsChanged(list()?),
+                    "replace" | "restored" => Event::EndpointsListed(list()?),
+                    "unavailable" => Event::EndpointListFailed,
                     other => return Err(format!("PeersKnown of kind {other:?} is not known")),
                 };
                 (known.scheduler_id, event)
@@ -394,7 +397,7 @@
                 let Some(instance) = self.instances.get_mut(&task.scheduler_id) else {
                     return Ok(None);
                 };
-                let event = Event::Submit(instance.task(&task, false)?);
+                let event = Event::TaskSubmitted(instance.task(&task, false)?);
                 (task.scheduler_id, event)
             }
             Arrival::InPlace(task) => {
@@ -406,23 +409,28 @@
                     .as_deref()
                     .ok_or("`machine` was expected in InPlace")?;
                 let machine = instance.machine(machine);
-                let event = Event::InPlace(instance.task(&task, true)?, machine);
+                let event = Event::TaskAdopted(instance.task(&task, true)?, machine);
                 (task.scheduler_id, event)
             }
             Arrival::Confirmed(of) => self.attempt(of, |task, of| {
-                Ok(Some(Event::Confirmed {
+                Ok(Some(Event::AttemptConfirmed {
                     task,
                     attempt: of.copy,
                 }))
             })?,
             Arrival::UpdateOf(of) => self.attempt(of, |task, of| {
-                Ok(note_of(of.sort, of.level).map(|note| Event::Note { task, note }))
+                Ok(
+                    note_of(of.sort, of.level).map(|note| Event::AttemptProgressed {
+                        task,
+                        progress: note,
+                    }),
+                )
             })?,
             Arrival::ClosedAttempt(of) => self.attempt(of, |task, of| {
-                Ok(Some(Event::Outcome {
+                Ok(Some(Event::AttemptEnded {
                     task,
                     attempt: of.copy,
-                    ending: ending_of(&of.result, of.remark)?,
+                    outcome: ending_of(&of.result, of.remark)?,
                     closed: of.done_flag,
                     report: of.report.take().map(report_of),
                 }))
@@ -431,17 +439,17 @@
                 let Some(instance) = self.instances.get_mut(&of.scheduler_id) else {
                     return Ok(None);
                 };
-                let event = Event::Dropped(TaskId(instance.tickets.number(&of.ticket)));
+                let event = Event::TaskCancelled(TaskId(instance.tickets.number(&of.ticket)));
                 (of.scheduler_id, event)
             }
-            Arrival::Reminder(of) => (of.scheduler_id, Event::Timer(of.token)),
+            Arrival::Reminder(of) => (of.scheduler_id, Event::TimerFired(of.token)),
             Arrival::Echo(of) => {
                 let Some(instance) = self.instances.get_mut(&of.scheduler_id) else {
                     return Ok(None);
                 };
                 let report =
                     (of.result == "GOOD").then(|| of.report.map(report_of).unwrap_or_default());
-                let event = Event::Probed {
+                let event = Event::LoadPolled {
                     machine: instance.machine(&of.machine),
                     report,
                 };
@@ -451,7 +459,7 @@
                 let bytes = BASE64_STANDARD
                     .decode(&of.payload)
                     .map_err(|e| format!("`payload` of Heard must be base64: {e}"))?;
-                (of.scheduler_id, Event::Heard(bytes))
+                (of.scheduler_id, Event::GossipReceived(bytes))
             }
         };
         let Some(instance) = self.instances.get_mut(&name) else {
@@ -471,7 +479,7 @@
             .get_mut(&of.scheduler_id)
             .map_or(0, |i| i.tickets.number(&of.ticket));
         // A note of a kind not known is passed on as nothing: a timer that nobody asked for.
-        let event = event(TaskId(number), &mut of)?.unwrap_or(Event::Timer(0));
+        let event = event(TaskId(number), &mut of)?.unwrap_or(Event::TimerFired(0));
         Ok((of.scheduler_id, event))
     }
 }
