--- a/crates/site-settings/src/info.rs
+++ b/crates/site-settings/src/info.rs
@@ -52,12 +52,12 @@
     zones: Vec<String>,
 }
 
-fn place_of(name: &str) -> Result<Option<Place>, String> {
+fn place_of(name: &str) -> Result<Option<FailureDomain>, String> {
     Ok(Some(match name {
-        "all" => Place::All,
-        "zone" => Place::Zone,
-        "cell" => Place::Cell,
-        "machine" => Place::Machine,
+        "all" => FailureDomain::All,
+        "zone" => FailureDomain::Zone,
+        "cell" => FailureDomain::Cell,
+        "machine" => FailureDomain::Machine,
         "none" | "" => return Ok(None),
         other => {
             return Err(format!(
@@ -98,10 +98,10 @@
         let mut classes = Vec::new();
         for (i, s) in self.services.into_iter().enumerate() {
             let effect = match s.effect.as_str() {
-                "safe" => Effect::Safe,
-                "unsafe" => Effect::Unsafe,
-                "keyed" => Effect::Keyed {
-                    group: place_of(&s.group)?.unwrap_or(Place::Machine),
+                "safe" => RetrySafety::Idempotent,
+                "unsafe" => RetrySafety::NonIdempotent,
+                "keyed" => RetrySafety::IdempotencyKeyed {
+                    domain: place_of(&s.group)?.unwrap_or(FailureDomain::Machine),
                     window: s.window_s,
                 },
                 other => {
@@ -111,77 +111,78 @@
                 }
             };
             classes.push(Class {
-                aim: s.aim_s,
+                latency_objective: s.aim_s,
                 deadline: s.deadline_s,
-                effect,
-                worth: s.credit,
-                start_worth: fam.start_seconds[i],
-                calm: fam.class_calm[i],
-                fade: fam.lost_after[i],
-                kind: usize::try_from(fam.kind_by_class[i]).ok(),
+                retry_safety: effect,
+                priority_weight: s.credit,
+                start_weight: fam.start_seconds[i],
+                full_service_utilization: fam.class_calm[i],
+                degradation_range: fam.lost_after[i],
+                machine_type: usize::try_from(fam.kind_by_class[i]).ok(),
                 priority: fam.priority_by_class[i],
-                spread: place_of(&fam.apart_by[i])?,
-                spread_most: fam.together_max[i],
+                spread_domain: place_of(&fam.apart_by[i])?,
+                max_per_spread_domain: fam.together_max[i],
             });
         }
         let (safety, limits, tariffs) = (self.safety, self.limits, self.tariffs);
         Ok(Settings {
             ordinal: self.ordinal,
-            schedulers: self.balancers,
+            scheduler_count: self.balancers,
             zone: self.locality,
             classes,
             tenants: self
                 .realms
                 .iter()
                 .map(|r| Tenant {
-                    share: r.share,
-                    quota_per_s: r.quota_per_s,
+                    quota_fraction: r.share,
+                    quota_per_second: r.quota_per_s,
                 })
                 .collect(),
-            kinds: fam
+            machine_types: fam
                 .kind_cores
                 .iter()
                 .zip(&fam.mem_of_kind)
-                .map(|(&cores, &memory)| Kind { cores, memory })
+                .map(|(&cores, &memory)| MachineType {
+                    capacity: Resources::new(cores, memory),
+                })
                 .collect(),
-            admit_cores: fam.admit_cores,
-            admit_memory: fam.accepts_memory,
-            one_home: fam.one_home,
+            overcommit: Resources::new(fam.admit_cores, fam.accepts_memory),
+            single_scheduler_per_service: fam.one_home,
             confirm_when_running: fam.ack == "running",
-            subscribe: self.discovery == "ask",
-            lists_free: fam.lists_free,
-            reports: match self.report.via.as_str() {
-                "answers" => Reports::Answers,
-                "probe" => Reports::Probes,
-                _ => Reports::None,
+            requires_subscription: self.discovery == "ask",
+            lists_unclaimed: fam.lists_free,
+            load_reports: match self.report.via.as_str() {
+                "answers" => LoadReportSource::WithAnswers,
+                "probe" => LoadReportSource::PollsOnly,
+                _ => LoadReportSource::None,
             },
-            reports_use: fam.measured_by == "used",
-            probes: limits.probes,
-            messages: limits.peers,
+            reports_measured_usage: fam.measured_by == "used",
+            allows_load_polls: limits.probes,
+            allows_gossip: limits.peers,
             max_attempts: limits.max_attempts,
             max_retry_after: if limits.retry_after {
                 limits.max_retry_after_s
             } else {
                 0.0
             },
-            over_share_worth: self.over_share_worth,
-            safety: Safety {
+            over_quota_weight: self.over_share_worth,
+            safety_limits: SafetyLimits {
                 answer_slack: safety.answer_slack_s,
-                ask_within: safety.ask_within_s,
-                cold_from: safety.cold_from,
-                cold: safety.cold_s,
-                cold_bears: fam.cold_bears,
+                max_poll_interval: safety.ask_within_s,
+                slow_start_speed: safety.cold_from,
+                slow_start_duration: safety.cold_s,
+                slow_start_offers: fam.cold_bears,
                 drain_grace: safety.drain_grace_s,
-                fall_multiple: safety.fall_multiple,
-                overload_for: safety.overload_for_s,
+                overload_ratio: safety.fall_multiple,
+                overload_window: safety.overload_for_s,
             },
-            prices: Prices {
-                machines: tariffs.fleet,
-                refused: fam.refused_price,
-                moves: tariffs.moves,
-                eviction_as_moves: fam.eviction_as_moves,
-                probe: tariffs.probe,
-                message: tariffs.peer,
+            costs: CostModel {
+                idle_machines: tariffs.fleet,
+                rejected_offer: fam.refused_price,
+                migration: tariffs.moves,
+                eviction_in_migrations: fam.eviction_as_moves,
+                load_poll: tariffs.probe,
+                gossip_message: tariffs.peer,
             },
         })
     }
--- a/crates/site-settings/src/words.rs
+++ b/crates/site-settings/src/words.rs
@@ -1,42 +1,42 @@
 //! Load reports, reasons, news and ids: the words that the simulator and the platform share.
 
 use std::collections::BTreeMap;
-use tidespur_policy::interface::{Note, Report, Why};
+use tidespur_policy::interface::{AttemptProgress, FailureCause, LoadReport};
 
 /// A load report; figures that are none, or not known, are left out.
-pub fn report_of(values: BTreeMap<String, f64>) -> Report {
+pub fn report_of(values: BTreeMap<String, f64>) -> LoadReport {
     let get = |name: &str| values.get(name).copied().filter(|v| v.is_finite());
     let waiting = get("q").or_else(|| get("queue"));
-    Report {
-        free_cores: get("x0"),
+    LoadReport {
+        free_cpu: get("x0"),
         free_memory: get("x1"),
-        waiting,
-        busy: get("busy"),
+        queued: waiting,
+        cpu_utilization: get("busy"),
     }
 }
 
 /// The reason with this number in an outcome; 0, or a number not known: not told.
-pub fn why_of(remark: u32) -> Why {
+pub fn why_of(remark: u32) -> FailureCause {
     match remark {
-        1 => Why::Cores,
-        2 => Why::Memory,
-        3 => Why::Queue,
-        4 => Why::NotHere,
-        5 => Why::Evicted,
-        6 => Why::PushedOut,
-        7 => Why::SentAway,
-        _ => Why::Unknown,
+        1 => FailureCause::InsufficientCpu,
+        2 => FailureCause::InsufficientMemory,
+        3 => FailureCause::QueueFull,
+        4 => FailureCause::NotEligible,
+        5 => FailureCause::Evicted,
+        6 => FailureCause::Preempted,
+        7 => FailureCause::Drained,
+        _ => FailureCause::Unspecified,
     }
 }
 
 /// The news of this number on a running attempt; `None` for a number not known.
-pub fn note_of(sort: u32, level: f64) -> Option<Note> {
+pub fn note_of(sort: u32, level: f64) -> Option<AttemptProgress> {
     Some(match sort {
-        1 => Note::Runs,
-        2 => Note::UsesCores(level),
-        3 => Note::UsesMemory(level),
-        4 => Note::Served(level),
-        5 => Note::MachineMemory(level),
+        1 => AttemptProgress::Started,
+        2 => AttemptProgress::CpuUsage(level),
+        3 => AttemptProgress::MemoryUsage(level),
+        4 => AttemptProgress::ServiceLevel(level),
+        5 => AttemptProgress::MachineMemoryUtilization(level),
         _ => return None,
     })
 }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use hyper::Method;
 use std::path::Path;
-use tidespur_net::{Client, clock};
 use tidespur_emulator::Fault;
+use tidespur_net::{Client, clock};
 
 /// Seconds in which a node that came up cold is warm.
 const COLD: f64 = 18.0;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -13,8 +13,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use tidespur_api::{meta, names};
-use tidespur_net::{Client, Recorder, clock};
 use tidespur_emulator::Fault;
+use tidespur_net::{Client, Recorder, clock};
 
 /// One Job to submit.
 #[derive(Clone, Debug)]
