--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -8,7 +8,7 @@
 use tidespur_membership::{Role, Standing};
 use tidespur_net::clock;
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_recovery::{Output, Seen, Sharers};
+use tidespur_recovery::{Output, Observed, PlannerCount};
 
 /// The ledger's notes of planners that count begin with this.
 pub(crate) const COUNTED: &str = "planner/";
@@ -21,7 +21,7 @@
         let Some(voter) = self.api.hooks.voter.clone() else {
             return;
         };
-        let mut sharers = Sharers::default();
+        let mut sharers = PlannerCount::default();
         loop {
             clock::sleep(LOOK).await;
             let linked: BTreeMap<u64, String> = match self.planners.lock() {
@@ -36,11 +36,11 @@
                 Some(_) => (voter.noted(COUNTED), self.left()),
                 None => Default::default(),
             };
-            let seen = Seen {
+            let seen = Observed {
                 token,
-                linked: &linked,
+                connected: &linked,
                 counted: &counted,
-                left: &left,
+                departed: &left,
             };
             let mut out = Vec::new();
             sharers.step(clock::now(), &seen, &mut out);
@@ -51,11 +51,11 @@
                     value,
                 };
                 match output {
-                    Output::Count(name) => voter.tell(note(name, b"1".to_vec())),
-                    Output::Forget(name) => voter.tell(note(name, Vec::new())),
+                    Output::AddPlanner(name) => voter.tell(note(name, b"1".to_vec())),
+                    Output::RemovePlanner(name) => voter.tell(note(name, Vec::new())),
                     // Asked at the moment of the act: the step may have been long. What comes late all the same, the
                     // planner's fence refuses.
-                    Output::Tell {
+                    Output::NotifyPlanner {
                         link,
                         token,
                         planners,
@@ -69,7 +69,7 @@
                             },
                         );
                     }
-                    Output::Tell { link, .. } => sharers.unsaid(link),
+                    Output::NotifyPlanner { link, .. } => sharers.unsaid(link),
                 }
             }
         }
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -50,7 +50,7 @@
             .iter()
             .position(|name| name == class)
             .unwrap_or(0);
-        lock(&self.shedder).admits(class)
+        lock(&self.shedder).admit(class)
     }
 }
 
--- a/crates/edge/src/hooks/tests.rs
+++ b/crates/edge/src/hooks/tests.rs
@@ -38,10 +38,10 @@
     let refused = |class| (0..100).filter(|_| create(class) == Err(429)).count();
     assert_eq!((refused("cheap"), refused("dear")), (0, 0));
     // Twenty seconds in which whatever comes is taken in three seconds late.
-    (0..200).for_each(|mark| lock(&hooks.shedder).mark(f64::from(mark) * 0.1, 3.0));
+    (0..200).for_each(|mark| lock(&hooks.shedder).observe_lag(f64::from(mark) * 0.1, 3.0));
     let (cheap, dear) = (refused("cheap"), refused("dear"));
     assert!(cheap > 50 && dear < cheap, "{cheap} and {dear} of 100");
     // In time again, it takes all.
-    (200..400).for_each(|mark| lock(&hooks.shedder).mark(f64::from(mark) * 0.1, 0.0));
+    (200..400).for_each(|mark| lock(&hooks.shedder).observe_lag(f64::from(mark) * 0.1, 0.0));
     assert_eq!((refused("cheap"), refused("dear")), (0, 0));
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -145,7 +145,7 @@
         member: member.clone(),
         disk: disk.clone(),
         voter,
-        shedder: Mutex::new(LoadShedder::of(
+        shedder: Mutex::new(LoadShedder::for_classes(
             config.class.values().map(|class| (class.aim, class.worth)),
         )),
     };
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -55,7 +55,7 @@
             for input in &batch {
                 if let Input::Sent(at) = input {
                     let now = clock::now();
-                    lock(&self.api.hooks.shedder).mark(now, now - at);
+                    lock(&self.api.hooks.shedder).observe_lag(now, now - at);
                 }
             }
             let mut out = Vec::new();
--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 use tidespur_gateway::discovery::{self, Delivery, WireEvent};
-use tidespur_site_settings::{Info, Site};
+use tidespur_site_settings::{SettingsObject, Site};
 
 #[derive(Deserialize)]
 struct Wire {
@@ -16,7 +16,7 @@
     limits: WireLimits,
     board: String,
     known: WireKnown,
-    settings: Info,
+    settings: SettingsObject,
 }
 
 #[derive(Deserialize)]
@@ -65,7 +65,7 @@
 /// Says what can't be read, or worked with.
 pub fn read(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
-    let site = wire.settings.site().map_err(StartError::Settings)?;
+    let site = wire.settings.into_site().map_err(StartError::Settings)?;
     let known = wire
         .known
         .notices
@@ -73,7 +73,7 @@
         .map(|notice| discovery::read(&site, notice))
         .collect();
     let seed = u64::from_str_radix(&wire.seed, 16)
-        .unwrap_or_else(|_| tidespur_site_settings::words::hash(&wire.seed));
+        .unwrap_or_else(|_| tidespur_site_settings::words::stable_hash(&wire.seed));
     Ok(Config {
         name: wire.name,
         listen: wire.listen,
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -131,7 +131,7 @@
         id: TaskId(0),
         class,
         tenant,
-        service: ServiceId(words::hash(service)),
+        service: ServiceId(words::stable_hash(service)),
         deadline,
         expected_duration: life,
         request: Resources::new(cores, memory),
@@ -165,7 +165,7 @@
         .into_iter()
         .filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)))
         .collect();
-    Some(words::report_of(values)).filter(|report| *report != LoadReport::default())
+    Some(words::load_report(values)).filter(|report| *report != LoadReport::default())
 }
 
 /// Why something was refused or released.
@@ -180,7 +180,7 @@
         "dismissed",
     ];
     let word = message.text(code::WORD).unwrap_or("");
-    words::why_of(
+    words::failure_cause(
         WORDS
             .iter()
             .position(|w| *w == word)
@@ -197,5 +197,5 @@
         .text(code::FIGURE)
         .and_then(|figure| figure.parse().ok())
         .unwrap_or(0.0);
-    words::note_of(sort, level)
+    words::attempt_progress(sort, level)
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -81,7 +81,7 @@
 
 /// The id that the policy knows a machine by: the same at all schedulers.
 pub fn machine_id(name: &str) -> MachineId {
-    MachineId(words::hash(name))
+    MachineId(words::stable_hash(name))
 }
 
 /// Reads one event's data.
@@ -111,7 +111,7 @@
         let started = wire.started_at_ms.unwrap_or(0.0) / 1000.0;
         let entry = Endpoint {
             machine: machine_id(&wire.instance_id),
-            machine_type: index(&site.kinds, &wire.machine_type),
+            machine_type: index(&site.machine_types, &wire.machine_type),
             cell: wire.cell,
             zone: index(&site.zones, &wire.zone),
             status: standing,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -76,7 +76,7 @@
     /// Settings that the policy can't work with.
     pub fn new(site: Site, limits: Limits, seed: u64) -> Result<Self, String> {
         let policy = Scheduler::new(site.settings.clone(), seed).map_err(|e| e.to_string())?;
-        let shedder = LoadShedder::of(
+        let shedder = LoadShedder::for_classes(
             site.settings
                 .classes
                 .iter()
@@ -225,7 +225,7 @@
             Input::Unlistened => self.unlistened(out),
             Input::Lag(late) => {
                 self.counts.lag_most = self.counts.lag_most.max((late * 1e3) as u64);
-                self.shedder.mark(now, late);
+                self.shedder.observe_lag(now, late);
             }
             Input::Tick => {}
         }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -145,7 +145,7 @@
             self.counts.cancelled += 1;
             return;
         }
-        let shed = !self.shedder.admits(ask.task.class);
+        let shed = !self.shedder.admit(ask.task.class);
         self.counts.shed += u64::from(shed);
         if shed
             || self.ends()
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use tidespur_gateway::message::{Decoder, Id, Kind, Message, code};
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
-use tidespur_site_settings::{Info, Site};
+use tidespur_site_settings::{SettingsObject, Site};
 
 pub const OWNER: DownstreamId = DownstreamId(1);
 pub const OTHER: DownstreamId = DownstreamId(2);
@@ -25,7 +25,7 @@
 const KEYED: &str = r#""effect":"keyed","group":"all","credit":1,"windowS":1"#;
 
 pub fn site() -> Site {
-    serde_json::from_str::<Info>(INFO).unwrap().site().unwrap()
+    serde_json::from_str::<SettingsObject>(INFO).unwrap().into_site().unwrap()
 }
 
 pub fn address(last: u8) -> IpAddr {
@@ -122,7 +122,7 @@
 
     /// With other settings, and only the owner connected.
     pub fn of(info: &str, machines: u32) -> Self {
-        let site = serde_json::from_str::<Info>(info).unwrap().site().unwrap();
+        let site = serde_json::from_str::<SettingsObject>(info).unwrap().into_site().unwrap();
         let gateway = Gateway::new(
             site,
             Limits {
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -10,7 +10,7 @@
 use tidespur_gateway::message::{Id, Kind, Message, cause, code};
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
-use tidespur_site_settings::Info;
+use tidespur_site_settings::SettingsObject;
 
 pub const MACHINES: usize = 400;
 pub const LOST: usize = 140;
@@ -84,7 +84,7 @@
 impl World {
     pub fn new() -> Self {
         let info = INFO.replace(r#""balancers":1"#, r#""balancers":16"#);
-        let site = serde_json::from_str::<Info>(&info).unwrap().site().unwrap();
+        let site = serde_json::from_str::<SettingsObject>(&info).unwrap().into_site().unwrap();
         let gateway = Gateway::new(site, Limits::of(784), 7).unwrap();
         let mut world = Self {
             gateway,
--- a/crates/load-shedding/src/lib.rs
+++ b/crates/load-shedding/src/lib.rs
@@ -69,13 +69,13 @@
     }
 
     /// A loop in time, over classes by aim, in seconds, and worth: the shortest aim counts.
-    pub fn of(classes: impl Iterator<Item = (Seconds, f64)>) -> Self {
+    pub fn for_classes(classes: impl Iterator<Item = (Seconds, f64)>) -> Self {
         let (aims, worths): (Vec<Seconds>, Vec<f64>) = classes.unzip();
         Self::new(aims.into_iter().fold(f64::INFINITY, f64::min), worths)
     }
 
     /// Something that was due, or came, so many seconds ago is handled only at `now`.
-    pub fn mark(&mut self, now: Seconds, lag: Seconds) {
+    pub fn observe_lag(&mut self, now: Seconds, lag: Seconds) {
         let began = *self.began.get_or_insert(now);
         self.least = self.least.min(lag.max(0.0));
         if now - began < (WINDOW * self.aim).max(WINDOW_LEAST) {
@@ -91,7 +91,7 @@
     }
 
     /// Whether a new piece of work of this class is taken; else it is to be turned away at once.
-    pub fn admits(&mut self, class: usize) -> bool {
+    pub fn admit(&mut self, class: usize) -> bool {
         if class >= self.worths.len() {
             return true;
         }
@@ -136,7 +136,7 @@
     }
 
     /// The share of the new work that is turned away now, from 0 to 1.
-    pub fn share(&self) -> f64 {
+    pub fn shed_fraction(&self) -> f64 {
         self.share
     }
 }
--- a/crates/load-shedding/tests/shedding.rs
+++ b/crates/load-shedding/tests/shedding.rs
@@ -18,16 +18,16 @@
                 due -= 1.0;
                 count += 1;
                 let class = count % 2;
-                if shedder.admits(class) {
+                if shedder.admit(class) {
                     queue += 1.0;
                 } else {
                     shed[class] += 1;
                 }
             }
             queue = (queue - speed / 100.0).max(0.0);
-            shedder.mark(now, queue / speed);
+            shedder.observe_lag(now, queue / speed);
         }
-        told.push((queue / speed, shedder.share(), shed));
+        told.push((queue / speed, shedder.shed_fraction(), shed));
     }
     told
 }
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -88,7 +88,7 @@
             .iter()
             .map(|c| c.retry_safety != RetrySafety::Idempotent)
             .collect();
-        let shedder = LoadShedder::of(
+        let shedder = LoadShedder::for_classes(
             settings
                 .classes
                 .iter()
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -55,7 +55,7 @@
                     },
                 )),
                 // Only what is new: what was taken is never turned away, however often it is asked for.
-                Ok(task) if !self.knows(&ask.uid) && !self.shedder.admits(task.class) => {
+                Ok(task) if !self.knows(&ask.uid) && !self.shedder.admit(task.class) => {
                     let why = "the planner is behind its work; ask again".to_owned();
                     out.push(Output::Edge(
                         edge,
--- a/crates/planner/src/core/take.rs
+++ b/crates/planner/src/core/take.rs
@@ -143,7 +143,7 @@
                 report,
             }),
             Input::Timer(token) => events.push(Event::TimerFired(token)),
-            Input::Sent(at) => self.shedder.mark(now, now - at),
+            Input::Sent(at) => self.shedder.observe_lag(now, now - at),
             Input::Tick => {}
         }
     }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,7 +1,7 @@
 //! In which order service returns after an outage, by evidence. No I/O.
 //!
-//! So far: how many planners share what cold nodes bear ([`Sharers`]). The rest of the order is to come (`docs/dark.md`).
+//! So far: how many planners share what cold nodes bear ([`PlannerCount`]). The rest of the order is to come (`docs/dark.md`).
 
 mod sharers;
 
-pub use sharers::{NAME_MOST, Output, Seen, Sharers};
+pub use sharers::{MAX_NAME_BYTES, Output, Observed, PlannerCount};
--- a/crates/recovery/src/sharers.rs
+++ b/crates/recovery/src/sharers.rs
@@ -10,7 +10,7 @@
 type Seconds = f64;
 
 /// A planner of a longer name is not counted. Bounds what the ledger keeps.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Planners that are counted at the most; further ones keep to the settings' part.
 const COUNTED_MOST: usize = 4_096;
 /// What was asked of the ledger and has not come about is asked again after this.
@@ -18,26 +18,26 @@
 
 /// How things stand at a step.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct Observed<'a> {
     /// The token under which this process may act for the fleet now.
     pub token: Option<u64>,
     /// Planners that are linked to it, by link.
-    pub linked: &'a BTreeMap<u64, String>,
+    pub connected: &'a BTreeMap<u64, String>,
     /// Planners that the ledger counts.
     pub counted: &'a BTreeSet<String>,
     /// Planners that have said that they left.
-    pub left: &'a BTreeSet<String>,
+    pub departed: &'a BTreeSet<String>,
 }
 
 /// What is to be done, each under the token of that step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Have the ledger count this planner.
-    Count(String),
+    AddPlanner(String),
     /// Have the ledger count it no more.
-    Forget(String),
+    RemovePlanner(String),
     /// Tell the planner on this link that so many share.
-    Tell {
+    NotifyPlanner {
         /// The link.
         link: u64,
         /// The token under which it is said.
@@ -49,20 +49,20 @@
 
 /// The one who counts.
 #[derive(Debug, Default)]
-pub struct Sharers {
+pub struct PlannerCount {
     /// What was told last on each link.
     told: BTreeMap<u64, (u64, u32)>,
     /// When the ledger was last asked about a planner.
     asked: BTreeMap<String, Seconds>,
 }
 
-impl Sharers {
+impl PlannerCount {
     /// Tells what is to be done at `now`.
-    pub fn step(&mut self, now: Seconds, seen: &Seen<'_>, out: &mut Vec<Output>) {
+    pub fn step(&mut self, now: Seconds, seen: &Observed<'_>, out: &mut Vec<Output>) {
         self.asked.retain(|_, at| now < *at + AGAIN);
-        self.told.retain(|link, _| seen.linked.contains_key(link));
+        self.told.retain(|link, _| seen.connected.contains_key(link));
         let Some(token) = seen.token else { return };
-        let here: BTreeSet<&String> = seen.linked.values().filter(|name| is_sound(name)).collect();
+        let here: BTreeSet<&String> = seen.connected.values().filter(|name| is_sound(name)).collect();
         let new = here.iter().filter(|name| !seen.counted.contains(**name));
         let new: Vec<&String> = new
             .take(COUNTED_MOST.saturating_sub(seen.counted.len()))
@@ -70,27 +70,27 @@
             .collect();
         for &name in &new {
             if self.ask(now, name) {
-                out.push(Output::Count(name.clone()));
+                out.push(Output::AddPlanner(name.clone()));
             }
         }
         for name in seen
             .counted
             .iter()
-            .filter(|name| seen.left.contains(*name) && !here.contains(name))
+            .filter(|name| seen.departed.contains(*name) && !here.contains(name))
         {
             if self.ask(now, name) {
-                out.push(Output::Forget(name.clone()));
+                out.push(Output::RemovePlanner(name.clone()));
             }
         }
         // Who is not counted yet counts already for the others: they make room first.
         let planners = u32::try_from(seen.counted.len() + new.len()).unwrap_or(u32::MAX);
         for (&link, _) in seen
-            .linked
+            .connected
             .iter()
             .filter(|(_, name)| seen.counted.contains(*name))
         {
             if self.told.insert(link, (token, planners)) != Some((token, planners)) {
-                out.push(Output::Tell {
+                out.push(Output::NotifyPlanner {
                     link,
                     token,
                     planners,
@@ -114,5 +114,5 @@
 }
 
 fn is_sound(name: &str) -> bool {
-    !name.is_empty() && name.len() <= NAME_MOST
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
--- a/crates/recovery/tests/sharers.rs
+++ b/crates/recovery/tests/sharers.rs
@@ -1,11 +1,11 @@
 //! The count of planners that share: up at once, down only by a planner's own word.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_recovery::{NAME_MOST, Output, Seen, Sharers};
+use tidespur_recovery::{MAX_NAME_BYTES, Output, Observed, PlannerCount};
 
 #[derive(Default)]
 struct Played {
-    sharers: Sharers,
+    sharers: PlannerCount,
     now: f64,
     token: Option<u64>,
     linked: BTreeMap<u64, String>,
@@ -42,11 +42,11 @@
         let mut out = Vec::new();
         self.sharers.step(
             self.now,
-            &Seen {
+            &Observed {
                 token: *token,
-                linked,
+                connected: linked,
                 counted,
-                left,
+                departed: left,
             },
             &mut out,
         );
@@ -55,7 +55,7 @@
 }
 
 fn tell(link: u64, token: u64, planners: u32) -> Output {
-    Output::Tell {
+    Output::NotifyPlanner {
         link,
         token,
         planners,
@@ -65,7 +65,7 @@
 #[test]
 fn others_make_room_before_a_new_planner_is_told_anything() {
     let mut p = Played::new(&[("a", true), ("b", false)]);
-    assert_eq!(p.step(0.0), [Output::Count("b".into()), tell(1, 1, 2)]);
+    assert_eq!(p.step(0.0), [Output::AddPlanner("b".into()), tell(1, 1, 2)]);
     assert_eq!(p.step(0.1), [], "once");
     p.counted.insert("b".into());
     assert_eq!(p.step(0.1), [tell(2, 1, 2)]);
@@ -74,9 +74,9 @@
 #[test]
 fn what_the_ledger_did_not_hear_is_asked_again() {
     let mut p = Played::new(&[("a", false)]);
-    assert_eq!(p.step(0.0), [Output::Count("a".into())]);
+    assert_eq!(p.step(0.0), [Output::AddPlanner("a".into())]);
     assert_eq!(p.step(0.5), []);
-    assert_eq!(p.step(0.6), [Output::Count("a".into())]);
+    assert_eq!(p.step(0.6), [Output::AddPlanner("a".into())]);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     p.left.insert("b".into());
     assert_eq!(p.step(1.0), [], "its link stands: it has come back");
     p.linked.remove(&2);
-    assert_eq!(p.step(1.0), [Output::Forget("b".into())]);
+    assert_eq!(p.step(1.0), [Output::RemovePlanner("b".into())]);
     p.counted.remove("b");
     assert_eq!(p.step(1.0), [tell(1, 1, 1)]);
 }
@@ -110,7 +110,7 @@
     p.token = None;
     assert_eq!(p.step(0.0), []);
     p.token = Some(7);
-    assert_eq!(p.step(1.0), [Output::Count("b".into()), tell(1, 7, 2)]);
+    assert_eq!(p.step(1.0), [Output::AddPlanner("b".into()), tell(1, 7, 2)]);
     p.token = Some(9);
     assert_eq!(p.step(0.1), [tell(1, 9, 2)]);
     assert_eq!(p.step(0.1), []);
@@ -125,7 +125,7 @@
 #[test]
 fn names_without_end_are_not_counted() {
     let mut p = Played::new(&[("a", true)]);
-    p.linked.insert(2, "x".repeat(NAME_MOST + 1));
+    p.linked.insert(2, "x".repeat(MAX_NAME_BYTES + 1));
     p.linked.insert(3, String::new());
     assert_eq!(p.step(0.0), [tell(1, 1, 1)]);
     p.linked
@@ -133,7 +133,7 @@
     let out = p.step(1.0);
     assert_eq!(
         out.iter()
-            .filter(|output| matches!(output, Output::Count(_)))
+            .filter(|output| matches!(output, Output::AddPlanner(_)))
             .count(),
         4_095
     );
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -9,8 +9,8 @@
 
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::*;
-use tidespur_site_settings::Info;
-use tidespur_site_settings::words::{hash, note_of, report_of, why_of};
+use tidespur_site_settings::SettingsObject;
+use tidespur_site_settings::words::{stable_hash, attempt_progress, load_report, failure_cause};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -77,7 +77,7 @@
 struct Start {
     scheduler_id: String,
     salt: u64,
-    info: Info,
+    info: SettingsObject,
 }
 
 #[derive(Deserialize)]
@@ -151,7 +151,7 @@
 }
 
 fn ending_of(result: &str, remark: u32) -> Result<AttemptOutcome, String> {
-    let why = why_of(remark);
+    let why = failure_cause(remark);
     Ok(match result {
         "GOOD" => AttemptOutcome::Finished,
         "BAD" => AttemptOutcome::Failed,
@@ -215,7 +215,7 @@
             id: TaskId(self.tickets.number(&w.ticket)),
             class,
             tenant: w.party,
-            service: ServiceId(hash(service)),
+            service: ServiceId(stable_hash(service)),
             deadline: w.deadline_s.unwrap_or(f64::INFINITY),
             expected_duration: w.life_s,
             request: Resources::new(w.cpu_ask, w.mem_needed),
@@ -224,7 +224,7 @@
     }
 
     fn machine(&mut self, text: &str) -> MachineId {
-        let id = MachineId(hash(text));
+        let id = MachineId(stable_hash(text));
         self.machines.entry(id).or_insert_with(|| text.to_owned());
         id
     }
@@ -348,7 +348,7 @@
             Arrival::Start(start) => {
                 let made = start
                     .info
-                    .settings()
+                    .into_settings()
                     .and_then(|set| Scheduler::new(set, start.salt).map_err(|e| e.to_string()));
                 match made {
                     Ok(scheduler) => {
@@ -420,7 +420,7 @@
             })?,
             Arrival::UpdateOf(of) => self.attempt(of, |task, of| {
                 Ok(
-                    note_of(of.sort, of.level).map(|note| Event::AttemptProgressed {
+                    attempt_progress(of.sort, of.level).map(|note| Event::AttemptProgressed {
                         task,
                         progress: note,
                     }),
@@ -432,7 +432,7 @@
                     attempt: of.copy,
                     outcome: ending_of(&of.result, of.remark)?,
                     closed: of.done_flag,
-                    report: of.report.take().map(report_of),
+                    report: of.report.take().map(load_report),
                 }))
             })?,
             Arrival::Vanished(of) => {
@@ -448,7 +448,7 @@
                     return Ok(None);
                 };
                 let report =
-                    (of.result == "GOOD").then(|| of.report.map(report_of).unwrap_or_default());
+                    (of.result == "GOOD").then(|| of.report.map(load_report).unwrap_or_default());
                 let event = Event::LoadPolled {
                     machine: instance.machine(&of.machine),
                     report,
--- a/crates/site-settings/src/info.rs
+++ b/crates/site-settings/src/info.rs
@@ -17,7 +17,7 @@
     /// Names of the tenants, likewise; may be empty.
     pub tenants: Vec<String>,
     /// Names of the kinds of machines, likewise.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Names of the zones, likewise.
     pub zones: Vec<String>,
     /// A connection not made within this counts as none.
@@ -29,7 +29,7 @@
 /// The settings object as it is told. Keys that are not known are passed over.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Info {
+pub struct SettingsObject {
     balancers: usize,
     ordinal: usize,
     #[serde(default)]
@@ -67,12 +67,12 @@
     }))
 }
 
-impl Info {
+impl SettingsObject {
     /// What the policy is told.
     ///
     /// # Errors
     /// Names the field that can't be worked with.
-    pub fn settings(self) -> Result<Settings, String> {
+    pub fn into_settings(self) -> Result<Settings, String> {
         let fam = self.family_info;
         let lengths = [
             ("kindCores", fam.kind_cores.len(), fam.mem_of_kind.len()),
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     /// Names the field that can't be worked with.
-    pub fn site(self) -> Result<Site, String> {
+    pub fn into_site(self) -> Result<Site, String> {
         Ok(Site {
             classes: self
                 .services
@@ -199,7 +199,7 @@
                 .map(|service| service.name.clone())
                 .collect(),
             tenants: self.realms.iter().map(|realm| realm.name.clone()).collect(),
-            kinds: self.kinds.clone(),
+            machine_types: self.kinds.clone(),
             zones: self.zones.clone(),
             connect_timeout: self
                 .limits
@@ -211,7 +211,7 @@
                 .conn_idle_s
                 .filter(|s| *s > 0.0)
                 .unwrap_or(f64::INFINITY),
-            settings: self.settings()?,
+            settings: self.into_settings()?,
         })
     }
 }
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -5,4 +5,4 @@
 mod wire;
 pub mod words;
 
-pub use info::{Info, Site};
+pub use info::{SettingsObject, Site};
--- a/crates/site-settings/src/words.rs
+++ b/crates/site-settings/src/words.rs
@@ -4,7 +4,7 @@
 use tidespur_policy::interface::{AttemptProgress, FailureCause, LoadReport};
 
 /// A load report; figures that are none, or not known, are left out.
-pub fn report_of(values: BTreeMap<String, f64>) -> LoadReport {
+pub fn load_report(values: BTreeMap<String, f64>) -> LoadReport {
     let get = |name: &str| values.get(name).copied().filter(|v| v.is_finite());
     let waiting = get("q").or_else(|| get("queue"));
     LoadReport {
@@ -16,7 +16,7 @@
 }
 
 /// The reason with this number in an outcome; 0, or a number not known: not told.
-pub fn why_of(remark: u32) -> FailureCause {
+pub fn failure_cause(remark: u32) -> FailureCause {
     match remark {
         1 => FailureCause::InsufficientCpu,
         2 => FailureCause::InsufficientMemory,
@@ -30,7 +30,7 @@
 }
 
 /// The news of this number on a running attempt; `None` for a number not known.
-pub fn note_of(sort: u32, level: f64) -> Option<AttemptProgress> {
+pub fn attempt_progress(sort: u32, level: f64) -> Option<AttemptProgress> {
     Some(match sort {
         1 => AttemptProgress::Started,
         2 => AttemptProgress::CpuUsage(level),
@@ -42,7 +42,7 @@
 }
 
 /// FNV-1a: the same number for a text at every instance.
-pub fn hash(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
     })
