--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -14,7 +14,7 @@
 use tidespur_config::Config;
 use tidespur_coordination::{Input, Ledger, Settings, Standing};
 use tidespur_net::{clock, routes::Routes};
-use tidespur_persistence::{Disk, Recalled};
+use tidespur_persistence::{Disk, LoadedRecords};
 
 /// The lease of the one edge that acts for the whole fleet.
 pub const FLEET: &str = "fleet";
@@ -51,7 +51,7 @@
         config: &Config,
         name: &str,
         disk: Option<Arc<Disk>>,
-        memory: Option<&Recalled>,
+        memory: Option<&LoadedRecords>,
         routes: Routes,
     ) -> Result<Option<Self>, String> {
         let Some(block) = &config.ledger else {
--- a/crates/coordination-net/src/turn.rs
+++ b/crates/coordination-net/src/turn.rs
@@ -66,7 +66,7 @@
             events.push(event);
         }
         let mut inputs = Vec::new();
-        for held in outbox.release(disk.safe()) {
+        for held in outbox.release(disk.synced()) {
             match held {
                 Held::Safe(batch) => inputs.push(Input::Safe(batch)),
                 Held::Say(voter, word) => say(&mut streams, &voter, word),
@@ -78,7 +78,7 @@
                 Event::Up(voter, stream, send) => {
                     // What was said for the stream before must not come on this one: its order is the agreement's.
                     let old = |held: &Held| matches!(held, Held::Say(to, _) if *to == voter);
-                    drop(outbox.take_back(old));
+                    drop(outbox.remove_matching(old));
                     inputs
                         .retain(|input| !matches!(input, Input::Heard(from, _) if *from == voter));
                     streams.insert(voter.clone(), (stream, send));
@@ -127,7 +127,7 @@
         if outbox.len() > HELD_MOST {
             // The disk stands still: a voter that can't write can't vote. Its words are dropped, and its streams with
             // them, as the agreement bears no gap in one.
-            drop(outbox.take_back(|held| matches!(held, Held::Say(..))));
+            drop(outbox.remove_matching(|held| matches!(held, Held::Say(..))));
             for (_, send) in streams.values() {
                 send.close();
             }
--- a/crates/coordination/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -5,7 +5,7 @@
 //! Harm: none known; a holder that is refused by name has lost its lease already.
 
 use std::collections::BTreeMap;
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 
 const FENCE: &str = "fence";
 
@@ -32,10 +32,10 @@
 
 impl Fence {
     /// The fence as an earlier process left it.
-    pub fn recall(memory: &Recalled) -> Self {
+    pub fn recall(memory: &LoadedRecords) -> Self {
         let read = |bytes: &[u8]| std::str::from_utf8(bytes).ok()?.parse().ok();
         let highest = memory
-            .of(FENCE)
+            .records_of_kind(FENCE)
             .filter_map(|(lease, bytes)| Some((lease.to_owned(), read(bytes)?)));
         Self {
             highest: highest.collect(),
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -7,7 +7,7 @@
 use omnipaxos::OmniPaxos;
 use omnipaxos::util::NodeId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 
 mod agree;
 mod talk;
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// [`SettingsError`], or a record that can't be read.
-    pub fn new(settings: Settings, memory: &Recalled, now: Seconds) -> Result<Self, String> {
+    pub fn new(settings: Settings, memory: &LoadedRecords, now: Seconds) -> Result<Self, String> {
         settings.check().map_err(|e| e.to_string())?;
         if settings.voters.len() > 1 {
             let refused = |e: omnipaxos::errors::ConfigError| {
@@ -73,21 +73,21 @@
         }
         let log = Log::recall(memory)?;
         let mut known = BTreeMap::new();
-        for (voter, bytes) in memory.of(MARK) {
+        for (voter, bytes) in memory.records_of_kind(MARK) {
             let mark = serde_json::from_slice(bytes);
             let mark = mark
                 .map_err(|e| format!("the memory's record {MARK} {voter:?} can't be read: {e}"))?;
             known.insert(voter.to_owned(), mark);
         }
         let life = memory
-            .of(LIFE)
+            .records_of_kind(LIFE)
             .next()
             .and_then(|(_, bytes)| std::str::from_utf8(bytes).ok()?.parse().ok());
         let life = life.unwrap_or(0);
         let start = settings.start;
         let mut own = Mark {
-            begun: memory.begun,
-            turn: memory.turn,
+            begun: memory.created_at,
+            turn: memory.generation,
             start,
             life,
             ..Mark::default()
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -4,7 +4,7 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::de::DeserializeOwned;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 
 mod kept;
 mod storage;
@@ -24,9 +24,9 @@
     ///
     /// # Errors
     /// A record that can't be read.
-    pub fn recall(memory: &Recalled) -> Result<Self, String> {
-        fn read<T: DeserializeOwned>(memory: &Recalled, key: &str) -> Result<Option<T>, String> {
-            let found = memory.of(FACT).find(|(name, _)| *name == key);
+    pub fn recall(memory: &LoadedRecords) -> Result<Self, String> {
+        fn read<T: DeserializeOwned>(memory: &LoadedRecords, key: &str) -> Result<Option<T>, String> {
+            let found = memory.records_of_kind(FACT).find(|(name, _)| *name == key);
             found.map(|(_, bytes)| serde_json::from_slice(bytes)).transpose().map_err(|e| {
                 format!(
                     "the memory's record {FACT} {key:?} can't be read: {e}; restore the folder from a copy"
@@ -35,7 +35,7 @@
         }
         let mut entries = Vec::new();
         let hollow: usize = read(memory, "hollow")?.unwrap_or(0);
-        for (index, bytes) in memory.of(ENTRY) {
+        for (index, bytes) in memory.records_of_kind(ENTRY) {
             if index != name(hollow + entries.len()) {
                 return Err(format!(
                     "the memory's log has a gap before {index}; restore the folder from a copy"
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidespur_coordination::{Fence, Input, Ledger, Output, Settings, Standing, Word};
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 
 pub const STEP: f64 = 0.01;
 pub const TERM: f64 = 3.0;
@@ -14,7 +14,7 @@
     pub name: String,
     pub ledger: Option<Ledger>,
     /// What its disk holds for sure.
-    pub disk: Recalled,
+    pub disk: LoadedRecords,
     /// Batches on their way to the disk, and when they are there.
     writing: VecDeque<(f64, u64, Batch)>,
     /// What follows a batch that is not safe yet.
@@ -57,9 +57,9 @@
         let voters = (0..voters).map(|i| Voter {
             name: format!("edge-{i}"),
             ledger: None,
-            disk: Recalled {
-                begun: 1_000 + i as u64,
-                ..Recalled::default()
+            disk: LoadedRecords {
+                created_at: 1_000 + i as u64,
+                ..LoadedRecords::default()
             },
             writing: VecDeque::new(),
             held: VecDeque::new(),
@@ -100,7 +100,7 @@
         let names = self.voters.iter().map(|voter| voter.name.clone()).collect();
         let now = self.local(i);
         let voter = &mut self.voters[i];
-        voter.disk.turn += 1;
+        voter.disk.generation += 1;
         let settings = Settings {
             voters: names,
             own: voter.name.clone(),
@@ -291,7 +291,7 @@
                 Output::Held(_, token) => {
                     self.trace
                         .push(format!("{:.2} {i} holds {token}", self.now));
-                    let whose = format!("{} {}", voter.name, voter.disk.turn);
+                    let whose = format!("{} {}", voter.name, voter.disk.generation);
                     if let Some(other) = self.holders.insert(token, whose.clone())
                         && other != whose
                     {
--- a/crates/coordination/tests/sim.rs
+++ b/crates/coordination/tests/sim.rs
@@ -127,8 +127,8 @@
     world.run(10.0);
     assert_eq!(world.voting(), 3);
     world.kill(2);
-    world.voters[2].disk = tidespur_persistence::Recalled {
-        begun: 77,
+    world.voters[2].disk = tidespur_persistence::LoadedRecords {
+        created_at: 77,
         ..Default::default()
     };
     world.start(2);
@@ -193,7 +193,7 @@
     }
     // Long enough that the log is folded many times over.
     world.run(1_500.0);
-    let entries = world.voters[0].disk.of("ledger.entry").count();
+    let entries = world.voters[0].disk.records_of_kind("ledger.entry").count();
     assert!(entries < 600 && world.wrong.is_empty(), "{entries} entries");
     world.kill(0);
     world.start(0);
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 use tidespur_config::{DEFAULT, parse};
 use tidespur_edge::core::Core;
-use tidespur_persistence::{Batch, Identity, Memory};
+use tidespur_persistence::{Batch, Identity, RecordStore};
 use tidespur_store::{Limits, Store};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -19,7 +19,7 @@
             name: "e".into(),
             cluster: "c".into(),
         };
-        let (mut memory, _) = Memory::open(folder.path(), &who)?;
+        let (mut memory, _) = RecordStore::open(folder.path(), &who)?;
         let mut batch = Batch::default();
         for i in 0..count {
             let pod = json!({"kind": "Pod", "apiVersion": "v1",
@@ -37,9 +37,9 @@
         memory.write(&batch)?;
         drop(memory);
         let size =
-            std::fs::metadata(folder.path().join(tidespur_persistence::FILE))?.len() as f64 / 1e6;
+            std::fs::metadata(folder.path().join(tidespur_persistence::STORE_FILE))?.len() as f64 / 1e6;
         let start = Instant::now();
-        let (_memory, back) = Memory::open(folder.path(), &who)?;
+        let (_memory, back) = RecordStore::open(folder.path(), &who)?;
         let opened = start.elapsed().as_secs_f64();
         let config = parse("built-in", DEFAULT)?;
         let mut store = Store::new(Limits::default(), 1, 1_000_000);
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -65,7 +65,7 @@
         resource: &Resource,
         object: &mut Object,
     ) -> Result<(), ApiError> {
-        if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.trouble()) {
+        if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.error()) {
             return Err(ApiError::unavailable(
                 format!("nothing can be kept now: {trouble}"),
                 5,
@@ -209,7 +209,7 @@
     }
 
     fn ready(&self) -> Result<String, ApiError> {
-        if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.trouble()) {
+        if let Some(trouble) = self.disk.as_ref().and_then(|disk| disk.disk.error()) {
             return Err(ApiError::unavailable(
                 format!("nothing can be kept now: {trouble}"),
                 5,
--- a/crates/edge/src/hooks/parts.rs
+++ b/crates/edge/src/hooks/parts.rs
@@ -19,7 +19,7 @@
             Err(none.into())
         },
     )];
-    let memory = edge.disk.as_ref().map(|disk| match disk.disk.trouble() {
+    let memory = edge.disk.as_ref().map(|disk| match disk.disk.error() {
         Some(trouble) => Err(trouble),
         None => Ok(format!("{} syncs", disk.disk.syncs())),
     });
@@ -40,7 +40,7 @@
     let Some(disk) = &edge.disk else {
         return Ok(None);
     };
-    let within = if wrote || disk.disk.trouble().is_none() {
+    let within = if wrote || disk.disk.error().is_none() {
         LASTING
     } else {
         0.0
@@ -50,7 +50,7 @@
     }
     let why = disk
         .disk
-        .trouble()
+        .error()
         .unwrap_or_else(|| "the disk is slow".into());
     if wrote {
         let text = format!("the write is not safe yet: {why}; look later whether it stands");
--- a/crates/edge/src/keep.rs
+++ b/crates/edge/src/keep.rs
@@ -17,7 +17,7 @@
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS, RESOURCES};
 use tidespur_api::{Object, Resource};
 use tidespur_job_controller::Kept;
-use tidespur_persistence::{Batch, Error};
+use tidespur_persistence::{Batch, PersistenceError};
 use tidespur_store::Store;
 
 mod recall;
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// An object beyond the bound of a record; it is not kept, all else is.
-    pub fn remember(&mut self, store: &mut Store) -> (Batch, Vec<Error>) {
+    pub fn remember(&mut self, store: &mut Store) -> (Batch, Vec<PersistenceError>) {
         let (mut batch, mut problems) = (std::mem::take(&mut self.notes.batch), Vec::new());
         for (at, object) in store.take_unkept() {
             let resource = &RESOURCES[at.0];
--- a/crates/edge/src/keep/recall.rs
+++ b/crates/edge/src/keep/recall.rs
@@ -11,7 +11,7 @@
 use tidespur_job_controller::{
     self as controller, JobView, Kept, Past, Phase, PodEnd, PodPhase, PodView,
 };
-use tidespur_persistence::Recalled;
+use tidespur_persistence::LoadedRecords;
 use tidespur_store::{Follower, Store};
 
 /// A record that this program wrote and can't read.
@@ -61,8 +61,8 @@
 ///
 /// # Errors
 /// [`RecallError`].
-pub fn version(memory: &Recalled) -> Result<u64, RecallError> {
-    memory.of(VERSION).try_fold(0, |most: u64, (key, bytes)| {
+pub fn version(memory: &LoadedRecords) -> Result<u64, RecallError> {
+    memory.records_of_kind(VERSION).try_fold(0, |most: u64, (key, bytes)| {
         Ok(most.max(read(VERSION, key, bytes)?))
     })
 }
@@ -77,11 +77,11 @@
     pub fn recall(
         &mut self,
         now: f64,
-        memory: &Recalled,
+        memory: &LoadedRecords,
         store: &mut Store,
     ) -> Result<Returned, RecallError> {
         let mut returned = Returned::default();
-        for (key, bytes) in memory.of(OBJECT) {
+        for (key, bytes) in memory.records_of_kind(OBJECT) {
             let plural = key.split('/').next().unwrap_or("");
             let resource = RESOURCES.iter().find(|resource| resource.plural == plural);
             let resource = resource.ok_or_else(|| wrong(OBJECT, key, "no such resource"))?;
@@ -89,7 +89,7 @@
             returned.objects += 1;
         }
         let mut open: BTreeMap<&str, Open> = BTreeMap::new();
-        for (uid, bytes) in memory.of(OPEN) {
+        for (uid, bytes) in memory.records_of_kind(OPEN) {
             open.insert(uid, read(OPEN, uid, bytes)?);
         }
         (self.jobs, self.pods) = (
@@ -152,12 +152,12 @@
     fn recall_jobs(
         &mut self,
         now: f64,
-        memory: &Recalled,
+        memory: &LoadedRecords,
         store: &Store,
         mut owned: BTreeMap<&str, Vec<(u32, PodView)>>,
     ) -> Result<(), RecallError> {
         let mut slots: BTreeMap<&str, Vec<(u32, Kept)>> = BTreeMap::new();
-        for (key, bytes) in memory.of(SLOT) {
+        for (key, bytes) in memory.records_of_kind(SLOT) {
             let (job, number) = key
                 .rsplit_once('/')
                 .ok_or_else(|| wrong(SLOT, key, "no number"))?;
@@ -168,7 +168,7 @@
                 .push((number, read(SLOT, key, bytes)?));
         }
         let mut numbers: BTreeMap<&str, u32> = BTreeMap::new();
-        for (job, bytes) in memory.of(JOB) {
+        for (job, bytes) in memory.records_of_kind(JOB) {
             numbers.insert(job, read(JOB, job, bytes)?);
         }
         let mut events = Vec::new();
@@ -193,7 +193,7 @@
         }
         events.extend(
             memory
-                .of(STRAY)
+                .records_of_kind(STRAY)
                 .map(|(uid, _)| controller::Event::RecallStray(uid.to_owned())),
         );
         let mut none = Vec::new();
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tidespur_config::Config;
-use tidespur_persistence::{Identity, Memory, Recalled};
+use tidespur_persistence::{Identity, RecordStore, LoadedRecords};
 use tidespur_store::Store;
 
 /// The disk as all of the edge's loops see it; `None` where all is kept in memory only.
@@ -29,7 +29,7 @@
 pub(crate) fn open(
     config: &Config,
     options: &crate::Options,
-) -> Result<Option<(Memory, Recalled)>, String> {
+) -> Result<Option<(RecordStore, LoadedRecords)>, String> {
     let name = options.name.clone();
     let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
         tracing::warn!(
@@ -56,7 +56,7 @@
     limits: tidespur_store::Limits,
     seed: u64,
     now: f64,
-    memory: Option<&Recalled>,
+    memory: Option<&LoadedRecords>,
 ) -> Result<Store, String> {
     let known = memory
         .map(keep::version)
@@ -69,7 +69,7 @@
     } else {
         (now * 1000.0) as u64
     };
-    let turn = memory.map_or(0, |memory| memory.turn);
+    let turn = memory.map_or(0, |memory| memory.generation);
     Ok(Store::new(
         limits,
         seed ^ now.to_bits() ^ turn.rotate_left(32),
@@ -83,8 +83,8 @@
     /// # Errors
     /// A record that can't be read.
     pub(crate) fn start(
-        memory: Memory,
-        recalled: &Recalled,
+        memory: RecordStore,
+        recalled: &LoadedRecords,
         now: f64,
         core: &mut Core,
         store: &mut Store,
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -69,7 +69,7 @@
         behind as f64,
     );
     if let Some(disk) = disk {
-        let trouble = f64::from(u8::from(disk.trouble().is_some()));
+        let trouble = f64::from(u8::from(disk.error().is_some()));
         plain(
             &mut registry,
             "memory_syncs",
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -83,7 +83,7 @@
     let (memory, back) = remembered.unzip();
     let incarnation = back
         .as_ref()
-        .map(tidespur_persistence::Recalled::incarnation);
+        .map(tidespur_persistence::LoadedRecords::incarnation);
     let mut core = Core::new(config.clone(), options.seed);
     let disk = match (memory, &back) {
         (Some(memory), Some(back)) => Some(Arc::new(Disk::start(
@@ -198,7 +198,7 @@
     };
     let ending = smol::future::or(ended, turned).await;
     if let Some(disk) = &this.disk {
-        disk.disk.end();
+        disk.disk.finish();
     }
     ending.result()
 }
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -102,12 +102,12 @@
                 // The disk stands still: words to planners that have gone meanwhile are nobody's, and the last version
                 // that may be shown tells of all before it.
                 let planners = lock(&self.planners);
-                drop(outbox.take_back(|word| match word {
+                drop(outbox.remove_matching(|word| match word {
                     Word::Tell(planner, _) => !planners.contains_key(planner),
                     Word::Show(before) => *before != version,
                 }));
             }
-            for word in outbox.release(disk.disk.safe()) {
+            for word in outbox.release(disk.disk.synced()) {
                 match word {
                     Word::Tell(planner, message) => self.tell(planner, *message),
                     Word::Show(version) => {
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -8,7 +8,7 @@
 use tidespur_config::{DEFAULT, parse};
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
@@ -40,11 +40,11 @@
 }
 
 impl World {
-    fn new(now: f64, back: &Recalled) -> Self {
+    fn new(now: f64, back: &LoadedRecords) -> Self {
         let config = parse("built-in", DEFAULT).unwrap();
         let version = keep::version(back).unwrap().max(1_000);
-        let mut store = Store::new(limits(), 7 ^ back.turn, version);
-        let mut core = Core::new(config, 3 ^ back.turn);
+        let mut store = Store::new(limits(), 7 ^ back.generation, version);
+        let mut core = Core::new(config, 3 ^ back.generation);
         core.recall(now, back, &mut store).unwrap();
         store.keep();
         let space = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
@@ -152,7 +152,7 @@
 
 /// A day: a Job of each class, placed, running; and the state of the nodes after each batch.
 fn day() -> (World, Vec<Truth>) {
-    let (mut world, mut truth) = (World::new(1e9, &Recalled::default()), Truth::default());
+    let (mut world, mut truth) = (World::new(1e9, &LoadedRecords::default()), Truth::default());
     let mut truths = Vec::new();
     world.step(vec![Input::PlannerUp(1)]);
     truths.push(truth.clone());
@@ -174,10 +174,10 @@
     (world, truths)
 }
 
-fn records(batches: &[(Batch, Vec<ToPlanner>)]) -> Recalled {
-    let mut back = Recalled {
-        turn: 1,
-        ..Recalled::default()
+fn records(batches: &[(Batch, Vec<ToPlanner>)]) -> LoadedRecords {
+    let mut back = LoadedRecords {
+        generation: 1,
+        ..LoadedRecords::default()
     };
     for (batch, _) in batches {
         for (record, value) in batch.changes() {
@@ -195,7 +195,7 @@
     let back = records(kept);
     let mut wrong = Vec::new();
     let mut world = World::new(now, &back);
-    for (key, bytes) in back.of("object") {
+    for (key, bytes) in back.records_of_kind("object") {
         let object: Object = serde_json::from_slice(bytes).unwrap();
         let resource = [PODS, JOBS, NAMESPACES]
             .into_iter()
--- a/crates/persistence/src/batch.rs
+++ b/crates/persistence/src/batch.rs
@@ -1,26 +1,26 @@
 //! Changes that become safe together.
 
-use crate::{Error, RECORD_MOST};
+use crate::{PersistenceError, MAX_RECORD_BYTES};
 use std::collections::BTreeMap;
 
 /// Kind and key of a record. Kinds are few and chosen by the program; keys come from names.
-pub type Record = (String, String);
+pub type RecordKey = (String, String);
 
 /// Changes of records, the last one of each: all of them last, or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    changes: BTreeMap<Record, Option<Vec<u8>>>,
+    changes: BTreeMap<RecordKey, Option<Vec<u8>>>,
 }
 
 impl Batch {
     /// Writes a record over what stands.
     ///
     /// # Errors
-    /// [`Error::TooLarge`]; the batch stays as it was.
-    pub fn put(&mut self, kind: &str, key: &str, value: Vec<u8>) -> Result<(), Error> {
+    /// [`PersistenceError::RecordTooLarge`]; the batch stays as it was.
+    pub fn put(&mut self, kind: &str, key: &str, value: Vec<u8>) -> Result<(), PersistenceError> {
         let bytes = kind.len() + key.len() + value.len();
-        if bytes > RECORD_MOST {
-            return Err(Error::TooLarge {
+        if bytes > MAX_RECORD_BYTES {
+            return Err(PersistenceError::RecordTooLarge {
                 record: format!("{kind} {key}"),
                 bytes,
             });
@@ -46,7 +46,7 @@
     }
 
     /// The changes, in order of kind and key; `None` removes.
-    pub fn changes(&self) -> impl Iterator<Item = (&Record, Option<&[u8]>)> {
+    pub fn changes(&self) -> impl Iterator<Item = (&RecordKey, Option<&[u8]>)> {
         self.changes
             .iter()
             .map(|(record, value)| (record, value.as_deref()))
--- a/crates/persistence/src/error.rs
+++ b/crates/persistence/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a memory can't be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
-pub enum Error {
+pub enum PersistenceError {
     /// The folder is not there and can't be made, or can't be entered.
     #[error(
         "{folder}: the folder can't be used: {why}; make it, give this user rights to it, or name another with --data"
@@ -28,7 +28,7 @@
     #[error(
         "{file}: it is the memory of {found}, not of {wanted}; start that one here, or name another folder with --data"
     )]
-    OtherName {
+    WrongOwner {
         /// The file.
         file: PathBuf,
         /// Role and name in the file.
@@ -40,7 +40,7 @@
     #[error(
         "{file}: it belongs to the cluster {found:?}, not to {wanted:?}; look at fleet.cluster in the settings, or name another folder with --data"
     )]
-    OtherCluster {
+    WrongCluster {
         /// The file.
         file: PathBuf,
         /// The cluster in the file.
@@ -52,7 +52,7 @@
     #[error(
         "{file}: it was written by a newer program (format {found}, known here: {known}); start that version"
     )]
-    Newer {
+    NewerFormat {
         /// The file.
         file: PathBuf,
         /// Its format.
@@ -64,7 +64,7 @@
     #[error(
         "{file}: it is no memory of tidespur, or its head is damaged; restore it from a copy, or move it away to start with none"
     )]
-    Foreign {
+    NotAStore {
         /// The file.
         file: PathBuf,
     },
@@ -72,7 +72,7 @@
     #[error(
         "{file}: it is cut off ({why}); move it away, restore it from a copy, or start with none: what it held is then settled by asking"
     )]
-    Torn {
+    Truncated {
         /// The file.
         file: PathBuf,
         /// What was found.
@@ -82,7 +82,7 @@
     #[error(
         "{file}: a page of it is damaged ({why}); look at the disk, move the file away, and restore it from a copy or start with none"
     )]
-    Damaged {
+    Corrupted {
         /// The file.
         file: PathBuf,
         /// What was found.
@@ -92,7 +92,7 @@
     #[error(
         "{file}: the disk is full; nothing that was acknowledged is lost, and writing goes on once there is room"
     )]
-    Full {
+    DiskFull {
         /// The file.
         file: PathBuf,
     },
@@ -100,7 +100,7 @@
     #[error(
         "{file}: the disk does not do what it is asked: {why}; look at the disk and at the rights of this user"
     )]
-    Disk {
+    Io {
         /// The file.
         file: PathBuf,
         /// The system's word.
@@ -110,7 +110,7 @@
     #[error(
         "{record}: {bytes} bytes, which is more than a record may have; make the object smaller"
     )]
-    TooLarge {
+    RecordTooLarge {
         /// Kind and key.
         record: String,
         /// Its size.
@@ -119,41 +119,41 @@
 }
 
 /// What the file's library says, in this package's words.
-pub(crate) fn told(file: &std::path::Path, problem: redb::Error) -> Error {
+pub(crate) fn told(file: &std::path::Path, problem: redb::Error) -> PersistenceError {
     let file = file.to_owned();
     match problem {
-        redb::Error::DatabaseAlreadyOpen => Error::InUse { file },
-        redb::Error::UpgradeRequired(found) => Error::Damaged {
+        redb::Error::DatabaseAlreadyOpen => PersistenceError::InUse { file },
+        redb::Error::UpgradeRequired(found) => PersistenceError::Corrupted {
             file,
             why: format!("an old format of its library, {found}"),
         },
         // Its library tells the two apart by its words alone; unknown words count as the worse one.
-        redb::Error::Corrupted(why) if why.contains("truncated") => Error::Torn { file, why },
-        redb::Error::Corrupted(why) => Error::Damaged { file, why },
+        redb::Error::Corrupted(why) if why.contains("truncated") => PersistenceError::Truncated { file, why },
+        redb::Error::Corrupted(why) => PersistenceError::Corrupted { file, why },
         redb::Error::Io(why) => by_kind(file, &why),
-        redb::Error::RepairAborted => Error::Damaged {
+        redb::Error::RepairAborted => PersistenceError::Corrupted {
             file,
             why: "what a power loss left could not be put right".into(),
         },
-        other => Error::Disk {
+        other => PersistenceError::Io {
             file,
             why: other.to_string(),
         },
     }
 }
 
-fn by_kind(file: PathBuf, why: &std::io::Error) -> Error {
+fn by_kind(file: PathBuf, why: &std::io::Error) -> PersistenceError {
     use std::io::ErrorKind;
     match why.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
-            Error::Full { file }
+            PersistenceError::DiskFull { file }
         }
-        ErrorKind::UnexpectedEof => Error::Torn {
+        ErrorKind::UnexpectedEof => PersistenceError::Truncated {
             file,
             why: "a page lies beyond its end".into(),
         },
-        ErrorKind::InvalidData => Error::Foreign { file },
-        _ => Error::Disk {
+        ErrorKind::InvalidData => PersistenceError::NotAStore { file },
+        _ => PersistenceError::Io {
             file,
             why: why.to_string(),
         },
--- a/crates/persistence/src/export.rs
+++ b/crates/persistence/src/export.rs
@@ -1,7 +1,7 @@
 //! What can be read from a damaged folder. A library call for an operator's own program, no command.
 
 use crate::memory::{RECORDS, records};
-use crate::{Error, FILE, Record, error::told};
+use crate::{PersistenceError, STORE_FILE, RecordKey, error::told};
 use redb::{Builder, ReadableDatabase, ReadableTable};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Export {
     /// Records that could be read.
-    pub records: BTreeMap<Record, Vec<u8>>,
+    pub records: BTreeMap<RecordKey, Vec<u8>>,
     /// Why there may be more: each place at which reading had to end.
     pub missing: Vec<String>,
 }
@@ -20,10 +20,10 @@
 ///
 /// # Errors
 /// Where the file can't be read or copied at all, or nothing in it makes sense.
-pub fn export(folder: &Path) -> Result<Export, Error> {
-    let file = folder.join(FILE);
-    let copy = folder.join(format!("{FILE}.export"));
-    let system = |why: std::io::Error| Error::Disk {
+pub fn export(folder: &Path) -> Result<Export, PersistenceError> {
+    let file = folder.join(STORE_FILE);
+    let copy = folder.join(format!("{STORE_FILE}.export"));
+    let system = |why: std::io::Error| PersistenceError::Io {
         file: file.clone(),
         why: why.to_string(),
     };
@@ -33,7 +33,7 @@
     read
 }
 
-fn read(copy: &Path) -> Result<Export, Error> {
+fn read(copy: &Path) -> Result<Export, PersistenceError> {
     let disk = Builder::new()
         .create(copy)
         .map_err(|e| told(copy, e.into()))?;
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,6 +1,6 @@
 //! One process's memory over its end: records by kind and key, written in batches, synced before anyone is told.
 //!
-//! A [`Batch`] is all or nothing. [`Memory`] is the file; [`Writer`] writes to it from a thread of its own, many
+//! A [`Batch`] is all or nothing. [`RecordStore`] is the file; [`Writer`] writes to it from a thread of its own, many
 //! batches in one sync where they come faster than the disk takes them. What may be said only once a batch is safe
 //! waits in an [`Outbox`], which is a state machine without I/O.
 //!
@@ -16,14 +16,14 @@
 mod recalled;
 mod writer;
 
-pub use batch::{Batch, Record};
-pub use error::Error;
+pub use batch::{Batch, RecordKey};
+pub use error::PersistenceError;
 pub use export::{Export, export};
-pub use memory::{FILE, Memory};
+pub use memory::{STORE_FILE, RecordStore};
 pub use outbox::Outbox;
-pub use process::{Before, Disk};
-pub use recalled::{Identity, Recalled};
+pub use process::{PreviousShutdown, Disk};
+pub use recalled::{Identity, LoadedRecords};
 pub use writer::{Progress, Writer};
 
 /// Bytes of one record, key and value; more is refused before it is written.
-pub const RECORD_MOST: usize = 8 << 20;
+pub const MAX_RECORD_BYTES: usize = 8 << 20;
--- a/crates/persistence/src/memory.rs
+++ b/crates/persistence/src/memory.rs
@@ -1,14 +1,14 @@
 //! The file of one process.
 
 use crate::error::told;
-use crate::{Batch, Error, Identity, Recalled, Record};
+use crate::{Batch, PersistenceError, Identity, LoadedRecords, RecordKey};
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Name of the file in the folder.
-pub const FILE: &str = "memory.redb";
+pub const STORE_FILE: &str = "memory.redb";
 /// The format that this program writes; it rises where an older program could not read what a newer one wrote.
 const FORMAT: u64 = 1;
 /// Bytes of the file's library that may stay in memory: all that is read is read at the start.
@@ -23,26 +23,26 @@
 
 /// An open memory. One process has it open at a time.
 #[derive(Debug)]
-pub struct Memory {
+pub struct RecordStore {
     file: PathBuf,
     who: Identity,
     /// `None` only while it is opened anew after a failed write.
     disk: Option<Database>,
 }
 
-impl Memory {
+impl RecordStore {
     /// Opens the memory in a folder, or begins one; checks every page, whose it is, and its version. What comes back
     /// is on the disk, the new turn included.
     ///
     /// # Errors
     /// Each says what an operator can do. Nothing is changed where it fails.
-    pub fn open(folder: &Path, who: &Identity) -> Result<(Self, Recalled), Error> {
-        let told = |why| Error::Folder {
+    pub fn open(folder: &Path, who: &Identity) -> Result<(Self, LoadedRecords), PersistenceError> {
+        let told = |why| PersistenceError::Folder {
             folder: folder.to_owned(),
             why,
         };
         std::fs::create_dir_all(folder).map_err(told)?;
-        let file = folder.join(FILE);
+        let file = folder.join(STORE_FILE);
         let new = !file.try_exists().map_err(told)?;
         let disk = open(&file)?;
         if new {
@@ -57,8 +57,8 @@
     /// The same over a disk of the caller's, as simulations need.
     ///
     /// # Errors
-    /// As [`Memory::open`].
-    pub fn over(disk: impl StorageBackend, who: &Identity) -> Result<(Self, Recalled), Error> {
+    /// As [`RecordStore::open`].
+    pub fn with_backend(disk: impl StorageBackend, who: &Identity) -> Result<(Self, LoadedRecords), PersistenceError> {
         let file = PathBuf::from("(simulated)");
         let disk = builder()
             .create_with_backend(disk)
@@ -66,10 +66,10 @@
         Self::begin(file, disk, who)
     }
 
-    fn begin(file: PathBuf, mut disk: Database, who: &Identity) -> Result<(Self, Recalled), Error> {
+    fn begin(file: PathBuf, mut disk: Database, who: &Identity) -> Result<(Self, LoadedRecords), PersistenceError> {
         // What a power loss left half done was rolled back while it was opened; now every page must be what it was.
         if !disk.check_integrity().map_err(|e| told(&file, e.into()))? {
-            return Err(Error::Damaged {
+            return Err(PersistenceError::Corrupted {
                 file,
                 why: "pages do not match their checksums".into(),
             });
@@ -90,21 +90,21 @@
         memory.notes(&[("turn", &turn.to_string())])?;
         Ok((
             memory,
-            Recalled {
+            LoadedRecords {
                 records,
-                turn,
-                begun,
+                generation: turn,
+                created_at: begun,
             },
         ))
     }
 
     /// Whose it is, how often it was opened and when it was begun; writes that into a new one.
-    fn check(&mut self) -> Result<(u64, u64), Error> {
+    fn check(&mut self) -> Result<(u64, u64), PersistenceError> {
         let role = format!("{} {}", self.who.role, self.who.name);
         let about = self.about()?;
         let Some(found) = about.get("format") else {
             if !self.read()?.is_empty() {
-                return Err(Error::Foreign {
+                return Err(PersistenceError::NotAStore {
                     file: self.file.clone(),
                 });
             }
@@ -123,9 +123,9 @@
             return Ok((0, begun));
         };
         let file = || self.file.clone();
-        let found: u64 = found.parse().map_err(|_| Error::Foreign { file: file() })?;
+        let found: u64 = found.parse().map_err(|_| PersistenceError::NotAStore { file: file() })?;
         if found > FORMAT {
-            return Err(Error::Newer {
+            return Err(PersistenceError::NewerFormat {
                 file: file(),
                 found,
                 known: FORMAT,
@@ -134,14 +134,14 @@
         let of = |key: &str| about.get(key).cloned().unwrap_or_default();
         if of("cluster") != self.who.cluster {
             let wanted = self.who.cluster.clone();
-            return Err(Error::OtherCluster {
+            return Err(PersistenceError::WrongCluster {
                 file: file(),
                 found: of("cluster"),
                 wanted,
             });
         }
         if of("name") != role {
-            return Err(Error::OtherName {
+            return Err(PersistenceError::WrongOwner {
                 file: file(),
                 found: of("name"),
                 wanted: role,
@@ -149,20 +149,20 @@
         }
         let number = |key: &str| match about.get(key).map(|text| text.parse()) {
             None => Ok(0),
-            Some(number) => number.map_err(|_| Error::Foreign { file: file() }),
+            Some(number) => number.map_err(|_| PersistenceError::NotAStore { file: file() }),
         };
         Ok((number("turn")?, number("begun")?))
     }
 
-    fn disk(&self) -> Result<&Database, Error> {
-        let closed = || Error::Disk {
+    fn disk(&self) -> Result<&Database, PersistenceError> {
+        let closed = || PersistenceError::Io {
             file: self.file.clone(),
             why: "it is closed after an error".into(),
         };
         self.disk.as_ref().ok_or_else(closed)
     }
 
-    fn about(&self) -> Result<BTreeMap<String, String>, Error> {
+    fn about(&self) -> Result<BTreeMap<String, String>, PersistenceError> {
         let disk = self.disk()?;
         let read = || -> Result<BTreeMap<String, String>, redb::Error> {
             let read = disk.begin_read()?;
@@ -181,7 +181,7 @@
         read().map_err(|e| told(&self.file, e))
     }
 
-    fn notes(&mut self, notes: &[(&str, &str)]) -> Result<(), Error> {
+    fn notes(&mut self, notes: &[(&str, &str)]) -> Result<(), PersistenceError> {
         let disk = self.disk()?;
         let write = || -> Result<(), redb::Error> {
             let write = disk.begin_write()?;
@@ -196,7 +196,7 @@
         write().map_err(|e| told(&self.file, e))
     }
 
-    fn read(&self) -> Result<BTreeMap<Record, Vec<u8>>, Error> {
+    fn read(&self) -> Result<BTreeMap<RecordKey, Vec<u8>>, PersistenceError> {
         let disk = self.disk()?;
         records(disk).map_err(|e| told(&self.file, e))
     }
@@ -204,8 +204,8 @@
     /// Writes a batch; once this returns it is on the disk as a whole.
     ///
     /// # Errors
-    /// Then nothing of it counts as written, and [`Memory::again`] has to be called before the next try.
-    pub fn write(&mut self, batch: &Batch) -> Result<(), Error> {
+    /// Then nothing of it counts as written, and [`RecordStore::reopen`] has to be called before the next try.
+    pub fn write(&mut self, batch: &Batch) -> Result<(), PersistenceError> {
         let disk = self.disk()?;
         let write = || -> Result<(), redb::Error> {
             let write = disk.begin_write()?;
@@ -226,15 +226,15 @@
     /// Closes and opens the file anew after a failed write, as its library demands. The turn stays.
     ///
     /// # Errors
-    /// As [`Memory::open`]; it may be tried again.
-    pub fn again(&mut self) -> Result<(), Error> {
+    /// As [`RecordStore::open`]; it may be tried again.
+    pub fn reopen(&mut self) -> Result<(), PersistenceError> {
         self.disk = None;
         self.disk = Some(open(&self.file)?);
         Ok(())
     }
 
     /// Makes a file smaller that holds little for its size.
-    fn compact(&mut self, held: u64) -> Result<(), Error> {
+    fn compact(&mut self, held: u64) -> Result<(), PersistenceError> {
         let size = std::fs::metadata(&self.file).map_or(0, |about| about.len());
         if size < COMPACT_FROM || size < held.saturating_mul(COMPACT_AT) {
             return Ok(());
@@ -255,13 +255,13 @@
     builder
 }
 
-fn open(file: &Path) -> Result<Database, Error> {
+fn open(file: &Path) -> Result<Database, PersistenceError> {
     builder().create(file).map_err(|e| told(file, e.into()))
 }
 
 pub(crate) fn records(
     disk: &impl ReadableDatabase,
-) -> Result<BTreeMap<Record, Vec<u8>>, redb::Error> {
+) -> Result<BTreeMap<RecordKey, Vec<u8>>, redb::Error> {
     let read = disk.begin_read()?;
     let table = match read.open_table(RECORDS) {
         Ok(table) => table,
--- a/crates/persistence/src/outbox.rs
+++ b/crates/persistence/src/outbox.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes back words that need not, or must not, be said any more.
-    pub fn take_back(&mut self, which: impl Fn(&T) -> bool) -> Vec<T> {
+    pub fn remove_matching(&mut self, which: impl Fn(&T) -> bool) -> Vec<T> {
         let (back, held) = std::mem::take(&mut self.held)
             .into_iter()
             .partition(|(_, word)| which(word));
--- a/crates/persistence/src/process.rs
+++ b/crates/persistence/src/process.rs
@@ -1,6 +1,6 @@
 //! A memory for as long as its process runs: how the one before it ended, and this one's end in order.
 
-use crate::{Batch, Error, Identity, Memory, Recalled, Writer};
+use crate::{Batch, PersistenceError, Identity, RecordStore, LoadedRecords, Writer};
 use async_channel::{Receiver, Sender};
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,22 +13,22 @@
 
 /// How the process before this one ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Before {
+pub enum PreviousShutdown {
     /// There was none.
-    None,
+    FirstStart,
     /// In order, with all it owed written down.
-    InOrder,
+    Clean,
     /// Killed, crashed, or without power.
-    CutOff,
+    Unclean,
 }
 
-impl Recalled {
+impl LoadedRecords {
     /// How the process before this one ended.
-    pub fn before(&self) -> Before {
-        match (self.turn, self.of(END).next()) {
-            (1, _) => Before::None,
-            (_, Some(_)) => Before::InOrder,
-            (_, None) => Before::CutOff,
+    pub fn previous_shutdown(&self) -> PreviousShutdown {
+        match (self.generation, self.records_of_kind(END).next()) {
+            (1, _) => PreviousShutdown::FirstStart,
+            (_, Some(_)) => PreviousShutdown::Clean,
+            (_, None) => PreviousShutdown::Unclean,
         }
     }
 }
@@ -45,10 +45,10 @@
     ///
     /// # Errors
     /// Why it can't be used, and what an operator can do.
-    pub fn open(all: &Path, who: &Identity) -> Result<(Memory, Recalled), Error> {
+    pub fn open(all: &Path, who: &Identity) -> Result<(RecordStore, LoadedRecords), PersistenceError> {
         let folder = all.join(&who.name);
-        let (memory, recalled) = Memory::open(&folder, who)?;
-        let (turn, before) = (recalled.turn, recalled.before());
+        let (memory, recalled) = RecordStore::open(&folder, who)?;
+        let (turn, before) = (recalled.generation, recalled.previous_shutdown());
         tracing::info!(name = who.name, folder = %folder.display(), turn, ?before, "remembers");
         Ok((memory, recalled))
     }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// Where the system gives no thread.
-    pub fn start(memory: Memory) -> Result<Self, Error> {
+    pub fn start(memory: RecordStore) -> Result<Self, PersistenceError> {
         let told: Arc<Mutex<Vec<Sender<()>>>> = Arc::default();
         let all = told.clone();
         let writer = Writer::start(memory, move |_| {
@@ -88,13 +88,13 @@
     }
 
     /// All batches up to this number are safe.
-    pub fn safe(&self) -> u64 {
-        self.writer.progress().safe
+    pub fn synced(&self) -> u64 {
+        self.writer.progress().synced
     }
 
     /// Why nothing can be written now.
-    pub fn trouble(&self) -> Option<String> {
-        self.writer.progress().trouble
+    pub fn error(&self) -> Option<String> {
+        self.writer.progress().error
     }
 
     /// Syncs so far.
@@ -103,7 +103,7 @@
     }
 
     /// The last word of a process that ends in order.
-    pub fn end(&self) {
+    pub fn finish(&self) {
         let mut last = Batch::default();
         // A few bytes, far below the bound.
         drop(last.put(END, "", b"in order".to_vec()));
--- a/crates/persistence/src/recalled.rs
+++ b/crates/persistence/src/recalled.rs
@@ -1,6 +1,6 @@
 //! Whose memory it is, and what an earlier process left in it.
 
-use crate::Record;
+use crate::RecordKey;
 use std::collections::BTreeMap;
 
 /// Whose memory it is.
@@ -16,24 +16,24 @@
 
 /// What an earlier process of this name left.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Recalled {
+pub struct LoadedRecords {
     /// All records.
-    pub records: BTreeMap<Record, Vec<u8>>,
+    pub records: BTreeMap<RecordKey, Vec<u8>>,
     /// How often the memory was opened, this time included: it rises with each start and never falls.
-    pub turn: u64,
+    pub generation: u64,
     /// When the memory was begun, in microseconds since 1970 by the clock of that moment.
-    pub begun: u64,
+    pub created_at: u64,
 }
 
-impl Recalled {
+impl LoadedRecords {
     /// The incarnation of this process: higher than that of each earlier one of this memory, whatever the clock says
     /// now. Where the memory is a new one it rests on the clock, so that it is higher than what was lost.
     pub fn incarnation(&self) -> u64 {
-        self.begun.saturating_add(self.turn)
+        self.created_at.saturating_add(self.generation)
     }
 
     /// The records of a kind: key and value.
-    pub fn of<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
+    pub fn records_of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = (kind.to_owned(), String::new());
         let all = self
             .records
--- a/crates/persistence/src/writer.rs
+++ b/crates/persistence/src/writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes: it alone waits for the disk.
 
-use crate::{Batch, Error, Memory};
+use crate::{Batch, PersistenceError, RecordStore};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// All batches up to this number are on the disk.
-    pub safe: u64,
+    pub synced: u64,
     /// The last batch that was handed in.
-    pub last: u64,
+    pub submitted: u64,
     /// Syncs so far.
     pub syncs: u64,
     /// Why the last write failed, until one succeeds.
-    pub trouble: Option<String>,
+    pub error: Option<String>,
 }
 
 #[derive(Default)]
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// Where the system gives no thread.
-    pub fn start(memory: Memory, told: impl Fn(&Progress) + Send + 'static) -> Result<Self, Error> {
+    pub fn start(memory: RecordStore, told: impl Fn(&Progress) + Send + 'static) -> Result<Self, PersistenceError> {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
             bell: Condvar::new(),
@@ -64,7 +64,7 @@
         let thread = std::thread::Builder::new()
             .name("durable".into())
             .spawn(run);
-        let thread = thread.map_err(|e| Error::Disk {
+        let thread = thread.map_err(|e| PersistenceError::Io {
             file: "".into(),
             why: format!("no thread: {e}"),
         })?;
@@ -78,11 +78,11 @@
     pub fn write(&self, batch: Batch) -> u64 {
         let mut state = self.shared.lock();
         if !batch.is_empty() {
-            state.progress.last += 1;
+            state.progress.submitted += 1;
             state.waiting.extend(batch);
             self.shared.bell.notify_all();
         }
-        state.progress.last
+        state.progress.submitted
     }
 
     /// How far the disk has come.
@@ -94,8 +94,8 @@
     pub fn flush(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
         let mut state = self.shared.lock();
-        let last = state.progress.last;
-        while state.progress.safe < last {
+        let last = state.progress.submitted;
+        while state.progress.synced < last {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
@@ -122,7 +122,7 @@
     }
 }
 
-fn write_all(shared: &Shared, mut memory: Memory, told: impl Fn(&Progress)) {
+fn write_all(shared: &Shared, mut memory: RecordStore, told: impl Fn(&Progress)) {
     let mut pause = AGAIN[0];
     loop {
         let (batch, upto) = {
@@ -136,15 +136,15 @@
                     .wait(state)
                     .unwrap_or_else(PoisonError::into_inner);
             }
-            (std::mem::take(&mut state.waiting), state.progress.last)
+            (std::mem::take(&mut state.waiting), state.progress.submitted)
         };
         let failed = memory.write(&batch).err().map(|problem| (problem, batch));
         let progress = {
             let mut state = shared.lock();
-            state.progress.trouble = failed.as_ref().map(|(problem, _)| problem.to_string());
+            state.progress.error = failed.as_ref().map(|(problem, _)| problem.to_string());
             match failed {
                 None => {
-                    state.progress.safe = upto;
+                    state.progress.synced = upto;
                     state.progress.syncs += 1;
                     pause = AGAIN[0];
                 }
@@ -158,14 +158,14 @@
         };
         shared.bell.notify_all();
         told(&progress);
-        if progress.trouble.is_some() {
+        if progress.error.is_some() {
             if shared.lock().closing {
                 return;
             }
             std::thread::sleep(pause);
             pause = (pause * 2).min(AGAIN[1]);
             // If that fails, the next write does, and says why.
-            let _ = memory.again();
+            let _ = memory.reopen();
         }
     }
 }
--- a/crates/persistence/tests/cuts.rs
+++ b/crates/persistence/tests/cuts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io::Error as BackendIoError;
 use std::sync::{Arc, Mutex};
-use tidespur_persistence::{Batch, Identity, Memory, Record};
+use tidespur_persistence::{Batch, Identity, RecordStore, RecordKey};
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -83,13 +83,13 @@
 }
 
 /// A run of batches: the operations of the disk, and after how many of them each batch was acknowledged as what.
-type Ran = (Vec<Op>, Vec<(usize, BTreeMap<Record, Vec<u8>>)>);
+type Ran = (Vec<Op>, Vec<(usize, BTreeMap<RecordKey, Vec<u8>>)>);
 
 fn run(rng: &mut impl Rng) -> Ran {
     let disk = Disk::default();
-    let (mut memory, _) = Memory::over(disk.clone(), &who()).unwrap();
+    let (mut memory, _) = RecordStore::with_backend(disk.clone(), &who()).unwrap();
     let mut acknowledged = vec![(disk.done(), BTreeMap::new())];
-    let mut truth: BTreeMap<Record, Vec<u8>> = BTreeMap::new();
+    let mut truth: BTreeMap<RecordKey, Vec<u8>> = BTreeMap::new();
     for i in 0..6_u32 {
         let mut batch = Batch::default();
         for _ in 0..rng.random_range(1..12) {
@@ -150,7 +150,7 @@
         for cut in first..=ops.len() {
             for how in 0..4 {
                 let bytes = after_cut(&ops[..cut], how, &mut rng);
-                let (_, back) = match Memory::over(Disk::of(bytes), &who()) {
+                let (_, back) = match RecordStore::with_backend(Disk::of(bytes), &who()) {
                     Ok(opened) => opened,
                     Err(problem) => panic!("seed {seed}, cut {cut}, {how}: {problem}"),
                 };
@@ -165,7 +165,7 @@
                     whole,
                     "seed {seed}, cut {cut}, {how}: what came back is no batch's end"
                 );
-                assert_eq!(back.turn, 2, "the turn rises over a cut");
+                assert_eq!(back.generation, 2, "the turn rises over a cut");
                 (cuts, rolled) = (cuts + 1, rolled + usize::from(Some(&back.records) != next));
             }
         }
@@ -189,12 +189,12 @@
         .1;
     let bytes = after_cut(&ops[..cut], 0, &mut rng);
     let disk = Disk::of(bytes.clone());
-    drop(Memory::over(disk.clone(), &who()).unwrap());
+    drop(RecordStore::with_backend(disk.clone(), &who()).unwrap());
     let returning = disk.0.lock().unwrap().1.clone();
     for again in 0..=returning.len() {
         let mut all = vec![Op::Write(0, bytes.clone()), Op::Sync];
         all.extend_from_slice(&returning[..again]);
-        let (_, back) = Memory::over(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
+        let (_, back) = RecordStore::with_backend(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
         assert_eq!(
             &back.records, known,
             "after {again} operations of the first return"
--- a/crates/persistence/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 use std::time::Duration;
-use tidespur_persistence::{Batch, Error, FILE, Identity, Memory, Outbox, Writer, export};
+use tidespur_persistence::{Batch, PersistenceError, STORE_FILE, Identity, RecordStore, Outbox, Writer, export};
 
 fn who(name: &str, cluster: &str) -> Identity {
     Identity {
@@ -15,7 +15,7 @@
 }
 
 fn filled(folder: &Path, records: usize) {
-    let (mut memory, _) = Memory::open(folder, &who("a", "c")).unwrap();
+    let (mut memory, _) = RecordStore::open(folder, &who("a", "c")).unwrap();
     let mut batch = Batch::default();
     for i in 0..records {
         batch
@@ -25,8 +25,8 @@
     memory.write(&batch).unwrap();
 }
 
-fn opened(folder: &Path) -> Error {
-    Memory::open(folder, &who("a", "c"))
+fn opened(folder: &Path) -> PersistenceError {
+    RecordStore::open(folder, &who("a", "c"))
         .map(|_| ())
         .expect_err("it must not open")
 }
@@ -36,8 +36,8 @@
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path(), 10);
     for turn in 2..5 {
-        let (_, back) = Memory::open(folder.path(), &who("a", "c")).unwrap();
-        assert_eq!((back.turn, back.of("object").count()), (turn, 10));
+        let (_, back) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+        assert_eq!((back.generation, back.records_of_kind("object").count()), (turn, 10));
     }
 }
 
@@ -45,22 +45,22 @@
 fn a_folder_of_another_name_cluster_or_version_or_in_use_is_refused() {
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path(), 1);
-    let open = |who: &Identity| Memory::open(folder.path(), who).map(|_| ());
-    assert!(matches!(open(&who("b", "c")), Err(Error::OtherName { .. })));
+    let open = |who: &Identity| RecordStore::open(folder.path(), who).map(|_| ());
+    assert!(matches!(open(&who("b", "c")), Err(PersistenceError::WrongOwner { .. })));
     assert!(matches!(
         open(&who("a", "d")),
-        Err(Error::OtherCluster { .. })
+        Err(PersistenceError::WrongCluster { .. })
     ));
     let planner = Identity {
         role: "planner".into(),
         ..who("a", "c")
     };
-    assert!(matches!(open(&planner), Err(Error::OtherName { .. })));
-    let held = Memory::open(folder.path(), &who("a", "c")).unwrap();
-    assert!(matches!(opened(folder.path()), Error::InUse { .. }));
+    assert!(matches!(open(&planner), Err(PersistenceError::WrongOwner { .. })));
+    let held = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+    assert!(matches!(opened(folder.path()), PersistenceError::InUse { .. }));
     drop(held);
     // A newer program's file.
-    let file = redb::Database::create(folder.path().join(FILE)).unwrap();
+    let file = redb::Database::create(folder.path().join(STORE_FILE)).unwrap();
     let write = file.begin_write().unwrap();
     let about = redb::TableDefinition::<&str, &str>::new("about");
     write
@@ -72,19 +72,19 @@
     drop(file);
     assert!(matches!(
         opened(folder.path()),
-        Error::Newer {
+        PersistenceError::NewerFormat {
             found: 9,
             known: 1,
             ..
         }
     ));
-    fs::write(folder.path().join(FILE), b"something else altogether").unwrap();
-    assert!(matches!(opened(folder.path()), Error::Foreign { .. }));
+    fs::write(folder.path().join(STORE_FILE), b"something else altogether").unwrap();
+    assert!(matches!(opened(folder.path()), PersistenceError::NotAStore { .. }));
     // A file where the folder should be.
     fs::write(folder.path().join("plain"), b"").unwrap();
     assert!(matches!(
         opened(&folder.path().join("plain")),
-        Error::Folder { .. }
+        PersistenceError::Folder { .. }
     ));
 }
 
@@ -92,7 +92,7 @@
 fn a_bad_page_and_a_cut_tail_are_told_apart_and_what_can_be_read_is_exported() {
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path(), 2_000);
-    let path = folder.path().join(FILE);
+    let path = folder.path().join(STORE_FILE);
     let whole = fs::read(&path).unwrap();
     // Every page in turn is spoilt: it is found, or it held nothing that anyone knew.
     let (mut found, mut exported) = (0, 0);
@@ -102,13 +102,13 @@
         file.write_all_at(&[0xa5; 64], page as u64 * 4096 + 1_000)
             .unwrap();
         drop(file);
-        match Memory::open(folder.path(), &who("a", "c")) {
+        match RecordStore::open(folder.path(), &who("a", "c")) {
             Ok((_, back)) => assert_eq!(
-                back.of("object").count(),
+                back.records_of_kind("object").count(),
                 2_000,
                 "page {page} took records with it"
             ),
-            Err(Error::Damaged { .. }) => {
+            Err(PersistenceError::Corrupted { .. }) => {
                 found += 1;
                 if let Ok(export) = export(folder.path()) {
                     exported += usize::from(export.records.len() > 200);
@@ -124,7 +124,7 @@
     for part in [4, 2] {
         fs::write(&path, &whole[..whole.len() * (part - 1) / part]).unwrap();
         assert!(
-            matches!(opened(folder.path()), Error::Torn { .. }),
+            matches!(opened(folder.path()), PersistenceError::Truncated { .. }),
             "{}",
             opened(folder.path())
         );
@@ -137,41 +137,41 @@
     let why = || std::io::Error::other("why");
     let (found, wanted) = ("edge a".to_owned(), "edge b".to_owned());
     let all = [
-        Error::Folder {
+        PersistenceError::Folder {
             folder: file(),
             why: why(),
         },
-        Error::InUse { file: file() },
-        Error::OtherName {
+        PersistenceError::InUse { file: file() },
+        PersistenceError::WrongOwner {
             file: file(),
             found: found.clone(),
             wanted: wanted.clone(),
         },
-        Error::OtherCluster {
+        PersistenceError::WrongCluster {
             file: file(),
             found,
             wanted,
         },
-        Error::Newer {
+        PersistenceError::NewerFormat {
             file: file(),
             found: 2,
             known: 1,
         },
-        Error::Foreign { file: file() },
-        Error::Torn {
+        PersistenceError::NotAStore { file: file() },
+        PersistenceError::Truncated {
             file: file(),
             why: "why".into(),
         },
-        Error::Damaged {
+        PersistenceError::Corrupted {
             file: file(),
             why: "why".into(),
         },
-        Error::Full { file: file() },
-        Error::Disk {
+        PersistenceError::DiskFull { file: file() },
+        PersistenceError::Io {
             file: file(),
             why: "why".into(),
         },
-        Error::TooLarge {
+        PersistenceError::RecordTooLarge {
             record: "object x".into(),
             bytes: 9,
         },
@@ -195,15 +195,15 @@
         );
     }
     let mut batch = Batch::default();
-    let large = batch.put("object", "x", vec![0; tidespur_persistence::RECORD_MOST]);
-    assert!(matches!(large, Err(Error::TooLarge { .. })) && batch.is_empty());
+    let large = batch.put("object", "x", vec![0; tidespur_persistence::MAX_RECORD_BYTES]);
+    assert!(matches!(large, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
 }
 
 #[test]
 fn writing_over_and_over_does_not_grow_the_file_without_bound() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut memory, _) = Memory::open(folder.path(), &who("a", "c")).unwrap();
-    let size = || fs::metadata(folder.path().join(FILE)).unwrap().len();
+    let (mut memory, _) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+    let size = || fs::metadata(folder.path().join(STORE_FILE)).unwrap().len();
     let mut sizes = vec![];
     for round in 0..120_u32 {
         let mut batch = Batch::default();
@@ -226,9 +226,9 @@
 #[test]
 fn words_wait_for_their_batch_and_keep_their_order() {
     let folder = tempfile::tempdir().unwrap();
-    let (memory, _) = Memory::open(folder.path(), &who("a", "c")).unwrap();
+    let (memory, _) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
     let (send, heard) = std::sync::mpsc::channel();
-    let writer = Writer::start(memory, move |progress| send.send(progress.safe).unwrap()).unwrap();
+    let writer = Writer::start(memory, move |progress| send.send(progress.synced).unwrap()).unwrap();
     let mut outbox = Outbox::default();
     let mut said = vec![];
     for i in 0..50_u32 {
@@ -244,10 +244,10 @@
     assert!(writer.flush(Duration::from_secs(30)));
     drop(writer);
     assert_eq!(
-        Memory::open(folder.path(), &who("a", "c"))
+        RecordStore::open(folder.path(), &who("a", "c"))
             .unwrap()
             .1
-            .of("object")
+            .records_of_kind("object")
             .count(),
         50
     );
--- a/crates/planner/src/attempts.rs
+++ b/crates/planner/src/attempts.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 
 const ATTEMPT: &str = "attempt";
 /// An offer that can't be read any more at its node may still be worked on there for this long, in seconds.
@@ -39,12 +39,12 @@
     ///
     /// # Errors
     /// A record that can't be read.
-    pub fn recall(memory: &Recalled) -> Result<Self, String> {
+    pub fn recall(memory: &LoadedRecords) -> Result<Self, String> {
         let mut attempts = Self {
             on: true,
             ..Self::default()
         };
-        for (uid, bytes) in memory.of(ATTEMPT) {
+        for (uid, bytes) in memory.records_of_kind(ATTEMPT) {
             let read = serde_json::from_slice::<Attempt>(bytes);
             let attempt = read.map_err(|e| {
                 format!(
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -14,7 +14,7 @@
 use tidespur_membership::{Facts, Role};
 use tidespur_membership_net::{Ending, Member, told_to_end};
 use tidespur_net::{Client, Recorder, clock};
-use tidespur_persistence::{Disk, Identity, Outbox, Recalled};
+use tidespur_persistence::{Disk, Identity, Outbox, LoadedRecords};
 use tidespur_planner_protocol::ToEdge;
 
 /// Inputs that may wait for the core.
@@ -83,7 +83,7 @@
         ..Facts::of(Role::Planner)
     };
     let options = &this.options;
-    let incarnation = back.as_ref().map(Recalled::incarnation);
+    let incarnation = back.as_ref().map(LoadedRecords::incarnation);
     let member = Member::join(
         &this.config,
         &options.fleet,
@@ -127,7 +127,7 @@
     };
     let ending = smol::future::or(ended, turned).await;
     if let Some(disk) = &disk {
-        disk.end();
+        disk.finish();
     }
     ending.result()
 }
@@ -137,7 +137,7 @@
     config: &Config,
     options: &Options,
     name: &str,
-) -> Result<Option<(Disk, Recalled)>, String> {
+) -> Result<Option<(Disk, LoadedRecords)>, String> {
     let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
         tracing::warn!(
             planner = name,
@@ -183,11 +183,11 @@
             }
             let now = clock::now();
             if let Some(disk) = disk {
-                core.stuck(disk.trouble().is_some());
+                core.stuck(disk.error().is_some());
                 let late = |Held(offer, until): &Held| now >= *until || !wanted(core, offer);
                 batch.extend(
                     outbox
-                        .take_back(late)
+                        .remove_matching(late)
                         .into_iter()
                         .filter_map(|Held(offer, _)| unsent(offer)),
                 );
@@ -211,7 +211,7 @@
                     output => self.carry_out(output),
                 }
             }
-            for Held(offer, until) in outbox.release(disk.safe()) {
+            for Held(offer, until) in outbox.release(disk.synced()) {
                 let left = until - clock::now();
                 match offer {
                     Output::Share(planners) => core.share(planners),
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -5,17 +5,17 @@
 use std::collections::BTreeSet;
 use tidespur_config::{DEFAULT, parse};
 use tidespur_coordination::Fence;
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Core, Input, Output};
 use tidespur_planner_protocol::{Found, ToEdge, ToPlanner};
 
 const UID: &str = "6d0f-1";
 
-fn after(batches: &[Batch]) -> Recalled {
-    let mut back = Recalled {
-        turn: 1,
-        ..Recalled::default()
+fn after(batches: &[Batch]) -> LoadedRecords {
+    let mut back = LoadedRecords {
+        generation: 1,
+        ..LoadedRecords::default()
     };
     for (record, value) in batches.iter().flat_map(|batch| batch.changes()) {
         match value {
@@ -27,7 +27,7 @@
 }
 
 fn remembering() -> Attempts {
-    Attempts::recall(&Recalled::default()).unwrap()
+    Attempts::recall(&LoadedRecords::default()).unwrap()
 }
 
 fn node(name: &str) -> Value {
@@ -80,7 +80,7 @@
 }
 
 /// Offered to `b` by a process that is no more.
-fn offered() -> Recalled {
+fn offered() -> LoadedRecords {
     let mut attempts = remembering();
     attempts.sent(UID, ("default", "n"), "b", 5.0);
     after(&[attempts.take()])
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -5,16 +5,16 @@
 use tidespur_api::task::Ask;
 use tidespur_config::{DEFAULT, parse};
 use tidespur_coordination::Fence;
-use tidespur_persistence::{Batch, Recalled};
+use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Answer, Core, Input, Output};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_policy::interface::AttemptOutcome;
 
-fn after(batch: &Batch) -> Recalled {
-    let mut back = Recalled {
-        turn: 1,
-        ..Recalled::default()
+fn after(batch: &Batch) -> LoadedRecords {
+    let mut back = LoadedRecords {
+        generation: 1,
+        ..LoadedRecords::default()
     };
     for (record, value) in batch.changes() {
         back.records
@@ -24,7 +24,7 @@
 }
 
 /// A planner that comes back with this memory.
-fn planner(memory: &Recalled) -> Core {
+fn planner(memory: &LoadedRecords) -> Core {
     let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
     core.recalling(Attempts::recall(memory).unwrap(), Fence::recall(memory))
 }
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_older_token_is_refused_by_name_also_after_a_return() {
-    let mut core = planner(&Recalled::default());
+    let mut core = planner(&LoadedRecords::default());
     assert_eq!(hears(&mut core, "fleet", 3, 2), [Output::Share(2)]);
     let memory = after(&core.remember());
     assert_eq!(hears(&mut core, "fleet", 2, 1), stale(2, 3));
@@ -79,7 +79,7 @@
 
 /// Offers to one cold node in three seconds, of a planner that shares with so many; each is over at once.
 fn offers(planners: u32) -> usize {
-    let mut core = planner(&Recalled::default());
+    let mut core = planner(&LoadedRecords::default());
     let cold = json!({"metadata": {"name": "a", "labels": {"node.kubernetes.io/instance-type": "std-24"},
         "annotations": {"node.tidespur.dev/address": "a:1", "node.tidespur.dev/up-since": "999"}},
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}});
