--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -155,7 +155,7 @@
         range("planner.edge_patience", p.edge_patience, 0.2, 600.0)?;
         range("planner.planners", f64::from(p.planners), 1.0, 1e4)?;
         if let Some(fleet) = &self.fleet {
-            if !tidespur_membership::name_is_sound(&fleet.cluster) {
+            if !tidespur_membership::is_valid_name(&fleet.cluster) {
                 return fail(
                     "fleet.cluster".into(),
                     "1 to 48 letters, digits, '-', '_' or '.' are needed",
@@ -201,7 +201,7 @@
                 let sound = address
                     .parse::<std::net::SocketAddr>()
                     .is_ok_and(|at| !at.ip().is_unspecified());
-                if !sound || !tidespur_membership::name_is_sound(name) {
+                if !sound || !tidespur_membership::is_valid_name(name) {
                     let what = "a name and the address that the others reach are needed, as edge-0 = \"127.0.0.1:7101\"";
                     return fail("ledger.voters".into(), what);
                 }
--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -12,23 +12,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use streams::Streams;
 use tidespur_config::Config;
-use tidespur_coordination::{Input, Ledger, Settings, Standing};
+use tidespur_coordination::{Input, Settings, Voter, VoterStatus};
 use tidespur_net::{clock, routes::Routes};
 use tidespur_persistence::{Disk, LoadedRecords};
 
 /// The lease of the one edge that acts for the whole fleet.
-pub const FLEET: &str = "fleet";
+pub const FLEET_LEASE: &str = "fleet";
 /// Inputs that may wait for the loop.
 const INPUTS_MOST: usize = 4_096;
 
 /// A voter that runs; it ends with this value.
-pub struct Voter {
-    ledger: Arc<Mutex<Ledger>>,
+pub struct VoterHandle {
+    ledger: Arc<Mutex<Voter>>,
     tell: Sender<turn::Event>,
     _tasks: Vec<smol::Task<()>>,
 }
 
-pub(crate) fn lock(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
+pub(crate) fn lock(ledger: &Mutex<Voter>) -> MutexGuard<'_, Voter> {
     // Each step is one call; a panic in it leaves a voter that is not used any more.
     ledger.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -42,7 +42,7 @@
         .finish()
 }
 
-impl Voter {
+impl VoterHandle {
     /// Starts the voter that the settings name like this process; `None` where they name no ledger, or others only.
     ///
     /// # Errors
@@ -70,10 +70,10 @@
             own: name.to_owned(),
             incarnation: memory.incarnation(),
             start: start(),
-            term: block.term,
-            drift: block.drift,
+            lease_term: block.term,
+            max_clock_drift: block.drift,
         };
-        let ledger = Arc::new(Mutex::new(Ledger::new(settings, memory, clock::now())?));
+        let ledger = Arc::new(Mutex::new(Voter::new(settings, memory, clock::now())?));
         let (tell, told) = async_channel::bounded(INPUTS_MOST);
         let listener = TcpListener::bind(address)
             .await
@@ -108,25 +108,25 @@
             tell,
             _tasks: tasks,
         };
-        voter.tell(Input::Want(FLEET.into()));
+        voter.send(Input::AcquireLease(FLEET_LEASE.into()));
         Ok(Some(voter))
     }
 
     /// Whether this process may act now under a lease, and with which token: to be asked at the moment of the act.
-    pub fn may_act(&self, lease: &str) -> Option<u64> {
-        lock(&self.ledger).may_act(clock::now(), lease)
+    pub fn valid_token(&self, lease: &str) -> Option<u64> {
+        lock(&self.ledger).valid_token(clock::now(), lease)
     }
 
     /// What is remembered under keys that begin with this, without it.
-    pub fn noted(&self, prefix: &str) -> BTreeSet<String> {
+    pub fn keys_with_prefix(&self, prefix: &str) -> BTreeSet<String> {
         let ledger = lock(&self.ledger);
-        let keys = ledger.state().notes.keys();
+        let keys = ledger.state().values.keys();
         keys.filter_map(|key| key.strip_prefix(prefix).map(str::to_owned))
             .collect()
     }
 
     /// Tells the voter something. Lost where its loop is far behind: whoever wants it said says it again.
-    pub fn tell(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.tell.try_send(turn::Event::Input(input));
     }
 
@@ -134,17 +134,17 @@
     ///
     /// # Errors
     /// What it waits for and what an operator can do.
-    pub fn ready(&self) -> Result<String, String> {
+    pub fn readiness(&self) -> Result<String, String> {
         let ledger = lock(&self.ledger);
-        match (ledger.standing(), ledger.leader()) {
-            (Standing::Voting, Some(leader)) => Ok(format!("votes; {leader} leads")),
-            (Standing::Voting, None) => {
+        match (ledger.status(), ledger.leader()) {
+            (VoterStatus::Voting, Some(leader)) => Ok(format!("votes; {leader} leads")),
+            (VoterStatus::Voting, None) => {
                 Err("votes, but no majority of the voters is heard: what needs the fleet's word waits; look at the other voters".into())
             }
-            (Standing::Asking(heard), _) => {
+            (VoterStatus::Verifying(heard), _) => {
                 Err(format!("{heard} voters have said how far they know this one; look whether the others run"))
             }
-            (Standing::Barred { by, .. }, _) => Err(format!(
+            (VoterStatus::Quarantined { by, .. }, _) => Err(format!(
                 "does not vote: {by} knows it as further than its disk is; if the disk is a restored or a new one, have it taken in again at a voter that votes"
             )),
         }
@@ -157,16 +157,16 @@
         let lease = |(name, lease): (&String, &tidespur_coordination::Lease)| {
             let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
             json!({"name": name, "token": lease.token, "holder": holder,
-                "mayActHere": ledger.may_act(now, name)})
+                "mayActHere": ledger.valid_token(now, name)})
         };
-        let standing = match ledger.standing() {
-            Standing::Voting => "voting",
-            Standing::Asking(_) => "asking",
-            Standing::Barred { .. } => "barred",
+        let standing = match ledger.status() {
+            VoterStatus::Voting => "voting",
+            VoterStatus::Verifying(_) => "asking",
+            VoterStatus::Quarantined { .. } => "barred",
         };
         let state = ledger.state();
         json!({"standing": standing, "leader": ledger.leader(),
             "leases": state.leases.iter().map(lease).collect::<Vec<_>>(),
-            "notes": state.notes.len(), "asking": ledger.asking().collect::<Vec<_>>()})
+            "notes": state.values.len(), "asking": ledger.voters_awaiting_readmission().collect::<Vec<_>>()})
     }
 }
--- a/crates/coordination-net/src/pack.rs
+++ b/crates/coordination-net/src/pack.rs
@@ -2,7 +2,7 @@
 //! missed, and those that were folded all say the same.
 
 use crate::streams::Frame;
-use tidespur_coordination::Word;
+use tidespur_coordination::PeerMessage;
 
 /// Words beyond so many bytes are packed.
 const PACK_FROM: usize = 64 << 10;
@@ -10,8 +10,8 @@
 const WORD_MOST: usize = 64 << 20;
 
 /// A word as it goes over a stream; `None` where it is beyond all bounds.
-pub(crate) fn pack(word: Word) -> Option<Frame> {
-    if !matches!(word, Word::Agree(_)) {
+pub(crate) fn pack(word: PeerMessage) -> Option<Frame> {
+    if !matches!(word, PeerMessage::Consensus(_)) {
         return Some(Frame::Word(word));
     }
     let bytes = postcard::to_stdvec(&word).ok()?;
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub(crate) fn unpack(bytes: &[u8]) -> Result<Word, String> {
+pub(crate) fn unpack(bytes: &[u8]) -> Result<PeerMessage, String> {
     let (head, _) = bytes.split_first_chunk::<4>().ok_or("it has no length")?;
     let length = u32::from_le_bytes(*head) as usize;
     if length > WORD_MOST {
@@ -47,13 +47,13 @@
     /// to date, for ever.
     #[test]
     fn millions_of_folded_entries_fit_into_a_frame_and_lies_are_refused() {
-        let msg = PaxosMsg::ProposalForward(vec![Entry::Nothing; 5_000_000]);
+        let msg = PaxosMsg::ProposalForward(vec![Entry::Noop; 5_000_000]);
         let message = Message::SequencePaxos(PaxosMessage {
             from: 1,
             to: 2,
             msg,
         });
-        let frame = pack(Word::Agree(Box::new(message))).expect("within bounds");
+        let frame = pack(PeerMessage::Consensus(Box::new(message))).expect("within bounds");
         let encoded = tidespur_planner_protocol::encode(&frame).expect("it fits");
         assert!(
             encoded.len() < 1 << 18,
@@ -62,7 +62,7 @@
         let Frame::Packed(bytes) = frame else {
             panic!("it is packed")
         };
-        let Ok(Word::Agree(message)) = unpack(&bytes) else {
+        let Ok(PeerMessage::Consensus(message)) = unpack(&bytes) else {
             panic!("it comes back")
         };
         let Message::SequencePaxos(PaxosMessage {
--- a/crates/coordination-net/src/streams.rs
+++ b/crates/coordination-net/src/streams.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tidespur_config::Voters;
-use tidespur_coordination::Word;
+use tidespur_coordination::PeerMessage;
 use tidespur_net::routes::Routes;
 use tidespur_net::{clock, frames};
 
@@ -24,7 +24,7 @@
     /// First: of which cluster, and who.
     Hi(String, String),
     /// A voter's word.
-    Word(Word),
+    Word(PeerMessage),
     /// One that is long.
     Packed(Vec<u8>),
 }
@@ -127,7 +127,7 @@
             return;
         }
         let read = |frame: Frame| match frame {
-            Frame::Word(Word::Ping) | Frame::Hi(..) => None,
+            Frame::Word(PeerMessage::Heartbeat) | Frame::Hi(..) => None,
             Frame::Word(word) => Some(Event::Heard(name.clone(), stream, word)),
             Frame::Packed(bytes) => match crate::pack::unpack(&bytes) {
                 Ok(word) => Some(Event::Heard(name.clone(), stream, word)),
@@ -140,7 +140,7 @@
         let link = frames::Link {
             queue,
             send,
-            ping: Frame::Word(Word::Ping),
+            ping: Frame::Word(PeerMessage::Heartbeat),
         };
         let ended = frames::keep(socket, reader, link, PATIENCE, read, &self.tell).await;
         tracing::info!(voter = name, ?ended, "the stream to a voter ended");
--- a/crates/coordination-net/src/turn.rs
+++ b/crates/coordination-net/src/turn.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use tidespur_coordination::{Input, Ledger, Output, Standing, Word};
+use tidespur_coordination::{Input, Output, PeerMessage, Voter, VoterStatus};
 use tidespur_net::clock;
 use tidespur_persistence::{Disk, Outbox};
 
@@ -24,7 +24,7 @@
     /// It is lost.
     Down(String, u64),
     /// A voter says this on it.
-    Heard(String, u64, Word),
+    Heard(String, u64, PeerMessage),
 }
 
 /// A number for a stream.
@@ -36,14 +36,14 @@
 /// What waits for the disk.
 enum Held {
     Safe(u64),
-    Say(String, Word),
+    Say(String, PeerMessage),
 }
 
 type Streams = BTreeMap<String, (u64, Sender<Frame>)>;
 
 pub(crate) async fn run(
     name: String,
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<Voter>>,
     told: Receiver<Event>,
     disk: Arc<Disk>,
 ) {
@@ -68,7 +68,7 @@
         let mut inputs = Vec::new();
         for held in outbox.release(disk.synced()) {
             match held {
-                Held::Safe(batch) => inputs.push(Input::Safe(batch)),
+                Held::Safe(batch) => inputs.push(Input::BatchSynced(batch)),
                 Held::Say(voter, word) => say(&mut streams, &voter, word),
             }
         }
@@ -79,10 +79,11 @@
                     // What was said for the stream before must not come on this one: its order is the agreement's.
                     let old = |held: &Held| matches!(held, Held::Say(to, _) if *to == voter);
                     drop(outbox.remove_matching(old));
-                    inputs
-                        .retain(|input| !matches!(input, Input::Heard(from, _) if *from == voter));
+                    inputs.retain(
+                        |input| !matches!(input, Input::MessageReceived(from, _) if *from == voter),
+                    );
                     streams.insert(voter.clone(), (stream, send));
-                    inputs.push(Input::Up(voter));
+                    inputs.push(Input::PeerConnected(voter));
                 }
                 Event::Down(voter, stream) => {
                     if streams.get(&voter).is_some_and(|(now, _)| *now == stream) {
@@ -91,7 +92,7 @@
                 }
                 Event::Heard(voter, stream, word) => {
                     if streams.get(&voter).is_some_and(|(now, _)| *now == stream) {
-                        inputs.push(Input::Heard(voter, word));
+                        inputs.push(Input::MessageReceived(voter, word));
                     }
                 }
             }
@@ -100,20 +101,22 @@
         lock(&ledger).step(clock::now(), inputs, &mut out);
         for output in out {
             match output {
-                Output::Write(batch, changes) => {
+                Output::Persist(batch, changes) => {
                     last = disk.write(changes);
                     outbox.hold(last, Held::Safe(batch));
                 }
-                Output::Say(voter, word) if outbox.is_empty() => say(&mut streams, &voter, word),
-                Output::Say(voter, word) => outbox.hold(last, Held::Say(voter, word)),
-                Output::Held(lease, token) => {
+                Output::Send(voter, word) if outbox.is_empty() => say(&mut streams, &voter, word),
+                Output::Send(voter, word) => outbox.hold(last, Held::Say(voter, word)),
+                Output::LeaseAcquired(lease, token) => {
                     tracing::info!(voter = name, lease, token, "holds a lease")
                 }
-                Output::Lost(lease) => tracing::info!(voter = name, lease, "holds a lease no more"),
-                Output::Leads(leader) => {
+                Output::LeaseLost(lease) => {
+                    tracing::info!(voter = name, lease, "holds a lease no more")
+                }
+                Output::LeaderChanged(leader) => {
                     tracing::info!(voter = name, leader, "the ledger's leader")
                 }
-                Output::Stands(Standing::Barred { by, known }) => {
+                Output::StatusChanged(VoterStatus::Quarantined { by, known }) => {
                     tracing::error!(
                         voter = name,
                         by,
@@ -121,7 +124,9 @@
                         "does not vote: its disk is older than it was"
                     );
                 }
-                Output::Stands(standing) => tracing::info!(voter = name, ?standing, "stands"),
+                Output::StatusChanged(standing) => {
+                    tracing::info!(voter = name, ?standing, "stands")
+                }
             }
         }
         if outbox.len() > HELD_MOST {
@@ -135,7 +140,7 @@
     }
 }
 
-fn say(streams: &mut Streams, voter: &str, word: Word) {
+fn say(streams: &mut Streams, voter: &str, word: PeerMessage) {
     let Some((_, send)) = streams.get(voter) else {
         return;
     };
--- a/crates/coordination/examples/holder.rs
+++ b/crates/coordination/examples/holder.rs
@@ -56,7 +56,10 @@
             world.cut(holder, i, 30.0);
             world.cut(i, holder, 30.0);
         }),
-        _ => world.tell(holder, tidespur_coordination::Input::GiveBack("l".into())),
+        _ => world.tell(
+            holder,
+            tidespur_coordination::Input::ReleaseLease("l".into()),
+        ),
     }
     while world.now < from + 60.0 && !(0..voters).any(|i| i != holder && world.may_act(i).is_some())
     {
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -1,6 +1,6 @@
 //! What the log holds.
 
-use crate::State;
+use crate::ReplicatedState;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
@@ -22,11 +22,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// One that was folded into a later `Whole`.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    Noop,
     /// What all entries up to this one come to. Each voter folds its own log, of what is decided: it says the same.
-    Whole(Box<State>),
+    #[serde(rename = "Whole")]
+    Snapshot(Box<ReplicatedState>),
     /// A lease is taken, if it is still as the taker has seen it.
-    Take {
+    #[serde(rename = "Take")]
+    Acquire {
         /// Name of the lease.
         lease: String,
         /// Who takes it.
@@ -48,14 +51,16 @@
         ask: u64,
     },
     /// The holder of this token gives it back.
-    Give {
+    #[serde(rename = "Give")]
+    Release {
         /// Name of the lease.
         lease: String,
         /// Its token.
         token: u64,
     },
     /// Something to remember, under a lease: it counts only while its token is the last one. Empty: to forget.
-    Note {
+    #[serde(rename = "Note")]
+    Put {
         /// Name of the lease.
         lease: String,
         /// Its token.
--- a/crates/coordination/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -14,7 +14,7 @@
 #[error(
     "the lease {lease:?} has gone on to token {newest}, this act carries {token}: whoever sent it holds the lease no more and has to ask for it again"
 )]
-pub struct Stale {
+pub struct StaleToken {
     /// Name of the lease.
     pub lease: String,
     /// Token of the act.
@@ -32,7 +32,7 @@
 
 impl Fence {
     /// The fence as an earlier process left it.
-    pub fn recall(memory: &LoadedRecords) -> Self {
+    pub fn load(memory: &LoadedRecords) -> Self {
         let read = |bytes: &[u8]| std::str::from_utf8(bytes).ok()?.parse().ok();
         let highest = memory
             .records_of_kind(FENCE)
@@ -46,11 +46,11 @@
     /// Lets an act pass, or refuses it by name. What passes may be carried out once the next batch is safe.
     ///
     /// # Errors
-    /// [`Stale`].
-    pub fn pass(&mut self, lease: &str, token: u64) -> Result<(), Stale> {
+    /// [`StaleToken`].
+    pub fn admit(&mut self, lease: &str, token: u64) -> Result<(), StaleToken> {
         let newest = self.highest.get(lease).copied().unwrap_or(0);
         if token < newest {
-            return Err(Stale {
+            return Err(StaleToken {
                 lease: lease.to_owned(),
                 token,
                 newest,
@@ -65,7 +65,7 @@
     }
 
     /// What must be safe before an act that passed is carried out.
-    pub fn take(&mut self) -> Batch {
+    pub fn take_batch(&mut self) -> Batch {
         std::mem::take(&mut self.batch)
     }
 }
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -4,7 +4,7 @@
 //! which is later, and waits the term and twice the drift more: by then the holder has stopped, whatever either clock
 //! does within the bound. Nobody knows how old the last renewal is that it finds after its own start, so it waits whole.
 
-use crate::{Entry, Holder, Lease, Seconds, Settings, State};
+use crate::{Entry, Holder, Lease, ReplicatedState, Seconds, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A renewal is asked for when this share of the term has passed.
@@ -45,7 +45,7 @@
         self.wanted.remove(lease);
         self.asked.remove(lease);
         let mine = self.mine.remove(lease)?;
-        Some(Entry::Give {
+        Some(Entry::Release {
             lease: lease.to_owned(),
             token: mine.token,
         })
@@ -73,7 +73,7 @@
     pub(crate) fn read(
         &mut self,
         now: Seconds,
-        state: &State,
+        state: &ReplicatedState,
         set: &Settings,
     ) -> (Vec<(String, u64)>, Vec<String>) {
         let own = Holder {
@@ -102,7 +102,7 @@
             }
             let mine = Mine {
                 token: lease.token,
-                until: asked + set.term,
+                until: asked + set.lease_term,
             };
             if self.mine.insert(name.clone(), mine).is_none() {
                 held.push((name.clone(), lease.token));
@@ -115,7 +115,7 @@
     pub(crate) fn due(
         &mut self,
         now: Seconds,
-        state: &State,
+        state: &ReplicatedState,
         set: &Settings,
     ) -> (Vec<Entry>, Vec<String>) {
         let over = |mine: &Mine| now >= mine.until;
@@ -138,7 +138,7 @@
                 .asked
                 .get(&name)
                 .and_then(|asked| asked.values().next_back());
-            if last.is_some_and(|at| now < at + AGAIN * set.term) {
+            if last.is_some_and(|at| now < at + AGAIN * set.lease_term) {
                 continue;
             }
             let lease = state.leases.get(&name);
@@ -148,7 +148,7 @@
             let token = lease.map_or(0, |lease| lease.token);
             let ask = self.asks + 1;
             let entry = match self.mine.get(&name) {
-                Some(mine) if now < mine.until - (1.0 - RENEW_AT) * set.term => continue,
+                Some(mine) if now < mine.until - (1.0 - RENEW_AT) * set.lease_term => continue,
                 Some(mine) => Entry::Renew {
                     lease: name.clone(),
                     token: mine.token,
@@ -156,12 +156,12 @@
                 },
                 None => {
                     let seen = self.seen.get(&name).map_or(now, |(.., at)| *at);
-                    let over = now >= seen + set.term * (1.0 + 2.0 * set.drift);
+                    let over = now >= seen + set.lease_term * (1.0 + 2.0 * set.max_clock_drift);
                     if lease.is_some_and(|lease| lease.holder.is_some()) && !over {
                         continue;
                     }
                     let heard = lease.map_or(0, |lease| lease.heard);
-                    Entry::Take {
+                    Entry::Acquire {
                         lease: name.clone(),
                         holder: holder(),
                         after: token,
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -2,7 +2,8 @@
 
 use crate::leases::Leases;
 use crate::{
-    Entry, Input, Log, Mark, Output, Seconds, Settings, SettingsError, Standing, State, Word,
+    Entry, Input, Log, LogPosition, Output, PeerMessage, ReplicatedState, Seconds, Settings,
+    SettingsError, VoterStatus,
 };
 use omnipaxos::OmniPaxos;
 use omnipaxos::util::NodeId;
@@ -32,20 +33,20 @@
 const LIFE: &str = "ledger.life";
 
 /// A voter.
-pub struct Ledger {
+pub struct Voter {
     settings: Settings,
-    own: Mark,
+    own: LogPosition,
     log: Log,
     agreement: Option<OmniPaxos<Entry, Log>>,
-    standing: Standing,
+    standing: VoterStatus,
     confirmed: BTreeSet<String>,
     /// How far the other voters are known to be.
-    known: BTreeMap<String, Mark>,
+    known: BTreeMap<String, LogPosition>,
     /// Voters that are not as far as they are known, and how far they say that they are.
-    asking: BTreeMap<String, Mark>,
+    asking: BTreeMap<String, LogPosition>,
     /// Those that an operator wants taken in again, and when that was last proposed.
     readmits: BTreeMap<String, Seconds>,
-    state: State,
+    state: ReplicatedState,
     applied: usize,
     leases: Leases,
     /// With one voter: entries that wait for the disk, and the batch that they wait for.
@@ -58,7 +59,7 @@
     leader: Option<String>,
 }
 
-impl Ledger {
+impl Voter {
     /// A voter as an earlier process left it. It does not vote before others have said that they know no more of it.
     ///
     /// # Errors
@@ -67,11 +68,11 @@
         settings.check().map_err(|e| e.to_string())?;
         if settings.voters.len() > 1 {
             let refused = |e: omnipaxos::errors::ConfigError| {
-                SettingsError::Agreement(e.to_string()).to_string()
+                SettingsError::Consensus(e.to_string()).to_string()
             };
             config(&settings).validate().map_err(refused)?;
         }
-        let log = Log::recall(memory)?;
+        let log = Log::load(memory)?;
         let mut known = BTreeMap::new();
         for (voter, bytes) in memory.records_of_kind(MARK) {
             let mark = serde_json::from_slice(bytes);
@@ -85,12 +86,12 @@
             .and_then(|(_, bytes)| std::str::from_utf8(bytes).ok()?.parse().ok());
         let life = life.unwrap_or(0);
         let start = settings.start;
-        let mut own = Mark {
+        let mut own = LogPosition {
             begun: memory.created_at,
             turn: memory.generation,
             start,
             life,
-            ..Mark::default()
+            ..LogPosition::default()
         };
         own.read(&log);
         let mut ledger = Self {
@@ -98,12 +99,12 @@
             own,
             log,
             agreement: None,
-            standing: Standing::Asking(0),
+            standing: VoterStatus::Verifying(0),
             confirmed: BTreeSet::new(),
             known,
             asking: BTreeMap::new(),
             readmits: BTreeMap::new(),
-            state: State::default(),
+            state: ReplicatedState::default(),
             applied: 0,
             leases: Leases::default(),
             waiting: VecDeque::new(),
@@ -115,7 +116,7 @@
             leader: None,
         };
         if ledger.settings.voters.len() == 1 {
-            ledger.standing = Standing::Voting;
+            ledger.standing = VoterStatus::Voting;
             ledger.state = ledger.log.whole();
             ledger.leader = Some(ledger.settings.own.clone());
         }
@@ -123,17 +124,17 @@
     }
 
     /// Whether this process may act now under a lease, and with which token: to be asked at the moment of the act.
-    pub fn may_act(&self, now: Seconds, lease: &str) -> Option<u64> {
+    pub fn valid_token(&self, now: Seconds, lease: &str) -> Option<u64> {
         self.leases.may_act(now, lease)
     }
 
     /// What the log says, as far as it was read here.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
     /// Whether this voter votes.
-    pub fn standing(&self) -> &Standing {
+    pub fn status(&self) -> &VoterStatus {
         &self.standing
     }
 
@@ -143,7 +144,7 @@
     }
 
     /// Voters that are not as far as they are known to have been, and wait for an operator's word.
-    pub fn asking(&self) -> impl Iterator<Item = &str> {
+    pub fn voters_awaiting_readmission(&self) -> impl Iterator<Item = &str> {
         self.asking.keys().map(String::as_str)
     }
 
@@ -170,7 +171,7 @@
                 agreement.tick();
             }
             let (entries, ran_out) = self.leases.due(now, &self.state, &self.settings);
-            out.extend(ran_out.into_iter().map(Output::Lost));
+            out.extend(ran_out.into_iter().map(Output::LeaseLost));
             entries.into_iter().for_each(|entry| self.propose(entry));
             self.readmit(now);
         }
@@ -178,18 +179,21 @@
         if now >= self.here_at {
             self.here_at = now + HERE;
             let mark = self.mark();
-            says.extend(self.others().map(|voter| (voter, Word::Here(mark))));
+            says.extend(
+                self.others()
+                    .map(|voter| (voter, PeerMessage::Position(mark))),
+            );
         }
         self.agreed(&mut says);
         let mut batch = std::mem::take(&mut self.batch);
-        batch.extend(self.log.take());
+        batch.extend(self.log.take_batch());
         if !batch.is_empty() {
             self.batches += 1;
-            out.push(Output::Write(self.batches, batch));
+            out.push(Output::Persist(self.batches, batch));
         }
         out.extend(
             says.into_iter()
-                .map(|(voter, word)| Output::Say(voter, word)),
+                .map(|(voter, word)| Output::Send(voter, word)),
         );
     }
 
@@ -209,7 +213,7 @@
             .map(|at| at as NodeId + 1)
     }
 
-    fn mark(&self) -> Mark {
+    fn mark(&self) -> LogPosition {
         let mut mark = self.own;
         mark.read(&self.log);
         mark
--- a/crates/coordination/src/ledger/agree.rs
+++ b/crates/coordination/src/ledger/agree.rs
@@ -1,12 +1,12 @@
 //! The agreement: entries go in, and what was decided comes out.
 
-use super::{ELECTION, FOLD, Ledger, RESEND, WAITING_MOST};
-use crate::{Entry, Output, Seconds, Settings, Word};
+use super::{ELECTION, FOLD, RESEND, Voter, WAITING_MOST};
+use crate::{Entry, Output, PeerMessage, Seconds, Settings};
 use omnipaxos::storage::Storage;
 use omnipaxos::util::{LogEntry, NodeId};
 use omnipaxos::{ClusterConfig, OmniPaxosConfig, ServerConfig};
 
-impl Ledger {
+impl Voter {
     /// Takes part in the agreement from now on.
     pub(super) fn begin(&mut self) {
         // The settings were checked when it was made, so this is refused for nothing.
@@ -58,10 +58,10 @@
         }
         if changed {
             let (held, lost) = self.leases.read(now, &self.state, &self.settings);
-            out.extend(lost.into_iter().map(Output::Lost));
+            out.extend(lost.into_iter().map(Output::LeaseLost));
             out.extend(
                 held.into_iter()
-                    .map(|(lease, token)| Output::Held(lease, token)),
+                    .map(|(lease, token)| Output::LeaseAcquired(lease, token)),
             );
             self.fold();
         }
@@ -74,7 +74,7 @@
             .cloned();
         if leads != self.leader {
             self.leader = leads.clone();
-            out.push(Output::Leads(leads));
+            out.push(Output::LeaderChanged(leads));
         }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Hands over what the agreement has to say.
-    pub(super) fn agreed(&mut self, says: &mut Vec<(String, Word)>) {
+    pub(super) fn agreed(&mut self, says: &mut Vec<(String, PeerMessage)>) {
         let Some(agreement) = &mut self.agreement else {
             return;
         };
@@ -100,7 +100,7 @@
         for message in messages {
             let to = (message.get_receiver() as usize).checked_sub(1);
             if let Some(voter) = to.and_then(|to| self.settings.voters.get(to)) {
-                says.push((voter.clone(), Word::Agree(Box::new(message))));
+                says.push((voter.clone(), PeerMessage::Consensus(Box::new(message))));
             }
         }
     }
--- a/crates/coordination/src/ledger/talk.rs
+++ b/crates/coordination/src/ledger/talk.rs
@@ -1,43 +1,43 @@
 //! What other voters, the loop and operators say.
 
-use super::{AGAIN, LIFE, Ledger, MARK};
+use super::{AGAIN, LIFE, MARK, Voter};
 use crate::words::Known;
-use crate::{Entry, Input, Mark, Output, Seconds, Standing, Word};
+use crate::{Entry, Input, LogPosition, Output, PeerMessage, Seconds, VoterStatus};
 
-impl Ledger {
+impl Voter {
     pub(super) fn take(
         &mut self,
         now: Seconds,
         input: Input,
-        says: &mut Vec<(String, Word)>,
+        says: &mut Vec<(String, PeerMessage)>,
         out: &mut Vec<Output>,
     ) {
         match input {
-            Input::Heard(voter, word)
+            Input::MessageReceived(voter, word)
                 if self.pid(&voter).is_some() && voter != self.settings.own =>
             {
                 self.heard(voter, word, says, out);
             }
             // Nobody whom the settings name.
-            Input::Heard(..) => {}
-            Input::Up(voter) => {
+            Input::MessageReceived(..) => {}
+            Input::PeerConnected(voter) => {
                 self.here_at = now;
                 let pid = self.pid(&voter);
                 if let (Some(agreement), Some(pid)) = (&mut self.agreement, pid) {
                     agreement.reconnected(pid);
                 }
             }
-            Input::Want(lease) => self.leases.want(lease),
-            Input::GiveBack(lease) => {
+            Input::AcquireLease(lease) => self.leases.want(lease),
+            Input::ReleaseLease(lease) => {
                 if let Some(entry) = self.leases.give_back(&lease) {
-                    out.push(Output::Lost(lease));
+                    out.push(Output::LeaseLost(lease));
                     self.propose(entry);
                 }
             }
-            Input::Safe(batch) => self.safe = self.safe.max(batch),
-            Input::Note { lease, key, value } => {
+            Input::BatchSynced(batch) => self.safe = self.safe.max(batch),
+            Input::Put { lease, key, value } => {
                 if let Some(token) = self.leases.may_act(now, &lease) {
-                    self.propose(Entry::Note {
+                    self.propose(Entry::Put {
                         lease,
                         token,
                         key,
@@ -46,22 +46,22 @@
                 }
             }
             // Said again until it is in the log: a word to a leader that is gone is lost.
-            Input::Readmit(voter) => drop(self.readmits.insert(voter, f64::NEG_INFINITY)),
+            Input::ReadmitVoter(voter) => drop(self.readmits.insert(voter, f64::NEG_INFINITY)),
         }
     }
 
     pub(super) fn heard(
         &mut self,
         voter: String,
-        word: Word,
-        says: &mut Vec<(String, Word)>,
+        word: PeerMessage,
+        says: &mut Vec<(String, PeerMessage)>,
         out: &mut Vec<Output>,
     ) {
         match word {
-            Word::Here(mark) => {
+            PeerMessage::Position(mark) => {
                 let known = self.known.get(&voter).copied();
                 // Taken in again by an operator's word, in this very memory: it is told so, and speaks of itself anew.
-                let again = self.state.readmitted.get(&voter);
+                let again = self.state.readmissions.get(&voter);
                 let again =
                     again.filter(|again| again.begun == mark.begun && mark.turn >= again.turn);
                 let life = again.map_or(0, |again| again.life);
@@ -78,7 +78,7 @@
                 }
                 says.push((
                     voter,
-                    Word::Known(Known {
+                    PeerMessage::KnownPosition(Known {
                         mark: known,
                         fits,
                         floor,
@@ -86,8 +86,8 @@
                     }),
                 ));
             }
-            Word::Known(known) => self.told(voter, known, out),
-            Word::Agree(message) => {
+            PeerMessage::KnownPosition(known) => self.told(voter, known, out),
+            PeerMessage::Consensus(message) => {
                 // The agreement trusts whom it hears; a word under another's name, or to another, is none.
                 let (from, to) = (message.get_sender(), message.get_receiver());
                 let (peer, own) = (self.pid(&voter), self.pid(&self.settings.own));
@@ -99,7 +99,7 @@
                     agreement.handle_incoming(*message);
                 }
             }
-            Word::Ping => {}
+            PeerMessage::Heartbeat => {}
         }
     }
 
@@ -107,12 +107,14 @@
     pub(super) fn told(&mut self, voter: String, known: Known, out: &mut Vec<Output>) {
         match (&self.standing, known.fits, known.mark) {
             // Its disk can't become older while it runs: words crossed, or another process has its name.
-            (Standing::Voting, ..) | (Standing::Barred { .. }, false, _) | (_, false, None) => {
+            (VoterStatus::Voting, ..)
+            | (VoterStatus::Quarantined { .. }, false, _)
+            | (_, false, None) => {
                 return;
             }
-            (Standing::Asking(_), false, Some(known)) => {
+            (VoterStatus::Verifying(_), false, Some(known)) => {
                 self.confirmed.clear();
-                return self.stand(Standing::Barred { by: voter, known }, out);
+                return self.stand(VoterStatus::Quarantined { by: voter, known }, out);
             }
             (_, true, _) => {}
         }
@@ -130,9 +132,9 @@
         // With itself that is a majority.
         if self.confirmed.len() >= self.settings.voters.len() / 2 {
             self.begin();
-            self.stand(Standing::Voting, out);
-        } else if matches!(self.standing, Standing::Asking(_)) {
-            self.stand(Standing::Asking(self.confirmed.len()), out);
+            self.stand(VoterStatus::Voting, out);
+        } else if matches!(self.standing, VoterStatus::Verifying(_)) {
+            self.stand(VoterStatus::Verifying(self.confirmed.len()), out);
         }
     }
 
@@ -148,7 +150,7 @@
         for (voter, at) in due {
             *at = now;
             // What it says of itself now is what is taken in.
-            let Some(Mark { begun, turn, .. }) = self.asking.get(voter).copied() else {
+            let Some(LogPosition { begun, turn, .. }) = self.asking.get(voter).copied() else {
                 continue;
             };
             let known = self.known.get(voter).and_then(|known| known.promise);
@@ -163,14 +165,14 @@
         entries.into_iter().for_each(|entry| self.propose(entry));
     }
 
-    pub(super) fn stand(&mut self, standing: Standing, out: &mut Vec<Output>) {
+    pub(super) fn stand(&mut self, standing: VoterStatus, out: &mut Vec<Output>) {
         if self.standing != standing {
             self.standing = standing.clone();
-            out.push(Output::Stands(standing));
+            out.push(Output::StatusChanged(standing));
         }
     }
 
-    pub(super) fn remember(&mut self, voter: &str, mark: Mark) {
+    pub(super) fn remember(&mut self, voter: &str, mark: LogPosition) {
         if self.known.get(voter) == Some(&mark) {
             return;
         }
@@ -181,6 +183,6 @@
     }
 }
 
-fn known_life(known: Option<Mark>) -> u64 {
+fn known_life(known: Option<LogPosition>) -> u64 {
     known.map_or(0, |known| known.life)
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Agreement is OmniPaxos' (Ng, Haridi, Carbone, "Omni-Paxos: Breaking the Barriers of Partial Connectivity", EuroSys
 //! 2023) by its own crate: it keeps a leader where only some pairs of voters hear each other. This package adds the
-//! log's way to the disk ([`Log`]), who may vote at all after a return ([`Mark`]), leases with tokens that rise for ever,
+//! log's way to the disk ([`Log`]), who may vote at all after a return ([`LogPosition`]), leases with tokens that rise for ever,
 //! and [`Fence`]s for those who carry acts out.
 //!
 //! What is in here is small and rare. No task waits for it.
@@ -17,12 +17,12 @@
 mod words;
 
 pub use entry::{Entry, Holder};
-pub use fence::{Fence, Stale};
-pub use ledger::Ledger;
+pub use fence::{Fence, StaleToken};
+pub use ledger::Voter;
 pub use log::Log;
-pub use mark::{Mark, Standing};
-pub use state::{Again, Lease, State};
-pub use words::{Input, Output, Settings, SettingsError, Word};
+pub use mark::{LogPosition, VoterStatus};
+pub use state::{Lease, Readmission, ReplicatedState};
+pub use words::{Input, Output, PeerMessage, Settings, SettingsError};
 
 /// Seconds, on the machine's own monotonic clock.
 pub type Seconds = f64;
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -1,6 +1,6 @@
 //! The log on its way to the disk: kept whole in memory, and each change of it noted for the next batch.
 
-use crate::State;
+use crate::ReplicatedState;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::de::DeserializeOwned;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,8 +24,11 @@
     ///
     /// # Errors
     /// A record that can't be read.
-    pub fn recall(memory: &LoadedRecords) -> Result<Self, String> {
-        fn read<T: DeserializeOwned>(memory: &LoadedRecords, key: &str) -> Result<Option<T>, String> {
+    pub fn load(memory: &LoadedRecords) -> Result<Self, String> {
+        fn read<T: DeserializeOwned>(
+            memory: &LoadedRecords,
+            key: &str,
+        ) -> Result<Option<T>, String> {
             let found = memory.records_of_kind(FACT).find(|(name, _)| *name == key);
             found.map(|(_, bytes)| serde_json::from_slice(bytes)).transpose().map_err(|e| {
                 format!(
@@ -63,7 +66,7 @@
     }
 
     /// What has changed since the last call. Nothing that rests on it may be said before it is safe.
-    pub fn take(&self) -> Batch {
+    pub fn take_batch(&self) -> Batch {
         std::mem::take(&mut self.lock().batch)
     }
 
@@ -89,8 +92,8 @@
     }
 
     /// What all entries come to. For a log that only one voter keeps, and that is decided as it is written.
-    pub(crate) fn whole(&self) -> State {
-        let mut state = State::default();
+    pub(crate) fn whole(&self) -> ReplicatedState {
+        let mut state = ReplicatedState::default();
         for entry in &self.lock().entries {
             state.apply(entry);
         }
@@ -98,7 +101,7 @@
     }
 
     /// Folds the first entries, which are decided and come to `state`, into one.
-    pub(crate) fn fold(&self, upto: usize, state: &State) {
+    pub(crate) fn fold(&self, upto: usize, state: &ReplicatedState) {
         self.lock().fold(upto, state);
     }
 
--- a/crates/coordination/src/log/kept.rs
+++ b/crates/coordination/src/log/kept.rs
@@ -1,7 +1,7 @@
 //! The log in memory, each change of it noted for the next batch.
 
 use super::{ENTRY, FACT};
-use crate::{Entry, State};
+use crate::{Entry, ReplicatedState};
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::Serialize;
 use tidespur_persistence::Batch;
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn append(&mut self, entry: Entry) {
-        if entry == Entry::Nothing && self.entries.is_empty() {
+        if entry == Entry::Noop && self.entries.is_empty() {
             self.hollow += 1;
             return self.put(FACT, "hollow", &self.hollow.clone());
         }
@@ -54,7 +54,7 @@
     }
 
     /// Folds the first `upto` entries, which are decided and come to `state`.
-    pub(super) fn fold(&mut self, upto: usize, state: &State) {
+    pub(super) fn fold(&mut self, upto: usize, state: &ReplicatedState) {
         if upto <= self.hollow + 1 || upto > self.len() {
             return;
         }
@@ -63,7 +63,7 @@
         }
         self.entries.drain(..upto - 1 - self.hollow);
         self.hollow = upto - 1;
-        let whole = Entry::Whole(Box::new(state.clone()));
+        let whole = Entry::Snapshot(Box::new(state.clone()));
         self.put(ENTRY, &name(self.hollow), &whole);
         self.put(FACT, "hollow", &self.hollow.clone());
         if let Some(first) = self.entries.first_mut() {
@@ -75,7 +75,7 @@
         if to > self.len() || from > to {
             return vec![];
         }
-        let hollow = (from..to.min(self.hollow)).map(|_| Entry::Nothing);
+        let hollow = (from..to.min(self.hollow)).map(|_| Entry::Noop);
         let rest = from.max(self.hollow) - self.hollow..to.max(self.hollow) - self.hollow;
         hollow
             .chain(self.entries.get(rest).unwrap_or_default().iter().cloned())
--- a/crates/coordination/src/mark.rs
+++ b/crates/coordination/src/mark.rs
@@ -8,7 +8,7 @@
 
 /// How far a voter is, by its own disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LogPosition {
     /// When its memory was begun: another one is a new disk.
     pub begun: u64,
     /// How often that memory was opened.
@@ -25,7 +25,7 @@
     pub decided: usize,
 }
 
-impl Mark {
+impl LogPosition {
     /// Takes over how far the log is.
     pub(crate) fn read(&mut self, log: &Log) {
         (self.promise, self.accepted, self.decided) =
@@ -33,7 +33,7 @@
     }
 
     /// Whether this mark can come after `known`: nothing that others know of the voter is missing.
-    pub fn follows(&self, known: &Mark) -> bool {
+    pub fn follows(&self, known: &LogPosition) -> bool {
         self.life > known.life
             || self.life == known.life
                 && self.begun == known.begun
@@ -46,16 +46,16 @@
 
 /// Whether a voter votes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum VoterStatus {
     /// It asks the others whether they know it as further; so many have said that they don't.
-    Asking(usize),
+    Verifying(usize),
     /// It votes.
     Voting,
     /// Another knows it as further than its disk is: it does not vote until an operator has it taken in again.
-    Barred {
+    Quarantined {
         /// Who said so.
         by: String,
         /// What it was known as.
-        known: Mark,
+        known: LogPosition,
     },
 }
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -25,18 +25,20 @@
 
 /// All that the log says.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// Leases by name.
     pub leases: BTreeMap<String, Lease>,
     /// What was to be remembered.
-    pub notes: BTreeMap<String, Vec<u8>>,
+    #[serde(rename = "notes")]
+    pub values: BTreeMap<String, Vec<u8>>,
     /// Voters that were taken in again, the last time of each.
-    pub readmitted: BTreeMap<String, Again>,
+    #[serde(rename = "readmitted")]
+    pub readmissions: BTreeMap<String, Readmission>,
 }
 
 /// A voter that was taken in again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Again {
+pub struct Readmission {
     /// When its memory was begun.
     pub begun: u64,
     /// From this opening of it on.
@@ -47,16 +49,16 @@
     pub life: u64,
 }
 
-impl State {
+impl ReplicatedState {
     /// Takes in an entry; whether it changed anything.
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
-            Entry::Nothing => false,
-            Entry::Whole(state) => {
+            Entry::Noop => false,
+            Entry::Snapshot(state) => {
                 *self = (**state).clone();
                 true
             }
-            Entry::Take {
+            Entry::Acquire {
                 lease,
                 holder,
                 after,
@@ -87,23 +89,23 @@
                 }
                 _ => false,
             },
-            Entry::Give { lease, token } => match self.held(lease, *token) {
+            Entry::Release { lease, token } => match self.held(lease, *token) {
                 Some(lease) => lease.holder.take().is_some(),
                 None => false,
             },
-            Entry::Note {
+            Entry::Put {
                 lease,
                 token,
                 key,
                 value,
             } => {
-                let room = self.notes.len() < NOTES_MOST || self.notes.contains_key(key);
+                let room = self.values.len() < NOTES_MOST || self.values.contains_key(key);
                 if self.held(lease, *token).is_none() || value.len() > NOTE_MOST || !room {
                     return false;
                 }
                 match value.is_empty() {
-                    true => self.notes.remove(key).is_some(),
-                    false => self.notes.insert(key.clone(), value.clone()).as_ref() != Some(value),
+                    true => self.values.remove(key).is_some(),
+                    false => self.values.insert(key.clone(), value.clone()).as_ref() != Some(value),
                 }
             }
             Entry::Readmit {
@@ -112,18 +114,18 @@
                 turn,
                 floor,
             } => {
-                let last = self.readmitted.get(voter);
+                let last = self.readmissions.get(voter);
                 if last.is_some_and(|last| (last.begun, last.turn) == (*begun, *turn)) {
                     return false;
                 }
                 let life = last.map_or(0, |last| last.life) + 1;
-                let again = Again {
+                let again = Readmission {
                     begun: *begun,
                     turn: *turn,
                     floor: *floor,
                     life,
                 };
-                self.readmitted.insert(voter.clone(), again);
+                self.readmissions.insert(voter.clone(), again);
                 true
             }
         }
--- a/crates/coordination/src/words.rs
+++ b/crates/coordination/src/words.rs
@@ -1,6 +1,6 @@
 //! What a voter is started with, what comes, and what is to be done.
 
-use crate::{Entry, Mark, Seconds, Standing};
+use crate::{Entry, LogPosition, Seconds, VoterStatus};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
@@ -18,9 +18,9 @@
     /// Drawn anew at each start.
     pub start: u64,
     /// How long a lease holds without being renewed.
-    pub term: Seconds,
+    pub lease_term: Seconds,
     /// How far two clocks may run apart, as a share.
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
 /// Settings that can't be used.
@@ -30,19 +30,19 @@
     #[error(
         "ledger.voters: {0} voters are named; name 1, 3 or 5, an even number bears no more failures"
     )]
-    Count(usize),
+    VoterCount(usize),
     /// A name stands twice.
     #[error("ledger.voters: {0:?} stands twice; give each voter its own name")]
-    Twice(String),
+    DuplicateVoter(String),
     /// This process is none of them.
     #[error("ledger.voters: {0:?} is none of them; only voters keep the ledger")]
-    Foreign(String),
+    NotAVoter(String),
     /// The term can't be kept.
     #[error("ledger.term: {0} s; from 1 to 600 are needed, so that a renewal fits in it")]
-    Term(String),
+    LeaseTerm(String),
     /// The agreement refuses them.
     #[error("ledger: {0}; look at ledger.voters")]
-    Agreement(String),
+    Consensus(String),
 }
 
 impl Settings {
@@ -52,17 +52,17 @@
     /// [`SettingsError`].
     pub fn check(&self) -> Result<(), SettingsError> {
         if ![1, 3, 5].contains(&self.voters.len()) {
-            return Err(SettingsError::Count(self.voters.len()));
+            return Err(SettingsError::VoterCount(self.voters.len()));
         }
         let twice = |name: &&String| self.voters.iter().filter(|other| other == name).count() > 1;
         if let Some(name) = self.voters.iter().find(twice) {
-            return Err(SettingsError::Twice(name.clone()));
+            return Err(SettingsError::DuplicateVoter(name.clone()));
         }
         if !self.voters.contains(&self.own) {
-            return Err(SettingsError::Foreign(self.own.clone()));
+            return Err(SettingsError::NotAVoter(self.own.clone()));
         }
-        if !(1.0..=600.0).contains(&self.term) {
-            return Err(SettingsError::Term(self.term.to_string()));
+        if !(1.0..=600.0).contains(&self.lease_term) {
+            return Err(SettingsError::LeaseTerm(self.lease_term.to_string()));
         }
         Ok(())
     }
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
     /// How far it was known to be.
-    pub mark: Option<Mark>,
+    pub mark: Option<LogPosition>,
     /// It may vote, as far as is known here.
     pub fits: bool,
     /// Rounds up to this one it promises anew.
@@ -83,32 +83,36 @@
 
 /// What voters say to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum PeerMessage {
     /// How far I am; said to all, again and again.
-    Here(Mark),
+    #[serde(rename = "Here")]
+    Position(LogPosition),
     /// What I know of you.
-    Known(Known),
+    #[serde(rename = "Known")]
+    KnownPosition(Known),
     /// Of the agreement.
-    Agree(Box<Message<Entry>>),
+    #[serde(rename = "Agree")]
+    Consensus(Box<Message<Entry>>),
     /// Only that this end lives.
-    Ping,
+    #[serde(rename = "Ping")]
+    Heartbeat,
 }
 
 /// What came.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A voter says this.
-    Heard(String, Word),
+    MessageReceived(String, PeerMessage),
     /// The stream to a voter stands, newly or again.
-    Up(String),
+    PeerConnected(String),
     /// This lease is wanted from now on.
-    Want(String),
+    AcquireLease(String),
     /// It is not wanted any more: it is given back.
-    GiveBack(String),
+    ReleaseLease(String),
     /// All batches up to the one of this number are safe.
-    Safe(u64),
+    BatchSynced(u64),
     /// Remember this, under a lease that is held here.
-    Note {
+    Put {
         /// Name of the lease.
         lease: String,
         /// What it is remembered under.
@@ -117,22 +121,22 @@
         value: Vec<u8>,
     },
     /// An operator's word: a voter that is barred is to be taken in again.
-    Readmit(String),
+    ReadmitVoter(String),
 }
 
 /// What is to be done, and what has changed.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Write this; it is the batch of this number. What follows it may be carried out only once it is safe.
-    Write(u64, Batch),
+    Persist(u64, Batch),
     /// Say this to a voter.
-    Say(String, Word),
+    Send(String, PeerMessage),
     /// A lease was taken by this process, with this token.
-    Held(String, u64),
+    LeaseAcquired(String, u64),
     /// A lease is held by this process no more.
-    Lost(String),
+    LeaseLost(String),
     /// Whether this voter votes has changed.
-    Stands(Standing),
+    StatusChanged(VoterStatus),
     /// Another leads, or none.
-    Leads(Option<String>),
+    LeaderChanged(Option<String>),
 }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -4,15 +4,15 @@
 
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tidespur_coordination::{Fence, Input, Ledger, Output, Settings, Standing, Word};
+use tidespur_coordination::{Fence, Input, Output, PeerMessage, Settings, Voter, VoterStatus};
 use tidespur_persistence::{Batch, LoadedRecords};
 
 pub const STEP: f64 = 0.01;
 pub const TERM: f64 = 3.0;
 
-pub struct Voter {
+pub struct SimulatedVoter {
     pub name: String,
-    pub ledger: Option<Ledger>,
+    pub ledger: Option<Voter>,
     /// What its disk holds for sure.
     pub disk: LoadedRecords,
     /// Batches on their way to the disk, and when they are there.
@@ -30,10 +30,10 @@
 pub struct World {
     pub now: f64,
     pub rng: rand_pcg::Pcg32,
-    pub voters: Vec<Voter>,
+    pub voters: Vec<SimulatedVoter>,
     pub drift: f64,
     /// Words on their way, by directed pair, in order.
-    wire: BTreeMap<(usize, usize), VecDeque<(f64, Word)>>,
+    wire: BTreeMap<(usize, usize), VecDeque<(f64, PeerMessage)>>,
     /// Directed pairs that are cut, and until when.
     pub cuts: BTreeMap<(usize, usize), f64>,
     pub wants: bool,
@@ -54,7 +54,7 @@
 impl World {
     pub fn new(seed: u64, voters: usize, drift: f64) -> Self {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-        let voters = (0..voters).map(|i| Voter {
+        let voters = (0..voters).map(|i| SimulatedVoter {
             name: format!("edge-{i}"),
             ledger: None,
             disk: LoadedRecords {
@@ -69,7 +69,7 @@
             still: 0.0,
             disk_takes: 0.004,
         });
-        let voters: Vec<Voter> = voters.collect();
+        let voters: Vec<SimulatedVoter> = voters.collect();
         let mut world = Self {
             now: 0.0,
             rng,
@@ -106,12 +106,12 @@
             own: voter.name.clone(),
             incarnation: voter.disk.incarnation(),
             start: self.rng.random(),
-            term: TERM,
-            drift: 0.01,
+            lease_term: TERM,
+            max_clock_drift: 0.01,
         };
-        voter.ledger = Some(Ledger::new(settings, &voter.disk, now).unwrap());
+        voter.ledger = Some(Voter::new(settings, &voter.disk, now).unwrap());
         if self.wants {
-            voter.inputs.push(Input::Want("l".into()));
+            voter.inputs.push(Input::AcquireLease("l".into()));
         }
         self.trace.push(format!("{:.2} {i} starts", self.now));
         self.up(i);
@@ -124,13 +124,17 @@
                 let own = self.voters[i].name.clone();
                 self.voters[j]
                     .held
-                    .retain(|(_, o)| !matches!(o, Output::Say(to, _) if *to == own));
+                    .retain(|(_, o)| !matches!(o, Output::Send(to, _) if *to == own));
                 self.voters[j]
                     .inputs
-                    .retain(|i| !matches!(i, Input::Heard(from, _) if *from == own));
+                    .retain(|i| !matches!(i, Input::MessageReceived(from, _) if *from == own));
                 let names = [self.voters[i].name.clone(), self.voters[j].name.clone()];
-                self.voters[j].inputs.push(Input::Up(names[0].clone()));
-                self.voters[i].inputs.push(Input::Up(names[1].clone()));
+                self.voters[j]
+                    .inputs
+                    .push(Input::PeerConnected(names[0].clone()));
+                self.voters[i]
+                    .inputs
+                    .push(Input::PeerConnected(names[1].clone()));
             }
         }
     }
@@ -159,15 +163,15 @@
             .ledger
             .as_ref()
             .filter(|_| !still)?
-            .may_act(self.local(i), "l")
+            .valid_token(self.local(i), "l")
     }
 
     pub fn voting(&self) -> usize {
-        let votes = |voter: &&Voter| {
+        let votes = |voter: &&SimulatedVoter| {
             voter
                 .ledger
                 .as_ref()
-                .is_some_and(|l| *l.standing() == Standing::Voting)
+                .is_some_and(|l| *l.status() == VoterStatus::Voting)
         };
         self.voters.iter().filter(votes).count()
     }
@@ -201,12 +205,11 @@
             for (a, b) in [(from, to), (to, from)] {
                 self.wire.remove(&(a, b));
                 let name = self.voters[b].name.clone();
-                let old = |output: &Output| matches!(output, Output::Say(to, _) if *to == name);
+                let old = |output: &Output| matches!(output, Output::Send(to, _) if *to == name);
                 self.voters[a].held.retain(|(_, output)| !old(output));
-                let from_it =
-                    |input: &Input| matches!(input, Input::Heard(from, _) if *from == name);
+                let from_it = |input: &Input| matches!(input, Input::MessageReceived(from, _) if *from == name);
                 self.voters[a].inputs.retain(|input| !from_it(input));
-                self.voters[a].inputs.push(Input::Up(name));
+                self.voters[a].inputs.push(Input::PeerConnected(name));
             }
         }
         for ((from, to), words) in &mut self.wire {
@@ -218,7 +221,9 @@
                 self.bytes += postcard::to_stdvec(&word).map_or(0, |bytes| bytes.len() as u64);
                 let name = self.voters[*from].name.clone();
                 if self.voters[*to].ledger.is_some() {
-                    self.voters[*to].inputs.push(Input::Heard(name, word));
+                    self.voters[*to]
+                        .inputs
+                        .push(Input::MessageReceived(name, word));
                 }
             }
         }
@@ -245,7 +250,7 @@
                     None => drop(voter.disk.records.remove(record)),
                 }
             }
-            voter.inputs.push(Input::Safe(number));
+            voter.inputs.push(Input::BatchSynced(number));
             while voter
                 .held
                 .front()
@@ -271,13 +276,13 @@
         }
         for output in out {
             match output {
-                Output::Write(number, batch) => {
+                Output::Persist(number, batch) => {
                     let after = voter.writing.back().map_or(self.now, |(at, ..)| *at);
                     voter
                         .writing
                         .push_back((after + voter.disk_takes, number, batch));
                 }
-                Output::Say(..) => match voter.writing.back() {
+                Output::Send(..) => match voter.writing.back() {
                     Some((_, number, _)) => voter.held.push_back((*number, output)),
                     None => send(
                         &mut self.wire,
@@ -288,7 +293,7 @@
                         output,
                     ),
                 },
-                Output::Held(_, token) => {
+                Output::LeaseAcquired(_, token) => {
                     self.trace
                         .push(format!("{:.2} {i} holds {token}", self.now));
                     let whose = format!("{} {}", voter.name, voter.disk.generation);
@@ -299,8 +304,8 @@
                             .push(format!("token {token} is {other}'s and {whose}'s"));
                     }
                 }
-                Output::Lost(_) | Output::Leads(_) => {}
-                Output::Stands(standing) => {
+                Output::LeaseLost(_) | Output::LeaderChanged(_) => {}
+                Output::StatusChanged(standing) => {
                     self.trace.push(format!("{:.2} {i} {standing:?}", self.now))
                 }
             }
@@ -328,7 +333,7 @@
         for (at, token, i) in std::mem::take(&mut self.acts) {
             if at > now {
                 rest.push((at, token, i));
-            } else if self.fence.pass("l", token).is_ok() {
+            } else if self.fence.admit("l", token).is_ok() {
                 if self.carried.last().is_some_and(|(_, last)| *last > token) {
                     self.wrong.push(format!(
                         "{now:.2}: {token} was carried out after a later one"
@@ -401,14 +406,14 @@
 }
 
 fn send(
-    wire: &mut BTreeMap<(usize, usize), VecDeque<(f64, Word)>>,
+    wire: &mut BTreeMap<(usize, usize), VecDeque<(f64, PeerMessage)>>,
     cuts: &BTreeMap<(usize, usize), f64>,
     rng: &mut impl Rng,
     now: f64,
     from: usize,
     output: Output,
 ) {
-    let Output::Say(to, word) = output else {
+    let Output::Send(to, word) = output else {
         return;
     };
     let to: usize = to["edge-".len()..].parse().unwrap();
--- a/crates/coordination/tests/sim.rs
+++ b/crates/coordination/tests/sim.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tidespur_coordination::{Input, Standing};
+use tidespur_coordination::{Input, VoterStatus};
 
 /// Drawn runs; more by LEDGER_SEEDS, outside CI.
 fn seeds() -> u64 {
@@ -81,9 +81,9 @@
     world.voters[1].disk = older;
     world.start(1);
     world.run(10.0);
-    let standing = |world: &World| world.voters[1].ledger.as_ref().unwrap().standing().clone();
+    let standing = |world: &World| world.voters[1].ledger.as_ref().unwrap().status().clone();
     assert!(
-        matches!(standing(&world), Standing::Barred { .. }),
+        matches!(standing(&world), VoterStatus::Quarantined { .. }),
         "{}",
         told(&world)
     );
@@ -97,16 +97,16 @@
         world.run(4.0);
     }
     assert!(
-        matches!(standing(&world), Standing::Barred { .. }),
+        matches!(standing(&world), VoterStatus::Quarantined { .. }),
         "{}",
         told(&world)
     );
     world.run(8.0);
-    world.tell(0, Input::Readmit("edge-1".into()));
+    world.tell(0, Input::ReadmitVoter("edge-1".into()));
     world.run(10.0);
     assert_eq!(
         (standing(&world), world.voting()),
-        (Standing::Voting, 3),
+        (VoterStatus::Voting, 3),
         "{}",
         told(&world)
     );
@@ -134,7 +134,7 @@
     world.start(2);
     world.run(10.0);
     assert_eq!(world.voting(), 2, "{}", told(&world));
-    world.tell(0, Input::Readmit("edge-2".into()));
+    world.tell(0, Input::ReadmitVoter("edge-2".into()));
     world.run(10.0);
     assert_eq!(world.voting(), 3, "{}", told(&world));
 }
@@ -210,7 +210,7 @@
     let mut world = World::new(11, 3, 0.0);
     world.run(10.0);
     let holder = (0..3).find(|i| world.may_act(*i).is_some()).unwrap();
-    let note = |key: &str| Input::Note {
+    let note = |key: &str| Input::Put {
         lease: "l".into(),
         key: key.into(),
         value: b"x".to_vec(),
@@ -219,7 +219,7 @@
     // Others may not write under it.
     world.tell((holder + 1) % 3, note("foreign"));
     world.run(2.0);
-    world.tell(holder, Input::GiveBack("l".into()));
+    world.tell(holder, Input::ReleaseLease("l".into()));
     let from = world.now;
     world.run(1.5);
     assert!(
@@ -234,7 +234,7 @@
             .as_ref()
             .unwrap()
             .state()
-            .notes
+            .values
             .keys()
             .map(String::as_str)
             .collect();
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -36,8 +36,9 @@
         }
         memory.write(&batch)?;
         drop(memory);
-        let size =
-            std::fs::metadata(folder.path().join(tidespur_persistence::STORE_FILE))?.len() as f64 / 1e6;
+        let size = std::fs::metadata(folder.path().join(tidespur_persistence::STORE_FILE))?.len()
+            as f64
+            / 1e6;
         let start = Instant::now();
         let (_memory, back) = RecordStore::open(folder.path(), &who)?;
         let opened = start.elapsed().as_secs_f64();
--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tidespur_coordination::Input;
-use tidespur_coordination_net::FLEET;
-use tidespur_membership::{Role, Standing};
+use tidespur_coordination_net::FLEET_LEASE;
+use tidespur_membership::{MemberStatus, Role};
 use tidespur_net::clock;
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_recovery::{Output, Observed, PlannerCount};
+use tidespur_recovery::{Observed, Output, PlannerCount};
 
 /// The ledger's notes of planners that count begin with this.
 pub(crate) const COUNTED: &str = "planner/";
@@ -31,9 +31,9 @@
                     .collect(),
                 Err(_) => return,
             };
-            let token = voter.may_act(FLEET);
+            let token = voter.valid_token(FLEET_LEASE);
             let (counted, left) = match token {
-                Some(_) => (voter.noted(COUNTED), self.left()),
+                Some(_) => (voter.keys_with_prefix(COUNTED), self.left()),
                 None => Default::default(),
             };
             let seen = Observed {
@@ -45,25 +45,25 @@
             let mut out = Vec::new();
             sharers.step(clock::now(), &seen, &mut out);
             for output in out {
-                let note = |name, value| Input::Note {
-                    lease: FLEET.into(),
+                let note = |name, value| Input::Put {
+                    lease: FLEET_LEASE.into(),
                     key: format!("{COUNTED}{name}"),
                     value,
                 };
                 match output {
-                    Output::AddPlanner(name) => voter.tell(note(name, b"1".to_vec())),
-                    Output::RemovePlanner(name) => voter.tell(note(name, Vec::new())),
+                    Output::AddPlanner(name) => voter.send(note(name, b"1".to_vec())),
+                    Output::RemovePlanner(name) => voter.send(note(name, Vec::new())),
                     // Asked at the moment of the act: the step may have been long. What comes late all the same, the
                     // planner's fence refuses.
                     Output::NotifyPlanner {
                         link,
                         token,
                         planners,
-                    } if voter.may_act(FLEET) == Some(token) => {
+                    } if voter.valid_token(FLEET_LEASE) == Some(token) => {
                         self.tell(
                             link,
                             ToPlanner::Sharers {
-                                lease: FLEET.into(),
+                                lease: FLEET_LEASE.into(),
                                 token,
                                 planners,
                             },
@@ -84,9 +84,9 @@
         let left = view
             .members
             .iter()
-            .filter(|seen| seen.standing == Standing::Left);
+            .filter(|seen| seen.status == MemberStatus::Left);
         let planners = left.filter(|seen| {
-            seen.facts
+            seen.metadata
                 .as_ref()
                 .is_some_and(|facts| facts.role == Role::Planner)
         });
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -12,7 +12,7 @@
 use tidespur_api::resource::{EVENTS, JOBS, NAMESPACES, PODS};
 use tidespur_api::status::Cause;
 use tidespur_api::{ApiError, Object, Resource, meta, names};
-use tidespur_coordination_net::Voter;
+use tidespur_coordination_net::VoterHandle;
 use tidespur_load_shedding::LoadShedder;
 use tidespur_membership_net::Member;
 use tidespur_net::{Client, NetError, Recorder, clock};
@@ -39,7 +39,7 @@
     pub(crate) member: Option<Arc<Member>>,
     pub(crate) shedder: Mutex<LoadShedder>,
     pub(crate) disk: Shared,
-    pub(crate) voter: Option<Arc<Voter>>,
+    pub(crate) voter: Option<Arc<VoterHandle>>,
 }
 
 impl EdgeHooks {
@@ -234,7 +234,9 @@
                 ([], "GET") => Ok(voter.report()),
                 // An operator's word.
                 (["readmit", name], "POST") => {
-                    voter.tell(tidespur_coordination::Input::Readmit((*name).to_owned()));
+                    voter.send(tidespur_coordination::Input::ReadmitVoter(
+                        (*name).to_owned(),
+                    ));
                     Ok(voter.report())
                 }
                 _ => Err(ApiError::method()),
--- a/crates/edge/src/hooks/parts.rs
+++ b/crates/edge/src/hooks/parts.rs
@@ -27,7 +27,11 @@
         "memory",
         memory.unwrap_or_else(|| Ok("none: all ends with this process".into())),
     ));
-    parts.extend(edge.voter.as_ref().map(|voter| ("ledger", voter.ready())));
+    parts.extend(
+        edge.voter
+            .as_ref()
+            .map(|voter| ("ledger", voter.readiness())),
+    );
     parts
 }
 
--- a/crates/edge/src/keep/recall.rs
+++ b/crates/edge/src/keep/recall.rs
@@ -62,9 +62,11 @@
 /// # Errors
 /// [`RecallError`].
 pub fn version(memory: &LoadedRecords) -> Result<u64, RecallError> {
-    memory.records_of_kind(VERSION).try_fold(0, |most: u64, (key, bytes)| {
-        Ok(most.max(read(VERSION, key, bytes)?))
-    })
+    memory
+        .records_of_kind(VERSION)
+        .try_fold(0, |most: u64, (key, bytes)| {
+            Ok(most.max(read(VERSION, key, bytes)?))
+        })
 }
 
 impl Core {
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tidespur_config::Config;
-use tidespur_persistence::{Identity, RecordStore, LoadedRecords};
+use tidespur_persistence::{Identity, LoadedRecords, RecordStore};
 use tidespur_store::Store;
 
 /// The disk as all of the edge's loops see it; `None` where all is kept in memory only.
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -13,9 +13,9 @@
 use std::sync::{Arc, Mutex};
 use tidespur_api::resource::NAMESPACES;
 use tidespur_config::Config;
-use tidespur_coordination_net::Voter;
+use tidespur_coordination_net::VoterHandle;
 use tidespur_load_shedding::LoadShedder;
-use tidespur_membership::{Facts, Role};
+use tidespur_membership::{MemberMetadata, Role};
 use tidespur_membership_net::{Ending, Member, told_to_end};
 use tidespur_net::routes::Routes;
 use tidespur_net::{Client, Recorder, clock, server};
@@ -108,7 +108,7 @@
         drop(store.create(NAMESPACES, object, clock::now()));
     }
     let routes = Routes::from(options.routes.clone());
-    let voter = Voter::start(
+    let voter = VoterHandle::start(
         &config,
         &options.name,
         disk.as_ref().map(|disk| disk.disk.clone()),
@@ -116,10 +116,10 @@
         routes,
     );
     let voter = voter.await?.map(Arc::new);
-    let facts = Facts {
+    let facts = MemberMetadata {
         api: api_address.clone(),
         link: link_address.clone(),
-        ..Facts::of(Role::Edge)
+        ..MemberMetadata::for_role(Role::Edge)
     };
     let member = Member::join(
         &config,
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -7,7 +7,7 @@
 use async_channel::Receiver;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use tidespur_membership::Facts;
+use tidespur_membership::MemberMetadata;
 use tidespur_membership_net::{Ending, Member};
 use tidespur_net::clock;
 use tidespur_persistence::Outbox;
@@ -134,14 +134,14 @@
     pub(crate) async fn keep_fleet(
         self: Arc<Self>,
         member: Arc<Member>,
-        mut facts: Facts,
+        mut facts: MemberMetadata,
     ) -> Ending {
         loop {
             if let Some(ending) = member.news_within(TELL).await {
                 return ending;
             }
             let open = self.api.hooks.open.load(Ordering::Relaxed);
-            facts.open = Some(u32::try_from(open).unwrap_or(u32::MAX));
+            facts.open_tasks = Some(u32::try_from(open).unwrap_or(u32::MAX));
             member.tell(facts.clone());
         }
     }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -25,7 +25,10 @@
 const KEYED: &str = r#""effect":"keyed","group":"all","credit":1,"windowS":1"#;
 
 pub fn site() -> Site {
-    serde_json::from_str::<SettingsObject>(INFO).unwrap().into_site().unwrap()
+    serde_json::from_str::<SettingsObject>(INFO)
+        .unwrap()
+        .into_site()
+        .unwrap()
 }
 
 pub fn address(last: u8) -> IpAddr {
@@ -122,7 +125,10 @@
 
     /// With other settings, and only the owner connected.
     pub fn of(info: &str, machines: u32) -> Self {
-        let site = serde_json::from_str::<SettingsObject>(info).unwrap().into_site().unwrap();
+        let site = serde_json::from_str::<SettingsObject>(info)
+            .unwrap()
+            .into_site()
+            .unwrap();
         let gateway = Gateway::new(
             site,
             Limits {
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -84,7 +84,10 @@
 impl World {
     pub fn new() -> Self {
         let info = INFO.replace(r#""balancers":1"#, r#""balancers":16"#);
-        let site = serde_json::from_str::<SettingsObject>(&info).unwrap().into_site().unwrap();
+        let site = serde_json::from_str::<SettingsObject>(&info)
+            .unwrap()
+            .into_site()
+            .unwrap();
         let gateway = Gateway::new(site, Limits::of(784), 7).unwrap();
         let mut world = Self {
             gateway,
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -10,7 +10,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tidespur_config::Config;
-use tidespur_membership::{DATAGRAM_MOST, Facts, Fleet, Id, Input, Output, Settings, View};
+use tidespur_membership::{
+    Input, MAX_DATAGRAM_BYTES, MemberId, MemberMetadata, Membership, MembershipView, Output,
+    Settings,
+};
 use tidespur_net::clock;
 
 /// Datagrams that are taken into one step.
@@ -33,7 +36,7 @@
 
 /// A member that runs; it ends with this value.
 pub struct Member {
-    fleet: Arc<Mutex<Fleet>>,
+    fleet: Arc<Mutex<Membership>>,
     tell: Sender<Input>,
     news: Receiver<Output>,
     /// Where it takes datagrams.
@@ -52,7 +55,7 @@
         config: &Config,
         options: &Joining,
         name: &str,
-        facts: Facts,
+        facts: MemberMetadata,
         seed: u64,
         incarnation: Option<u64>,
     ) -> Result<Option<Self>, String> {
@@ -84,19 +87,19 @@
         };
         // A clock may be set back; what a process remembers of its starts may not.
         let born = incarnation.unwrap_or_else(clock);
-        let own = Id {
+        let own = MemberId {
             name: name.to_owned(),
             address,
-            born,
-            turn: 0,
+            incarnation: born,
+            rejoin_count: 0,
         };
         let settings = Settings {
             cluster: block.cluster,
-            join,
-            members_most: block.members_most as usize,
+            seed_addresses: join,
+            max_members: block.members_most as usize,
             ..Settings::default()
         };
-        let fleet = Fleet::new(settings, own, facts, seed ^ born, clock::now())?;
+        let fleet = Membership::new(settings, own, facts, seed ^ born, clock::now())?;
         let fleet = Arc::new(Mutex::new(fleet));
         let (tell, told) = async_channel::bounded(16);
         let (send, news) = async_channel::bounded(NEWS_MOST);
@@ -119,7 +122,7 @@
     }
 
     /// The fleet as this member sees it.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> MembershipView {
         self.fleet
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -142,9 +145,9 @@
     }
 
     /// What this member tells of itself from now on.
-    pub fn tell(&self, facts: Facts) {
+    pub fn tell(&self, facts: MemberMetadata) {
         // Where the loop is that far behind, the next word is newer.
-        let _ = self.tell.try_send(Input::Tell(facts));
+        let _ = self.tell.try_send(Input::UpdateMetadata(facts));
     }
 }
 
@@ -189,14 +192,14 @@
 }
 
 async fn turn(
-    fleet: Arc<Mutex<Fleet>>,
+    fleet: Arc<Mutex<Membership>>,
     socket: UdpSocket,
     told: Receiver<Input>,
     news: Sender<Output>,
     name: String,
 ) {
     let lock = || fleet.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut buffer = vec![0; DATAGRAM_MOST + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     // Lines of the log that may be written, and those that were not.
     let (mut lines, mut lines_at, mut unsaid) = (LINES, clock::now(), 0_u64);
     loop {
@@ -206,7 +209,7 @@
         }
         let came = async {
             match socket.recv(&mut buffer).await {
-                Ok(bytes) => Some(Input::Datagram(buffer[..bytes].to_vec())),
+                Ok(bytes) => Some(Input::DatagramReceived(buffer[..bytes].to_vec())),
                 // Of a peer that is gone, on some systems.
                 Err(_) => None,
             }
@@ -222,7 +225,7 @@
             let Some(Some(bytes)) = smol::future::poll_once(next).await else {
                 break;
             };
-            inputs.push(Input::Datagram(buffer[..bytes].to_vec()));
+            inputs.push(Input::DatagramReceived(buffer[..bytes].to_vec()));
         }
         let mut out = Vec::new();
         lock().step(clock::now(), inputs, &mut out);
@@ -231,7 +234,7 @@
         lines_at = now;
         for output in out {
             match output {
-                Output::Send(to, bytes) => {
+                Output::SendDatagram(to, bytes) => {
                     // A datagram that can't go at once is lost, as one is on the way.
                     let _ = smol::future::poll_once(socket.send_to(&bytes, to)).await;
                 }
@@ -251,11 +254,13 @@
 
 fn say(member: &str, output: &Output, unsaid: u64) {
     match output {
-        Output::Joined(who) => tracing::info!(member, who, unsaid, "a member joined"),
-        Output::Doubted(who) => tracing::info!(member, who, unsaid, "a member is in doubt"),
-        Output::Cleared(who) => tracing::info!(member, who, unsaid, "a member says that it lives"),
-        Output::Lost(who) => tracing::warn!(member, who, unsaid, "a member is lost"),
-        Output::Left(who) => tracing::info!(member, who, unsaid, "a member left in order"),
+        Output::MemberJoined(who) => tracing::info!(member, who, unsaid, "a member joined"),
+        Output::MemberSuspected(who) => tracing::info!(member, who, unsaid, "a member is in doubt"),
+        Output::SuspicionRefuted(who) => {
+            tracing::info!(member, who, unsaid, "a member says that it lives")
+        }
+        Output::MemberFailed(who) => tracing::warn!(member, who, unsaid, "a member is lost"),
+        Output::MemberLeft(who) => tracing::info!(member, who, unsaid, "a member left in order"),
         Output::Rejoined => tracing::warn!(
             member,
             unsaid,
@@ -264,26 +269,26 @@
         Output::Replaced(by) => {
             tracing::error!(member, address = %by.address, "a newer process has this name; this one ends");
         }
-        Output::Told(_) | Output::Send(..) => {}
+        Output::MetadataChanged(_) | Output::SendDatagram(..) => {}
     }
 }
 
 /// A view as JSON, for operators and their tools. `now` is the asked member's clock.
-pub fn report(view: &View, now: f64) -> Value {
-    let member = |seen: &tidespur_membership::Seen| {
-        let facts = seen.facts.as_ref();
-        json!({"name": seen.id.name, "address": seen.id.address.to_string(), "incarnation": seen.id.born,
-            "turn": seen.id.turn, "state": seen.standing.word(), "for": (now - seen.since).max(0.0),
-            "role": facts.map(|facts| facts.role.word()), "zone": facts.map(|facts| facts.zone.as_str()),
+pub fn report(view: &MembershipView, now: f64) -> Value {
+    let member = |seen: &tidespur_membership::MemberState| {
+        let facts = seen.metadata.as_ref();
+        json!({"name": seen.id.name, "address": seen.id.address.to_string(), "incarnation": seen.id.incarnation,
+            "turn": seen.id.rejoin_count, "state": seen.status.as_str(), "for": (now - seen.since).max(0.0),
+            "role": facts.map(|facts| facts.role.as_str()), "zone": facts.map(|facts| facts.zone.as_str()),
             "api": facts.map(|facts| facts.api.as_str()), "link": facts.map(|facts| facts.link.as_str()),
-            "open": facts.and_then(|facts| facts.open), "factsAge": facts.map(|_| (now - seen.told_at).max(0.0))})
+            "open": facts.and_then(|facts| facts.open_tasks), "factsAge": facts.map(|_| (now - seen.metadata_received_at).max(0.0))})
     };
     let drops: serde_json::Map<String, Value> = view
         .drops
         .iter()
-        .map(|(why, count)| (format!("{why:?}").to_lowercase(), (*count).into()))
+        .map(|(why, count)| (why.as_str().to_owned(), (*count).into()))
         .collect();
-    json!({"asked": view.own.name, "settled": view.settled, "live": view.live().count(),
+    json!({"asked": view.own.name, "settled": view.settled, "live": view.live_members().count(),
         "members": view.members.iter().map(member).collect::<Vec<_>>(),
         "drops": drops, "rejoins": view.rejoins, "stalls": view.stalls})
 }
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,11 +1,11 @@
 //! What each member tells of itself, the newest by version.
 
-use crate::id::name_is_sound;
+use crate::id::is_valid_name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The most bytes that the facts of one member take on the wire.
-pub const FACTS_MOST: usize = 400;
+pub const MAX_METADATA_BYTES: usize = 400;
 
 /// What a member does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
 
 impl Role {
     /// Its word in tables and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Edge => "edge",
             Self::Planner => "planner",
@@ -28,7 +28,7 @@
 
 /// What a member tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Facts {
+pub struct MemberMetadata {
     /// What it does.
     pub role: Role,
     /// Where it stands.
@@ -38,21 +38,22 @@
     /// An edge: the address that planners link to.
     pub link: String,
     /// Tasks without an answer, where it tells them.
-    pub open: Option<u32>,
+    #[serde(rename = "open")]
+    pub open_tasks: Option<u32>,
     /// It ends in order and wants no more work.
     pub leaving: bool,
 }
 
-impl Facts {
+impl MemberMetadata {
     /// Facts of a member that does this, and nothing else yet.
-    pub fn of(role: Role) -> Self {
+    pub fn for_role(role: Role) -> Self {
         let none = String::new;
         Self {
             role,
             zone: none(),
             api: none(),
             link: none(),
-            open: None,
+            open_tasks: None,
             leaving: false,
         }
     }
@@ -60,27 +61,27 @@
 
 /// Facts as they travel.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct MetadataUpdate {
     /// Whose.
     pub name: String,
     /// Their version: the member's incarnation and how often it told something new.
-    pub version: Version,
+    pub version: MetadataVersion,
     /// A word for the members that it sees live, see `View::settled`.
     pub sees: u64,
     /// What it tells.
-    pub facts: Facts,
+    pub facts: MemberMetadata,
 }
 
 /// A version of facts; later ones are greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Version {
+pub struct MetadataVersion {
     /// Incarnation of the member's process.
     pub born: u64,
     /// Counts what it told.
     pub count: u32,
 }
 
-impl Told {
+impl MetadataUpdate {
     /// The facts as they travel.
     pub(crate) fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
@@ -93,14 +94,14 @@
     }
 
     pub(crate) fn is_sound(&self) -> bool {
-        name_is_sound(&self.name) && self.bytes().len() <= FACTS_MOST
+        is_valid_name(&self.name) && self.bytes().len() <= MAX_METADATA_BYTES
     }
 }
 
 /// The newest facts of all members, and when they came.
 #[derive(Debug, Default)]
 pub(crate) struct Book {
-    pub(crate) told: BTreeMap<String, (Told, f64)>,
+    pub(crate) told: BTreeMap<String, (MetadataUpdate, f64)>,
     /// Members whose facts are kept.
     pub(crate) most: usize,
     /// The time, for when facts came.
@@ -109,7 +110,7 @@
 
 impl Book {
     /// Takes facts in; `false` where they are not new, or where there is no room.
-    pub(crate) fn take(&mut self, told: Told) -> bool {
+    pub(crate) fn take(&mut self, told: MetadataUpdate) -> bool {
         let known = self.told.get(&told.name);
         let new = known.is_none_or(|(known, _)| told.version > known.version);
         if !new || known.is_none() && self.told.len() >= self.most {
@@ -119,7 +120,7 @@
         true
     }
 
-    pub(crate) fn version(&self, name: &str) -> Option<Version> {
+    pub(crate) fn version(&self, name: &str) -> Option<MetadataVersion> {
         self.told.get(name).map(|(told, _)| told.version)
     }
 }
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -1,11 +1,11 @@
 //! One member: datagrams and time in, datagrams and news out.
 
 use crate::Seconds;
-use crate::facts::{FACTS_MOST, Facts, Told, Version};
-use crate::id::{Id, name_is_sound};
+use crate::facts::{MAX_METADATA_BYTES, MemberMetadata, MetadataUpdate, MetadataVersion};
+use crate::id::{MemberId, is_valid_name};
 use crate::shared::Shared;
-use crate::view::{Seen, Standing, View};
-use crate::wire::{self, BODY_MOST, Body, Drop};
+use crate::view::{MemberState, MemberStatus, MembershipView};
+use crate::wire::{self, BODY_MOST, Body, DropReason};
 use foca::{Foca, Notification, PeriodicParams, Runtime, State, Timer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -46,18 +46,18 @@
 const ANSWER_MOST: usize = 32;
 
 /// One member of the fleet.
-pub struct Fleet {
+pub struct Membership {
     settings: Settings,
-    own: Id,
-    facts: Facts,
-    version: Version,
+    own: MemberId,
+    facts: MemberMetadata,
+    version: MetadataVersion,
     sees: u64,
-    foca: Foca<Id, Shared, Pcg32, Shared>,
+    foca: Foca<MemberId, Shared, Pcg32, Shared>,
     shared: Shared,
     rng: Pcg32,
-    timers: BTreeMap<(u64, u64), Timer<Id>>,
+    timers: BTreeMap<(u64, u64), Timer<MemberId>>,
     numbered: u64,
-    members: BTreeMap<String, Seen>,
+    members: BTreeMap<String, MemberState>,
     started: Seconds,
     /// How long it stood still in all: the protocol's time is behind by this.
     stood: Seconds,
@@ -67,7 +67,7 @@
     ask_pause: Seconds,
     /// Where in the order of names the last exchange ended.
     cursor: String,
-    drops: BTreeMap<Drop, u64>,
+    drops: BTreeMap<DropReason, u64>,
     rejoins: u64,
     stalls: u64,
     /// The others have given this one up; it comes back, but not before then.
@@ -76,7 +76,7 @@
     over: bool,
 }
 
-impl Fleet {
+impl Membership {
     /// A member that knows nobody yet. `born` must be higher with each start of the same name, as microseconds of the
     /// wall clock are.
     ///
@@ -84,24 +84,24 @@
     /// A name or address that can't be a member's, or settings out of range.
     pub fn new(
         settings: Settings,
-        own: Id,
-        facts: Facts,
+        own: MemberId,
+        facts: MemberMetadata,
         seed: u64,
         now: Seconds,
     ) -> Result<Self, String> {
-        if !own.is_sound() {
+        if !own.is_valid() {
             return Err(format!(
                 "{:?} at {} can't be a member",
                 own.name, own.address
             ));
         }
-        if !name_is_sound(&settings.cluster) {
+        if !is_valid_name(&settings.cluster) {
             return Err(format!("{:?} can't be a cluster's name", settings.cluster));
         }
         let times = [
-            settings.answer_within,
-            settings.probe_every,
-            settings.doubt_for,
+            settings.probe_timeout,
+            settings.probe_interval,
+            settings.suspicion_timeout,
             settings.forget_after,
         ];
         if !times
@@ -116,8 +116,8 @@
         let shared = Shared::default();
         {
             let mut state = shared.lock();
-            (state.own, state.most) = (Some(own.clone()), settings.members_most);
-            state.book.most = settings.members_most * 2 + 1;
+            (state.own, state.most) = (Some(own.clone()), settings.max_members);
+            state.book.most = settings.max_members * 2 + 1;
         }
         let rng = Pcg32::seed_from_u64(seed);
         let detector = Pcg32::seed_from_u64(seed ^ 0x5eed);
@@ -130,8 +130,8 @@
         );
         let mut fleet = Self {
             settings,
-            version: Version {
-                born: own.born,
+            version: MetadataVersion {
+                born: own.incarnation,
                 count: 0,
             },
             own,
@@ -160,7 +160,7 @@
         fleet.sees = fleet.seen_now();
         if !fleet.told().is_sound() {
             return Err(format!(
-                "what {} tells of itself takes more than {FACTS_MOST} bytes",
+                "what {} tells of itself takes more than {MAX_METADATA_BYTES} bytes",
                 fleet.own.name
             ));
         }
@@ -168,7 +168,7 @@
         Ok(fleet)
     }
 
-    /// When [`Fleet::step`] is due at the latest.
+    /// When [`Membership::step`] is due at the latest.
     pub fn next_wake(&self) -> Seconds {
         if self.over {
             return f64::INFINITY;
@@ -210,12 +210,12 @@
         let mut changed = false;
         for input in inputs {
             match input {
-                Input::Datagram(bytes) => changed |= self.datagram(now, &bytes, out),
-                Input::Tell(facts) if facts != self.facts => {
+                Input::DatagramReceived(bytes) => changed |= self.datagram(now, &bytes, out),
+                Input::UpdateMetadata(facts) if facts != self.facts => {
                     self.facts = facts;
                     self.publish();
                 }
-                Input::Tell(_) => {}
+                Input::UpdateMetadata(_) => {}
                 Input::Leave => return self.leave(now, out),
             }
             if self.over {
@@ -249,34 +249,34 @@
     }
 
     /// The fleet as this member sees it.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> MembershipView {
         let state = self.shared.lock();
         let told = |name: &str| state.book.told.get(name);
-        let mut members: Vec<Seen> = self.members.values().cloned().collect();
+        let mut members: Vec<MemberState> = self.members.values().cloned().collect();
         for seen in &mut members {
             if let Some((told, at)) = told(&seen.id.name) {
-                (seen.facts, seen.told_at) = (Some(told.facts.clone()), *at);
+                (seen.metadata, seen.metadata_received_at) = (Some(told.facts.clone()), *at);
             }
         }
         let settled = self
             .members
             .values()
-            .filter(|seen| seen.standing.is_live())
+            .filter(|seen| seen.status.is_alive())
             .all(|seen| {
                 told(&seen.id.name).is_some_and(|(told, _)| {
-                    told.version.born == seen.id.born && told.sees == self.sees
+                    told.version.born == seen.id.incarnation && told.sees == self.sees
                 })
             });
         let at = members.partition_point(|seen| seen.id.name < self.own.name);
-        let own = Seen {
+        let own = MemberState {
             id: self.own.clone(),
-            standing: Standing::Live,
+            status: MemberStatus::Alive,
             since: self.started,
-            facts: Some(self.facts.clone()),
-            told_at: state.book.now,
+            metadata: Some(self.facts.clone()),
+            metadata_received_at: state.book.now,
         };
         members.insert(at, own);
-        View {
+        MembershipView {
             own: self.own.clone(),
             members,
             settled,
--- a/crates/membership/src/fleet/datagrams.rs
+++ b/crates/membership/src/fleet/datagrams.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl Fleet {
-    pub(super) fn drop(&mut self, why: Drop) {
+impl Membership {
+    pub(super) fn drop(&mut self, why: DropReason) {
         *self.drops.entry(why).or_default() += 1;
     }
 
@@ -17,7 +17,8 @@
         };
         match body {
             Body::Swim(data) => {
-                if let Ok((header, _)) = postcard::take_from_bytes::<foca::Header<Id>>(&data) {
+                if let Ok((header, _)) = postcard::take_from_bytes::<foca::Header<MemberId>>(&data)
+                {
                     self.tell_older(&header.src, out);
                 }
                 self.detector(now, out, |foca, wants| foca.handle_data(&data, wants))
@@ -27,9 +28,9 @@
             | Body::Newer(id)
             | Body::Versions(id, _)
             | Body::Facts(id, _, _)
-                if !id.is_sound() =>
+                if !id.is_valid() =>
             {
-                self.drop(Drop::Unreadable);
+                self.drop(DropReason::Malformed);
                 false
             }
             Body::Hello(id) if id != self.own => {
@@ -57,7 +58,7 @@
     }
 
     /// Another member, or another process of this one's name, is there.
-    pub(super) fn meet(&mut self, now: Seconds, id: Id, out: &mut Vec<Output>) -> bool {
+    pub(super) fn meet(&mut self, now: Seconds, id: MemberId, out: &mut Vec<Output>) -> bool {
         if id.name == self.own.name {
             self.shared.lock().meet_twin(&id);
             return true;
@@ -67,15 +68,17 @@
 
     /// Whoever speaks under a name that a newer process has is told so: by the detector alone it would learn that it
     /// was given up, and come back for ever.
-    pub(super) fn tell_older(&self, who: &Id, out: &mut Vec<Output>) {
+    pub(super) fn tell_older(&self, who: &MemberId, out: &mut Vec<Output>) {
         let newer = self.members.get(&who.name).map(|seen| &seen.id);
-        if let Some(newer) = newer.filter(|newer| newer.born > who.born && who.is_sound()) {
+        if let Some(newer) =
+            newer.filter(|newer| newer.incarnation > who.incarnation && who.is_valid())
+        {
             self.send(who.address, &Body::Newer(newer.clone()), out);
         }
     }
 
     pub(super) fn send(&self, to: SocketAddr, body: &Body, out: &mut Vec<Output>) {
-        out.push(Output::Send(
+        out.push(Output::SendDatagram(
             to,
             wire::datagram(&self.settings.cluster, body),
         ));
@@ -89,9 +92,9 @@
         let _ = self.foca.add_broadcast(&told.bytes());
     }
 
-    pub(super) fn told(&self) -> Told {
+    pub(super) fn told(&self) -> MetadataUpdate {
         let (name, version) = (self.own.name.clone(), self.version);
-        Told {
+        MetadataUpdate {
             name,
             version,
             sees: self.sees,
@@ -99,19 +102,19 @@
         }
     }
 
-    pub(super) fn take(&mut self, told: Told, out: &mut Vec<Output>) {
+    pub(super) fn take(&mut self, told: MetadataUpdate, out: &mut Vec<Output>) {
         let name = told.name.clone();
         // What is said of our own name by others is our own word, or a twin's.
         if told.is_sound() && name != self.own.name && self.shared.lock().book.take(told) {
-            out.push(Output::Told(name));
+            out.push(Output::MetadataChanged(name));
         }
     }
 
     /// Another's versions: sends what is newer here, asks for what is newer there.
     pub(super) fn compare(
         &mut self,
-        from: &Id,
-        versions: Vec<(String, Version)>,
+        from: &MemberId,
+        versions: Vec<(String, MetadataVersion)>,
         out: &mut Vec<Output>,
     ) {
         let (mut newer, mut want) = (Vec::new(), Vec::new());
@@ -138,8 +141,8 @@
     }
 
     /// Sends facts by names, as many to a datagram as it holds.
-    pub(super) fn answer(&mut self, to: &Id, names: Vec<String>, out: &mut Vec<Output>) {
-        let told: Vec<Told> = {
+    pub(super) fn answer(&mut self, to: &MemberId, names: Vec<String>, out: &mut Vec<Output>) {
+        let told: Vec<MetadataUpdate> = {
             let state = self.shared.lock();
             let told = |name: &String| state.book.told.get(name).map(|(told, _)| told.clone());
             names.iter().take(ANSWER_MOST).filter_map(told).collect()
--- a/crates/membership/src/fleet/detector.rs
+++ b/crates/membership/src/fleet/detector.rs
@@ -5,41 +5,44 @@
 /// What the failure detector wants.
 #[derive(Default)]
 pub(super) struct Wants {
-    sends: Vec<(Id, Vec<u8>)>,
-    timers: Vec<(Timer<Id>, Duration)>,
+    sends: Vec<(MemberId, Vec<u8>)>,
+    timers: Vec<(Timer<MemberId>, Duration)>,
     changed: bool,
     given_up: bool,
 }
 
-impl Runtime<Id> for Wants {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<MemberId> for Wants {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         self.given_up |= matches!(notification, Notification::Defunct);
         self.changed = true;
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.sends.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
         self.timers.push((event, after));
     }
 }
 
-impl Fleet {
+impl Membership {
     /// Runs something of the failure detector; tells whether its view may have changed.
     pub(super) fn detector(
         &mut self,
         now: Seconds,
         out: &mut Vec<Output>,
-        run: impl FnOnce(&mut Foca<Id, Shared, Pcg32, Shared>, &mut Wants) -> Result<(), foca::Error>,
+        run: impl FnOnce(
+            &mut Foca<MemberId, Shared, Pcg32, Shared>,
+            &mut Wants,
+        ) -> Result<(), foca::Error>,
     ) -> bool {
         let mut wants = Wants::default();
         let ran = run(&mut self.foca, &mut wants);
         let full = std::mem::take(&mut self.shared.lock().full);
         match (full, ran) {
-            (true, _) => self.drop(Drop::TooMany),
-            (false, Err(_)) => self.drop(Drop::Unreadable),
+            (true, _) => self.drop(DropReason::TooManyMembers),
+            (false, Err(_)) => self.drop(DropReason::Malformed),
             (false, Ok(())) => {}
         }
         let mut changed = wants.changed;
@@ -73,8 +76,8 @@
         out.push(Output::Rejoined);
         let mut wants = Wants::default();
         self.renew(
-            Id {
-                turn: self.own.turn.saturating_add(1),
+            MemberId {
+                rejoin_count: self.own.rejoin_count.saturating_add(1),
                 ..self.own.clone()
             },
             &mut wants,
@@ -83,12 +86,12 @@
     }
 
     /// Goes on as `new`, and says so to some of the others.
-    pub(super) fn renew(&mut self, new: Id, wants: &mut Wants) {
+    pub(super) fn renew(&mut self, new: MemberId, wants: &mut Wants) {
         self.own = new;
         self.shared.lock().own = Some(self.own.clone());
         // Fails only where the identity is the same.
         let _ = self.foca.change_identity(self.own.clone(), &mut *wants);
-        let some: Vec<Id> = self
+        let some: Vec<MemberId> = self
             .foca
             .iter_members()
             .take(3)
@@ -97,9 +100,9 @@
         for id in some {
             let _ = self.foca.announce(id, &mut *wants);
         }
-        if self.version.born != self.own.born {
-            self.version = Version {
-                born: self.own.born,
+        if self.version.born != self.own.incarnation {
+            self.version = MetadataVersion {
+                born: self.own.incarnation,
                 count: 0,
             };
         }
@@ -116,11 +119,11 @@
         })
     };
     foca::Config {
-        probe_period: Duration::from_secs_f64(settings.probe_every),
-        probe_rtt: Duration::from_secs_f64(settings.answer_within),
+        probe_period: Duration::from_secs_f64(settings.probe_interval),
+        probe_rtt: Duration::from_secs_f64(settings.probe_timeout),
         num_indirect_probes: some(3),
         max_transmissions: NonZeroU8::new(12).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: Duration::from_secs_f64(settings.doubt_for),
+        suspect_to_down_after: Duration::from_secs_f64(settings.suspicion_timeout),
         remove_down_after: Some(Duration::from_secs_f64(settings.forget_after)),
         max_packet_size: some(BODY_MOST),
         notify_down_members: true,
--- a/crates/membership/src/fleet/look.rs
+++ b/crates/membership/src/fleet/look.rs
@@ -2,12 +2,14 @@
 
 use super::*;
 
-impl Fleet {
+impl Membership {
     /// A word for the live members, the same for all who see the same.
     pub(super) fn seen_now(&self) -> u64 {
-        let own = (&self.own.name, self.own.born);
-        let live = self.members.values().filter(|seen| seen.standing.is_live());
-        let mut all: Vec<(&String, u64)> = live.map(|seen| (&seen.id.name, seen.id.born)).collect();
+        let own = (&self.own.name, self.own.incarnation);
+        let live = self.members.values().filter(|seen| seen.status.is_alive());
+        let mut all: Vec<(&String, u64)> = live
+            .map(|seen| (&seen.id.name, seen.id.incarnation))
+            .collect();
         all.push(own);
         all.sort_unstable();
         let bytes = all
@@ -38,43 +40,47 @@
             let leaving = || {
                 let state = self.shared.lock();
                 let told = state.book.told.get(&id.name).map(|(told, _)| told);
-                told.is_some_and(|told| told.version.born == id.born && told.facts.leaving)
+                told.is_some_and(|told| told.version.born == id.incarnation && told.facts.leaving)
             };
             let standing = match member.state() {
-                State::Alive => Standing::Live,
-                State::Suspect => Standing::Doubted,
-                State::Down if leaving() => Standing::Left,
-                State::Down => Standing::Lost,
+                State::Alive => MemberStatus::Alive,
+                State::Suspect => MemberStatus::Suspect,
+                State::Down if leaving() => MemberStatus::Left,
+                State::Down => MemberStatus::Failed,
             };
             let before = self.members.get(&id.name);
             let same = before.is_some_and(|seen| seen.id.age() == id.age());
-            let was = before.map(|seen| seen.standing);
+            let was = before.map(|seen| seen.status);
             if same && was == Some(standing) {
                 continue;
             }
             let name = id.name.clone();
             match (was.filter(|_| same), standing) {
-                (Some(Standing::Doubted), Standing::Live) => out.push(Output::Cleared(name)),
-                (Some(Standing::Live), Standing::Doubted) => out.push(Output::Doubted(name)),
-                (_, Standing::Live | Standing::Doubted) => {
+                (Some(MemberStatus::Suspect), MemberStatus::Alive) => {
+                    out.push(Output::SuspicionRefuted(name))
+                }
+                (Some(MemberStatus::Alive), MemberStatus::Suspect) => {
+                    out.push(Output::MemberSuspected(name))
+                }
+                (_, MemberStatus::Alive | MemberStatus::Suspect) => {
                     met = true;
-                    out.push(Output::Joined(name));
+                    out.push(Output::MemberJoined(name));
                 }
                 // One that was never seen live is no loss.
-                (_, Standing::Lost) if was.is_some_and(Standing::is_live) => {
-                    out.push(Output::Lost(name))
+                (_, MemberStatus::Failed) if was.is_some_and(MemberStatus::is_alive) => {
+                    out.push(Output::MemberFailed(name))
                 }
-                (_, Standing::Left) if was.is_some_and(Standing::is_live) => {
-                    out.push(Output::Left(name))
+                (_, MemberStatus::Left) if was.is_some_and(MemberStatus::is_alive) => {
+                    out.push(Output::MemberLeft(name))
                 }
                 _ => {}
             }
-            let seen = Seen {
+            let seen = MemberState {
                 id: id.clone(),
-                standing,
+                status: standing,
                 since: now,
-                facts: None,
-                told_at: 0.0,
+                metadata: None,
+                metadata_received_at: 0.0,
             };
             self.members.insert(id.name.clone(), seen);
         }
@@ -89,7 +95,7 @@
             state.live = self
                 .members
                 .values()
-                .filter(|seen| seen.standing.is_live())
+                .filter(|seen| seen.status.is_alive())
                 .count();
         }
         if met {
@@ -105,8 +111,8 @@
     /// Two processes of one name: the newer stays.
     pub(super) fn twin(&mut self, now: Seconds, out: &mut Vec<Output>) -> bool {
         let twin = self.shared.lock().twin.take();
-        let Some(twin) =
-            twin.filter(|twin| twin.born != self.own.born && twin.age() > self.own.age())
+        let Some(twin) = twin
+            .filter(|twin| twin.incarnation != self.own.incarnation && twin.age() > self.own.age())
         else {
             return false;
         };
@@ -115,9 +121,9 @@
             out.push(Output::Replaced(twin));
             return true;
         }
-        let new = Id {
-            born: twin.born.saturating_add(1),
-            turn: 0,
+        let new = MemberId {
+            incarnation: twin.incarnation.saturating_add(1),
+            rejoin_count: 0,
             ..self.own.clone()
         };
         (self.given_up, self.back_at) = (false, now - self.stood + BACK);
@@ -135,12 +141,12 @@
                 .iter_membership_state()
                 .filter(|member| member.state() == State::Down)
         };
-        let over = gone().count().saturating_sub(self.settings.members_most);
+        let over = gone().count().saturating_sub(self.settings.max_members);
         if over == 0 {
             return;
         }
-        let mut gone: Vec<Id> = gone().map(|member| member.id().clone()).collect();
-        let since = |id: &Id| self.members.get(&id.name).map_or(0.0, |seen| seen.since);
+        let mut gone: Vec<MemberId> = gone().map(|member| member.id().clone()).collect();
+        let since = |id: &MemberId| self.members.get(&id.name).map_or(0.0, |seen| seen.since);
         gone.sort_by(|a, b| since(a).total_cmp(&since(b)));
         for id in gone.into_iter().take(over) {
             self.detector(now, out, |foca, wants| {
--- a/crates/membership/src/fleet/reach.rs
+++ b/crates/membership/src/fleet/reach.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Fleet {
+impl Membership {
     /// Tells a random member which facts are known here, a part of the names at a time.
     pub(super) fn exchange(&mut self, now: Seconds, out: &mut Vec<Output>) {
         self.exchange_at = now - self.stood + EXCHANGE * self.rng.random_range(0.5..1.0);
@@ -48,7 +48,13 @@
     pub(super) fn ask(&mut self, now: Seconds, out: &mut Vec<Output>) {
         let live = self.live_addresses();
         let missing = |seed: &&SocketAddr| **seed != self.own.address && !live.contains(seed);
-        let missing: Vec<SocketAddr> = self.settings.join.iter().filter(missing).copied().collect();
+        let missing: Vec<SocketAddr> = self
+            .settings
+            .seed_addresses
+            .iter()
+            .filter(missing)
+            .copied()
+            .collect();
         let pause = if live.is_empty() {
             let pause = self.ask_pause;
             self.ask_pause = (self.ask_pause * 2.0).min(ASK_MOST);
--- a/crates/membership/src/fleet/words.rs
+++ b/crates/membership/src/fleet/words.rs
@@ -1,6 +1,6 @@
 //! What a member is started with, what comes, and what is to be done.
 
-use crate::{Facts, Id, Seconds};
+use crate::{MemberId, MemberMetadata, Seconds};
 use std::net::SocketAddr;
 
 /// What a member is started with.
@@ -9,15 +9,15 @@
     /// Members of other clusters are not listened to.
     pub cluster: String,
     /// Where others may be found at first.
-    pub join: Vec<SocketAddr>,
+    pub seed_addresses: Vec<SocketAddr>,
     /// Members at a time; as many that are lost are remembered.
-    pub members_most: usize,
+    pub max_members: usize,
     /// Each member probes another this often.
-    pub probe_every: Seconds,
+    pub probe_interval: Seconds,
     /// A probe without an answer goes by others after this.
-    pub answer_within: Seconds,
+    pub probe_timeout: Seconds,
     /// One in doubt has this long to say that it lives.
-    pub doubt_for: Seconds,
+    pub suspicion_timeout: Seconds,
     /// Members that are lost are forgotten, and asked for no more, after this.
     pub forget_after: Seconds,
 }
@@ -26,11 +26,11 @@
     fn default() -> Self {
         Self {
             cluster: "tidespur".into(),
-            join: vec![],
-            members_most: 1_024,
-            probe_every: 0.3,
-            answer_within: 0.12,
-            doubt_for: 0.9,
+            seed_addresses: vec![],
+            max_members: 1_024,
+            probe_interval: 0.3,
+            probe_timeout: 0.12,
+            suspicion_timeout: 0.9,
             forget_after: 3_600.0,
         }
     }
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A datagram.
-    Datagram(Vec<u8>),
+    DatagramReceived(Vec<u8>),
     /// What this member tells of itself from now on.
-    Tell(Facts),
+    UpdateMetadata(MemberMetadata),
     /// It ends in order.
     Leave,
 }
@@ -51,21 +51,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
-    Send(SocketAddr, Vec<u8>),
+    SendDatagram(SocketAddr, Vec<u8>),
     /// A member is there, newly or again.
-    Joined(String),
+    MemberJoined(String),
     /// A member did not answer somebody.
-    Doubted(String),
+    MemberSuspected(String),
     /// A member in doubt says that it lives.
-    Cleared(String),
+    SuspicionRefuted(String),
     /// A member was given up.
-    Lost(String),
+    MemberFailed(String),
     /// A member ended in order.
-    Left(String),
+    MemberLeft(String),
     /// A member tells something new.
-    Told(String),
+    MetadataChanged(String),
     /// The others had given this member up; it comes back.
     Rejoined,
     /// Another process of this name has taken its place: this one is to end what it does.
-    Replaced(Id),
+    Replaced(MemberId),
 }
--- a/crates/membership/src/shared.rs
+++ b/crates/membership/src/shared.rs
@@ -1,8 +1,8 @@
 //! What the failure detector's hooks share with the member that holds it: the detector owns its hooks and gives no way
 //! to look into them.
 
-use crate::facts::{Book, Told, Version};
-use crate::id::Id;
+use crate::facts::{Book, MetadataUpdate, MetadataVersion};
+use crate::id::MemberId;
 use bytes::{Buf, BufMut};
 use foca::{BroadcastHandler, Codec, Header, Invalidates, Member, PostcardCodec};
 use std::collections::BTreeSet;
@@ -19,9 +19,9 @@
     pub(crate) live: usize,
     pub(crate) most: usize,
     /// Who this member is: facts of its name and another incarnation are a twin's.
-    pub(crate) own: Option<Id>,
+    pub(crate) own: Option<MemberId>,
     /// The newest other process of our own name that anybody spoke of.
-    pub(crate) twin: Option<Id>,
+    pub(crate) twin: Option<MemberId>,
     /// Something was refused for want of room.
     pub(crate) full: bool,
 }
@@ -32,7 +32,7 @@
     }
 
     /// Another process of our own name was spoken of, or spoke itself.
-    pub(crate) fn meet_twin(&mut self, id: &Id) {
+    pub(crate) fn meet_twin(&mut self, id: &MemberId) {
         if self.twin.as_ref().is_none_or(|twin| id.age() > twin.age()) {
             self.twin = Some(id.clone());
         }
@@ -49,8 +49,8 @@
     }
 
     /// Whether a member that somebody spoke of may be known.
-    fn admits(&self, id: &Id) -> Result<(), Refused> {
-        if !id.is_sound() {
+    fn admits(&self, id: &MemberId) -> Result<(), Refused> {
+        if !id.is_valid() {
             return Err(Refused);
         }
         let mut state = self.lock();
@@ -82,29 +82,37 @@
 
 impl std::error::Error for Refused {}
 
-impl Codec<Id> for Shared {
+impl Codec<MemberId> for Shared {
     type Error = Refused;
 
-    fn encode_header(&mut self, header: &Header<Id>, buf: impl BufMut) -> Result<(), Refused> {
+    fn encode_header(
+        &mut self,
+        header: &Header<MemberId>,
+        buf: impl BufMut,
+    ) -> Result<(), Refused> {
         PostcardCodec
             .encode_header(header, buf)
             .map_err(|_| Refused)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, Refused> {
-        let header: Header<Id> = PostcardCodec.decode_header(buf).map_err(|_| Refused)?;
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<MemberId>, Refused> {
+        let header: Header<MemberId> = PostcardCodec.decode_header(buf).map_err(|_| Refused)?;
         self.admits(&header.src)?;
         Ok(header)
     }
 
-    fn encode_member(&mut self, member: &Member<Id>, buf: impl BufMut) -> Result<(), Refused> {
+    fn encode_member(
+        &mut self,
+        member: &Member<MemberId>,
+        buf: impl BufMut,
+    ) -> Result<(), Refused> {
         PostcardCodec
             .encode_member(member, buf)
             .map_err(|_| Refused)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Id>, Refused> {
-        let member: Member<Id> = PostcardCodec.decode_member(buf).map_err(|_| Refused)?;
+    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<MemberId>, Refused> {
+        let member: Member<MemberId> = PostcardCodec.decode_member(buf).map_err(|_| Refused)?;
         match (self.admits(member.id()), self.lock().own.clone()) {
             (Ok(()), _) => Ok(member),
             // One claim that is refused must not drop what else the datagram says, as would an error: it becomes a
@@ -117,7 +125,7 @@
 
 /// Which facts a piece of news replaces on its way.
 #[derive(Debug)]
-pub(crate) struct Key(String, Version);
+pub(crate) struct Key(String, MetadataVersion);
 
 impl Invalidates for Key {
     fn invalidates(&self, other: &Self) -> bool {
@@ -125,18 +133,18 @@
     }
 }
 
-impl BroadcastHandler<Id> for Shared {
+impl BroadcastHandler<MemberId> for Shared {
     type Key = Key;
     type Error = Refused;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<Key>, Refused> {
-        let told = Told::read(data).ok_or(Refused)?;
+    fn receive_item(&mut self, data: &[u8], _: Option<&MemberId>) -> Result<Option<Key>, Refused> {
+        let told = MetadataUpdate::read(data).ok_or(Refused)?;
         let key = Key(told.name.clone(), told.version);
         let mut state = self.lock();
         let twin = state
             .own
             .as_ref()
-            .is_some_and(|own| told.name == own.name && told.version.born != own.born);
+            .is_some_and(|own| told.name == own.name && told.version.born != own.incarnation);
         Ok((!twin && state.book.take(told)).then_some(key))
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,35 +1,35 @@
 //! What a member knows of the fleet, for those who ask.
 
-use crate::facts::Facts;
-use crate::id::Id;
-use crate::wire::Drop;
+use crate::facts::MemberMetadata;
+use crate::id::MemberId;
+use crate::wire::DropReason;
 use std::collections::BTreeMap;
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It answers.
-    Live,
+    Alive,
     /// It did not answer somebody; it has a while to say that it lives.
-    Doubted,
+    Suspect,
     /// It was given up.
-    Lost,
+    Failed,
     /// It ended in order.
     Left,
 }
 
-impl Standing {
+impl MemberStatus {
     /// Whether it counts as a member: one in doubt does.
-    pub fn is_live(self) -> bool {
-        matches!(self, Self::Live | Self::Doubted)
+    pub fn is_alive(self) -> bool {
+        matches!(self, Self::Alive | Self::Suspect)
     }
 
     /// Its word in tables and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Self::Live => "live",
-            Self::Doubted => "doubted",
-            Self::Lost => "lost",
+            Self::Alive => "live",
+            Self::Suspect => "doubted",
+            Self::Failed => "lost",
             Self::Left => "left",
         }
     }
@@ -37,39 +37,39 @@
 
 /// One member as another sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct MemberState {
     /// Who.
-    pub id: Id,
+    pub id: MemberId,
     /// How it stands.
-    pub standing: Standing,
+    pub status: MemberStatus,
     /// Since when, in seconds of the asked member's clock.
     pub since: f64,
     /// What it tells of itself, once that has come.
-    pub facts: Option<Facts>,
+    pub metadata: Option<MemberMetadata>,
     /// When these came.
-    pub told_at: f64,
+    pub metadata_received_at: f64,
 }
 
 /// The fleet as one member sees it, itself included.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct MembershipView {
     /// Whose view it is.
-    pub own: Id,
+    pub own: MemberId,
     /// All that are known, by name.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberState>,
     /// Every live member was heard to see the same live members as this one.
     pub settled: bool,
     /// Datagrams dropped, by cause.
-    pub drops: BTreeMap<Drop, u64>,
+    pub drops: BTreeMap<DropReason, u64>,
     /// How often this member was given up by others and came back.
     pub rejoins: u64,
     /// How often it stood still for longer than a member may.
     pub stalls: u64,
 }
 
-impl View {
+impl MembershipView {
     /// Those that count as members.
-    pub fn live(&self) -> impl Iterator<Item = &Seen> {
-        self.members.iter().filter(|seen| seen.standing.is_live())
+    pub fn live_members(&self) -> impl Iterator<Item = &MemberState> {
+        self.members.iter().filter(|seen| seen.status.is_alive())
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -3,14 +3,14 @@
 //! Guards against other clusters, other versions, cut and senseless bytes: each is counted by its cause and dropped. It
 //! does not guard against members that lie on purpose: the network between schedulers is trusted.
 
-use crate::facts::{Told, Version};
-use crate::id::Id;
+use crate::facts::{MetadataUpdate, MetadataVersion};
+use crate::id::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// The most bytes of one datagram, so that none is cut in two on the way.
-pub const DATAGRAM_MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// What a datagram may carry beside its envelope.
-pub(crate) const BODY_MOST: usize = DATAGRAM_MOST - 64 - 8;
+pub(crate) const BODY_MOST: usize = MAX_DATAGRAM_BYTES - 64 - 8;
 const MAGIC: &[u8; 3] = b"tsf";
 /// Both sides must speak the same one.
 const VERSION: u8 = 1;
@@ -21,28 +21,40 @@
     /// For the failure detector.
     Swim(Vec<u8>),
     /// Asks whoever takes datagrams there who it is.
-    Hello(Id),
+    Hello(MemberId),
     /// The answer.
-    Welcome(Id),
+    Welcome(MemberId),
     /// To an older process of a name: this one has taken its place.
-    Newer(Id),
+    Newer(MemberId),
     /// Versions of facts that the sender has; the answer is what is newer, and what is asked for.
-    Versions(Id, Vec<(String, Version)>),
+    Versions(MemberId, Vec<(String, MetadataVersion)>),
     /// Facts; ones named in the second list are asked for.
-    Facts(Id, Vec<Told>, Vec<String>),
+    Facts(MemberId, Vec<MetadataUpdate>, Vec<String>),
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Drop {
+pub enum DropReason {
     /// Not ours at all, cut, or senseless.
-    Unreadable,
+    Malformed,
     /// Of another version of the program.
-    Version,
+    ProtocolVersion,
     /// Of another cluster.
-    Cluster,
+    OtherCluster,
     /// It claims more members than there may be.
-    TooMany,
+    TooManyMembers,
+}
+
+impl DropReason {
+    /// The name of its counter in reports.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Malformed => "unreadable",
+            Self::ProtocolVersion => "version",
+            Self::OtherCluster => "cluster",
+            Self::TooManyMembers => "toomany",
+        }
+    }
 }
 
 /// Puts a body into a datagram.
@@ -60,24 +72,24 @@
 }
 
 /// Reads a datagram.
-pub(crate) fn read(cluster: &str, bytes: &[u8]) -> Result<Body, Drop> {
-    let rest = bytes.strip_prefix(MAGIC).ok_or(Drop::Unreadable)?;
-    let (&version, rest) = rest.split_first().ok_or(Drop::Unreadable)?;
+pub(crate) fn read(cluster: &str, bytes: &[u8]) -> Result<Body, DropReason> {
+    let rest = bytes.strip_prefix(MAGIC).ok_or(DropReason::Malformed)?;
+    let (&version, rest) = rest.split_first().ok_or(DropReason::Malformed)?;
     if version != VERSION {
-        return Err(Drop::Version);
+        return Err(DropReason::ProtocolVersion);
     }
-    let (&length, rest) = rest.split_first().ok_or(Drop::Unreadable)?;
+    let (&length, rest) = rest.split_first().ok_or(DropReason::Malformed)?;
     let (name, rest) = rest
         .split_at_checked(length.into())
-        .ok_or(Drop::Unreadable)?;
+        .ok_or(DropReason::Malformed)?;
     if name != cluster.as_bytes() {
-        return Err(Drop::Cluster);
+        return Err(DropReason::OtherCluster);
     }
-    let (length, rest) = rest.split_at_checked(2).ok_or(Drop::Unreadable)?;
-    if bytes.len() > DATAGRAM_MOST
+    let (length, rest) = rest.split_at_checked(2).ok_or(DropReason::Malformed)?;
+    if bytes.len() > MAX_DATAGRAM_BYTES
         || usize::from(u16::from_be_bytes([length[0], length[1]])) != rest.len()
     {
-        return Err(Drop::Unreadable);
+        return Err(DropReason::Malformed);
     }
-    postcard::from_bytes(rest).map_err(|_| Drop::Unreadable)
+    postcard::from_bytes(rest).map_err(|_| DropReason::Malformed)
 }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -2,28 +2,30 @@
 
 use std::net::SocketAddr;
 use tidespur_membership::{
-    DATAGRAM_MOST, Drop, Facts, Fleet, Id, Input, Output, Role, Settings, Standing,
+    DropReason, Input, MAX_DATAGRAM_BYTES, MemberId, MemberMetadata, MemberStatus, Membership,
+    Output, Role, Settings,
 };
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn id(name: &str, port: u16, born: u64) -> Id {
-    Id {
+fn id(name: &str, port: u16, born: u64) -> MemberId {
+    MemberId {
         name: name.into(),
         address: address(port),
-        born,
-        turn: 0,
+        incarnation: born,
+        rejoin_count: 0,
     }
 }
 
-fn member(own: Id, settings: Settings, now: f64) -> Fleet {
-    Fleet::new(settings, own, Facts::of(Role::Edge), 1, now).expect("a sound member")
+fn member(own: MemberId, settings: Settings, now: f64) -> Membership {
+    Membership::new(settings, own, MemberMetadata::for_role(Role::Edge), 1, now)
+        .expect("a sound member")
 }
 
 /// Carries datagrams between members, by port, until `until`; tells what each said beside them.
-fn run(members: &mut [Fleet], from: f64, until: f64) -> Vec<(usize, Output)> {
+fn run(members: &mut [Membership], from: f64, until: f64) -> Vec<(usize, Output)> {
     let mut said = Vec::new();
     let mut now = from;
     while now < until {
@@ -36,15 +38,15 @@
             flying.extend(out.into_iter().map(|output| (who, output)));
         }
         while let Some((who, output)) = flying.pop() {
-            let Output::Send(to, bytes) = output else {
+            let Output::SendDatagram(to, bytes) = output else {
                 said.push((who, output));
                 continue;
             };
-            assert!(bytes.len() <= DATAGRAM_MOST, "{} bytes", bytes.len());
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
             let to = usize::from(to.port()) - 1;
             let mut out = Vec::new();
             if let Some(member) = members.get_mut(to) {
-                member.step(now, [Input::Datagram(bytes)], &mut out);
+                member.step(now, [Input::DatagramReceived(bytes)], &mut out);
             }
             flying.extend(out.into_iter().map(|output| (to, output)));
         }
@@ -55,7 +57,7 @@
 
 fn join() -> Settings {
     Settings {
-        join: vec![address(1)],
+        seed_addresses: vec![address(1)],
         ..Settings::default()
     }
 }
@@ -66,7 +68,7 @@
     member(id(name, 9, 1), settings, 0.0).step(0.0, [], &mut out);
     out.into_iter()
         .find_map(|output| match output {
-            Output::Send(_, bytes) => Some(bytes),
+            Output::SendDatagram(_, bytes) => Some(bytes),
             _ => None,
         })
         .expect("it asks its seed")
@@ -86,7 +88,8 @@
     let mut version = good.clone();
     version[3] += 1;
     let mut out = Vec::new();
-    let mut take = |bytes: &[u8]| one.step(0.1, [Input::Datagram(bytes.to_vec())], &mut out);
+    let mut take =
+        |bytes: &[u8]| one.step(0.1, [Input::DatagramReceived(bytes.to_vec())], &mut out);
     (0..good.len()).for_each(|length| take(&good[..length]));
     take(&[good.clone(), vec![0]].concat());
     take(&other);
@@ -94,16 +97,22 @@
     take(&[0xff; 4_000]);
     assert!(
         !out.iter()
-            .any(|output| matches!(output, Output::Send(to, _) if to.port() == 9)),
+            .any(|output| matches!(output, Output::SendDatagram(to, _) if to.port() == 9)),
         "{out:?}"
     );
     let drops = one.view().drops;
-    assert_eq!(drops[&Drop::Unreadable], good.len() as u64 + 2);
-    assert_eq!((drops[&Drop::Cluster], drops[&Drop::Version]), (1, 1));
-    one.step(0.2, [Input::Datagram(good)], &mut out);
+    assert_eq!(drops[&DropReason::Malformed], good.len() as u64 + 2);
+    assert_eq!(
+        (
+            drops[&DropReason::OtherCluster],
+            drops[&DropReason::ProtocolVersion]
+        ),
+        (1, 1)
+    );
+    one.step(0.2, [Input::DatagramReceived(good)], &mut out);
     assert!(
         out.iter()
-            .any(|output| matches!(output, Output::Send(to, _) if to.port() == 9)),
+            .any(|output| matches!(output, Output::SendDatagram(to, _) if to.port() == 9)),
         "{out:?}"
     );
 }
@@ -118,7 +127,7 @@
         for change in [1, 0x40, 0x80, 0xff] {
             let mut bytes = good.clone();
             bytes[at] ^= change;
-            one.step(0.1, [Input::Datagram(bytes)], &mut out);
+            one.step(0.1, [Input::DatagramReceived(bytes)], &mut out);
         }
     }
     one.step(0.2, [], &mut out);
@@ -129,7 +138,7 @@
 #[test]
 fn claims_of_sixty_thousand_members_stay_within_the_limit() {
     let settings = Settings {
-        members_most: 64,
+        max_members: 64,
         ..join()
     };
     let mut members = [
@@ -138,35 +147,55 @@
     ];
     run(&mut members, 0.0, 2.0);
     for n in 0..60_000 {
-        let claim = Id {
+        let claim = MemberId {
             name: format!("ghost-{n}"),
             address: address(7),
-            born: 1,
-            turn: 0,
+            incarnation: 1,
+            rejoin_count: 0,
         };
-        let mut ghost =
-            Fleet::new(settings.clone(), claim, Facts::of(Role::Planner), n, 0.0).expect("sound");
+        let mut ghost = Membership::new(
+            settings.clone(),
+            claim,
+            MemberMetadata::for_role(Role::Planner),
+            n,
+            0.0,
+        )
+        .expect("sound");
         let mut out = Vec::new();
         // It meets `a` as a seed, and says to it all that it would say.
         ghost.step(0.0, [], &mut out);
         let asks: Vec<Vec<u8>> = out.drain(..).filter_map(datagram).collect();
         let mut answers = Vec::new();
-        members[0].step(2.0, asks.into_iter().map(Input::Datagram), &mut answers);
+        members[0].step(
+            2.0,
+            asks.into_iter().map(Input::DatagramReceived),
+            &mut answers,
+        );
         let answers: Vec<Vec<u8>> = answers
             .into_iter()
-            .filter(|o| matches!(o, Output::Send(to, _) if to.port() == 7))
+            .filter(|o| matches!(o, Output::SendDatagram(to, _) if to.port() == 7))
             .filter_map(datagram)
             .collect();
-        ghost.step(0.0, answers.into_iter().map(Input::Datagram), &mut out);
+        ghost.step(
+            0.0,
+            answers.into_iter().map(Input::DatagramReceived),
+            &mut out,
+        );
         members[0].step(
             2.0,
-            out.drain(..).filter_map(datagram).map(Input::Datagram),
+            out.drain(..)
+                .filter_map(datagram)
+                .map(Input::DatagramReceived),
             &mut vec![],
         );
     }
     let view = members[0].view();
     assert!(view.members.len() <= 129, "{} members", view.members.len());
-    assert!(view.drops[&Drop::TooMany] > 1_000, "{:?}", view.drops);
+    assert!(
+        view.drops[&DropReason::TooManyMembers] > 1_000,
+        "{:?}",
+        view.drops
+    );
     // Nobody answers for them: they are given up, and make room again.
     run(&mut members, 2.0, 90.0);
     let b = members[0]
@@ -175,7 +204,7 @@
         .into_iter()
         .find(|seen| seen.id.name == "b")
         .expect("it is known");
-    assert_eq!(b.standing, Standing::Live);
+    assert_eq!(b.status, MemberStatus::Alive);
 }
 
 /// A member that may know no more is told of others by one that it knows: what else that one says, its answers to
@@ -183,7 +212,7 @@
 #[test]
 fn a_full_member_goes_on_with_those_it_knows() {
     let small = Settings {
-        members_most: 1,
+        max_members: 1,
         ..join()
     };
     let mut members = vec![
@@ -193,22 +222,21 @@
     run(&mut members, 0.0, 2.0);
     // The others come by `b`, which tells `a` of them.
     let by_b = Settings {
-        join: vec![address(2)],
+        seed_addresses: vec![address(2)],
         ..Settings::default()
     };
     members.push(member(id("c", 3, 1), by_b.clone(), 2.0));
     members.push(member(id("d", 4, 1), by_b, 2.0));
     let said = run(&mut members, 2.0, 20.0);
-    let of_b =
-        |output: &Output| matches!(output, Output::Lost(who) | Output::Doubted(who) if who == "b");
+    let of_b = |output: &Output| matches!(output, Output::MemberFailed(who) | Output::MemberSuspected(who) if who == "b");
     assert!(
         !said.iter().any(|(who, output)| *who == 0 && of_b(output)),
         "{said:?}"
     );
     let view = members[0].view();
-    assert!(view.drops.contains_key(&Drop::TooMany));
+    assert!(view.drops.contains_key(&DropReason::TooManyMembers));
     assert_eq!(
-        view.live()
+        view.live_members()
             .map(|seen| seen.id.name.as_str())
             .collect::<Vec<_>>(),
         ["a", "b"]
@@ -217,7 +245,7 @@
 
 fn datagram(output: Output) -> Option<Vec<u8>> {
     match output {
-        Output::Send(_, bytes) => Some(bytes),
+        Output::SendDatagram(_, bytes) => Some(bytes),
         _ => None,
     }
 }
@@ -249,7 +277,10 @@
         .into_iter()
         .find(|seen| seen.id.name == "x")
         .expect("it is known");
-    assert_eq!((seen.id.address.port(), seen.standing), (3, Standing::Live));
+    assert_eq!(
+        (seen.id.address.port(), seen.status),
+        (3, MemberStatus::Alive)
+    );
 }
 
 /// A restart beside a clock that went back: its incarnation is lower than that of the one that died.
@@ -276,7 +307,7 @@
         .find(|seen| seen.id.name == "x")
         .expect("it is known");
     assert!(
-        seen.id.born > 500 && seen.standing == Standing::Live,
+        seen.id.incarnation > 500 && seen.status == MemberStatus::Alive,
         "{seen:?}"
     );
 }
@@ -294,20 +325,25 @@
     let mut said = Vec::new();
     members[0].step(
         3.0,
-        out.into_iter().filter_map(datagram).map(Input::Datagram),
+        out.into_iter()
+            .filter_map(datagram)
+            .map(Input::DatagramReceived),
         &mut said,
     );
-    assert!(said.contains(&Output::Left("b".into())), "{said:?}");
-    assert!(!said.contains(&Output::Lost("b".into())), "{said:?}");
+    assert!(said.contains(&Output::MemberLeft("b".into())), "{said:?}");
+    assert!(
+        !said.contains(&Output::MemberFailed("b".into())),
+        "{said:?}"
+    );
 }
 
 #[test]
 fn facts_that_no_datagram_could_carry_are_refused_at_the_start() {
-    let long = Facts {
+    let long = MemberMetadata {
         zone: "z".repeat(500),
-        ..Facts::of(Role::Edge)
+        ..MemberMetadata::for_role(Role::Edge)
     };
-    let refused = Fleet::new(Settings::default(), id("a", 1, 1), long, 1, 0.0).err();
+    let refused = Membership::new(Settings::default(), id("a", 1, 1), long, 1, 0.0).err();
     assert!(refused.is_some_and(|why| why.contains("400 bytes")));
 }
 
@@ -319,12 +355,12 @@
     ];
     run(&mut members, 0.0, 3.0);
     for open in 1..20 {
-        let facts = Facts {
-            open: Some(open),
+        let facts = MemberMetadata {
+            open_tasks: Some(open),
             link: "127.0.0.1:7".into(),
-            ..Facts::of(Role::Planner)
+            ..MemberMetadata::for_role(Role::Planner)
         };
-        members[1].step(3.0, [Input::Tell(facts)], &mut vec![]);
+        members[1].step(3.0, [Input::UpdateMetadata(facts)], &mut vec![]);
     }
     run(&mut members, 3.0, 6.0);
     let view = members[0].view();
@@ -334,7 +370,9 @@
         .find(|seen| seen.id.name == "b")
         .expect("it is known");
     assert_eq!(
-        b.facts.as_ref().map(|facts| (facts.open, facts.role)),
+        b.metadata
+            .as_ref()
+            .map(|facts| (facts.open_tasks, facts.role)),
         Some((Some(19), Role::Planner))
     );
     assert!(view.settled);
--- a/crates/persistence/src/batch.rs
+++ b/crates/persistence/src/batch.rs
@@ -1,6 +1,6 @@
 //! Changes that become safe together.
 
-use crate::{PersistenceError, MAX_RECORD_BYTES};
+use crate::{MAX_RECORD_BYTES, PersistenceError};
 use std::collections::BTreeMap;
 
 /// Kind and key of a record. Kinds are few and chosen by the program; keys come from names.
--- a/crates/persistence/src/error.rs
+++ b/crates/persistence/src/error.rs
@@ -128,7 +128,9 @@
             why: format!("an old format of its library, {found}"),
         },
         // Its library tells the two apart by its words alone; unknown words count as the worse one.
-        redb::Error::Corrupted(why) if why.contains("truncated") => PersistenceError::Truncated { file, why },
+        redb::Error::Corrupted(why) if why.contains("truncated") => {
+            PersistenceError::Truncated { file, why }
+        }
         redb::Error::Corrupted(why) => PersistenceError::Corrupted { file, why },
         redb::Error::Io(why) => by_kind(file, &why),
         redb::Error::RepairAborted => PersistenceError::Corrupted {
--- a/crates/persistence/src/export.rs
+++ b/crates/persistence/src/export.rs
@@ -1,7 +1,7 @@
 //! What can be read from a damaged folder. A library call for an operator's own program, no command.
 
 use crate::memory::{RECORDS, records};
-use crate::{PersistenceError, STORE_FILE, RecordKey, error::told};
+use crate::{PersistenceError, RecordKey, STORE_FILE, error::told};
 use redb::{Builder, ReadableDatabase, ReadableTable};
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -19,9 +19,9 @@
 pub use batch::{Batch, RecordKey};
 pub use error::PersistenceError;
 pub use export::{Export, export};
-pub use memory::{STORE_FILE, RecordStore};
+pub use memory::{RecordStore, STORE_FILE};
 pub use outbox::Outbox;
-pub use process::{PreviousShutdown, Disk};
+pub use process::{Disk, PreviousShutdown};
 pub use recalled::{Identity, LoadedRecords};
 pub use writer::{Progress, Writer};
 
--- a/crates/persistence/src/memory.rs
+++ b/crates/persistence/src/memory.rs
@@ -1,7 +1,7 @@
 //! The file of one process.
 
 use crate::error::told;
-use crate::{Batch, PersistenceError, Identity, LoadedRecords, RecordKey};
+use crate::{Batch, Identity, LoadedRecords, PersistenceError, RecordKey};
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -58,7 +58,10 @@
     ///
     /// # Errors
     /// As [`RecordStore::open`].
-    pub fn with_backend(disk: impl StorageBackend, who: &Identity) -> Result<(Self, LoadedRecords), PersistenceError> {
+    pub fn with_backend(
+        disk: impl StorageBackend,
+        who: &Identity,
+    ) -> Result<(Self, LoadedRecords), PersistenceError> {
         let file = PathBuf::from("(simulated)");
         let disk = builder()
             .create_with_backend(disk)
@@ -66,7 +69,11 @@
         Self::begin(file, disk, who)
     }
 
-    fn begin(file: PathBuf, mut disk: Database, who: &Identity) -> Result<(Self, LoadedRecords), PersistenceError> {
+    fn begin(
+        file: PathBuf,
+        mut disk: Database,
+        who: &Identity,
+    ) -> Result<(Self, LoadedRecords), PersistenceError> {
         // What a power loss left half done was rolled back while it was opened; now every page must be what it was.
         if !disk.check_integrity().map_err(|e| told(&file, e.into()))? {
             return Err(PersistenceError::Corrupted {
@@ -123,7 +130,9 @@
             return Ok((0, begun));
         };
         let file = || self.file.clone();
-        let found: u64 = found.parse().map_err(|_| PersistenceError::NotAStore { file: file() })?;
+        let found: u64 = found
+            .parse()
+            .map_err(|_| PersistenceError::NotAStore { file: file() })?;
         if found > FORMAT {
             return Err(PersistenceError::NewerFormat {
                 file: file(),
--- a/crates/persistence/src/process.rs
+++ b/crates/persistence/src/process.rs
@@ -1,6 +1,6 @@
 //! A memory for as long as its process runs: how the one before it ended, and this one's end in order.
 
-use crate::{Batch, PersistenceError, Identity, RecordStore, LoadedRecords, Writer};
+use crate::{Batch, Identity, LoadedRecords, PersistenceError, RecordStore, Writer};
 use async_channel::{Receiver, Sender};
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -45,7 +45,10 @@
     ///
     /// # Errors
     /// Why it can't be used, and what an operator can do.
-    pub fn open(all: &Path, who: &Identity) -> Result<(RecordStore, LoadedRecords), PersistenceError> {
+    pub fn open(
+        all: &Path,
+        who: &Identity,
+    ) -> Result<(RecordStore, LoadedRecords), PersistenceError> {
         let folder = all.join(&who.name);
         let (memory, recalled) = RecordStore::open(&folder, who)?;
         let (turn, before) = (recalled.generation, recalled.previous_shutdown());
--- a/crates/persistence/src/recalled.rs
+++ b/crates/persistence/src/recalled.rs
@@ -33,7 +33,10 @@
     }
 
     /// The records of a kind: key and value.
-    pub fn records_of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
+    pub fn records_of_kind<'a>(
+        &'a self,
+        kind: &'a str,
+    ) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = (kind.to_owned(), String::new());
         let all = self
             .records
--- a/crates/persistence/src/writer.rs
+++ b/crates/persistence/src/writer.rs
@@ -54,7 +54,10 @@
     ///
     /// # Errors
     /// Where the system gives no thread.
-    pub fn start(memory: RecordStore, told: impl Fn(&Progress) + Send + 'static) -> Result<Self, PersistenceError> {
+    pub fn start(
+        memory: RecordStore,
+        told: impl Fn(&Progress) + Send + 'static,
+    ) -> Result<Self, PersistenceError> {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
             bell: Condvar::new(),
--- a/crates/persistence/tests/cuts.rs
+++ b/crates/persistence/tests/cuts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io::Error as BackendIoError;
 use std::sync::{Arc, Mutex};
-use tidespur_persistence::{Batch, Identity, RecordStore, RecordKey};
+use tidespur_persistence::{Batch, Identity, RecordKey, RecordStore};
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -194,7 +194,8 @@
     for again in 0..=returning.len() {
         let mut all = vec![Op::Write(0, bytes.clone()), Op::Sync];
         all.extend_from_slice(&returning[..again]);
-        let (_, back) = RecordStore::with_backend(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
+        let (_, back) =
+            RecordStore::with_backend(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
         assert_eq!(
             &back.records, known,
             "after {again} operations of the first return"
--- a/crates/persistence/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -4,7 +4,9 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 use std::time::Duration;
-use tidespur_persistence::{Batch, PersistenceError, STORE_FILE, Identity, RecordStore, Outbox, Writer, export};
+use tidespur_persistence::{
+    Batch, Identity, Outbox, PersistenceError, RecordStore, STORE_FILE, Writer, export,
+};
 
 fn who(name: &str, cluster: &str) -> Identity {
     Identity {
@@ -37,7 +39,10 @@
     filled(folder.path(), 10);
     for turn in 2..5 {
         let (_, back) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
-        assert_eq!((back.generation, back.records_of_kind("object").count()), (turn, 10));
+        assert_eq!(
+            (back.generation, back.records_of_kind("object").count()),
+            (turn, 10)
+        );
     }
 }
 
@@ -46,7 +51,10 @@
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path(), 1);
     let open = |who: &Identity| RecordStore::open(folder.path(), who).map(|_| ());
-    assert!(matches!(open(&who("b", "c")), Err(PersistenceError::WrongOwner { .. })));
+    assert!(matches!(
+        open(&who("b", "c")),
+        Err(PersistenceError::WrongOwner { .. })
+    ));
     assert!(matches!(
         open(&who("a", "d")),
         Err(PersistenceError::WrongCluster { .. })
@@ -55,9 +63,15 @@
         role: "planner".into(),
         ..who("a", "c")
     };
-    assert!(matches!(open(&planner), Err(PersistenceError::WrongOwner { .. })));
+    assert!(matches!(
+        open(&planner),
+        Err(PersistenceError::WrongOwner { .. })
+    ));
     let held = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
-    assert!(matches!(opened(folder.path()), PersistenceError::InUse { .. }));
+    assert!(matches!(
+        opened(folder.path()),
+        PersistenceError::InUse { .. }
+    ));
     drop(held);
     // A newer program's file.
     let file = redb::Database::create(folder.path().join(STORE_FILE)).unwrap();
@@ -79,7 +93,10 @@
         }
     ));
     fs::write(folder.path().join(STORE_FILE), b"something else altogether").unwrap();
-    assert!(matches!(opened(folder.path()), PersistenceError::NotAStore { .. }));
+    assert!(matches!(
+        opened(folder.path()),
+        PersistenceError::NotAStore { .. }
+    ));
     // A file where the folder should be.
     fs::write(folder.path().join("plain"), b"").unwrap();
     assert!(matches!(
@@ -195,7 +212,11 @@
         );
     }
     let mut batch = Batch::default();
-    let large = batch.put("object", "x", vec![0; tidespur_persistence::MAX_RECORD_BYTES]);
+    let large = batch.put(
+        "object",
+        "x",
+        vec![0; tidespur_persistence::MAX_RECORD_BYTES],
+    );
     assert!(matches!(large, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
 }
 
@@ -228,7 +249,8 @@
     let folder = tempfile::tempdir().unwrap();
     let (memory, _) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
     let (send, heard) = std::sync::mpsc::channel();
-    let writer = Writer::start(memory, move |progress| send.send(progress.synced).unwrap()).unwrap();
+    let writer =
+        Writer::start(memory, move |progress| send.send(progress.synced).unwrap()).unwrap();
     let mut outbox = Outbox::default();
     let mut said = vec![];
     for i in 0..50_u32 {
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -125,7 +125,7 @@
     /// What must be safe before what the last step said of offers and sharers may be carried out.
     pub fn remember(&mut self) -> Batch {
         let mut batch = self.attempts.take();
-        batch.extend(self.fence.take());
+        batch.extend(self.fence.take_batch());
         batch
     }
 
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -23,7 +23,7 @@
                 lease,
                 token,
                 planners,
-            } => match self.fence.pass(&lease, token) {
+            } => match self.fence.admit(&lease, token) {
                 Ok(()) => {
                     out.push(Output::Log(format!(
                         "shares cold nodes with all of {planners} planners, by token {token} of {lease}"
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use tidespur_membership::{Facts, Role, Standing};
+use tidespur_membership::{MemberMetadata, MemberStatus, Role};
 use tidespur_membership_net::{Ending, Member};
 use tidespur_net::{clock, frames};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
@@ -27,8 +27,11 @@
                 return ending;
             }
             let view = member.view();
-            let listed = view.live().filter_map(|seen| seen.facts.as_ref());
-            let listed: Vec<&Facts> = listed.filter(|facts| facts.role == Role::Edge).collect();
+            let listed = view
+                .live_members()
+                .filter_map(|seen| seen.metadata.as_ref());
+            let listed: Vec<&MemberMetadata> =
+                listed.filter(|facts| facts.role == Role::Edge).collect();
             for edge in listed
                 .iter()
                 .filter(|edge| !edge.link.is_empty() && !edge.leaving)
@@ -40,8 +43,8 @@
             let known: Vec<&str> = view
                 .members
                 .iter()
-                .filter(|seen| seen.standing != Standing::Left)
-                .filter_map(|seen| Some(seen.facts.as_ref()?.link.as_str()))
+                .filter(|seen| seen.status != MemberStatus::Left)
+                .filter_map(|seen| Some(seen.metadata.as_ref()?.link.as_str()))
                 .collect();
             links.keep(&self, &known);
         }
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Mutex};
 use tidespur_config::Config;
 use tidespur_coordination::Fence;
-use tidespur_membership::{Facts, Role};
+use tidespur_membership::{MemberMetadata, Role};
 use tidespur_membership_net::{Ending, Member, told_to_end};
 use tidespur_net::{Client, Recorder, clock};
-use tidespur_persistence::{Disk, Identity, Outbox, LoadedRecords};
+use tidespur_persistence::{Disk, Identity, LoadedRecords, Outbox};
 use tidespur_planner_protocol::ToEdge;
 
 /// Inputs that may wait for the core.
@@ -64,7 +64,7 @@
     let core = core.map_err(|e| e.to_string())?;
     let (disk, back) = remember(&config, &options, &name)?.unzip();
     let mut core = match &back {
-        Some(back) => core.recalling(Attempts::recall(back)?, Fence::recall(back)),
+        Some(back) => core.recalling(Attempts::recall(back)?, Fence::load(back)),
         None => core,
     };
     let (send, receive) = async_channel::bounded(INPUTS_MOST);
@@ -78,9 +78,9 @@
         watches: Mutex::default(),
         recorder,
     });
-    let facts = Facts {
+    let facts = MemberMetadata {
         zone: this.options.zone.clone(),
-        ..Facts::of(Role::Planner)
+        ..MemberMetadata::for_role(Role::Planner)
     };
     let options = &this.options;
     let incarnation = back.as_ref().map(LoadedRecords::incarnation);
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -26,7 +26,7 @@
 /// A planner that comes back with this memory.
 fn planner(memory: &LoadedRecords) -> Core {
     let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
-    core.recalling(Attempts::recall(memory).unwrap(), Fence::recall(memory))
+    core.recalling(Attempts::recall(memory).unwrap(), Fence::load(memory))
 }
 
 fn hears(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -4,4 +4,4 @@
 
 mod sharers;
 
-pub use sharers::{MAX_NAME_BYTES, Output, Observed, PlannerCount};
+pub use sharers::{MAX_NAME_BYTES, Observed, Output, PlannerCount};
--- a/crates/recovery/src/sharers.rs
+++ b/crates/recovery/src/sharers.rs
@@ -60,9 +60,14 @@
     /// Tells what is to be done at `now`.
     pub fn step(&mut self, now: Seconds, seen: &Observed<'_>, out: &mut Vec<Output>) {
         self.asked.retain(|_, at| now < *at + AGAIN);
-        self.told.retain(|link, _| seen.connected.contains_key(link));
+        self.told
+            .retain(|link, _| seen.connected.contains_key(link));
         let Some(token) = seen.token else { return };
-        let here: BTreeSet<&String> = seen.connected.values().filter(|name| is_sound(name)).collect();
+        let here: BTreeSet<&String> = seen
+            .connected
+            .values()
+            .filter(|name| is_sound(name))
+            .collect();
         let new = here.iter().filter(|name| !seen.counted.contains(**name));
         let new: Vec<&String> = new
             .take(COUNTED_MOST.saturating_sub(seen.counted.len()))
--- a/crates/recovery/tests/sharers.rs
+++ b/crates/recovery/tests/sharers.rs
@@ -1,7 +1,7 @@
 //! The count of planners that share: up at once, down only by a planner's own word.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_recovery::{MAX_NAME_BYTES, Output, Observed, PlannerCount};
+use tidespur_recovery::{MAX_NAME_BYTES, Observed, Output, PlannerCount};
 
 #[derive(Default)]
 struct Played {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -10,7 +10,7 @@
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::*;
 use tidespur_site_settings::SettingsObject;
-use tidespur_site_settings::words::{stable_hash, attempt_progress, load_report, failure_cause};
+use tidespur_site_settings::words::{attempt_progress, failure_cause, load_report, stable_hash};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
--- a/crates/testbed/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tidespur_membership::{Facts, Fleet, Id, Input, Output, Role, Settings, View};
+use tidespur_membership::{
+    Input, MemberId, MemberMetadata, Membership, MembershipView, Output, Role, Settings,
+};
 
 /// One thing that goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -96,7 +98,7 @@
 }
 
 struct Member {
-    fleet: Option<Fleet>,
+    fleet: Option<Membership>,
     starts: u64,
     /// Until when it stands still.
     still: f64,
@@ -134,7 +136,7 @@
     /// A network at time 0; all members that are there from the start join at once.
     pub fn new(script: Script) -> Self {
         let settings = Settings {
-            join: vec![address(0), address(1)],
+            seed_addresses: vec![address(0), address(1)],
             ..Settings::default()
         };
         Self::with(script, settings)
@@ -176,23 +178,23 @@
     fn start(&mut self, who: usize) {
         let member = &mut self.members[who];
         member.starts += 1;
-        let own = Id {
+        let own = MemberId {
             name: name(who),
             address: address(who),
-            born: member.starts,
-            turn: 0,
+            incarnation: member.starts,
+            rejoin_count: 0,
         };
         let role = if who.is_multiple_of(3) {
             Role::Edge
         } else {
             Role::Planner
         };
-        let facts = Facts {
+        let facts = MemberMetadata {
             zone: format!("zone-{}", who % 3),
-            ..Facts::of(role)
+            ..MemberMetadata::for_role(role)
         };
         let seed = self.script.seed ^ ((who as u64) << 32) ^ member.starts;
-        member.fleet = Fleet::new(self.settings.clone(), own, facts, seed, self.now).ok();
+        member.fleet = Membership::new(self.settings.clone(), own, facts, seed, self.now).ok();
         member.wanted = true;
         member.socket.clear();
     }
@@ -259,8 +261,8 @@
         fleet.step(self.now, inputs, &mut out);
         for output in out {
             match output {
-                Output::Send(to, bytes) => self.send(who, to, bytes),
-                Output::Lost(lost) => {
+                Output::SendDatagram(to, bytes) => self.send(who, to, bytes),
+                Output::MemberFailed(lost) => {
                     let runs = |(who, member): (usize, &Member)| {
                         member.fleet.is_some() && name(who) == lost
                     };
@@ -359,20 +361,23 @@
                 if let Some((_, (to, bytes))) = self.flying.pop_first() {
                     let member = &mut self.members[to];
                     if member.fleet.is_some() && now >= member.still {
-                        self.step(to, vec![Input::Datagram(bytes)]);
+                        self.step(to, vec![Input::DatagramReceived(bytes)]);
                     } else if member.fleet.is_some() && member.socket.len() < SOCKET_MOST {
                         member.socket.push_back(bytes);
                     }
                 }
             } else if who < self.members.len() {
                 let waiting = std::mem::take(&mut self.members[who].socket);
-                self.step(who, waiting.into_iter().map(Input::Datagram).collect());
+                self.step(
+                    who,
+                    waiting.into_iter().map(Input::DatagramReceived).collect(),
+                );
             }
         }
     }
 
     /// Views of all that run.
-    pub fn views(&self) -> Vec<(usize, View)> {
+    pub fn views(&self) -> Vec<(usize, MembershipView)> {
         let view = |(who, member): (usize, &Member)| Some((who, member.fleet.as_ref()?.view()));
         self.members.iter().enumerate().filter_map(view).collect()
     }
@@ -388,7 +393,7 @@
             .map(|(who, _)| name(who))
             .collect();
         for (who, view) in self.views() {
-            let live: Vec<&String> = view.live().map(|seen| &seen.id.name).collect();
+            let live: Vec<&String> = view.live_members().map(|seen| &seen.id.name).collect();
             if !live.iter().copied().eq(run.iter()) {
                 let missing: Vec<&String> =
                     run.iter().filter(|name| !live.contains(name)).collect();
@@ -398,7 +403,7 @@
                     name(who)
                 ));
             }
-            if let Some(seen) = view.live().find(|seen| seen.facts.is_none()) {
+            if let Some(seen) = view.live_members().find(|seen| seen.metadata.is_none()) {
                 return Some(format!("{} knows no facts of {}", name(who), seen.id.name));
             }
             if !view.settled {
--- a/crates/testbed/tests/simnet.rs
+++ b/crates/testbed/tests/simnet.rs
@@ -119,7 +119,7 @@
     let halves: Vec<usize> = net
         .views()
         .iter()
-        .map(|(_, view)| view.live().count())
+        .map(|(_, view)| view.live_members().count())
         .collect();
     assert!(halves.iter().all(|live| *live == 6), "{halves:?}");
     net.play(35.0 + 1e-3);
@@ -159,10 +159,10 @@
     net.play(64.0);
     for (who, view) in net.views().iter().filter(|(who, _)| *who != 3) {
         assert!(
-            !view.live().any(|seen| seen.id.name == "m003"),
+            !view.live_members().any(|seen| seen.id.name == "m003"),
             "m{who:03} sees it"
         );
-        assert_eq!(view.live().count(), 11);
+        assert_eq!(view.live_members().count(), 11);
     }
     let times = net
         .seen
@@ -189,10 +189,12 @@
     let mut net = Net::new(script(20, (0..6).map(kill).collect()));
     net.play(net.over_at() + 1e-3);
     assert!(net.settles(10.0).is_some(), "{:?}", net.unsettled());
-    let back = net
-        .views()
-        .iter()
-        .all(|(_, view)| view.live().filter(|seen| seen.id.born == 2).count() == 6);
+    let back = net.views().iter().all(|(_, view)| {
+        view.live_members()
+            .filter(|seen| seen.id.incarnation == 2)
+            .count()
+            == 6
+    });
     assert!(back);
 }
 
@@ -232,7 +234,7 @@
         net.play(net.now + 0.1);
         let mut gone = std::collections::BTreeSet::new();
         for (who, view) in net.views() {
-            for seen in view.members.iter().filter(|seen| !seen.standing.is_live()) {
+            for seen in view.members.iter().filter(|seen| !seen.status.is_alive()) {
                 gone.insert((who, seen.id.name.clone()));
             }
         }
