--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -162,12 +162,12 @@
                 Input::Kick => {}
                 Input::PlannerUp(id) => desk_events.push(desk::Event::PlannerUp(id)),
                 Input::PlannerLost(id) => desk_events.push(desk::Event::PlannerLost(id)),
-                Input::Said(id, ToEdge::Waits(words)) => {
+                Input::Said(id, ToEdge::PendingReasons(words)) => {
                     self.waits.told(now, id, words, &self.desk)
                 }
                 Input::Said(
                     _,
-                    ToEdge::Stale {
+                    ToEdge::StaleToken {
                         lease,
                         token,
                         newest,
--- a/crates/edge/src/core/says.rs
+++ b/crates/edge/src/core/says.rs
@@ -21,7 +21,7 @@
     ) {
         match action {
             desk::Action::Tell(planner, message) => {
-                if let ToPlanner::Go { uid, within } = &message {
+                if let ToPlanner::Commit { uid, timeout: within } = &message {
                     // From here on it may be offered: that must be known after a return.
                     self.notes.open(uid, now + within, true);
                     self.waits.taken(now, uid);
--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -62,7 +62,7 @@
                     } if voter.valid_token(FLEET_LEASE) == Some(token) => {
                         self.tell(
                             link,
-                            ToPlanner::Sharers {
+                            ToPlanner::PlannerCount {
                                 lease: FLEET_LEASE.into(),
                                 token,
                                 planners,
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_api::task::Ask;
 use tidespur_pending::Code;
-use tidespur_planner_protocol::{Found, ToPlanner};
+use tidespur_planner_protocol::{Location, ToPlanner};
 
 mod deal;
 mod due;
@@ -55,7 +55,7 @@
     tenant: String,
     name: String,
     waiting: Vec<PlannerId>,
-    best: Found,
+    best: Location,
     until: f64,
 }
 
@@ -185,9 +185,9 @@
                     Stage::Asked(planner, _)
                     | Stage::With(planner)
                     | Stage::Placed(Some(planner), _) => {
-                        out.push(Action::Tell(planner, ToPlanner::Stop { uid }));
+                        out.push(Action::Tell(planner, ToPlanner::Cancel { uid }));
                     }
-                    Stage::Placed(None, _) => self.tell_all(&ToPlanner::Stop { uid }, out),
+                    Stage::Placed(None, _) => self.tell_all(&ToPlanner::Cancel { uid }, out),
                 }
             }
             Event::Reap(uid) => self.reap(now, uid, out),
@@ -217,7 +217,7 @@
                         tenant,
                         name,
                         waiting,
-                        best: Found::Nowhere,
+                        best: Location::NotFound,
                         until,
                     },
                 );
@@ -227,7 +227,7 @@
                 let unwanted = self
                     .unwanted
                     .keys()
-                    .map(|uid| ToPlanner::Stop { uid: uid.clone() });
+                    .map(|uid| ToPlanner::Cancel { uid: uid.clone() });
                 out.extend(unwanted.map(|stop| Action::Tell(planner, stop)));
                 let unheard = |task: &Task| matches!(task.stage, Stage::Placed(None, _));
                 let orphans: Vec<String> = self
@@ -258,7 +258,7 @@
 
     /// Whatever runs of a request is stopped, by planners that come soon as well: after a return none is here yet.
     fn reap(&mut self, now: f64, uid: String, out: &mut Vec<Action>) {
-        self.tell_all(&ToPlanner::Stop { uid: uid.clone() }, out);
+        self.tell_all(&ToPlanner::Cancel { uid: uid.clone() }, out);
         self.unwanted.insert(uid, now + UNWANTED_FOR);
     }
 }
--- a/crates/edge/src/desk/deal.rs
+++ b/crates/edge/src/desk/deal.rs
@@ -85,8 +85,8 @@
         *by = Some(planner);
         out.push(Action::Tell(
             planner,
-            ToPlanner::InPlace {
-                ask: task.ask.clone(),
+            ToPlanner::Adopt {
+                request: task.ask.clone(),
                 node: node.clone(),
             },
         ));
--- a/crates/edge/src/desk/planners.rs
+++ b/crates/edge/src/desk/planners.rs
@@ -1,7 +1,7 @@
 //! Planners that are lost, and what planners say.
 
 use super::{Action, Desk, PlannerId, Stage, Task};
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
 
 impl Desk {
     /// What a lost planner had been told to place may have been offered: it fails, which promises nothing, or is
@@ -46,7 +46,7 @@
             if let Some(place) = question.waiting.iter().position(|p| *p == planner) {
                 // It took with it what it might have known.
                 question.waiting.swap_remove(place);
-                question.best = worse(question.best.clone(), Found::Unclear);
+                question.best = worse(question.best.clone(), Location::Unknown);
             }
         }
     }
@@ -83,22 +83,22 @@
         {
             Some(Stage::With(p)) => (*p == planner, false),
             // It may turn away at once what it can't read as a task.
-            Some(Stage::Asked(p, _)) if matches!(message, ToEdge::Refused { .. }) => {
+            Some(Stage::Asked(p, _)) if matches!(message, ToEdge::Rejected { .. }) => {
                 (*p == planner, false)
             }
             Some(Stage::Placed(by, _)) => (false, *by == Some(planner)),
             _ => (false, false),
         };
         match message {
-            ToEdge::Taken { uid } => match self.tasks.get_mut(&uid) {
+            ToEdge::Acknowledged { uid } => match self.tasks.get_mut(&uid) {
                 Some(task) if matches!(task.stage, Stage::Asked(p, _) if p == planner) => {
                     task.stage = Stage::With(planner);
                     let within = (task.deadline - now).max(0.0);
-                    out.push(Action::Tell(planner, ToPlanner::Go { uid, within }));
+                    out.push(Action::Tell(planner, ToPlanner::Commit { uid, timeout: within }));
                 }
                 // A word on a task that it has already, or that was taken back.
                 Some(task) if task.stage == Stage::With(planner) => {}
-                _ => out.push(Action::Tell(planner, ToPlanner::Stop { uid })),
+                _ => out.push(Action::Tell(planner, ToPlanner::Cancel { uid })),
             },
             ToEdge::Placed { uid, node } if with => {
                 self.answered(&uid, planner);
@@ -109,22 +109,22 @@
             }
             // An answer that comes too late has been given already; what it placed nobody waits for.
             ToEdge::Placed { uid, .. } if !placed => {
-                out.push(Action::Tell(planner, ToPlanner::Stop { uid }))
+                out.push(Action::Tell(planner, ToPlanner::Cancel { uid }))
             }
-            ToEdge::Refused { uid, why, .. } if with => {
+            ToEdge::Rejected { uid, reason: why, .. } if with => {
                 self.close(&uid);
                 out.push(Action::Refused(uid, why));
             }
-            ToEdge::Failed { uid, why } if with => {
+            ToEdge::Failed { uid, reason: why } if with => {
                 self.close(&uid);
                 out.push(Action::Failed(uid, why));
             }
-            ToEdge::Runs { uid } if placed => out.push(Action::Runs(uid)),
-            ToEdge::Ended { uid, end } if placed => {
+            ToEdge::Started { uid } if placed => out.push(Action::Runs(uid)),
+            ToEdge::Ended { uid, reason: end } if placed => {
                 self.close(&uid);
                 out.push(Action::Ended(uid, end));
             }
-            ToEdge::Located { uid, found } => {
+            ToEdge::Located { uid, location: found } => {
                 let Some(question) = self.questions.get_mut(&uid) else {
                     return;
                 };
@@ -159,26 +159,26 @@
 
 /// Of two words on where a task is, the one that binds: that it runs before that it ended, that before doubt, and
 /// doubt before that it is nowhere.
-fn worse(a: Found, b: Found) -> Found {
-    let rank = |found: &Found| match found {
-        Found::At(_) => 4,
-        Found::Ended(End::Succeeded) => 3,
-        Found::Unclear => 2,
-        Found::Ended(_) => 1,
-        Found::Nowhere => 0,
+fn worse(a: Location, b: Location) -> Location {
+    let rank = |found: &Location| match found {
+        Location::At(_) => 4,
+        Location::Ended(TerminationReason::Succeeded) => 3,
+        Location::Unknown => 2,
+        Location::Ended(_) => 1,
+        Location::NotFound => 0,
     };
     if rank(&b) > rank(&a) { b } else { a }
 }
 
 fn message_uid(message: &ToEdge) -> &str {
     match message {
-        ToEdge::Taken { uid }
+        ToEdge::Acknowledged { uid }
         | ToEdge::Placed { uid, .. }
-        | ToEdge::Refused { uid, .. }
+        | ToEdge::Rejected { uid, .. }
         | ToEdge::Failed { uid, .. }
-        | ToEdge::Runs { uid }
+        | ToEdge::Started { uid }
         | ToEdge::Ended { uid, .. }
         | ToEdge::Located { uid, .. } => uid,
-        ToEdge::Hello { .. } | ToEdge::Ping | ToEdge::Waits(_) | ToEdge::Stale { .. } => "",
+        ToEdge::Hello { .. } | ToEdge::Heartbeat | ToEdge::PendingReasons(_) | ToEdge::StaleToken { .. } => "",
     }
 }
--- a/crates/edge/src/desk/words.rs
+++ b/crates/edge/src/desk/words.rs
@@ -2,7 +2,7 @@
 
 use super::PlannerId;
 use tidespur_api::task::Ask;
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
 
 /// Bounds and times.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
     /// A placed task runs.
     Runs(String),
     /// A placed task ended.
-    Ended(String, End),
+    Ended(String, TerminationReason),
     /// Answer to `Locate`.
-    Located(String, Found),
+    Located(String, Location),
 }
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -14,7 +14,7 @@
 use tidespur_api::{ApiError, Object, Resource, meta, names};
 use tidespur_coordination_net::VoterHandle;
 use tidespur_load_shedding::LoadShedder;
-use tidespur_membership_net::Member;
+use tidespur_membership_net::MemberHandle;
 use tidespur_net::{Client, NetError, Recorder, clock};
 use tidespur_pending::Ledger;
 use tidespur_rest::{DeleteOptions, Hooks, Seen, Verb};
@@ -36,7 +36,7 @@
     pub(crate) recorder: Recorder,
     pub(crate) ledger: Arc<Mutex<Ledger>>,
     pub(crate) behind: AtomicU64,
-    pub(crate) member: Option<Arc<Member>>,
+    pub(crate) member: Option<Arc<MemberHandle>>,
     pub(crate) shedder: Mutex<LoadShedder>,
     pub(crate) disk: Shared,
     pub(crate) voter: Option<Arc<VoterHandle>>,
@@ -244,8 +244,8 @@
         }
         if let (["debug", "fleet"], "GET") = (parts.as_slice(), method) {
             let off = || ApiError::not_found("fleet", "none: this edge has joined no fleet");
-            let report = |member: &Arc<Member>| {
-                tidespur_membership_net::report(&member.view(), clock::now())
+            let report = |member: &Arc<MemberHandle>| {
+                tidespur_membership_net::view_to_json(&member.view(), clock::now())
             };
             return Some(self.member.as_ref().map(report).ok_or_else(off));
         }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -69,10 +69,10 @@
             .await
             .map_err(|e| e.to_string())?;
         let read = |message| {
-            if message == ToEdge::Ping {
+            if message == ToEdge::Heartbeat {
                 return None;
             }
-            if matches!(message, ToEdge::Waits(_)) {
+            if matches!(message, ToEdge::PendingReasons(_)) {
                 return Some(Input::Said(id, message));
             }
             self.recorder.note(
@@ -84,7 +84,7 @@
         let link = frames::Link {
             queue,
             send,
-            ping: ToPlanner::Ping,
+            ping: ToPlanner::Heartbeat,
         };
         frames::keep(socket, reader, link, patience, read, &self.inputs).await
     }
--- a/crates/edge/src/options.rs
+++ b/crates/edge/src/options.rs
@@ -34,5 +34,5 @@
     pub routes: Option<PathBuf>,
     /// How it joins a fleet
     #[command(flatten)]
-    pub fleet: tidespur_membership_net::Joining,
+    pub fleet: tidespur_membership_net::JoinOptions,
 }
--- a/crates/edge/src/pods.rs
+++ b/crates/edge/src/pods.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
 use tidespur_job_controller::{Adopt, JobStatus, Phase, SlotId};
-use tidespur_planner_protocol::End;
+use tidespur_planner_protocol::TerminationReason;
 
 /// A Pod of a Job's slot.
 pub(crate) fn make(
@@ -95,19 +95,19 @@
 }
 
 /// It came to its end.
-pub(crate) fn ended(pod: &mut Object, end: End, now: f64) {
+pub(crate) fn ended(pod: &mut Object, end: TerminationReason, now: f64) {
     let (phase, reason, message) = match end {
-        End::Succeeded => ("Succeeded", "", ""),
-        End::Failed => ("Failed", "Error", "the program failed"),
-        End::Evicted => ("Failed", "Evicted", "the node was low on memory"),
-        End::PushedOut => (
+        TerminationReason::Succeeded => ("Succeeded", "", ""),
+        TerminationReason::Failed => ("Failed", "Error", "the program failed"),
+        TerminationReason::Evicted => ("Failed", "Evicted", "the node was low on memory"),
+        TerminationReason::Preempted => (
             "Failed",
             "Preempting",
             "a Pod of higher priority took its place",
         ),
-        End::SentAway => ("Failed", "Terminated", "the node drains"),
-        End::Lost => ("Failed", "NodeLost", "the node is gone"),
-        End::Stopped => ("Failed", "Moved", "it was stopped to be placed anew"),
+        TerminationReason::Drained => ("Failed", "Terminated", "the node drains"),
+        TerminationReason::NodeLost => ("Failed", "NodeLost", "the node is gone"),
+        TerminationReason::Stopped => ("Failed", "Moved", "it was stopped to be placed anew"),
     };
     let status = meta::map_mut(pod, "status");
     status.insert("phase".into(), phase.into());
@@ -115,13 +115,13 @@
         status.insert("reason".into(), reason.into());
         status.insert("message".into(), message.into());
     }
-    if end != End::Succeeded && end != End::Failed {
+    if end != TerminationReason::Succeeded && end != TerminationReason::Failed {
         meta::set_condition(
             pod,
             condition("DisruptionTarget", true, now, reason, message),
         );
     }
-    let why = if end == End::Succeeded {
+    let why = if end == TerminationReason::Succeeded {
         "PodCompleted"
     } else {
         reason
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -16,7 +16,7 @@
 use tidespur_coordination_net::VoterHandle;
 use tidespur_load_shedding::LoadShedder;
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{Ending, Member, told_to_end};
+use tidespur_membership_net::{ShutdownReason, MemberHandle, shutdown_signal};
 use tidespur_net::routes::Routes;
 use tidespur_net::{Client, Recorder, clock, server};
 use tidespur_planner_protocol::ToPlanner;
@@ -121,7 +121,7 @@
         link: link_address.clone(),
         ..MemberMetadata::for_role(Role::Edge)
     };
-    let member = Member::join(
+    let member = MemberHandle::join(
         &config,
         &options.fleet,
         &options.name,
@@ -188,17 +188,17 @@
         match member {
             Some(member) => this.clone().keep_fleet(member, facts).await,
             // What is remembered is closed in order; without a memory nothing is.
-            None if this.disk.is_some() => told_to_end().await.unwrap_or(Ending::Told),
+            None if this.disk.is_some() => shutdown_signal().await.unwrap_or(ShutdownReason::Signalled),
             None => std::future::pending().await,
         }
     };
     let turned = async {
         this.turn(core, receive).await;
-        Ending::Told
+        ShutdownReason::Signalled
     };
     let ending = smol::future::or(ended, turned).await;
     if let Some(disk) = &this.disk {
         disk.disk.finish();
     }
-    ending.result()
+    ending.into_result()
 }
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tidespur_membership::MemberMetadata;
-use tidespur_membership_net::{Ending, Member};
+use tidespur_membership_net::{ShutdownReason, MemberHandle};
 use tidespur_net::clock;
 use tidespur_persistence::Outbox;
 use tidespur_planner_protocol::ToPlanner;
@@ -133,16 +133,16 @@
     /// Tells the fleet how this edge stands; ends with the member.
     pub(crate) async fn keep_fleet(
         self: Arc<Self>,
-        member: Arc<Member>,
+        member: Arc<MemberHandle>,
         mut facts: MemberMetadata,
-    ) -> Ending {
+    ) -> ShutdownReason {
         loop {
-            if let Some(ending) = member.news_within(TELL).await {
+            if let Some(ending) = member.wait_for_shutdown(TELL).await {
                 return ending;
             }
             let open = self.api.hooks.open.load(Ordering::Relaxed);
             facts.open_tasks = Some(u32::try_from(open).unwrap_or(u32::MAX));
-            member.tell(facts.clone());
+            member.update_metadata(facts.clone());
         }
     }
 
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -92,7 +92,7 @@
     let second = world.make("again");
     let out = world.step(0.2, vec![Input::Kick]);
     for pod in [&gone, &again] {
-        let stop = ToPlanner::Stop {
+        let stop = ToPlanner::Cancel {
             uid: meta::uid(pod).to_owned(),
         };
         assert!(out.contains(&stop), "{out:?}");
@@ -172,18 +172,18 @@
     // The planner speaks, is asked again and takes it.
     let taken = Input::Said(
         1,
-        ToEdge::Taken {
+        ToEdge::Acknowledged {
             uid: meta::uid(&pod).to_owned(),
         },
     );
     let out = world.step(now, vec![taken.clone()]);
-    let out = if out.iter().any(|m| matches!(m, ToPlanner::Go { .. })) {
+    let out = if out.iter().any(|m| matches!(m, ToPlanner::Commit { .. })) {
         out
     } else {
         world.step(now, vec![taken])
     };
     assert!(
-        out.iter().any(|m| matches!(m, ToPlanner::Go { .. })),
+        out.iter().any(|m| matches!(m, ToPlanner::Commit { .. })),
         "{out:?}"
     );
     assert_eq!(codes(), []);
--- a/crates/edge/tests/desk.rs
+++ b/crates/edge/tests/desk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use tidespur_api::task::Ask;
 use tidespur_edge::desk::*;
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
 
 fn desk() -> Desk {
     Desk::new(Settings {
@@ -35,7 +35,7 @@
 }
 
 fn taken(uid: &str) -> ToEdge {
-    ToEdge::Taken { uid: uid.into() }
+    ToEdge::Acknowledged { uid: uid.into() }
 }
 
 /// The planner takes these and is told to go.
@@ -47,7 +47,7 @@
     let out = step(desk, now, events);
     let gone = out
         .iter()
-        .filter(|a| matches!(a, Action::Tell(p, ToPlanner::Go { .. }) if *p == planner));
+        .filter(|a| matches!(a, Action::Tell(p, ToPlanner::Commit { .. }) if *p == planner));
     assert_eq!(gone.count(), uids.len(), "{out:?}");
 }
 
@@ -79,7 +79,7 @@
         "{out:?}"
     );
     assert!(out.iter().any(
-        |a| matches!(a, Action::Tell(2, ToPlanner::InPlace { ask, node }) if ask.uid == "a" && node == "n1")
+        |a| matches!(a, Action::Tell(2, ToPlanner::Adopt { request: ask, node }) if ask.uid == "a" && node == "n1")
     ));
     let out = step(
         &mut desk,
@@ -88,11 +88,11 @@
             2,
             ToEdge::Ended {
                 uid: "a".into(),
-                end: End::Succeeded,
+                reason: TerminationReason::Succeeded,
             },
         )],
     );
-    assert_eq!(out, [Action::Ended("a".into(), End::Succeeded)]);
+    assert_eq!(out, [Action::Ended("a".into(), TerminationReason::Succeeded)]);
 }
 
 #[test]
@@ -104,7 +104,7 @@
     assert_eq!(step(&mut desk, 0.2, vec![Event::PlannerLost(1)]), []);
     let out = step(&mut desk, 9.0, vec![Event::PlannerUp(2)]);
     assert!(
-        matches!(&out[..], [Action::Tell(2, ToPlanner::InPlace { .. })]),
+        matches!(&out[..], [Action::Tell(2, ToPlanner::Adopt { .. })]),
         "{out:?}"
     );
 }
@@ -119,12 +119,12 @@
     assert!(
         matches!(
             &out[..],
-            [Action::Tell(1, ToPlanner::Stop { .. }), Action::Failed(..)]
+            [Action::Tell(1, ToPlanner::Cancel { .. }), Action::Failed(..)]
         ),
         "{out:?}"
     );
     let out = step(&mut desk, 1.2, vec![Event::Said(1, placed("a"))]);
-    assert_eq!(out, [Action::Tell(1, ToPlanner::Stop { uid: "a".into() })]);
+    assert_eq!(out, [Action::Tell(1, ToPlanner::Cancel { uid: "a".into() })]);
 }
 
 #[test]
@@ -164,7 +164,7 @@
     let out = step(&mut desk, 0.7, vec![]);
     assert_eq!(
         out,
-        [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })],
+        [Action::Tell(1, ToPlanner::Cancel { uid: "late".into() })],
         "nobody else is there"
     );
     let out = step(&mut desk, 0.8, vec![Event::PlannerUp(2)]);
@@ -176,7 +176,7 @@
     let out = step(&mut desk, 0.9, vec![Event::Said(1, taken("late"))]);
     assert_eq!(
         out,
-        [Action::Tell(1, ToPlanner::Stop { uid: "late".into() })]
+        [Action::Tell(1, ToPlanner::Cancel { uid: "late".into() })]
     );
     let out = step(&mut desk, 1.0, vec![Event::PlannerLost(1)]);
     assert!(
@@ -189,7 +189,7 @@
             .any(|a| matches!(a, Action::Failed(uid, _) if uid == "unsafe")),
         "{out:?}"
     );
-    let reap = Action::Tell(2, ToPlanner::Stop { uid: "safe".into() });
+    let reap = Action::Tell(2, ToPlanner::Cancel { uid: "safe".into() });
     assert!(
         out.contains(&reap),
         "what may run of it holds no room: {out:?}"
@@ -218,7 +218,7 @@
 
 #[test]
 fn a_task_is_nowhere_only_if_every_planner_is_sure() {
-    let located = |desk: &mut Desk, words: Vec<(u64, Found)>| {
+    let located = |desk: &mut Desk, words: Vec<(u64, Location)>| {
         let locate = Event::Locate {
             uid: "x".into(),
             tenant: "t".into(),
@@ -234,26 +234,26 @@
                 p,
                 ToEdge::Located {
                     uid: "x".into(),
-                    found,
+                    location: found,
                 },
             )
         };
         step(desk, 0.1, words.into_iter().map(said).collect())
     };
-    let at = Found::At("n1".into());
-    let both = located(&mut desk(), vec![(1, Found::Nowhere), (2, Found::Nowhere)]);
-    assert_eq!(both, [Action::Located("x".into(), Found::Nowhere)]);
+    let at = Location::At("n1".into());
+    let both = located(&mut desk(), vec![(1, Location::NotFound), (2, Location::NotFound)]);
+    assert_eq!(both, [Action::Located("x".into(), Location::NotFound)]);
     assert_eq!(
         located(&mut desk(), vec![(1, at.clone())]),
         [Action::Located("x".into(), at)]
     );
-    let doubt = located(&mut desk(), vec![(1, Found::Unclear), (2, Found::Nowhere)]);
-    assert_eq!(doubt, [Action::Located("x".into(), Found::Unclear)]);
+    let doubt = located(&mut desk(), vec![(1, Location::Unknown), (2, Location::NotFound)]);
+    assert_eq!(doubt, [Action::Located("x".into(), Location::Unknown)]);
     let mut silent = desk();
-    assert_eq!(located(&mut silent, vec![(1, Found::Nowhere)]), []);
+    assert_eq!(located(&mut silent, vec![(1, Location::NotFound)]), []);
     assert_eq!(
         step(&mut silent, 1.0, vec![]),
-        [Action::Located("x".into(), Found::Unclear)]
+        [Action::Located("x".into(), Location::Unknown)]
     );
 }
 
@@ -299,7 +299,7 @@
                     Action::Tell(_, ToPlanner::Place(ask)) => {
                         assert!(!with.contains_key(&ask.uid), "{} was told to go elsewhere", ask.uid);
                     }
-                    Action::Tell(planner, ToPlanner::Go { uid, .. }) => {
+                    Action::Tell(planner, ToPlanner::Commit { uid, .. }) => {
                         assert!(with.insert(uid.clone(), planner).is_none(), "{uid} is with two");
                     }
                     _ => {}
@@ -330,10 +330,10 @@
                     let uid = format!("t{t}");
                     let message = match kind {
                         0 => placed(&uid),
-                        1 => ToEdge::Refused { uid, why: String::new(), retry_in: 0.0 },
-                        2 => ToEdge::Failed { uid, why: String::new() },
+                        1 => ToEdge::Rejected { uid, reason: String::new(), retry_after: 0.0 },
+                        2 => ToEdge::Failed { uid, reason: String::new() },
                         3..=5 => taken(&uid),
-                        _ => ToEdge::Ended { uid, end: End::Succeeded },
+                        _ => ToEdge::Ended { uid, reason: TerminationReason::Succeeded },
                     };
                     Event::Said(connections[p as usize], message)
                 }
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -9,7 +9,7 @@
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
 use tidespur_persistence::{Batch, LoadedRecords};
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
 /// What really runs, whoever knows of it: it outlives every cut.
@@ -76,9 +76,9 @@
                 ToPlanner::Place(ask) => {
                     let uid = ask.uid.clone();
                     self.taken.insert(uid.clone(), ask);
-                    ToEdge::Taken { uid }
+                    ToEdge::Acknowledged { uid }
                 }
-                ToPlanner::Go { uid, .. } => {
+                ToPlanner::Commit { uid, .. } => {
                     let Some(ask) = self.taken.remove(&uid) else {
                         continue;
                     };
@@ -88,34 +88,34 @@
                         uid: uid.clone(),
                         node: "node-0".into(),
                     });
-                    ToEdge::Runs { uid }
+                    ToEdge::Started { uid }
                 }
-                ToPlanner::InPlace { ask, node } => {
+                ToPlanner::Adopt { request: ask, node } => {
                     let runs = truth.running.values().any(|name| *name == ask.name);
                     self.pending.push(ToEdge::Placed {
                         uid: ask.uid.clone(),
                         node,
                     });
                     match runs {
-                        true => ToEdge::Runs { uid: ask.uid },
+                        true => ToEdge::Started { uid: ask.uid },
                         false => ToEdge::Ended {
                             uid: ask.uid,
-                            end: End::Lost,
+                            reason: TerminationReason::NodeLost,
                         },
                     }
                 }
                 ToPlanner::Locate { uid, .. } => {
                     let found = match truth.running.contains_key(&uid) {
-                        true => Found::At("node-0".into()),
-                        false => Found::Nowhere,
+                        true => Location::At("node-0".into()),
+                        false => Location::NotFound,
                     };
-                    ToEdge::Located { uid, found }
+                    ToEdge::Located { uid, location: found }
                 }
-                ToPlanner::Stop { uid } => {
+                ToPlanner::Cancel { uid } => {
                     truth.running.remove(&uid);
                     continue;
                 }
-                ToPlanner::Welcome { .. } | ToPlanner::Ping | ToPlanner::Sharers { .. } => continue,
+                ToPlanner::Welcome { .. } | ToPlanner::Heartbeat | ToPlanner::PlannerCount { .. } => continue,
             };
             self.pending.push(answer);
         }
--- a/crates/job-controller/src/job.rs
+++ b/crates/job-controller/src/job.rs
@@ -5,7 +5,7 @@
 use crate::{Action, JobView, PodEnd, PodPhase, PodView, Settings};
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
-use tidespur_planner_protocol::Found;
+use tidespur_planner_protocol::Location;
 
 mod shape;
 
@@ -182,7 +182,7 @@
         &mut self,
         now: f64,
         uid: &str,
-        found: Found,
+        found: Location,
         set: &Settings,
         rng: &mut impl Rng,
         pods: &mut BTreeMap<String, String>,
@@ -196,7 +196,7 @@
         };
         let unwanted = matches!(slot.state, State::Settling { unwanted: true, .. });
         let over = self.ended.is_some();
-        if (over || unwanted) && matches!(found, Found::At(_)) {
+        if (over || unwanted) && matches!(found, Location::At(_)) {
             // The Job is over or the Pod was deleted: what still runs is not wanted.
             out.push(Action::Reap {
                 uid: uid.to_owned(),
@@ -204,7 +204,7 @@
             if over {
                 self.settle(number, Verdict::Done, uid, pods);
             } else {
-                slot.found(now, Found::Unclear, set, rng);
+                slot.found(now, Location::Unknown, set, rng);
             }
             return;
         }
--- a/crates/job-controller/src/slot.rs
+++ b/crates/job-controller/src/slot.rs
@@ -3,7 +3,7 @@
 use crate::{PodEnd, PodPhase, PodView, Settings};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
-use tidespur_planner_protocol::{End, Found};
+use tidespur_planner_protocol::{TerminationReason, Location};
 
 /// Names a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -135,7 +135,7 @@
     pub(crate) fn found(
         &mut self,
         now: f64,
-        found: Found,
+        found: Location,
         set: &Settings,
         rng: &mut impl Rng,
     ) -> Verdict {
@@ -150,7 +150,7 @@
             return Verdict::Open;
         };
         match found {
-            Found::At(node) => {
+            Location::At(node) => {
                 let adopt = Some(Adopt {
                     node,
                     name: pod.known_as.clone(),
@@ -162,16 +162,16 @@
                 };
                 Verdict::Again
             }
-            Found::Ended(End::Succeeded) => Verdict::Done,
-            Found::Ended(End::Failed) => {
+            Location::Ended(TerminationReason::Succeeded) => Verdict::Done,
+            Location::Ended(TerminationReason::Failed) => {
                 self.again(now + set.pauses.draw(self.troubles, rng));
                 Verdict::RunFailed
             }
-            Found::Ended(_) | Found::Nowhere => {
+            Location::Ended(_) | Location::NotFound => {
                 self.again(now + set.pauses.draw_lost(rng));
                 Verdict::Again
             }
-            Found::Unclear => {
+            Location::Unknown => {
                 *asked = false;
                 *unclear += 1;
                 let pause = (set.settle.max(0.1) * f64::from(*unclear)).min(UNCLEAR_MOST);
--- a/crates/job-controller/src/words.rs
+++ b/crates/job-controller/src/words.rs
@@ -1,7 +1,7 @@
 //! What the controller is told, and what it wants done.
 
 use crate::{Adopt, JobStatus, JobView, Kept, Past, PodView, SlotId};
-use tidespur_planner_protocol::Found;
+use tidespur_planner_protocol::Location;
 
 /// What the controller is told.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
         /// Its uid.
         uid: String,
         /// What was found.
-        found: Found,
+        found: Location,
     },
 }
 
--- a/crates/job-controller/tests/owner.rs
+++ b/crates/job-controller/tests/owner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 use tidespur_job_controller::*;
-use tidespur_planner_protocol::Found;
+use tidespur_planner_protocol::Location;
 
 struct World {
     controller: Controller,
@@ -102,7 +102,7 @@
         self.step(vec![Event::Pod(view)]);
     }
 
-    fn found(&mut self, pod: usize, found: Found) {
+    fn found(&mut self, pod: usize, found: Location) {
         self.step(vec![Event::Located {
             uid: self.made[pod].uid.clone(),
             found,
@@ -154,14 +154,14 @@
         assert_eq!(world.asked_where(), 0);
         world.at(3.0);
         assert_eq!((world.asked_where(), world.made.len()), (1, 1));
-        world.found(0, Found::Unclear);
+        world.found(0, Location::Unknown);
         world.at(60.0);
         assert_eq!(
             (world.asked_where(), world.made.len()),
             (2, 1),
             "doubt never makes a second one"
         );
-        world.found(0, Found::Nowhere);
+        world.found(0, Location::NotFound);
         world.at(61.0);
         assert_eq!(world.made.len(), 2);
     }
@@ -172,7 +172,7 @@
     let mut world = World::new(true, job(1));
     world.ends(0, PodEnd::Unknown);
     world.at(3.0);
-    world.found(0, Found::At("n7".into()));
+    world.found(0, Location::At("n7".into()));
     let adopt = world.actions.iter().find_map(|a| {
         if let Action::Create {
             adopt: Some(adopt), ..
@@ -204,11 +204,11 @@
     };
     world.step(vec![Event::Pod(running.clone()), Event::PodGone(running)]);
     world.at(3.0);
-    world.found(0, Found::At("n1".into()));
+    world.found(0, Location::At("n1".into()));
     assert!(world.actions.contains(&Action::Reap { uid: "p1".into() }));
     assert_eq!(world.made.len(), 1);
     world.at(10.0);
-    world.found(0, Found::Nowhere);
+    world.found(0, Location::NotFound);
     world.at(11.0);
     assert_eq!(world.made.len(), 2);
 }
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -25,7 +25,7 @@
 
 /// How a program joins the fleet, beside the settings' block `fleet`.
 #[derive(Clone, Debug, Default, clap::Args)]
-pub struct Joining {
+pub struct JoinOptions {
     /// Join a fleet at this address of another member; may be given several times
     #[arg(long = "fleet-join")]
     pub fleet_join: Vec<SocketAddr>,
@@ -35,7 +35,7 @@
 }
 
 /// A member that runs; it ends with this value.
-pub struct Member {
+pub struct MemberHandle {
     fleet: Arc<Mutex<Membership>>,
     tell: Sender<Input>,
     news: Receiver<Output>,
@@ -45,7 +45,7 @@
     _tasks: [smol::Task<()>; 2],
 }
 
-impl Member {
+impl MemberHandle {
     /// Joins the fleet, where one is set up; `None` where none is. `incarnation` is what the process remembers of its
     /// starts, where it remembers.
     ///
@@ -53,7 +53,7 @@
     /// What keeps it from joining.
     pub async fn join(
         config: &Config,
-        options: &Joining,
+        options: &JoinOptions,
         name: &str,
         facts: MemberMetadata,
         seed: u64,
@@ -130,7 +130,7 @@
     }
 
     /// Waits for news, this long at most; says where the process has to end, and why.
-    pub async fn news_within(&self, seconds: f64) -> Option<Ending> {
+    pub async fn wait_for_shutdown(&self, seconds: f64) -> Option<ShutdownReason> {
         // The member's loop ends for nothing else.
         let news = clock::within(seconds, self.news.recv()).await;
         if !matches!(news, Some(Ok(Output::Replaced(_)) | Err(_))) {
@@ -138,14 +138,14 @@
         }
         if self.leaving.load(Ordering::Relaxed) {
             tracing::info!(address = %self.address, "ends: told to, and the fleet was told");
-            return Some(Ending::Told);
+            return Some(ShutdownReason::Signalled);
         }
         tracing::error!(address = %self.address, "ends: a newer process has its name");
-        Some(Ending::Replaced)
+        Some(ShutdownReason::Replaced)
     }
 
     /// What this member tells of itself from now on.
-    pub fn tell(&self, facts: MemberMetadata) {
+    pub fn update_metadata(&self, facts: MemberMetadata) {
         // Where the loop is that far behind, the next word is newer.
         let _ = self.tell.try_send(Input::UpdateMetadata(facts));
     }
@@ -153,21 +153,21 @@
 
 /// Why a process has to end. Its loop finishes what is owed and returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ShutdownReason {
     /// It was told to, and the fleet knows.
-    Told,
+    Signalled,
     /// A newer process has its name.
     Replaced,
 }
 
-impl Ending {
+impl ShutdownReason {
     /// What the program's end says of it.
     ///
     /// # Errors
     /// Where somebody should look at it.
-    pub fn result(self) -> Result<(), String> {
+    pub fn into_result(self) -> Result<(), String> {
         match self {
-            Self::Told => Ok(()),
+            Self::Signalled => Ok(()),
             Self::Replaced => Err("a newer process has this one's name".into()),
         }
     }
@@ -177,10 +177,10 @@
 ///
 /// # Errors
 /// Where the system lets nobody wait for it.
-pub async fn told_to_end() -> Result<Ending, String> {
+pub async fn shutdown_signal() -> Result<ShutdownReason, String> {
     let mut signals = Signals::new([Signal::Term]).map_err(|e| format!("signals: {e}"))?;
     while signals.next().await.is_none() {}
-    Ok(Ending::Told)
+    Ok(ShutdownReason::Signalled)
 }
 
 /// On SIGTERM the fleet is told that this member leaves.
@@ -274,7 +274,7 @@
 }
 
 /// A view as JSON, for operators and their tools. `now` is the asked member's clock.
-pub fn report(view: &MembershipView, now: f64) -> Value {
+pub fn view_to_json(view: &MembershipView, now: f64) -> Value {
     let member = |seen: &tidespur_membership::MemberState| {
         let facts = seen.metadata.as_ref();
         json!({"name": seen.id.name, "address": seen.id.address.to_string(), "incarnation": seen.id.incarnation,
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -28,7 +28,7 @@
         loop {
             if let Some(message) = self
                 .decoder
-                .message()
+                .next_message()
                 .map_err(|e: FrameError| e.to_string())?
             {
                 return Ok(Some(message));
@@ -85,7 +85,7 @@
     let reading = async {
         while let Some(message) = reader.next::<In>().await? {
             if let Ok(mut life) = life.lock() {
-                life.heard(clock::now());
+                life.on_received(clock::now());
             }
             if let Some(input) = read(message) {
                 to.send(input).await.map_err(|e| e.to_string())?;
@@ -96,7 +96,7 @@
     let beating = async {
         loop {
             clock::sleep(patience / 4.0).await;
-            if life.lock().is_ok_and(|life| life.lost(clock::now())) {
+            if life.lock().is_ok_and(|life| life.is_peer_lost(clock::now())) {
                 return Err("silence".to_owned());
             }
             send.try_send(ping.clone()).map_err(|e| e.to_string())?;
--- a/crates/planner-protocol/src/lib.rs
+++ b/crates/planner-protocol/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use frame::{Decoder, FrameError, encode};
 pub use liveness::Liveness;
-pub use message::{End, Found, ToEdge, ToPlanner};
+pub use message::{TerminationReason, Location, ToEdge, ToPlanner};
 
 /// Version of frames and messages.
-pub const VERSION: u16 = 3;
+pub const PROTOCOL_VERSION: u16 = 3;
--- a/crates/planner-protocol/src/liveness.rs
+++ b/crates/planner-protocol/src/liveness.rs
@@ -3,40 +3,40 @@
 /// Heartbeats of one connection. Times are seconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Liveness {
-    every: f64,
-    patience: f64,
-    heard: f64,
-    sent: f64,
+    heartbeat_interval: f64,
+    timeout: f64,
+    last_received: f64,
+    last_sent: f64,
 }
 
 impl Liveness {
     /// A ping every `every` seconds without another message; a peer silent for `patience` is lost.
     pub fn new(every: f64, patience: f64, now: f64) -> Self {
         Self {
-            every,
-            patience: patience.max(every),
-            heard: now,
-            sent: now,
+            heartbeat_interval: every,
+            timeout: patience.max(every),
+            last_received: now,
+            last_sent: now,
         }
     }
     /// Something came from the peer.
-    pub fn heard(&mut self, now: f64) {
-        self.heard = self.heard.max(now);
+    pub fn on_received(&mut self, now: f64) {
+        self.last_received = self.last_received.max(now);
     }
     /// Something went to the peer.
-    pub fn sent(&mut self, now: f64) {
-        self.sent = self.sent.max(now);
+    pub fn on_sent(&mut self, now: f64) {
+        self.last_sent = self.last_sent.max(now);
     }
     /// Whether a ping is due.
-    pub fn ping_due(&self, now: f64) -> bool {
-        now - self.sent >= self.every
+    pub fn is_heartbeat_due(&self, now: f64) -> bool {
+        now - self.last_sent >= self.heartbeat_interval
     }
     /// Whether the peer counts as lost.
-    pub fn lost(&self, now: f64) -> bool {
-        now - self.heard >= self.patience
+    pub fn is_peer_lost(&self, now: f64) -> bool {
+        now - self.last_received >= self.timeout
     }
     /// When to look again.
-    pub fn next(&self) -> f64 {
-        (self.sent + self.every).min(self.heard + self.patience)
+    pub fn next_deadline(&self) -> f64 {
+        (self.last_sent + self.heartbeat_interval).min(self.last_received + self.timeout)
     }
 }
--- a/crates/planner-protocol/src/message.rs
+++ b/crates/planner-protocol/src/message.rs
@@ -16,21 +16,26 @@
     Place(Ask),
     /// The task is the planner's now: one of `Placed`, `Refused`, `Failed` is owed. Until this is sent the edge can
     /// take the task back and know that it was never offered.
-    Go {
+    #[serde(rename = "Go")]
+    Commit {
         /// The task.
         uid: String,
         /// Seconds from now in which its owner waits.
-        within: f64,
+        #[serde(rename = "within")]
+        timeout: f64,
     },
     /// A task that a node holds; from now on this planner tells of it.
-    InPlace {
+    #[serde(rename = "InPlace")]
+    Adopt {
         /// The task.
-        ask: Ask,
+        #[serde(rename = "ask")]
+        request: Ask,
         /// The node.
         node: String,
     },
     /// Nobody wants the task any more: nothing more may be sent for it, and what runs of it is to be stopped.
-    Stop {
+    #[serde(rename = "Stop")]
+    Cancel {
         /// The task.
         uid: String,
     },
@@ -44,9 +49,11 @@
         name: String,
     },
     /// Still here.
-    Ping,
+    #[serde(rename = "Ping")]
+    Heartbeat,
     /// So many planners share what cold nodes bear. Said under a lease; an older token than one heard before is refused.
-    Sharers {
+    #[serde(rename = "Sharers")]
+    PlannerCount {
         /// Name of the lease.
         lease: String,
         /// Its token.
@@ -58,7 +65,7 @@
 
 /// How a placed task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum TerminationReason {
     /// It finished.
     Succeeded,
     /// It ended with an error.
@@ -66,26 +73,31 @@
     /// Evicted for memory.
     Evicted,
     /// Pushed out by a higher priority.
-    PushedOut,
+    #[serde(rename = "PushedOut")]
+    Preempted,
     /// Sent away by a node that drains.
-    SentAway,
+    #[serde(rename = "SentAway")]
+    Drained,
     /// Lost with its node.
-    Lost,
+    #[serde(rename = "Lost")]
+    NodeLost,
     /// Stopped as its owner wanted, or moved by the policy.
     Stopped,
 }
 
 /// What is known of a task that may have been taken by a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Found {
+pub enum Location {
     /// This node holds it.
     At(String),
     /// It came to its end there.
-    Ended(End),
+    Ended(TerminationReason),
     /// No node holds it, and every node that it was offered to has been heard since.
-    Nowhere,
+    #[serde(rename = "Nowhere")]
+    NotFound,
     /// A node that it may have gone to can't be heard now.
-    Unclear,
+    #[serde(rename = "Unclear")]
+    Unknown,
 }
 
 /// From a planner to an edge.
@@ -99,7 +111,8 @@
         ordinal: u32,
     },
     /// The task has been read; `Go` or `Stop` is due.
-    Taken {
+    #[serde(rename = "Taken")]
+    Acknowledged {
         /// The task.
         uid: String,
     },
@@ -111,23 +124,28 @@
         node: String,
     },
     /// Not placed and never run: its one answer.
-    Refused {
+    #[serde(rename = "Refused")]
+    Rejected {
         /// The task.
         uid: String,
         /// Why, for people.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
         /// Advice to stay away this long, in seconds; 0: none.
-        retry_in: f64,
+        #[serde(rename = "retry_in")]
+        retry_after: f64,
     },
     /// No claim whether it ran: its one answer.
     Failed {
         /// The task.
         uid: String,
         /// Why, for people.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// A placed task runs now.
-    Runs {
+    #[serde(rename = "Runs")]
+    Started {
         /// The task.
         uid: String,
     },
@@ -136,21 +154,26 @@
         /// The task.
         uid: String,
         /// How.
-        end: End,
+        #[serde(rename = "end")]
+        reason: TerminationReason,
     },
     /// Why tasks wait: what has changed, and now and then what has not.
-    Waits(Vec<Word>),
+    #[serde(rename = "Waits")]
+    PendingReasons(Vec<Word>),
     /// Answer to `Locate`.
     Located {
         /// The question's subject.
         uid: String,
         /// What is known.
-        found: Found,
+        #[serde(rename = "found")]
+        location: Location,
     },
     /// Still here.
-    Ping,
+    #[serde(rename = "Ping")]
+    Heartbeat,
     /// What was said under a lease is refused: its token is not the newest any more.
-    Stale {
+    #[serde(rename = "Stale")]
+    StaleToken {
         /// Name of the lease.
         lease: String,
         /// The token that was said.
--- a/crates/planner-protocol/tests/frames.rs
+++ b/crates/planner-protocol/tests/frames.rs
@@ -11,18 +11,18 @@
             cores: f64::from(n),
             ..Ask::default()
         }),
-        1 => ToPlanner::Stop { uid: uid.into() },
-        _ => ToPlanner::Ping,
+        1 => ToPlanner::Cancel { uid: uid.into() },
+        _ => ToPlanner::Heartbeat,
     }
 }
 
 #[test]
 fn another_version_is_named_before_its_message_is_read() {
-    let mut frame = encode(&ToPlanner::Ping).unwrap();
+    let mut frame = encode(&ToPlanner::Heartbeat).unwrap();
     frame[5] = 9;
     let mut decoder = Decoder::default();
     decoder.feed(&frame);
-    let error = decoder.message::<ToPlanner>().unwrap_err();
+    let error = decoder.next_message::<ToPlanner>().unwrap_err();
     assert_eq!(error, FrameError::Version(9));
     assert!(error.to_string().contains("upgrade"));
 }
@@ -30,10 +30,10 @@
 #[test]
 fn a_frame_too_long_is_refused_by_its_head() {
     let mut decoder = Decoder::default();
-    let version = tidespur_planner_protocol::VERSION.to_be_bytes();
+    let version = tidespur_planner_protocol::PROTOCOL_VERSION.to_be_bytes();
     decoder.feed(&[0xff, 0xff, 0xff, 0xff, version[0], version[1]]);
     assert!(matches!(
-        decoder.message::<ToPlanner>(),
+        decoder.next_message::<ToPlanner>(),
         Err(FrameError::TooLong(_))
     ));
 }
@@ -41,12 +41,12 @@
 #[test]
 fn silence_is_loss_and_a_ping_comes_before() {
     let mut life = Liveness::new(1.0, 3.0, 0.0);
-    assert!(!life.ping_due(0.9) && life.ping_due(1.0));
-    life.sent(1.0);
-    assert!(!life.lost(2.9) && life.lost(3.0));
-    life.heard(2.0);
-    assert!(!life.lost(4.9));
-    assert_eq!(life.next(), 2.0);
+    assert!(!life.is_heartbeat_due(0.9) && life.is_heartbeat_due(1.0));
+    life.on_sent(1.0);
+    assert!(!life.is_peer_lost(2.9) && life.is_peer_lost(3.0));
+    life.on_received(2.0);
+    assert!(!life.is_peer_lost(4.9));
+    assert_eq!(life.next_deadline(), 2.0);
 }
 
 proptest! {
@@ -59,7 +59,7 @@
         let (mut decoder, mut got) = (Decoder::default(), vec![]);
         for part in bytes.chunks(cut) {
             decoder.feed(part);
-            while let Some(message) = decoder.message::<ToPlanner>().unwrap() {
+            while let Some(message) = decoder.next_message::<ToPlanner>().unwrap() {
                 got.push(message);
             }
         }
@@ -70,6 +70,6 @@
     fn any_bytes_are_an_error_or_wait_for_more(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut decoder = Decoder::default();
         decoder.feed(&bytes);
-        while let Ok(Some(_)) = decoder.message::<ToPlanner>() {}
+        while let Ok(Some(_)) = decoder.next_message::<ToPlanner>() {}
     }
 }
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -31,7 +31,7 @@
         let mut out = Vec::new();
         core.step(now, inputs, &mut out);
         for one in out {
-            if let Output::Edge(_, ToEdge::Waits(told)) = one {
+            if let Output::Edge(_, ToEdge::PendingReasons(told)) = one {
                 words += told.len();
             }
         }
@@ -52,9 +52,9 @@
         ..Ask::default()
     };
     for i in 0..waiting {
-        let go = ToPlanner::Go {
+        let go = ToPlanner::Commit {
             uid: format!("t{i}"),
-            within: 1e6,
+            timeout: 1e6,
         };
         step(
             &mut core,
--- a/crates/planner/src/core/acts.rs
+++ b/crates/planner/src/core/acts.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, LOCATE_FOR, Output, UNWANTED_FOR};
 use crate::book::Stage;
-use tidespur_planner_protocol::{End, Found, ToEdge};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge};
 use tidespur_policy::interface::Action;
 
 impl Core {
@@ -55,10 +55,10 @@
                 let why = self.why(known.answers.last(), "no node took it in time");
                 out.push(Output::Edge(
                     known.edge,
-                    ToEdge::Refused {
+                    ToEdge::Rejected {
                         uid: known.ask.uid,
-                        why,
-                        retry_in,
+                        reason: why,
+                        retry_after: retry_in,
                     },
                 ));
             }
@@ -71,7 +71,7 @@
                     known.edge,
                     ToEdge::Failed {
                         uid: known.ask.uid,
-                        why,
+                        reason: why,
                     },
                 ));
             }
@@ -115,7 +115,7 @@
         for q in questions {
             let found = match self.listed {
                 true => self.nodes.locate(&q.tenant, &q.name, &q.uid, q.asked_at),
-                false => Found::Unclear,
+                false => Location::Unknown,
             };
             // An earlier process of this planner offered it to a node that nobody has heard since.
             let heard = |node: &str| {
@@ -125,17 +125,17 @@
                     .is_some_and(crate::nodes::Node::is_known)
             };
             let found = match found {
-                Found::Ended(End::Succeeded) => found,
-                Found::Nowhere | Found::Ended(_) if self.attempts.unsure(&q.uid, heard) => {
-                    Found::Unclear
+                Location::Ended(TerminationReason::Succeeded) => found,
+                Location::NotFound | Location::Ended(_) if self.attempts.unsure(&q.uid, heard) => {
+                    Location::Unknown
                 }
                 found => found,
             };
-            if found == Found::Unclear && now < q.asked_at + LOCATE_FOR {
+            if found == Location::Unknown && now < q.asked_at + LOCATE_FOR {
                 self.questions.push(q);
                 continue;
             }
-            out.push(Output::Edge(q.edge, ToEdge::Located { uid: q.uid, found }));
+            out.push(Output::Edge(q.edge, ToEdge::Located { uid: q.uid, location: found }));
         }
     }
 }
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -5,7 +5,7 @@
 use crate::nodes::Standing;
 use crate::words;
 use tidespur_api::task::Ask;
-use tidespur_planner_protocol::{End, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, Event, Resources, Task, TaskId};
 
 impl Core {
@@ -18,8 +18,8 @@
         out: &mut Vec<Output>,
     ) {
         match message {
-            ToPlanner::Welcome { .. } | ToPlanner::Ping => {}
-            ToPlanner::Sharers {
+            ToPlanner::Welcome { .. } | ToPlanner::Heartbeat => {}
+            ToPlanner::PlannerCount {
                 lease,
                 token,
                 planners,
@@ -35,7 +35,7 @@
                     let newest = stale.newest;
                     out.push(Output::Edge(
                         edge,
-                        ToEdge::Stale {
+                        ToEdge::StaleToken {
                             lease,
                             token,
                             newest,
@@ -48,10 +48,10 @@
             ToPlanner::Place(ask) => match self.read_task(now, &ask) {
                 Err(why) => out.push(Output::Edge(
                     edge,
-                    ToEdge::Refused {
+                    ToEdge::Rejected {
                         uid: ask.uid,
-                        why,
-                        retry_in: 0.0,
+                        reason: why,
+                        retry_after: 0.0,
                     },
                 )),
                 // Only what is new: what was taken is never turned away, however often it is asked for.
@@ -59,17 +59,17 @@
                     let why = "the planner is behind its work; ask again".to_owned();
                     out.push(Output::Edge(
                         edge,
-                        ToEdge::Refused {
+                        ToEdge::Rejected {
                             uid: ask.uid,
-                            why,
-                            retry_in: SHED_FOR,
+                            reason: why,
+                            retry_after: SHED_FOR,
                         },
                     ));
                 }
                 Ok(_) => {
                     out.push(Output::Edge(
                         edge,
-                        ToEdge::Taken {
+                        ToEdge::Acknowledged {
                             uid: ask.uid.clone(),
                         },
                     ));
@@ -78,7 +78,7 @@
                     }
                 }
             },
-            ToPlanner::Go { uid, within } => {
+            ToPlanner::Commit { uid, timeout: within } => {
                 let Some((_, ask)) = self.taken.remove(&uid).filter(|(of, _)| *of == edge) else {
                     return;
                 };
@@ -95,7 +95,7 @@
                     events.push(Event::TaskSubmitted(task));
                 }
             }
-            ToPlanner::InPlace { ask, node } => {
+            ToPlanner::Adopt { request: ask, node } => {
                 let Ok(mut task) = self.read_task(now, &ask) else {
                     return;
                 };
@@ -129,12 +129,12 @@
                 match seen {
                     Some((_, Some(at))) => self.seen(id, at, events, out),
                     Some((Standing::Watched | Standing::Dead, None)) => {
-                        self.ended(id, End::Lost, events, out)
+                        self.ended(id, TerminationReason::NodeLost, events, out)
                     }
                     _ => {}
                 }
             }
-            ToPlanner::Stop { uid } => {
+            ToPlanner::Cancel { uid } => {
                 if self.taken.remove(&uid).is_some() {
                     return;
                 }
@@ -175,7 +175,7 @@
         if known.runs {
             out.push(Output::Edge(
                 edge,
-                ToEdge::Runs {
+                ToEdge::Started {
                     uid: uid.to_owned(),
                 },
             ));
--- a/crates/planner/src/core/nodes.rs
+++ b/crates/planner/src/core/nodes.rs
@@ -4,7 +4,7 @@
 use crate::book::Stage;
 use crate::nodes::Held;
 use crate::words::{self, AtNode};
-use tidespur_planner_protocol::{End, ToEdge};
+use tidespur_planner_protocol::{TerminationReason, ToEdge};
 use tidespur_policy::interface::{AttemptOutcome, Event, TaskId};
 
 impl Core {
@@ -205,7 +205,7 @@
                 known.runs = true;
                 out.push(Output::Edge(
                     known.edge,
-                    ToEdge::Runs {
+                    ToEdge::Started {
                         uid: known.ask.uid.clone(),
                     },
                 ));
@@ -221,7 +221,7 @@
     pub(super) fn ended(
         &mut self,
         id: TaskId,
-        end: End,
+        end: TerminationReason,
         events: &mut Vec<Event>,
         out: &mut Vec<Output>,
     ) {
@@ -247,7 +247,7 @@
             known.edge,
             ToEdge::Ended {
                 uid: known.ask.uid,
-                end,
+                reason: end,
             },
         ));
     }
--- a/crates/planner/src/core/take.rs
+++ b/crates/planner/src/core/take.rs
@@ -4,7 +4,7 @@
 use crate::nodes::Standing;
 use crate::words::{self, AtNode};
 use std::collections::BTreeSet;
-use tidespur_planner_protocol::End;
+use tidespur_planner_protocol::TerminationReason;
 use tidespur_policy::interface::{Endpoint, EndpointStatus as Listing, Event};
 
 impl Core {
@@ -91,7 +91,7 @@
                         .get(&node)
                         .is_some_and(|n| n.pods.contains_key(&name))
                     {
-                        self.ended(task, End::Lost, events, out);
+                        self.ended(task, TerminationReason::NodeLost, events, out);
                     }
                 }
             }
@@ -109,7 +109,7 @@
                         let end = if let AtNode::Over(end) = held.at {
                             end
                         } else {
-                            End::Stopped
+                            TerminationReason::Stopped
                         };
                         self.ended(task, end, events, out);
                     }
@@ -134,7 +134,7 @@
                 if dead {
                     known.pods.clear();
                     for task in self.book.bound_at(&node) {
-                        self.ended(task, End::Lost, events, out);
+                        self.ended(task, TerminationReason::NodeLost, events, out);
                     }
                 }
             }
@@ -188,7 +188,7 @@
         known.pods.clear();
         self.attempts.gone(node);
         for task in self.book.bound_at(node) {
-            self.ended(task, End::Lost, events, out);
+            self.ended(task, TerminationReason::NodeLost, events, out);
         }
     }
 }
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_membership::{MemberMetadata, MemberStatus, Role};
-use tidespur_membership_net::{Ending, Member};
+use tidespur_membership_net::{ShutdownReason, MemberHandle};
 use tidespur_net::{clock, frames};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
@@ -15,15 +15,15 @@
     /// Keeps a link to each edge that the fleet lists; ends with the member.
     pub(crate) async fn keep_fleet(
         self: Arc<Self>,
-        member: Option<Member>,
+        member: Option<MemberHandle>,
         mut links: Links,
-    ) -> Ending {
+    ) -> ShutdownReason {
         let Some(member) = member else {
             // The links given by hand are kept.
             return std::future::pending().await;
         };
         loop {
-            if let Some(ending) = member.news_within(LOOK).await {
+            if let Some(ending) = member.wait_for_shutdown(LOOK).await {
                 return ending;
             }
             let view = member.view();
@@ -80,7 +80,7 @@
         }
         let patience = self.config.planner.edge_patience;
         let read = |message| {
-            if message == ToPlanner::Ping {
+            if message == ToPlanner::Heartbeat {
                 return None;
             }
             self.recorder.note("heard", || json!({"message": message}));
@@ -90,7 +90,7 @@
         let link = frames::Link {
             queue,
             send,
-            ping: ToEdge::Ping,
+            ping: ToEdge::Heartbeat,
         };
         frames::keep(socket, reader, link, patience, read, &self.inputs).await
     }
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::words::AtNode;
 use std::collections::BTreeMap;
-use tidespur_planner_protocol::{End, Found};
+use tidespur_planner_protocol::{TerminationReason, Location};
 use tidespur_policy::interface::Endpoint;
 
 /// How the watch on a node stands.
@@ -84,7 +84,7 @@
     }
 
     /// Where a task is that was once offered under this name. `since`: nodes heard after this are sure of theirs.
-    pub fn locate(&self, tenant: &str, name: &str, uid: &str, since: f64) -> Found {
+    pub fn locate(&self, tenant: &str, name: &str, uid: &str, since: f64) -> Location {
         let key = (tenant.to_owned(), name.to_owned());
         let (mut ended, mut unclear) = (None, false);
         for (node_name, node) in &self.0 {
@@ -97,17 +97,17 @@
                     at: AtNode::Over(end),
                     ..
                 }) => ended = Some(*end),
-                Some(_) if node.standing != Standing::Dead => return Found::At(node_name.clone()),
+                Some(_) if node.standing != Standing::Dead => return Location::At(node_name.clone()),
                 _ => {}
             }
             // One that has left the list and stays silent counts as gone, with what it held.
             unclear |= node.listed && node.standing != Standing::Dead && node.heard <= since;
         }
         match ended {
-            Some(End::Succeeded) => Found::Ended(End::Succeeded),
-            _ if unclear => Found::Unclear,
-            Some(end) => Found::Ended(end),
-            None => Found::Nowhere,
+            Some(TerminationReason::Succeeded) => Location::Ended(TerminationReason::Succeeded),
+            _ if unclear => Location::Unknown,
+            Some(end) => Location::Ended(end),
+            None => Location::NotFound,
         }
     }
 }
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -12,7 +12,7 @@
 use tidespur_config::Config;
 use tidespur_coordination::Fence;
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{Ending, Member, told_to_end};
+use tidespur_membership_net::{ShutdownReason, MemberHandle, shutdown_signal};
 use tidespur_net::{Client, Recorder, clock};
 use tidespur_persistence::{Disk, Identity, LoadedRecords, Outbox};
 use tidespur_planner_protocol::ToEdge;
@@ -84,7 +84,7 @@
     };
     let options = &this.options;
     let incarnation = back.as_ref().map(LoadedRecords::incarnation);
-    let member = Member::join(
+    let member = MemberHandle::join(
         &this.config,
         &options.fleet,
         &this.name,
@@ -115,7 +115,7 @@
             fleet if !alone => fleet.await,
             // What is remembered is closed in order; without a memory nothing is.
             fleet if disk.is_some() => {
-                let told = async { told_to_end().await.unwrap_or(Ending::Told) };
+                let told = async { shutdown_signal().await.unwrap_or(ShutdownReason::Signalled) };
                 smol::future::or(told, fleet).await
             }
             fleet => fleet.await,
@@ -123,13 +123,13 @@
     };
     let turned = async {
         this.turn(&mut core, receive, disk.as_ref()).await;
-        Ending::Told
+        ShutdownReason::Signalled
     };
     let ending = smol::future::or(ended, turned).await;
     if let Some(disk) = &disk {
         disk.finish();
     }
-    ending.result()
+    ending.into_result()
 }
 
 /// Opens the memory of this planner, where it has one.
--- a/crates/planner/src/waits.rs
+++ b/crates/planner/src/waits.rs
@@ -97,7 +97,7 @@
                 self.tellers.remove(&edge);
             }
             if !due.is_empty() {
-                out.push((edge, ToEdge::Waits(due)));
+                out.push((edge, ToEdge::PendingReasons(due)));
             }
         }
         out
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/words.rs
@@ -140,38 +140,38 @@
     /// It runs.
     Runs,
     /// It has ended.
-    Over(tidespur_planner_protocol::End),
+    Over(tidespur_planner_protocol::TerminationReason),
 }
 
 /// Reads the state of a Pod at a node.
 pub fn at_node(pod: &Object) -> AtNode {
-    use tidespur_planner_protocol::End;
+    use tidespur_planner_protocol::TerminationReason;
     match (
         meta::text(pod, &["status", "phase"]),
         meta::text(pod, &["status", "reason"]),
     ) {
         ("Running", _) => AtNode::Runs,
-        ("Succeeded", _) => AtNode::Over(End::Succeeded),
-        ("Failed", "Evicted") => AtNode::Over(End::Evicted),
-        ("Failed", "Preempting") => AtNode::Over(End::PushedOut),
-        ("Failed", "Terminated" | "NodeShutdown") => AtNode::Over(End::SentAway),
-        ("Failed", "Deleted") => AtNode::Over(End::Stopped),
-        ("Failed", _) => AtNode::Over(End::Failed),
+        ("Succeeded", _) => AtNode::Over(TerminationReason::Succeeded),
+        ("Failed", "Evicted") => AtNode::Over(TerminationReason::Evicted),
+        ("Failed", "Preempting") => AtNode::Over(TerminationReason::Preempted),
+        ("Failed", "Terminated" | "NodeShutdown") => AtNode::Over(TerminationReason::Drained),
+        ("Failed", "Deleted") => AtNode::Over(TerminationReason::Stopped),
+        ("Failed", _) => AtNode::Over(TerminationReason::Failed),
         _ => AtNode::Waits,
     }
 }
 
 /// An end in the policy's words.
-pub fn ending(end: tidespur_planner_protocol::End) -> AttemptOutcome {
-    use tidespur_planner_protocol::End;
+pub fn ending(end: tidespur_planner_protocol::TerminationReason) -> AttemptOutcome {
+    use tidespur_planner_protocol::TerminationReason;
     match end {
-        End::Succeeded => AttemptOutcome::Finished,
+        TerminationReason::Succeeded => AttemptOutcome::Finished,
         // The program ran to its own end; that says nothing about the machine.
-        End::Failed => AttemptOutcome::Finished,
-        End::Evicted => AttemptOutcome::Interrupted(FailureCause::Evicted),
-        End::PushedOut => AttemptOutcome::Interrupted(FailureCause::Preempted),
-        End::SentAway => AttemptOutcome::Interrupted(FailureCause::Drained),
-        End::Lost => AttemptOutcome::Interrupted(FailureCause::Unspecified),
-        End::Stopped => AttemptOutcome::Cancelled,
+        TerminationReason::Failed => AttemptOutcome::Finished,
+        TerminationReason::Evicted => AttemptOutcome::Interrupted(FailureCause::Evicted),
+        TerminationReason::Preempted => AttemptOutcome::Interrupted(FailureCause::Preempted),
+        TerminationReason::Drained => AttemptOutcome::Interrupted(FailureCause::Drained),
+        TerminationReason::NodeLost => AttemptOutcome::Interrupted(FailureCause::Unspecified),
+        TerminationReason::Stopped => AttemptOutcome::Cancelled,
     }
 }
--- a/crates/planner/tests/asked_first.rs
+++ b/crates/planner/tests/asked_first.rs
@@ -41,9 +41,9 @@
             memory: 1.0,
             ..Ask::default()
         };
-        let go = ToPlanner::Go {
+        let go = ToPlanner::Commit {
             uid: "u".into(),
-            within: 60.0,
+            timeout: 60.0,
         };
         world.step(vec![
             Input::Edge(1, ToPlanner::Place(ask)),
@@ -71,7 +71,7 @@
             for output in self.step(inputs) {
                 match output {
                     Output::Offer { node, .. } => offers.push(node),
-                    Output::Edge(_, ToEdge::Waits(words)) => {
+                    Output::Edge(_, ToEdge::PendingReasons(words)) => {
                         reasons.extend(
                             words
                                 .into_iter()
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -8,7 +8,7 @@
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Core, Input, Output};
-use tidespur_planner_protocol::{Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{Location, ToEdge, ToPlanner};
 
 const UID: &str = "6d0f-1";
 
@@ -63,7 +63,7 @@
     }
 }
 
-fn locate(core: &mut Core, now: f64, nodes: &[&str]) -> Found {
+fn locate(core: &mut Core, now: f64, nodes: &[&str]) -> Location {
     let ask = ToPlanner::Locate {
         uid: UID.into(),
         tenant: "default".into(),
@@ -73,7 +73,7 @@
     core.step(now, vec![Input::Edge(1, ask)], &mut out);
     pass(core, now, 2.0, nodes, &mut out);
     let found = out.into_iter().find_map(|output| match output {
-        Output::Edge(_, ToEdge::Located { found, .. }) => Some(found),
+        Output::Edge(_, ToEdge::Located { location: found, .. }) => Some(found),
         _ => None,
     });
     found.expect("each question gets its answer")
@@ -91,15 +91,15 @@
     // Without what was remembered the same question is answered with "nowhere", and a second one would be started.
     assert_eq!(
         locate(&mut planner(remembering(), &["a"]), 0.5, &["a"]),
-        Found::Nowhere
+        Location::NotFound
     );
     let mut core = planner(Attempts::recall(&offered()).unwrap(), &["a"]);
-    assert_eq!(locate(&mut core, 0.5, &["a"]), Found::Unclear);
+    assert_eq!(locate(&mut core, 0.5, &["a"]), Location::Unknown);
     // The node comes back last, without it.
     pass(&mut core, 2.5, 5.0, &["a"], &mut vec![]);
     core.step(7.6, vec![Input::ListChange(node("b"), false)], &mut vec![]);
     core.step(7.7, vec![Input::NodeHolds("b".into(), vec![])], &mut vec![]);
-    assert_eq!(locate(&mut core, 7.8, &["a", "b"]), Found::Nowhere);
+    assert_eq!(locate(&mut core, 7.8, &["a", "b"]), Location::NotFound);
 }
 
 #[test]
@@ -111,7 +111,7 @@
         !core.remember().is_empty(),
         "what is forgotten is forgotten on the disk too"
     );
-    assert_eq!(locate(&mut core, 0.5, &["a"]), Found::Nowhere);
+    assert_eq!(locate(&mut core, 0.5, &["a"]), Location::NotFound);
 }
 
 #[test]
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core.rs
@@ -4,7 +4,7 @@
 use tidespur_api::task::Ask;
 use tidespur_config::{Config, DEFAULT, parse};
 use tidespur_planner::core::{Answer, Core, Input, Output};
-use tidespur_planner_protocol::{End, Found, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, FailureCause};
 
 fn config() -> Config {
@@ -73,13 +73,13 @@
 
     fn place(&mut self, uid: &str, class: &str) -> Vec<Output> {
         let mut out = self.step(vec![Input::Edge(1, ToPlanner::Place(ask(uid, class)))]);
-        if out.contains(&Output::Edge(1, ToEdge::Taken { uid: uid.into() })) {
+        if out.contains(&Output::Edge(1, ToEdge::Acknowledged { uid: uid.into() })) {
             let within = ask(uid, class).within.unwrap();
             out = self.step(vec![Input::Edge(
                 1,
-                ToPlanner::Go {
+                ToPlanner::Commit {
                     uid: uid.into(),
-                    within,
+                    timeout: within,
                 },
             )]);
         }
@@ -148,7 +148,7 @@
         pod("u", "pod-u", "Running", ""),
         false,
     )]);
-    assert_eq!(told(&out), [ToEdge::Runs { uid: "u".into() }]);
+    assert_eq!(told(&out), [ToEdge::Started { uid: "u".into() }]);
     let out = world.step(vec![Input::NodePod(
         at.clone(),
         pod("u", "pod-u", "Succeeded", ""),
@@ -158,7 +158,7 @@
         told(&out),
         [ToEdge::Ended {
             uid: "u".into(),
-            end: End::Succeeded
+            reason: TerminationReason::Succeeded
         }]
     );
     assert_eq!(world.core.tasks(), 0);
@@ -265,7 +265,7 @@
         told(&out),
         [ToEdge::Ended {
             uid: "u".into(),
-            end: End::Lost
+            reason: TerminationReason::NodeLost
         }]
     );
 }
@@ -284,7 +284,7 @@
         told(&out),
         [ToEdge::Ended {
             uid: "u".into(),
-            end: End::Lost
+            reason: TerminationReason::NodeLost
         }]
     );
 }
@@ -313,7 +313,7 @@
         told(&out),
         [ToEdge::Ended {
             uid: "u".into(),
-            end: End::Lost
+            reason: TerminationReason::NodeLost
         }],
         "silent and unlisted"
     );
@@ -327,7 +327,7 @@
     world.step(vec![Input::ListChange(drains, false)]);
     assert_eq!(offer(&world.place("u", "termin-web")), None);
     let said = world.until(3.0, |o| {
-        matches!(o, Output::Edge(_, ToEdge::Refused { .. })).then_some(())
+        matches!(o, Output::Edge(_, ToEdge::Rejected { .. })).then_some(())
     });
     assert!(said.is_some());
 }
@@ -336,7 +336,7 @@
 fn a_task_that_is_not_wanted_while_its_offer_is_out_is_deleted_once_accepted() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, _) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Edge(1, ToPlanner::Stop { uid: "u".into() })]);
+    world.step(vec![Input::Edge(1, ToPlanner::Cancel { uid: "u".into() })]);
     let out = world.step(vec![Input::Answered {
         task,
         attempt,
@@ -397,7 +397,7 @@
         told(&out),
         [ToEdge::Located {
             uid: "u".into(),
-            found: Found::Nowhere
+            location: Location::NotFound
         }]
     );
     world.step(vec![Input::NodePod(
@@ -410,7 +410,7 @@
         told(&out),
         [ToEdge::Located {
             uid: "v".into(),
-            found: Found::At("n1".into())
+            location: Location::At("n1".into())
         }]
     );
     world.step(vec![Input::NodeDown("n1".into(), false), locate("w")]);
@@ -421,7 +421,7 @@
         told(&world.step(vec![Input::Tick])),
         [ToEdge::Located {
             uid: "w".into(),
-            found: Found::Unclear
+            location: Location::Unknown
         }]
     );
 }
@@ -431,7 +431,7 @@
     let mut world = World::new(&["n1"]);
     let said = told(&world.place("u", "odd"));
     assert!(
-        matches!(&said[..], [ToEdge::Refused { why, .. }] if why.contains("\"odd\"")),
+        matches!(&said[..], [ToEdge::Rejected { reason: why, .. }] if why.contains("\"odd\"")),
         "{said:?}"
     );
 }
@@ -449,18 +449,18 @@
         1,
         ToPlanner::Place(ask("t", "termin-web")),
     )]);
-    assert_eq!(out, [Output::Edge(1, ToEdge::Taken { uid: "t".into() })]);
+    assert_eq!(out, [Output::Edge(1, ToEdge::Acknowledged { uid: "t".into() })]);
     assert_eq!(
         world.until(1.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
         None
     );
     // Taken back: a Go that crossed it finds nothing.
-    world.step(vec![Input::Edge(1, ToPlanner::Stop { uid: "t".into() })]);
+    world.step(vec![Input::Edge(1, ToPlanner::Cancel { uid: "t".into() })]);
     let out = world.step(vec![Input::Edge(
         1,
-        ToPlanner::Go {
+        ToPlanner::Commit {
             uid: "t".into(),
-            within: 2.0,
+            timeout: 2.0,
         },
     )]);
     assert_eq!(offers(&out), 0, "{out:?}");
@@ -491,7 +491,7 @@
 
 fn waits(out: &[Output]) -> Vec<tidespur_pending::Word> {
     let words = out.iter().filter_map(|o| match o {
-        Output::Edge(1, ToEdge::Waits(words)) => Some(words.clone()),
+        Output::Edge(1, ToEdge::PendingReasons(words)) => Some(words.clone()),
         _ => None,
     });
     words.flatten().collect()
@@ -515,9 +515,9 @@
         )]);
         world.step(vec![Input::Edge(
             1,
-            ToPlanner::Go {
+            ToPlanner::Commit {
                 uid: uid.into(),
-                within: 30.0,
+                timeout: 30.0,
             },
         )]);
     }
@@ -565,9 +565,9 @@
     world.step(vec![Input::Edge(1, ToPlanner::Place(large("z")))]);
     world.step(vec![Input::Edge(
         1,
-        ToPlanner::Go {
+        ToPlanner::Commit {
             uid: "z".into(),
-            within: 30.0,
+            timeout: 30.0,
         },
     )]);
     world.now += 0.3;
@@ -586,7 +586,7 @@
     let refused = |out: &[Output]| {
         told(out)
             .iter()
-            .any(|word| matches!(word, ToEdge::Refused { .. }))
+            .any(|word| matches!(word, ToEdge::Rejected { .. }))
     };
     let turned_away = |world: &mut World, round: usize| {
         (0..40)
@@ -607,7 +607,7 @@
             1,
             ToPlanner::Place(ask("0-0", "termin-web")),
         )]);
-        assert_eq!(told(&again), [ToEdge::Taken { uid: "0-0".into() }]);
+        assert_eq!(told(&again), [ToEdge::Acknowledged { uid: "0-0".into() }]);
     }
     for _ in 0..120 {
         world.now += 0.1;
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -30,7 +30,7 @@
 }
 
 fn hears(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
-    let word = ToPlanner::Sharers {
+    let word = ToPlanner::PlannerCount {
         lease: lease.into(),
         token,
         planners,
@@ -44,7 +44,7 @@
 fn stale(token: u64, newest: u64) -> [Output; 1] {
     [Output::Edge(
         1,
-        ToEdge::Stale {
+        ToEdge::StaleToken {
             lease: "fleet".into(),
             token,
             newest,
@@ -103,7 +103,7 @@
             ..Ask::default()
         };
         inputs.push(Input::Edge(1, ToPlanner::Place(ask)));
-        inputs.push(Input::Edge(1, ToPlanner::Go { uid, within: 5.0 }));
+        inputs.push(Input::Edge(1, ToPlanner::Commit { uid, timeout: 5.0 }));
         let mut out = Vec::new();
         core.step(now, std::mem::take(&mut inputs), &mut out);
         for output in out {
