--- a/crates/api/src/fields.rs
+++ b/crates/api/src/fields.rs
@@ -96,7 +96,7 @@
 /// Names each field of an object that can't be honoured.
 pub(crate) fn check(resource: &Resource, object: &Object, causes: &mut Vec<Cause>) {
     let listed = |path: &[&str]| {
-        meta::at(object, path)
+        meta::value_at(object, path)
             .as_array()
             .is_some_and(|list| !list.is_empty())
     };
@@ -104,7 +104,7 @@
         let message = "is not served: a deletion is at once; leave it out";
         causes.push(refused("metadata.finalizers".into(), message));
     }
-    let spec = meta::at(object, &["spec"]);
+    let spec = meta::value_at(object, &["spec"]);
     match resource.kind {
         "Pod" => pod(spec, "spec", causes),
         "Job" => {
@@ -126,9 +126,13 @@
                     "only false is served",
                 ));
             }
-            let template = meta::at(spec, &["template"]);
+            let template = meta::value_at(spec, &["template"]);
             known(template, "spec.template", &["metadata", "spec"], causes);
-            pod(meta::at(template, &["spec"]), "spec.template.spec", causes);
+            pod(
+                meta::value_at(template, &["spec"]),
+                "spec.template.spec",
+                causes,
+            );
         }
         "Namespace" if listed(&["spec", "finalizers"]) => {
             causes.push(refused("spec.finalizers".into(), NOT_SERVED));
@@ -149,23 +153,23 @@
             message,
         ));
     }
-    let scheduler = meta::text(spec, &["schedulerName"]);
+    let scheduler = meta::text_at(spec, &["schedulerName"]);
     if !["", "default-scheduler", "tidespur"].contains(&scheduler) {
         let message = format!("{scheduler:?} is not served here: use tidespur, or leave it out");
         causes.push(refused(format!("{at}.schedulerName"), &message));
     }
-    let containers = meta::at(spec, &["containers"]).as_array();
+    let containers = meta::value_at(spec, &["containers"]).as_array();
     for (i, container) in containers.into_iter().flatten().enumerate() {
         let at = format!("{at}.containers[{i}]");
         known(container, &at, &CONTAINER, causes);
-        let resources = meta::at(container, &["resources"]);
+        let resources = meta::value_at(container, &["resources"]);
         known(
             resources,
             &format!("{at}.resources"),
             &["requests", "limits"],
             causes,
         );
-        let requests = meta::at(resources, &["requests"]);
+        let requests = meta::value_at(resources, &["requests"]);
         known(
             requests,
             &format!("{at}.resources.requests"),
--- a/crates/api/src/meta.rs
+++ b/crates/api/src/meta.rs
@@ -5,49 +5,49 @@
 static NULL: Value = Value::Null;
 
 /// Follows a path of keys; null where it ends early.
-pub fn at<'a>(object: &'a Value, path: &[&str]) -> &'a Value {
+pub fn value_at<'a>(object: &'a Value, path: &[&str]) -> &'a Value {
     path.iter()
         .try_fold(object, |value, key| value.get(key))
         .unwrap_or(&NULL)
 }
 
 /// A string at a path, or "".
-pub fn text<'a>(object: &'a Value, path: &[&str]) -> &'a str {
-    at(object, path).as_str().unwrap_or("")
+pub fn text_at<'a>(object: &'a Value, path: &[&str]) -> &'a str {
+    value_at(object, path).as_str().unwrap_or("")
 }
 
 /// `metadata.name`.
 pub fn name(object: &Value) -> &str {
-    text(object, &["metadata", "name"])
+    text_at(object, &["metadata", "name"])
 }
 
 /// `metadata.namespace`.
 pub fn namespace(object: &Value) -> &str {
-    text(object, &["metadata", "namespace"])
+    text_at(object, &["metadata", "namespace"])
 }
 
 /// `metadata.uid`.
 pub fn uid(object: &Value) -> &str {
-    text(object, &["metadata", "uid"])
+    text_at(object, &["metadata", "uid"])
 }
 
 /// `metadata.resourceVersion`, 0 where there is none or it is no number.
 pub fn version(object: &Value) -> u64 {
-    text(object, &["metadata", "resourceVersion"])
+    text_at(object, &["metadata", "resourceVersion"])
         .parse()
         .unwrap_or(0)
 }
 
 /// One annotation.
 pub fn annotation<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
-    at(object, &["metadata", "annotations"])
+    value_at(object, &["metadata", "annotations"])
         .get(key)
         .and_then(Value::as_str)
 }
 
 /// One label.
 pub fn label<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
-    at(object, &["metadata", "labels"])
+    value_at(object, &["metadata", "labels"])
         .get(key)
         .and_then(Value::as_str)
 }
@@ -87,7 +87,7 @@
 
 /// Whether the condition of that type stands at `True`.
 pub fn has_condition(object: &Value, kind: &str) -> bool {
-    let list = at(object, &["status", "conditions"]).as_array();
+    let list = value_at(object, &["status", "conditions"]).as_array();
     list.is_some_and(|list| {
         list.iter()
             .any(|c| c["type"] == kind && c["status"] == "True")
--- a/crates/api/src/quantity.rs
+++ b/crates/api/src/quantity.rs
@@ -3,7 +3,7 @@
 //! Looked at `kube_quantity` and `k8s-quantity-parser`: both are bound to older releases of the object types.
 
 /// The largest quantity that is taken: far above any machine, far below where sums lose precision.
-pub const MOST: f64 = 1e15;
+pub const MAX_QUANTITY: f64 = 1e15;
 
 /// Why a quantity is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     ("E", 1e18),
 ];
 
-/// Parses a quantity; it must be finite, at least 0 and at most [`MOST`].
+/// Parses a quantity; it must be finite, at least 0 and at most [`MAX_QUANTITY`].
 pub fn parse(text: &str) -> Result<f64, QuantityError> {
     let fail = |why: &str| Err(QuantityError(format!("quantity {text:?} {why}")));
     if text.len() > 64 {
@@ -57,7 +57,7 @@
     let value = value * scale;
     match value {
         _ if value < 0.0 => fail("must be 0 or more"),
-        _ if !value.is_finite() || value > MOST => fail("is beyond 1e15"),
+        _ if !value.is_finite() || value > MAX_QUANTITY => fail("is beyond 1e15"),
         _ => Ok(value),
     }
 }
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -145,7 +145,7 @@
     }
 
     /// The one that people call so: plural, singular, kind or short name.
-    pub fn called(word: &str) -> Option<&'static Resource> {
+    pub fn find_by_alias(word: &str) -> Option<&'static Resource> {
         let word = word.to_ascii_lowercase();
         RESOURCES.iter().find(|r| {
             r.plural == word
--- a/crates/api/src/selector.rs
+++ b/crates/api/src/selector.rs
@@ -74,7 +74,7 @@
     pub fn matches(&self, object: &Object) -> bool {
         let field = |path: &str| {
             let keys: Vec<&str> = path.split('.').collect();
-            match meta::at(object, &keys) {
+            match meta::value_at(object, &keys) {
                 serde_json::Value::String(text) => text.clone(),
                 serde_json::Value::Bool(on) => on.to_string(),
                 _ if path == "spec.unschedulable" => "false".into(),
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -27,7 +27,7 @@
     /// Seconds to stay away.
     pub retry_after: Option<u32>,
     /// Kind and name of what it is about.
-    pub about: Option<(String, String)>,
+    pub subject: Option<(String, String)>,
 }
 
 impl ApiError {
@@ -40,7 +40,7 @@
             message,
             causes: vec![],
             retry_after: None,
-            about: None,
+            subject: None,
         }
     }
     /// 400.
@@ -50,7 +50,7 @@
     /// 404 for an object.
     pub fn not_found(plural: &str, name: &str) -> Self {
         let mut error = Self::new(404, "NotFound", format!("{plural} \"{name}\" not found"));
-        error.about = Some((plural.to_owned(), name.to_owned()));
+        error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
     /// 404 for a path.
@@ -62,25 +62,25 @@
         )
     }
     /// 405.
-    pub fn method() -> Self {
+    pub fn method_not_allowed() -> Self {
         let message = "the server does not allow this method on the requested resource";
         Self::new(405, "MethodNotAllowed", message)
     }
     /// 409 where a name is taken.
-    pub fn exists(plural: &str, name: &str) -> Self {
+    pub fn already_exists(plural: &str, name: &str) -> Self {
         let mut error = Self::new(
             409,
             "AlreadyExists",
             format!("{plural} \"{name}\" already exists"),
         );
-        error.about = Some((plural.to_owned(), name.to_owned()));
+        error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
     /// 409 where the object has changed meanwhile.
     pub fn conflict(plural: &str, name: &str, why: &str) -> Self {
         let message = format!("Operation cannot be fulfilled on {plural} \"{name}\": {why}");
         let mut error = Self::new(409, "Conflict", message);
-        error.about = Some((plural.to_owned(), name.to_owned()));
+        error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
     /// 410.
@@ -96,11 +96,11 @@
         let message = format!("{kind} \"{name}\" is invalid: {}", list.join(", "));
         let mut error = Self::new(422, "Invalid", message);
         error.causes = causes;
-        error.about = Some((kind.to_owned(), name.to_owned()));
+        error.subject = Some((kind.to_owned(), name.to_owned()));
         error
     }
     /// 429 with advice.
-    pub fn too_many(message: impl Into<String>, seconds: u32) -> Self {
+    pub fn too_many_requests(message: impl Into<String>, seconds: u32) -> Self {
         let mut error = Self::new(429, "TooManyRequests", message);
         error.retry_after = Some(seconds);
         error
@@ -115,7 +115,7 @@
     /// The `Status` object.
     pub fn to_status(&self) -> Value {
         let mut details = serde_json::Map::new();
-        if let Some((kind, name)) = &self.about {
+        if let Some((kind, name)) = &self.subject {
             details.insert("kind".into(), json!(kind));
             details.insert("name".into(), json!(name));
         }
--- a/crates/api/src/validate.rs
+++ b/crates/api/src/validate.rs
@@ -7,7 +7,7 @@
 /// Names, labels and annotations together may have this many bytes.
 const METADATA_MOST: usize = 256 * 1024;
 /// The most Pods that one Job may run at a time.
-pub const PARALLEL_MOST: i64 = 10_000;
+pub const MAX_PARALLELISM: i64 = 10_000;
 
 fn cause(reason: &'static str, field: &str, message: impl Into<String>) -> Cause {
     Cause {
@@ -53,7 +53,7 @@
         ));
     }
     for (field, most) in [("labels", 63), ("annotations", METADATA_MOST)] {
-        let entries = meta::at(object, &["metadata", field]).as_object();
+        let entries = meta::value_at(object, &["metadata", field]).as_object();
         for (key, value) in entries.into_iter().flatten() {
             let value = value.as_str().unwrap_or("");
             if key.is_empty() || key.len() > 317 || value.len() > most {
@@ -69,7 +69,7 @@
     fields::check(resource, object, &mut causes);
     match resource.kind {
         "Pod" => pod(
-            meta::at(object, &["spec"]),
+            meta::value_at(object, &["spec"]),
             object,
             "spec",
             classes,
@@ -81,7 +81,7 @@
     if let Some(old) = old.filter(|_| resource.kind == "Pod") {
         for field in ["containers", "priorityClassName"] {
             let path = ["spec", field];
-            if meta::at(old, &path) != meta::at(object, &path) {
+            if meta::value_at(old, &path) != meta::value_at(object, &path) {
                 let at = format!("spec.{field}");
                 causes.push(cause(
                     "FieldValueForbidden",
@@ -99,7 +99,7 @@
 }
 
 fn job(object: &Object, old: Option<&Object>, classes: &[String], causes: &mut Vec<Cause>) {
-    let spec = meta::at(object, &["spec"]);
+    let spec = meta::value_at(object, &["spec"]);
     let fields = [
         "parallelism",
         "completions",
@@ -109,7 +109,7 @@
     ];
     for field in fields {
         let most = if field == "parallelism" {
-            PARALLEL_MOST
+            MAX_PARALLELISM
         } else {
             i64::from(i32::MAX)
         };
@@ -122,15 +122,15 @@
             causes.push(cause("FieldValueInvalid", &format!("spec.{field}"), range));
         }
     }
-    let template = meta::at(spec, &["template"]);
+    let template = meta::value_at(spec, &["template"]);
     pod(
-        meta::at(template, &["spec"]),
+        meta::value_at(template, &["spec"]),
         template,
         "spec.template.spec",
         classes,
         causes,
     );
-    let policy = meta::text(template, &["spec", "restartPolicy"]);
+    let policy = meta::text_at(template, &["spec", "restartPolicy"]);
     if !matches!(policy, "Never" | "OnFailure") {
         let message = format!("{policy:?} must be Never or OnFailure");
         causes.push(cause(
@@ -139,7 +139,7 @@
             message,
         ));
     }
-    if old.is_some_and(|old| meta::at(old, &["spec", "template"]) != template) {
+    if old.is_some_and(|old| meta::value_at(old, &["spec", "template"]) != template) {
         causes.push(cause(
             "FieldValueForbidden",
             "spec.template",
@@ -149,7 +149,7 @@
 }
 
 fn pod(spec: &Value, owner: &Value, at: &str, classes: &[String], causes: &mut Vec<Cause>) {
-    let containers = meta::at(spec, &["containers"]).as_array();
+    let containers = meta::value_at(spec, &["containers"]).as_array();
     if containers.is_none_or(Vec::is_empty) {
         causes.push(cause(
             "FieldValueRequired",
@@ -158,12 +158,12 @@
         ));
     }
     for (i, container) in containers.into_iter().flatten().enumerate() {
-        if !dns_name(meta::text(container, &["name"]), true) {
+        if !dns_name(meta::text_at(container, &["name"]), true) {
             let field = format!("{at}.containers[{i}].name");
             causes.push(cause("FieldValueInvalid", &field, "must be a DNS label"));
         }
         for set in ["requests", "limits"] {
-            let entries = meta::at(container, &["resources", set]).as_object();
+            let entries = meta::value_at(container, &["resources", set]).as_object();
             for (key, value) in entries.into_iter().flatten() {
                 if let Err(problem) = quantity::parse(value.as_str().unwrap_or("")) {
                     let field = format!("{at}.containers[{i}].resources.{set}[{key}]");
@@ -172,7 +172,7 @@
             }
         }
     }
-    let class = meta::text(spec, &["priorityClassName"]);
+    let class = meta::text_at(spec, &["priorityClassName"]);
     if !class.is_empty() && !classes.iter().any(|known| known == class) {
         let known = classes.join(", ");
         let message = format!("{class:?} is no class of the settings; use one of {known}");
--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -53,7 +53,7 @@
         Some(path) => {
             std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?
         }
-        None => tidespur_config::DEFAULT.to_owned(),
+        None => tidespur_config::DEFAULT_CONFIG.to_owned(),
     };
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
     let folder = options.keep.unwrap_or_else(|| scratch.path().to_owned());
--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -31,7 +31,7 @@
     end_with_parent();
     let mut config = config(options.options.config.as_ref())?;
     if let Some(planners) = options.planners {
-        config.planner.planners = planners.max(1);
+        config.planner.planner_count = planners.max(1);
     }
     smol::block_on(tidespur_planner::run(config, options.options))
 }
@@ -65,10 +65,10 @@
     end_with_parent();
     let config = config(options.config.as_ref())?;
     let kind = config
-        .kind
+        .node_types
         .get(&options.kind)
         .ok_or(format!("kind {:?} is not in the settings", options.kind))?;
-    let safety = &config.safety;
+    let safety = &config.safety_limits;
     let settings = NodeSettings {
         name: options.name,
         zone: options.zone,
@@ -76,18 +76,18 @@
         kind: options.kind,
         cores: kind.cores,
         memory: kind.memory,
-        admit_cores: config.nodes.admit_cores,
-        admit_memory: config.nodes.admit_memory,
+        admit_cores: config.nodes.cpu_overcommit,
+        admit_memory: config.nodes.memory_overcommit,
         cold: options.cold,
-        cold_from: safety.cold_from,
-        cold_bears: safety.cold_bears,
-        fall_multiple: safety.fall_multiple,
-        overload_for: safety.overload_for,
+        cold_from: safety.slow_start_speed,
+        cold_bears: safety.slow_start_offers,
+        fall_multiple: safety.overload_ratio,
+        overload_for: safety.overload_window,
         seed: options.seed,
         ..NodeSettings::default()
     };
     let priorities = config
-        .class
+        .classes
         .iter()
         .map(|(name, class)| (name.clone(), i64::from(class.priority)))
         .collect();
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -47,8 +47,8 @@
         let code = reply.status.as_u16();
         let text = format!(
             "{code} {}: {}",
-            meta::text(&object, &["reason"]),
-            meta::text(&object, &["message"])
+            meta::text_at(&object, &["reason"]),
+            meta::text_at(&object, &["message"])
         );
         Err(Problem { code, text })
     }
@@ -65,7 +65,7 @@
     }
 
     pub async fn watch(&self, path: &str) -> Result<Lines, Problem> {
-        let lines = self.client.lines(path, WITHIN).await;
+        let lines = self.client.stream_lines(path, WITHIN).await;
         lines.map_err(|e| Problem {
             code: 0,
             text: format!("{}: {e}", self.client.address()),
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -94,7 +94,7 @@
 }
 
 fn resource(word: &str) -> Result<&'static Resource, String> {
-    Resource::called(word).ok_or(format!(
+    Resource::find_by_alias(word).ok_or(format!(
         "{word:?} is not known: use jobs, pods, nodes, events or namespaces"
     ))
 }
@@ -131,8 +131,8 @@
     let objects = read(&options.file)?;
     smol::block_on(async {
         for object in objects {
-            let kind = meta::text(&object, &["kind"]).to_owned();
-            let r = Resource::called(&kind).ok_or(format!("kind {kind:?} is not served"))?;
+            let kind = meta::text_at(&object, &["kind"]).to_owned();
+            let r = Resource::find_by_alias(&kind).ok_or(format!("kind {kind:?} is not served"))?;
             let space = match (r.namespaced, meta::namespace(&object)) {
                 (false, _) => "",
                 (true, "") => &target.namespace,
@@ -216,9 +216,10 @@
             if r.kind != "Pod" {
                 return Err("--waiting is for pods".into());
             }
-            items.retain(task::waits);
+            items.retain(task::is_unscheduled);
             // Versions grow with time, so they order those of one second too.
-            let made = |pod: &Value| meta::text(pod, &["metadata", "creationTimestamp"]).to_owned();
+            let made =
+                |pod: &Value| meta::text_at(pod, &["metadata", "creationTimestamp"]).to_owned();
             items.sort_by_key(|pod| (made(pod), meta::version(pod)));
         }
         let wide = options.output == Output::Wide;
@@ -234,7 +235,7 @@
         if !options.watch {
             return Ok(());
         }
-        let version = meta::text(&found, &["metadata", "resourceVersion"]);
+        let version = meta::text_at(&found, &["metadata", "resourceVersion"]);
         let field = if name.is_empty() {
             String::new()
         } else {
@@ -249,7 +250,7 @@
             let event: Value = serde_json::from_slice(&line).map_err(|e| e.to_string())?;
             let object = &event["object"];
             match (event["type"].as_str().unwrap_or(""), options.output) {
-                ("ERROR", _) => return Err(meta::text(object, &["message"]).to_owned()),
+                ("ERROR", _) => return Err(meta::text_at(object, &["message"]).to_owned()),
                 (_, Output::Json) => say!("{event}"),
                 (_, Output::Yaml) => say!(
                     "---\n{}",
@@ -383,7 +384,7 @@
             let items = pods["items"].as_array().cloned().unwrap_or_default();
             let over = |pod: &Value| {
                 matches!(
-                    meta::text(pod, &["status", "phase"]),
+                    meta::text_at(pod, &["status", "phase"]),
                     "Succeeded" | "Failed"
                 )
             };
@@ -418,12 +419,15 @@
 
 pub fn check_config(options: CheckOptions) -> Result<(), String> {
     let config = children::config(Some(&options.file))?;
-    config.policy(0, 0).check().map_err(|e| e.to_string())?;
+    config
+        .scheduler_settings(0, 0)
+        .check()
+        .map_err(|e| e.to_string())?;
     say!(
         "{}: good ({} classes, {} kinds)",
         options.file.display(),
-        config.class.len(),
-        config.kind.len()
+        config.classes.len(),
+        config.node_types.len()
     );
     Ok(())
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -62,7 +62,7 @@
     // It only draws; if it failed there is nothing to tell.
     let _ = shown.join();
     played?;
-    let report = checker::judge(&records, tidespur_config::DEFAULT, options.seed)?;
+    let report = checker::judge(&records, tidespur_config::DEFAULT_CONFIG, options.seed)?;
     println!("what became of {} tasks:", report.submitted);
     for (what, count) in [
         ("placed", report.placed),
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -32,7 +32,7 @@
         let (Some(resource), Some(name)) = (&options.resource, &options.name) else {
             return Err("name a job or a pod, or use --all".into());
         };
-        match tidespur_api::Resource::called(resource).map(|r| r.kind) {
+        match tidespur_api::Resource::find_by_alias(resource).map(|r| r.kind) {
             Some("Pod") => pod(target, name, options.json).await,
             Some("Job") => job(target, name, options.json).await,
             _ => Err(format!(
@@ -61,14 +61,14 @@
         );
         return Ok(());
     }
-    let node = meta::text(&object, &["spec", "nodeName"]);
-    let phase = meta::text(&object, &["status", "phase"]);
-    let waits = task::waits(&object);
+    let node = meta::text_at(&object, &["spec", "nodeName"]);
+    let phase = meta::text_at(&object, &["status", "phase"]);
+    let waits = task::is_unscheduled(&object);
     match (waits, node) {
         (true, _) => say!("pod/{name} waits"),
         (false, "") => say!(
             "pod/{name} is {phase}: {}",
-            meta::text(&object, &["status", "message"])
+            meta::text_at(&object, &["status", "message"])
         ),
         (false, node) => say!("pod/{name} was placed on {node} and is {phase}"),
     }
@@ -90,7 +90,7 @@
     let now = clock::now();
     let number = |value: &Value, key: &str| value[key].as_f64().unwrap_or(0.0);
     if waits {
-        say!("  now      {}", meta::text(record, &["message"]));
+        say!("  now      {}", meta::text_at(record, &["message"]));
         if let Some(hint) = record["hint"].as_str() {
             say!("  it needs {hint}");
         }
@@ -136,7 +136,10 @@
             Some(0) | None => String::new(),
             Some(nodes) => format!(" ({nodes} nodes)"),
         };
-        let (code, source) = (meta::text(span, &["code"]), meta::text(span, &["source"]));
+        let (code, source) = (
+            meta::text_at(span, &["code"]),
+            meta::text_at(span, &["source"]),
+        );
         say!(
             "  {source:<9}{code}{nodes}: from {} to {until}{times}",
             seconds(now, number(span, "first"))
@@ -152,19 +155,22 @@
     );
     let pods = target.get(PODS, "", &query).await?;
     let pods = pods["items"].as_array().cloned().unwrap_or_default();
-    let waits: Vec<&Value> = pods.iter().filter(|pod| task::waits(pod)).collect();
+    let waits: Vec<&Value> = pods
+        .iter()
+        .filter(|pod| task::is_unscheduled(pod))
+        .collect();
     if !json {
         say!("job/{name}: {} of {} Pods wait", waits.len(), pods.len());
-        if meta::at(&job, &["spec", "suspend"]) == true {
+        if meta::value_at(&job, &["spec", "suspend"]) == true {
             say!("  owner    it is suspended: nothing of it may run");
         }
-        for condition in meta::at(&job, &["status", "conditions"])
+        for condition in meta::value_at(&job, &["status", "conditions"])
             .as_array()
             .into_iter()
             .flatten()
         {
-            if condition["type"] == names::WAITING && condition["status"] == "True" {
-                say!("  owner    {}", meta::text(condition, &["message"]));
+            if condition["type"] == names::PENDING_CONDITION && condition["status"] == "True" {
+                say!("  owner    {}", meta::text_at(condition, &["message"]));
             }
         }
     }
@@ -203,7 +209,7 @@
     let mut lines: Vec<&Value> = fleet["reasons"].as_array().into_iter().flatten().collect();
     lines.sort_by_key(|line| std::cmp::Reverse(line["tasks"].as_u64()));
     for line in lines {
-        let text = |key: &str| meta::text(line, &[key]).to_owned();
+        let text = |key: &str| meta::text_at(line, &[key]).to_owned();
         let number = |key: &str| line[key].as_f64().unwrap_or(0.0);
         table.add_row([
             format!("{}", number("tasks")),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -90,7 +90,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    tidespur_net::logs(arguments.log_json);
+    tidespur_net::init_logging(arguments.log_json);
     let target = client::Target::new(&arguments.server, &arguments.namespace);
     let done = match arguments.command {
         Command::Up(options) => up::up(options),
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -17,7 +17,7 @@
 pub(crate) use say;
 
 fn age(object: &Value) -> String {
-    let Some(made) = meta::unix(meta::text(object, &["metadata", "creationTimestamp"])) else {
+    let Some(made) = meta::unix(meta::text_at(object, &["metadata", "creationTimestamp"])) else {
         return "?".into();
     };
     let seconds = (clock::now() - made).max(0.0) as u64;
@@ -30,7 +30,10 @@
 }
 
 fn number(object: &Value, path: &[&str]) -> String {
-    meta::at(object, path).as_i64().unwrap_or(0).to_string()
+    meta::value_at(object, path)
+        .as_i64()
+        .unwrap_or(0)
+        .to_string()
 }
 
 /// Column heads of a resource.
@@ -65,7 +68,7 @@
 
 /// One object's row.
 pub fn row(resource: &Resource, object: &Value, wide: bool) -> Vec<String> {
-    let text = |path: &[&str]| meta::text(object, path).to_owned();
+    let text = |path: &[&str]| meta::text_at(object, path).to_owned();
     let note = |key: &str| meta::annotation(object, key).unwrap_or("").to_owned();
     let label = |key: &str| meta::label(object, key).unwrap_or("").to_owned();
     let name = meta::name(object).to_owned();
@@ -77,7 +80,7 @@
                 () if meta::has_condition(object, "Suspended") => "Suspended",
                 () => "Running",
             };
-            let wanted = meta::at(object, &["spec", "completions"])
+            let wanted = meta::value_at(object, &["spec", "completions"])
                 .as_i64()
                 .map_or("1+".into(), |n| n.to_string());
             let done = format!("{}/{wanted}", number(object, &["status", "succeeded"]));
@@ -97,7 +100,7 @@
             vec![name, status, text(&["spec", "nodeName"]), age(object)]
         }
         "Node" => {
-            let off = meta::at(object, &["spec", "unschedulable"]) == true;
+            let off = meta::value_at(object, &["spec", "unschedulable"]) == true;
             let status = if off {
                 "Ready,SchedulingDisabled"
             } else {
@@ -108,11 +111,11 @@
                 status.into(),
                 label(names::ZONE),
                 label(names::RACK),
-                label(names::KIND),
+                label(names::INSTANCE_TYPE),
             ];
             [
                 place,
-                vec![note(names::FREE_CORES), note(names::FREE_MEMORY)],
+                vec![note(names::UNCLAIMED_CPU), note(names::UNCLAIMED_MEMORY)],
             ]
             .concat()
         }
@@ -133,7 +136,7 @@
         _ => vec![name, text(&["status", "phase"]), age(object)],
     };
     if wide {
-        let (cores, memory) = tidespur_api::task::requests(object);
+        let (cores, memory) = tidespur_api::task::resource_requests(object);
         row.extend(match resource.kind {
             "Job" => vec![
                 text(&["spec", "template", "spec", "priorityClassName"]),
@@ -141,17 +144,17 @@
             ],
             "Pod" => {
                 let class = text(&["spec", "priorityClassName"]);
-                let conditions = meta::at(object, &["status", "conditions"]).as_array();
+                let conditions = meta::value_at(object, &["status", "conditions"]).as_array();
                 let waits = conditions
                     .into_iter()
                     .flatten()
                     .find(|c| c["reason"] == "Unschedulable");
                 let message = waits.map_or(text(&["status", "message"]), |c| {
-                    meta::text(c, &["message"]).to_owned()
+                    meta::text_at(c, &["message"]).to_owned()
                 });
                 vec![class, format!("{cores}"), format!("{memory}Gi"), message]
             }
-            "Node" => vec![note(names::ADDRESS), note(names::UP_SINCE)],
+            "Node" => vec![note(names::ADDRESS), note(names::STARTED_AT)],
             _ => vec![],
         });
     }
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -270,7 +270,7 @@
 fn bad_input_gets_a_clear_error_and_disturbs_nobody() {
     let running = start(1, 1, |layout, folder| {
         let file = folder.join("quick.hcl");
-        let text = tidespur_config::DEFAULT
+        let text = tidespur_config::DEFAULT_CONFIG
             .replace("head_timeout     = 10", "head_timeout     = 0.5")
             .replace("body_timeout     = 30", "body_timeout     = 0.5");
         std::fs::write(&file, text).unwrap();
@@ -420,7 +420,8 @@
         let file = folder.join("small.hcl");
         std::fs::write(
             &file,
-            tidespur_config::DEFAULT.replace("open_most        = 5000", "open_most        = 2"),
+            tidespur_config::DEFAULT_CONFIG
+                .replace("open_most        = 5000", "open_most        = 2"),
         )
         .unwrap();
         layout.config = Some(file);
--- a/crates/cli/tests/common/fleet.rs
+++ b/crates/cli/tests/common/fleet.rs
@@ -57,7 +57,7 @@
     let block = format!("ledger {{\n  term = 2\n  voters = {{\n{voters}  }}\n}}\n");
     std::fs::write(
         &config,
-        format!("{}\n{block}", patient(tidespur_config::DEFAULT)),
+        format!("{}\n{block}", patient(tidespur_config::DEFAULT_CONFIG)),
     )
     .unwrap();
     let mut relays = BTreeMap::new();
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -110,9 +110,9 @@
 fn a_compacted_version_is_gone_and_a_relist_converges() {
     let running = start(2, 1, |layout, folder| {
         let file = folder.join("small.hcl");
-        let text =
-            tidespur_config::DEFAULT.replace("history          = 16384", "history          = 16");
-        assert_ne!(text, tidespur_config::DEFAULT);
+        let text = tidespur_config::DEFAULT_CONFIG
+            .replace("history          = 16384", "history          = 16");
+        assert_ne!(text, tidespur_config::DEFAULT_CONFIG);
         std::fs::write(&file, text).unwrap();
         layout.config = Some(file);
     });
@@ -177,7 +177,11 @@
     let running = start(3, 1, |layout, folder| {
         let file = folder.join("keyed.hcl");
         let keyed = "class \"keyed\" {\n aim = 0.5\n deadline = 2\n effect = \"keyed\"\n group = \"node\"\n window = 8\n}\n";
-        std::fs::write(&file, format!("{}\n{keyed}", tidespur_config::DEFAULT)).unwrap();
+        std::fs::write(
+            &file,
+            format!("{}\n{keyed}", tidespur_config::DEFAULT_CONFIG),
+        )
+        .unwrap();
         layout.config = Some(file);
     });
     let jobs = running.jobs();
@@ -455,7 +459,8 @@
         let file = folder.join("small.hcl");
         std::fs::write(
             &file,
-            tidespur_config::DEFAULT.replace("history          = 16384", "history          = 64"),
+            tidespur_config::DEFAULT_CONFIG
+                .replace("history          = 16384", "history          = 64"),
         )
         .unwrap();
         layout.config = Some(file);
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,6 +1,9 @@
 //! The settings as they stand in the file. Times are seconds, memory is in units of 1 GiB.
 
-use crate::{DurableBlock, Edge, FleetBlock, LedgerBlock, Nodes, Owner, Planner, Prices, Safety};
+use crate::{
+    CoordinationSection, CostModel, EdgeSection, JobControllerSection, MembershipSection,
+    NodesSection, PersistenceSection, PlannerSection, SafetyLimits,
+};
 use indexmap::IndexMap;
 use serde::Deserialize;
 
@@ -10,38 +13,47 @@
 pub struct Config {
     /// Namespaces that are tenants.
     #[serde(default)]
-    pub tenant: IndexMap<String, Tenant>,
+    #[serde(rename = "tenant")]
+    pub tenants: IndexMap<String, Tenant>,
     /// Classes, by `priorityClassName`; the first is for Pods that name none.
-    pub class: IndexMap<String, Class>,
+    #[serde(rename = "class")]
+    pub classes: IndexMap<String, Class>,
     /// Kinds of nodes, by the label `node.kubernetes.io/instance-type`.
-    pub kind: IndexMap<String, Kind>,
+    #[serde(rename = "kind")]
+    pub node_types: IndexMap<String, NodeType>,
     /// What nodes and their list tell, and what they accept.
     #[serde(default)]
-    pub nodes: Nodes,
+    pub nodes: NodesSection,
     /// Figures of the rules.
     #[serde(default)]
-    pub safety: Safety,
+    #[serde(rename = "safety")]
+    pub safety_limits: SafetyLimits,
     /// What costs, for the policy.
     #[serde(default)]
-    pub prices: Prices,
+    #[serde(rename = "prices")]
+    pub costs: CostModel,
     /// The edge.
     #[serde(default)]
-    pub edge: Edge,
+    pub edge: EdgeSection,
     /// The planner.
     #[serde(default)]
-    pub planner: Planner,
+    pub planner: PlannerSection,
     /// The owner's side.
     #[serde(default)]
-    pub owner: Owner,
+    #[serde(rename = "owner")]
+    pub job_controller: JobControllerSection,
     /// The fleet's view; off without it.
     #[serde(default)]
-    pub fleet: Option<FleetBlock>,
+    #[serde(rename = "fleet")]
+    pub membership: Option<MembershipSection>,
     /// The fleet's memory; off without it.
     #[serde(default)]
-    pub ledger: Option<LedgerBlock>,
+    #[serde(rename = "ledger")]
+    pub coordination: Option<CoordinationSection>,
     /// What outlives the processes; memory only without it.
     #[serde(default)]
-    pub durable: Option<DurableBlock>,
+    #[serde(rename = "durable")]
+    pub persistence: Option<PersistenceSection>,
 }
 
 /// A tenant.
@@ -49,27 +61,32 @@
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Its fraction of the service.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub quota_fraction: f64,
     /// New tasks a second within the share.
-    pub quota_per_s: f64,
+    #[serde(rename = "quota_per_s")]
+    pub quota_per_second: f64,
 }
 
 /// What repeats of a task do.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Effect {
+pub enum RetrySafety {
     /// No harm.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// They are dropped within a group for a while.
-    Keyed,
+    #[serde(rename = "keyed")]
+    IdempotencyKeyed,
     /// Harm.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
 /// A set of nodes that belong together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Place {
+pub enum FailureDomain {
     /// All nodes.
     All,
     /// A zone.
@@ -89,43 +106,54 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// A first start within this time earns its full worth.
-    pub aim: f64,
+    #[serde(rename = "aim")]
+    pub latency_objective: f64,
     /// How long owners wait, where a Pod does not say.
     pub deadline: f64,
     /// What repeats do.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub retry_safety: RetrySafety,
     /// `keyed`: where repeats are dropped.
-    pub group: Option<Place>,
+    #[serde(rename = "group")]
+    pub deduplication_domain: Option<FailureDomain>,
     /// `keyed`: for how long.
-    pub window: Option<f64>,
+    #[serde(rename = "window")]
+    pub deduplication_window: Option<f64>,
     /// Worth of one second of full service.
     #[serde(default = "one")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Seconds of service that a timely start is worth.
     #[serde(default)]
-    pub start_worth: f64,
+    #[serde(rename = "start_worth")]
+    pub start_weight: f64,
     /// Share of a node's cores up to which the class is served in full.
     #[serde(default = "one")]
-    pub calm: f64,
+    #[serde(rename = "calm")]
+    pub full_service_utilization: f64,
     /// Service drops to nothing over this much more.
     #[serde(default = "one")]
-    pub fade: f64,
+    #[serde(rename = "fade")]
+    pub degradation_range: f64,
     /// The kind of node that it needs.
-    pub kind: Option<String>,
+    #[serde(rename = "kind")]
+    pub node_type: Option<String>,
     /// Higher goes first.
     #[serde(default)]
     pub priority: u32,
     /// Where `spread_most` counts.
-    pub spread: Option<Place>,
+    #[serde(rename = "spread")]
+    pub spread_domain: Option<FailureDomain>,
     /// The most tasks of one service in one such place, for one planner.
     #[serde(default)]
-    pub spread_most: u32,
+    #[serde(rename = "spread_most")]
+    pub max_per_spread_domain: u32,
 }
 
 /// A kind of node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct NodeType {
     /// Cores.
     pub cores: f64,
     /// Memory units.
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -18,19 +18,25 @@
 
 section! {
     /// What nodes and their list tell, and what they accept.
-    Nodes {
+    NodesSection {
         /// Nodes accept until Pods ask for this multiple of their cores.
-        admit_cores: f64 = 2.5,
+        #[serde(rename = "admit_cores")]
+        cpu_overcommit: f64 = 2.5,
         /// Or this multiple of their memory.
-        admit_memory: f64 = 1.2,
+        #[serde(rename = "admit_memory")]
+        memory_overcommit: f64 = 1.2,
         /// The list carries unclaimed cores and memory.
-        lists_free: bool = true,
+        #[serde(rename = "lists_free")]
+        lists_unclaimed: bool = true,
         /// Answers carry the load.
-        reports: bool = true,
+        #[serde(rename = "reports")]
+        load_reports: bool = true,
         /// Reports tell what is not in use (else what is not asked for).
-        reports_use: bool = true,
+        #[serde(rename = "reports_use")]
+        reports_measured_usage: bool = true,
         /// Nodes let planners probe them.
-        probes: bool = false,
+        #[serde(rename = "probes")]
+        allows_load_polls: bool = false,
         /// Attempts that one task may have.
         max_attempts: u32 = 4,
     }
@@ -38,96 +44,119 @@
 
 section! {
     /// Figures of the rules.
-    Safety {
+    SafetyLimits {
         /// A final answer counts until this long after the deadline.
         answer_slack: f64 = 0.1,
         /// The list must be asked for at least this often where the watch is down.
-        ask_within: f64 = 10.0,
+        #[serde(rename = "ask_within")]
+        max_poll_interval: f64 = 10.0,
         /// A node that has just come up starts Pods at this fraction of its pace, or above.
-        cold_from: f64 = 0.15,
+        #[serde(rename = "cold_from")]
+        slow_start_speed: f64 = 0.15,
         /// It is warm no later than this.
-        cold: f64 = 18.0,
+        #[serde(rename = "cold")]
+        slow_start_duration: f64 = 18.0,
         /// Offers within `overload_for`, from all planners, that a cold node always bears.
-        cold_bears: f64 = 8.0,
+        #[serde(rename = "cold_bears")]
+        slow_start_offers: f64 = 8.0,
         /// Sends to a leaving node must stop within this of being told.
         drain_grace: f64 = 1.0,
         /// More than this multiple of present capacity ...
-        fall_multiple: f64 = 2.5,
+        #[serde(rename = "fall_multiple")]
+        overload_ratio: f64 = 2.5,
         /// ... for this long pushes a cold node over.
-        overload_for: f64 = 1.0,
+        #[serde(rename = "overload_for")]
+        overload_window: f64 = 1.0,
     }
 }
 
 section! {
     /// What costs, for the policy; points of the result for each unit.
-    Prices {
+    CostModel {
         /// All nodes in use beyond those needed.
-        machines: f64 = 0.0,
+        #[serde(rename = "machines")]
+        idle_machines: f64 = 0.0,
         /// One refused offer for each task.
-        refused: f64 = 0.03,
+        #[serde(rename = "refused")]
+        rejected_offer: f64 = 0.03,
         /// One move for each task.
-        moves: f64 = 0.08,
+        #[serde(rename = "moves")]
+        migration: f64 = 0.08,
         /// Moves that one eviction counts as.
-        eviction_as_moves: f64 = 2.0,
+        #[serde(rename = "eviction_as_moves")]
+        eviction_in_migrations: f64 = 2.0,
         /// One probe for each task.
-        probe: f64 = 0.003,
+        #[serde(rename = "probe")]
+        load_poll: f64 = 0.003,
         /// One full message for each task.
-        message: f64 = 0.01,
+        #[serde(rename = "message")]
+        gossip_message: f64 = 0.01,
     }
 }
 
 section! {
     /// The edge.
-    Edge {
+    EdgeSection {
         /// Tasks without an answer; beyond, creates get 429.
-        open_most: u32 = 5_000,
+        #[serde(rename = "open_most")]
+        max_open_tasks: u32 = 5_000,
         /// Open tasks that one planner may hold; beyond, tasks queue at the edge.
-        planner_most: u32 = 500,
+        #[serde(rename = "planner_most")]
+        max_tasks_per_planner: u32 = 500,
         /// Connections to the API.
-        connections_most: u32 = 4_096,
+        #[serde(rename = "connections_most")]
+        max_connections: u32 = 4_096,
         /// Bytes of one body.
-        body_most: u32 = 3_145_728,
+        #[serde(rename = "body_most")]
+        max_body_bytes: u32 = 3_145_728,
         /// A request's head must be there within this.
         head_timeout: f64 = 10.0,
         /// A request's body must be there within this.
         body_timeout: f64 = 30.0,
         /// Changes that the history of one resource keeps.
-        history: u32 = 16_384,
+        #[serde(rename = "history")]
+        max_history: u32 = 16_384,
         /// Objects of one resource.
-        objects_most: u32 = 200_000,
+        #[serde(rename = "objects_most")]
+        max_objects: u32 = 200_000,
         /// A bookmark goes to watches that want them this often.
-        bookmark_every: f64 = 15.0,
+        #[serde(rename = "bookmark_every")]
+        bookmark_interval: f64 = 15.0,
         /// Seconds without a word after which a planner is lost.
-        planner_patience: f64 = 2.0,
+        #[serde(rename = "planner_patience")]
+        planner_timeout: f64 = 2.0,
         /// Tasks of one service go to one planner while that is up.
-        one_home: bool = false,
+        #[serde(rename = "one_home")]
+        single_planner_per_service: bool = false,
     }
 }
 
 section! {
     /// How edges and planners find each other.
-    FleetBlock {
+    MembershipSection {
         /// Members of other clusters are not listened to.
-        cluster: String = FleetBlock::CLUSTER.into(),
+        cluster: String = MembershipSection::CLUSTER.into(),
         /// Address for datagrams.
         listen: String = "127.0.0.1:0".into(),
         /// Addresses of other members; one that answers is enough.
         join: Vec<String> = vec![],
         /// Members at a time.
-        members_most: u32 = 1_024,
+        #[serde(rename = "members_most")]
+        max_members: u32 = 1_024,
     }
 }
 
-impl FleetBlock {
+impl MembershipSection {
     /// The cluster's name where the settings give none.
     pub const CLUSTER: &str = "tidespur";
 }
 
 section! {
     /// What outlives the processes.
-    DurableBlock {
+    PersistenceSection {
         /// Each process has a folder of its name beneath this one.
-        dir: String = String::new(),
+        #[serde(rename = "dir")]
+        directory: String = String::new(),
     }
 }
 
@@ -136,42 +165,53 @@
 
 section! {
     /// The fleet's memory.
-    LedgerBlock {
+    CoordinationSection {
         /// Edges that vote, by name: 1, 3 or 5, the same at all, with the addresses at which they hear each other.
         voters: Voters = Voters::new(),
         /// How long a lease holds without being renewed.
-        term: f64 = 6.0,
+        #[serde(rename = "term")]
+        lease_term: f64 = 6.0,
         /// How far two clocks may run apart, as a share.
-        drift: f64 = 0.01,
+        #[serde(rename = "drift")]
+        max_clock_drift: f64 = 0.01,
     }
 }
 
 section! {
     /// The planner.
-    Planner {
+    PlannerSection {
         /// Connections to one node.
-        node_connections: u32 = 16,
+        #[serde(rename = "node_connections")]
+        max_connections_per_node: u32 = 16,
         /// Events taken into one step at most.
-        step_most: u32 = 512,
+        #[serde(rename = "step_most")]
+        max_events_per_step: u32 = 512,
         /// Seconds without a word after which an edge is lost.
-        edge_patience: f64 = 2.0,
+        #[serde(rename = "edge_patience")]
+        edge_timeout: f64 = 2.0,
         /// How many planners share the nodes.
-        planners: u32 = 1,
+        #[serde(rename = "planners")]
+        planner_count: u32 = 1,
         /// Edges are told why their tasks wait.
-        reasons: bool = true,
+        #[serde(rename = "reasons")]
+        publishes_pending_reasons: bool = true,
     }
 }
 
 section! {
     /// The owner's side: how the Job controller asks again.
-    Owner {
+    JobControllerSection {
         /// First pause after a refusal, failure or eviction; drawn from half to the whole, doubling.
-        again_first: f64 = 1.5,
+        #[serde(rename = "again_first")]
+        initial_backoff: f64 = 1.5,
         /// Longest pause.
-        again_most: f64 = 60.0,
+        #[serde(rename = "again_most")]
+        max_backoff: f64 = 60.0,
         /// Pause after a move or a loss.
-        again_lost: f64 = 0.2,
+        #[serde(rename = "again_lost")]
+        lost_task_backoff: f64 = 0.2,
         /// Tasks that may have run and must not twice: asked for after this long.
-        settle: f64 = 3.0,
+        #[serde(rename = "settle")]
+        outcome_query_delay: f64 = 3.0,
     }
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,16 +1,16 @@
 //! Good settings, and bad ones with the place named.
 
-use tidespur_config::{DEFAULT, parse};
+use tidespur_config::{DEFAULT_CONFIG, parse};
 
 #[test]
 fn the_example_is_taken_and_says_what_holds_anyway() {
-    let config = parse("default.hcl", DEFAULT).unwrap();
+    let config = parse("default.hcl", DEFAULT_CONFIG).unwrap();
     assert_eq!(
-        config.class.keys().collect::<Vec<_>>(),
+        config.classes.keys().collect::<Vec<_>>(),
         ["termin-web", "slot-abgleich"]
     );
-    config.policy(0, 0).check().unwrap();
-    let short: String = DEFAULT.split("\nnodes {").next().unwrap().to_owned();
+    config.scheduler_settings(0, 0).check().unwrap();
+    let short: String = DEFAULT_CONFIG.split("\nnodes {").next().unwrap().to_owned();
     let bare = parse("short.hcl", &short).unwrap();
     assert_eq!(
         format!("{bare:?}"),
@@ -21,19 +21,19 @@
 
 #[test]
 fn where_the_ledger_counts_planners_one_that_was_not_told_takes_the_smallest_part() {
-    let of = |text: &str| parse("settings", text).unwrap().policy(0, 0);
+    let of = |text: &str| parse("settings", text).unwrap().scheduler_settings(0, 0);
     let counted = of(&format!(
-        "{DEFAULT}\nledger {{\n  voters = {{ edge-0 = \"127.0.0.1:7301\" }}\n}}\n"
+        "{DEFAULT_CONFIG}\nledger {{\n  voters = {{ edge-0 = \"127.0.0.1:7301\" }}\n}}\n"
     ));
     assert_eq!(
         (
-            of(DEFAULT).scheduler_count,
+            of(DEFAULT_CONFIG).scheduler_count,
             counted.scheduler_count,
             counted.safety_limits.slow_start_offers
         ),
         (1, 8, 8.0)
     );
-    let many = DEFAULT.replace("planners         = 1 ", "planners         = 30 ");
+    let many = DEFAULT_CONFIG.replace("planners         = 1 ", "planners         = 30 ");
     assert_eq!(of(&many).scheduler_count, 30);
 }
 
@@ -77,8 +77,8 @@
             "allowed is 0 to 3600",
         ),
     ] {
-        assert!(DEFAULT.contains(from), "{from}");
-        let text = DEFAULT.replace(from, to);
+        assert!(DEFAULT_CONFIG.contains(from), "{from}");
+        let text = DEFAULT_CONFIG.replace(from, to);
         let line = text.lines().position(|l| l.contains(to.trim())).unwrap() + 1;
         let problem = parse("site.hcl", &text).unwrap_err();
         assert_eq!(
@@ -102,14 +102,24 @@
 
 #[test]
 fn a_fleet_is_off_unless_it_is_named_and_bad_ones_name_their_key() {
-    assert!(parse("built-in", DEFAULT).unwrap().fleet.is_none());
-    let with = |block: &str| parse("site.hcl", &format!("{DEFAULT}\nfleet {{\n  {block}\n}}\n"));
+    assert!(
+        parse("built-in", DEFAULT_CONFIG)
+            .unwrap()
+            .membership
+            .is_none()
+    );
+    let with = |block: &str| {
+        parse(
+            "site.hcl",
+            &format!("{DEFAULT_CONFIG}\nfleet {{\n  {block}\n}}\n"),
+        )
+    };
     let good = with("join = [\"127.0.0.1:7001\"]")
         .unwrap()
-        .fleet
+        .membership
         .expect("it is named");
     assert_eq!(
-        (good.cluster.as_str(), good.members_most),
+        (good.cluster.as_str(), good.max_members),
         ("tidespur", 1_024)
     );
     for (block, key) in [
@@ -121,7 +131,7 @@
         ("seeds = []", "fleet.seeds"),
     ] {
         let problem = with(block).unwrap_err();
-        let line = DEFAULT.lines().count() + 3;
+        let line = DEFAULT_CONFIG.lines().count() + 3;
         assert_eq!(
             (problem.key.as_str(), problem.line),
             (key, line),
--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -54,7 +54,7 @@
         memory: Option<&LoadedRecords>,
         routes: Routes,
     ) -> Result<Option<Self>, String> {
-        let Some(block) = &config.ledger else {
+        let Some(block) = &config.coordination else {
             return Ok(None);
         };
         let Some(address) = block.voters.get(name) else {
@@ -70,8 +70,8 @@
             own: name.to_owned(),
             incarnation: memory.incarnation(),
             start: start(),
-            lease_term: block.term,
-            max_clock_drift: block.drift,
+            lease_term: block.lease_term,
+            max_clock_drift: block.max_clock_drift,
         };
         let ledger = Arc::new(Mutex::new(Voter::new(settings, memory, clock::now())?));
         let (tell, told) = async_channel::bounded(INPUTS_MOST);
--- a/crates/coordination-net/src/streams.rs
+++ b/crates/coordination-net/src/streams.rs
@@ -69,8 +69,8 @@
             return;
         };
         loop {
-            let at = self.routes.to(address);
-            let dialled = clock::within(1.0, TcpStream::connect(&at)).await;
+            let at = self.routes.resolve(address);
+            let dialled = clock::timeout(1.0, TcpStream::connect(&at)).await;
             match dialled {
                 Some(Ok(socket)) => match self.greet(socket, Some(&name)).await {
                     Ok((socket, reader, name)) => self.keep(socket, reader, name).await,
@@ -94,11 +94,11 @@
         send.try_send(Frame::Hi(self.cluster.clone(), self.own.clone()))
             .map_err(|e| e.to_string())?;
         drop(send);
-        clock::within(PATIENCE, frames::write_all(socket.clone(), queue))
+        clock::timeout(PATIENCE, frames::write_all(socket.clone(), queue))
             .await
             .ok_or("it takes nothing")??;
         let mut reader = frames::FrameReader::new(socket.clone());
-        match clock::within(PATIENCE, reader.next::<Frame>())
+        match clock::timeout(PATIENCE, reader.next::<Frame>())
             .await
             .ok_or("it says nothing")??
         {
@@ -116,7 +116,7 @@
     }
 
     async fn keep(&self, socket: TcpStream, reader: frames::FrameReader, name: String) {
-        let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
+        let (send, queue) = async_channel::bounded(frames::MAX_QUEUED_MESSAGES);
         let stream = crate::turn::number();
         if self
             .tell
@@ -137,12 +137,12 @@
                 }
             },
         };
-        let link = frames::Link {
+        let link = frames::Session {
             queue,
             send,
-            ping: Frame::Word(PeerMessage::Heartbeat),
+            heartbeat: Frame::Word(PeerMessage::Heartbeat),
         };
-        let ended = frames::keep(socket, reader, link, PATIENCE, read, &self.tell).await;
+        let ended = frames::run_session(socket, reader, link, PATIENCE, read, &self.tell).await;
         tracing::info!(voter = name, ?ended, "the stream to a voter ended");
         let _ = self.tell.send(Event::Down(name, stream)).await;
     }
--- a/crates/coordination-net/src/turn.rs
+++ b/crates/coordination-net/src/turn.rs
@@ -55,7 +55,7 @@
         let wake = lock(&ledger).next_wake() - clock::now();
         let disk_came = async { came.recv().await.ok().map(|()| None) };
         let event = async { told.recv().await.ok().map(Some) };
-        let first = match clock::within(wake, smol::future::or(event, disk_came)).await {
+        let first = match clock::timeout(wake, smol::future::or(event, disk_came)).await {
             Some(None) => return,
             Some(Some(event)) => event,
             None => None,
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/recall.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use std::time::Instant;
-use tidespur_config::{DEFAULT, parse};
+use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::Core;
 use tidespur_persistence::{Batch, Identity, RecordStore};
 use tidespur_store::{Limits, Store};
@@ -42,7 +42,7 @@
         let start = Instant::now();
         let (_memory, back) = RecordStore::open(folder.path(), &who)?;
         let opened = start.elapsed().as_secs_f64();
-        let config = parse("built-in", DEFAULT)?;
+        let config = parse("built-in", DEFAULT_CONFIG)?;
         let mut store = Store::new(Limits::default(), 1, 1_000_000);
         Core::new(config, 1).recall(0.0, &back, &mut store)?;
         let taken = start.elapsed().as_secs_f64() - opened;
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -9,11 +9,11 @@
 use std::sync::{Arc, Mutex};
 use tidespur_api::resource::{EVENTS, JOBS, PODS};
 use tidespur_api::{Object, meta};
-use tidespur_config::{Config, Effect};
+use tidespur_config::{Config, RetrySafety};
 use tidespur_job_controller::{self as controller, Controller};
-use tidespur_pending::Ledger;
+use tidespur_pending::PendingRecords;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
-use tidespur_store::{Follower, Store};
+use tidespur_store::{ChangeReader, Store};
 
 mod nodes;
 mod read;
@@ -53,8 +53,8 @@
     pub(crate) config: Config,
     pub(crate) desk: Desk,
     pub(crate) controller: Controller,
-    pub(crate) jobs: Follower,
-    pub(crate) pods: Follower,
+    pub(crate) jobs: ChangeReader,
+    pub(crate) pods: ChangeReader,
     /// Namespace and name of each Pod that desk or planners know by uid.
     pub(crate) known: BTreeMap<String, (String, String)>,
     pub(crate) ended: Garbage,
@@ -70,33 +70,33 @@
     /// The core of an edge that has read nothing of its store yet.
     pub fn new(config: Config, seed: u64) -> Self {
         let desk = Desk::new(desk::Settings {
-            planner_most: config.edge.planner_most as usize,
-            one_home: config.edge.one_home,
-            answer_slack: config.safety.answer_slack / 2.0,
+            planner_most: config.edge.max_tasks_per_planner as usize,
+            one_home: config.edge.single_planner_per_service,
+            answer_slack: config.safety_limits.answer_slack / 2.0,
             locate_for: 3.0,
-            take_within: config.edge.planner_patience / 2.0,
+            take_within: config.edge.planner_timeout / 2.0,
         });
         let guarded: BTreeSet<String> = config
-            .class
+            .classes
             .iter()
-            .filter(|(_, c)| c.effect != Effect::Safe)
+            .filter(|(_, c)| c.retry_safety != RetrySafety::Idempotent)
             .map(|(name, _)| name.clone())
             .collect();
-        let owner = &config.owner;
+        let owner = &config.job_controller;
         let controller = Controller::new(
             controller::Settings {
                 pauses: controller::Pauses {
-                    first: owner.again_first,
-                    most: owner.again_most,
-                    lost: owner.again_lost,
+                    first: owner.initial_backoff,
+                    most: owner.max_backoff,
+                    lost: owner.lost_task_backoff,
                 },
-                settle: owner.settle,
+                settle: owner.outcome_query_delay,
                 guarded,
-                default_class: config.class.keys().next().cloned().unwrap_or_default(),
+                default_class: config.classes.keys().next().cloned().unwrap_or_default(),
             },
             seed,
         );
-        let (jobs, pods) = (Follower::new(JOBS), Follower::new(PODS));
+        let (jobs, pods) = (ChangeReader::new(JOBS), ChangeReader::new(PODS));
         let (ended, events) = (
             Garbage::new(PODS, ENDED_MOST),
             Garbage::new(EVENTS, EVENTS_MOST),
@@ -122,13 +122,13 @@
     }
 
     /// The records of what waits.
-    pub fn ledger(&self) -> Arc<Mutex<Ledger>> {
+    pub fn ledger(&self) -> Arc<Mutex<PendingRecords>> {
         self.waits.ledger()
     }
 
     /// How often it fell behind its own store's history.
     pub fn behind(&self) -> u64 {
-        self.jobs.behind() + self.pods.behind()
+        self.jobs.resync_count() + self.pods.resync_count()
     }
 
     /// Planners that are connected.
@@ -201,7 +201,8 @@
             let mut actions = Vec::new();
             self.controller
                 .step(now, std::mem::take(&mut owner_events).into(), &mut actions);
-            let quiet = actions.is_empty() && self.pods.current(store) && self.jobs.current(store);
+            let quiet =
+                actions.is_empty() && self.pods.is_current(store) && self.jobs.is_current(store);
             for action in actions {
                 self.owner_says(now, action, store, &mut owner_events, &mut desk_events);
             }
@@ -214,10 +215,10 @@
 
 /// Uid of the controlling owner.
 pub(crate) fn owner_uid(pod: &Object) -> &str {
-    let owners = meta::at(pod, &["metadata", "ownerReferences"]).as_array();
+    let owners = meta::value_at(pod, &["metadata", "ownerReferences"]).as_array();
     let owner = owners
         .into_iter()
         .flatten()
         .find(|owner| owner["controller"] == true);
-    owner.map_or("", |owner| meta::text(owner, &["uid"]))
+    owner.map_or("", |owner| meta::text_at(owner, &["uid"]))
 }
--- a/crates/edge/src/core/read.rs
+++ b/crates/edge/src/core/read.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use tidespur_api::resource::PODS;
 use tidespur_api::{Object, meta, names, task};
-use tidespur_config::Effect;
+use tidespur_config::RetrySafety;
 use tidespur_job_controller::{self as controller, JobView, PodView};
-use tidespur_store::{ChangeKind, Expect, Store};
+use tidespur_store::{ChangeKind, Precondition, Store};
 
 impl Core {
     pub(super) fn read_jobs(&mut self, store: &mut Store, owner: &mut VecDeque<controller::Event>) {
@@ -21,7 +21,7 @@
             owner.push_back(controller::Event::JobGone(uid.to_owned()));
             let owned = |pod: &&Arc<Object>| owner_uid(pod) == uid;
             let pods: Vec<Arc<Object>> = store
-                .all(PODS, meta::namespace(&change.object))
+                .iter(PODS, meta::namespace(&change.object))
                 .filter(owned)
                 .cloned()
                 .collect();
@@ -30,7 +30,7 @@
                     PODS,
                     meta::namespace(&pod),
                     meta::name(&pod),
-                    &Expect::default(),
+                    &Precondition::default(),
                 ));
             }
         }
@@ -56,7 +56,7 @@
                 continue;
             }
             let before = change
-                .before
+                .previous
                 .as_ref()
                 .map(|before| PodView::read(before).phase);
             if before != Some(view.phase) {
@@ -71,18 +71,19 @@
             let over = matches!(view.phase, controller::PodPhase::Ended(_));
             if change.kind == ChangeKind::Added && !over {
                 self.known.insert(uid, (view.namespace, view.name));
-                let ask = task::ask(pod);
-                if meta::annotation(pod, names::ADOPTS).is_some() {
-                    let node = meta::text(pod, &["spec", "nodeName"]).to_owned();
+                let ask = task::placement_request(pod);
+                if meta::annotation(pod, names::ADOPTED_POD_NAME).is_some() {
+                    let node = meta::text_at(pod, &["spec", "nodeName"]).to_owned();
                     desk.push(desk::Event::Adopt(ask, node));
                 } else {
-                    let class = self.config.class_called(&ask.class);
+                    let class = self.config.class_or_default(&ask.class);
                     let within = ask
-                        .within
+                        .timeout
                         .or(class.map(|class| class.deadline))
                         .unwrap_or(0.0);
                     self.waits.open(now, &ask, meta::name(pod));
-                    let safe = class.is_some_and(|class| class.effect == Effect::Safe);
+                    let safe =
+                        class.is_some_and(|class| class.retry_safety == RetrySafety::Idempotent);
                     self.notes.open(&ask.uid, now + within, false);
                     desk.push(desk::Event::Submit(ask, now + within, safe));
                 }
--- a/crates/edge/src/core/says.rs
+++ b/crates/edge/src/core/says.rs
@@ -8,7 +8,7 @@
 use tidespur_api::{Object, meta, names};
 use tidespur_job_controller::{self as controller, PodView, SlotId};
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_store::{Expect, Store};
+use tidespur_store::{Precondition, Store};
 
 impl Core {
     pub(super) fn desk_says(
@@ -21,7 +21,11 @@
     ) {
         match action {
             desk::Action::Tell(planner, message) => {
-                if let ToPlanner::Commit { uid, timeout: within } = &message {
+                if let ToPlanner::Commit {
+                    uid,
+                    timeout: within,
+                } = &message
+                {
                     // From here on it may be offered: that must be known after a return.
                     self.notes.open(uid, now + within, true);
                     self.waits.taken(now, uid);
@@ -42,9 +46,11 @@
                 );
             }
             desk::Action::Refused(uid, why) => {
-                self.unplaced(&uid, names::REFUSED, &why, store, now)
+                self.unplaced(&uid, names::PLACEMENT_REFUSED, &why, store, now)
+            }
+            desk::Action::Failed(uid, why) => {
+                self.unplaced(&uid, names::PLACEMENT_UNKNOWN, &why, store, now)
             }
-            desk::Action::Failed(uid, why) => self.unplaced(&uid, names::UNKNOWN, &why, store, now),
             desk::Action::Runs(uid) => self.change(&uid, store, |pod| pods::runs(pod, now)),
             desk::Action::Ended(uid, end) => {
                 self.change(&uid, store, |pod| pods::ended(pod, end, now));
@@ -77,7 +83,7 @@
             return;
         }
         change(&mut pod);
-        if let Err(problem) = store.update(PODS, pod, &Expect::default()) {
+        if let Err(problem) = store.update(PODS, pod, &Precondition::default()) {
             tracing::error!(uid, %problem, "a Pod's state can't be written");
         }
     }
@@ -99,7 +105,7 @@
         };
         let event = pods::event(
             &pod,
-            format!("{name}.{}", store.suffix()),
+            format!("{name}.{}", store.random_suffix()),
             kind,
             reason,
             message,
@@ -139,7 +145,7 @@
                     PODS,
                     &namespace,
                     &name,
-                    &Expect {
+                    &Precondition {
                         uid: Some(uid),
                         version: None,
                     },
@@ -159,7 +165,7 @@
                 };
                 let mut job = (**job).clone();
                 job["status"] = pods::job_status(&job, &status, now);
-                drop(store.update(JOBS, job, &Expect::default()));
+                drop(store.update(JOBS, job, &Precondition::default()));
             }
             Action::DeleteJob {
                 namespace,
@@ -170,7 +176,7 @@
                     JOBS,
                     &namespace,
                     &name,
-                    &Expect {
+                    &Precondition {
                         uid: Some(uid),
                         version: None,
                     },
@@ -214,11 +220,11 @@
             return controller::Event::NotCreated(slot);
         };
         // What runs already is always taken over; new work waits at its owner while the desk is full.
-        if adopt.is_none() && self.desk.open() >= self.config.edge.open_most as usize {
+        if adopt.is_none() && self.desk.open() >= self.config.edge.max_open_tasks as usize {
             return controller::Event::NotCreated(slot);
         }
         let base = meta::name(&job);
-        let name = format!("{}-{}", &base[..base.len().min(240)], store.suffix());
+        let name = format!("{}-{}", &base[..base.len().min(240)], store.random_suffix());
         let mut pod = pods::make(&job, &name, &slot, returned, adopt.as_ref());
         if let Some(adopt) = &adopt {
             pods::placed(&mut pod, &adopt.node, now);
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -4,8 +4,8 @@
 //! lost, falls silent or answers late; and that a task is with at most one planner at a time.
 
 use std::collections::{BTreeMap, VecDeque};
-use tidespur_api::task::Ask;
-use tidespur_pending::Code;
+use tidespur_api::task::PlacementRequest;
+use tidespur_pending::ReasonCode;
 use tidespur_planner_protocol::{Location, ToPlanner};
 
 mod deal;
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct Task {
-    ask: Ask,
+    ask: PlacementRequest,
     deadline: f64,
     /// A second start does no harm.
     safe: bool,
@@ -101,18 +101,20 @@
     }
 
     /// Tasks that no planner has taken, and why. One that was asked of a planner just now is on its way.
-    pub fn untaken(&self, now: f64) -> impl Iterator<Item = (&str, Code)> {
+    pub fn untaken(&self, now: f64) -> impl Iterator<Item = (&str, ReasonCode)> {
         let code = match () {
-            () if self.planners.is_empty() => Code::NoPlanner,
-            () if self.planners.values().all(|planner| planner.silent) => Code::PlannersSilent,
-            () => Code::PlannersFull,
+            () if self.planners.is_empty() => ReasonCode::NoPlanner,
+            () if self.planners.values().all(|planner| planner.silent) => {
+                ReasonCode::PlannersSilent
+            }
+            () => ReasonCode::PlannersFull,
         };
         self.tasks
             .iter()
             .filter_map(move |(uid, task)| match task.stage {
                 Stage::Queued => Some((uid.as_str(), code)),
                 Stage::Asked(_, at) if now - at >= self.settings.take_within / 2.0 => {
-                    Some((uid.as_str(), Code::PlannersSilent))
+                    Some((uid.as_str(), ReasonCode::PlannersSilent))
                 }
                 _ => None,
             })
--- a/crates/edge/src/desk/deal.rs
+++ b/crates/edge/src/desk/deal.rs
@@ -3,7 +3,7 @@
 use super::{Action, Desk, Planner, PlannerId, Stage};
 use std::collections::VecDeque;
 use std::hash::Hasher;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::ToPlanner;
 
 impl Desk {
@@ -36,8 +36,8 @@
                 continue;
             };
             task.stage = Stage::Asked(planner, now);
-            let ask = Ask {
-                within: Some(task.deadline - now),
+            let ask = PlacementRequest {
+                timeout: Some(task.deadline - now),
                 ..task.ask.clone()
             };
             out.push(Action::Tell(planner, ToPlanner::Place(ask)));
--- a/crates/edge/src/desk/due.rs
+++ b/crates/edge/src/desk/due.rs
@@ -1,7 +1,7 @@
 //! What is due: answers at deadlines, and answers to questions.
 
 use super::{Action, Desk, Question, Stage, Task};
-use tidespur_planner_protocol::{TerminationReason, Location, ToPlanner};
+use tidespur_planner_protocol::{Location, TerminationReason, ToPlanner};
 
 impl Desk {
     /// Answers what has no answer at its deadline. A planner that is alive has answered by then, so this is for one
@@ -28,7 +28,10 @@
             }) = self.tasks.get(&uid)
             {
                 let (planner, late) = (*planner, now >= *deadline);
-                out.push(Action::Tell(planner, ToPlanner::Cancel { uid: uid.clone() }));
+                out.push(Action::Tell(
+                    planner,
+                    ToPlanner::Cancel { uid: uid.clone() },
+                ));
                 if let Some(planner) = self.planners.get_mut(&planner) {
                     planner.silent = true;
                 }
@@ -42,7 +45,10 @@
                     out.push(Action::Refused(uid, "no planner took it in time".into()));
                 }
                 Some(Stage::With(planner)) => {
-                    out.push(Action::Tell(planner, ToPlanner::Cancel { uid: uid.clone() }));
+                    out.push(Action::Tell(
+                        planner,
+                        ToPlanner::Cancel { uid: uid.clone() },
+                    ));
                     out.push(Action::Failed(
                         uid,
                         "its planner gave no answer in time".into(),
@@ -60,7 +66,12 @@
     }
 
     pub(super) fn close_questions(&mut self, now: f64, out: &mut Vec<Action>) {
-        let sure = |q: &Question| matches!(q.best, Location::At(_) | Location::Ended(TerminationReason::Succeeded));
+        let sure = |q: &Question| {
+            matches!(
+                q.best,
+                Location::At(_) | Location::Ended(TerminationReason::Succeeded)
+            )
+        };
         let done = |q: &Question| q.waiting.is_empty() || sure(q) || now >= q.until;
         let due: Vec<String> = self
             .questions
--- a/crates/edge/src/desk/planners.rs
+++ b/crates/edge/src/desk/planners.rs
@@ -1,7 +1,7 @@
 //! Planners that are lost, and what planners say.
 
 use super::{Action, Desk, PlannerId, Stage, Task};
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 
 impl Desk {
     /// What a lost planner had been told to place may have been offered: it fails, which promises nothing, or is
@@ -94,7 +94,13 @@
                 Some(task) if matches!(task.stage, Stage::Asked(p, _) if p == planner) => {
                     task.stage = Stage::With(planner);
                     let within = (task.deadline - now).max(0.0);
-                    out.push(Action::Tell(planner, ToPlanner::Commit { uid, timeout: within }));
+                    out.push(Action::Tell(
+                        planner,
+                        ToPlanner::Commit {
+                            uid,
+                            timeout: within,
+                        },
+                    ));
                 }
                 // A word on a task that it has already, or that was taken back.
                 Some(task) if task.stage == Stage::With(planner) => {}
@@ -111,7 +117,9 @@
             ToEdge::Placed { uid, .. } if !placed => {
                 out.push(Action::Tell(planner, ToPlanner::Cancel { uid }))
             }
-            ToEdge::Rejected { uid, reason: why, .. } if with => {
+            ToEdge::Rejected {
+                uid, reason: why, ..
+            } if with => {
                 self.close(&uid);
                 out.push(Action::Refused(uid, why));
             }
@@ -124,7 +132,10 @@
                 self.close(&uid);
                 out.push(Action::Ended(uid, end));
             }
-            ToEdge::Located { uid, location: found } => {
+            ToEdge::Located {
+                uid,
+                location: found,
+            } => {
                 let Some(question) = self.questions.get_mut(&uid) else {
                     return;
                 };
@@ -179,6 +190,9 @@
         | ToEdge::Started { uid }
         | ToEdge::Ended { uid, .. }
         | ToEdge::Located { uid, .. } => uid,
-        ToEdge::Hello { .. } | ToEdge::Heartbeat | ToEdge::PendingReasons(_) | ToEdge::StaleToken { .. } => "",
+        ToEdge::Hello { .. }
+        | ToEdge::Heartbeat
+        | ToEdge::PendingReasons(_)
+        | ToEdge::StaleToken { .. } => "",
     }
 }
--- a/crates/edge/src/desk/words.rs
+++ b/crates/edge/src/desk/words.rs
@@ -1,8 +1,8 @@
 //! What the desk is told, and what is to be done.
 
 use super::PlannerId;
-use tidespur_api::task::Ask;
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
+use tidespur_api::task::PlacementRequest;
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 
 /// Bounds and times.
 #[derive(Clone, Debug)]
@@ -23,12 +23,12 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A task to place, when its owner gives up, and whether a second start does no harm.
-    Submit(Ask, f64, bool),
+    Submit(PlacementRequest, f64, bool),
     /// A task that runs at this node already.
-    Adopt(Ask, String),
+    Adopt(PlacementRequest, String),
     /// An earlier process of this edge had told a planner to place this task, and has no answer; whether a second
     /// start does no harm. It may run.
-    Cut(Ask, bool),
+    Cut(PlacementRequest, bool),
     /// Nobody wants the task any more.
     Cancel(String),
     /// Whatever runs of this request is to be stopped.
--- a/crates/edge/src/garbage.rs
+++ b/crates/edge/src/garbage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 use tidespur_api::{Object, Resource, meta};
-use tidespur_store::{Expect, Store};
+use tidespur_store::{Precondition, Store};
 
 /// Objects of one kind that are kept for people to read.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
                 self.resource,
                 &space,
                 &name,
-                &Expect {
+                &Precondition {
                     uid: Some(uid),
                     version: None,
                 },
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -16,9 +16,9 @@
 use tidespur_load_shedding::LoadShedder;
 use tidespur_membership_net::MemberHandle;
 use tidespur_net::{Client, NetError, Recorder, clock};
-use tidespur_pending::Ledger;
-use tidespur_rest::{DeleteOptions, Hooks, Seen, Verb};
-use tidespur_store::{Expect, Store};
+use tidespur_pending::PendingRecords;
+use tidespur_rest::{DeleteOptions, Hooks, RequestLog, Verb};
+use tidespur_store::{Precondition, Store};
 
 mod parts;
 mod waits;
@@ -34,7 +34,7 @@
     pub(crate) inputs: Sender<Input>,
     pub(crate) register: Client,
     pub(crate) recorder: Recorder,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) ledger: Arc<Mutex<PendingRecords>>,
     pub(crate) behind: AtomicU64,
     pub(crate) member: Option<Arc<MemberHandle>>,
     pub(crate) shedder: Mutex<LoadShedder>,
@@ -76,7 +76,7 @@
         }
         match resource.kind {
             "Pod" => {
-                if !meta::text(object, &["spec", "nodeName"]).is_empty() {
+                if !meta::text_at(object, &["spec", "nodeName"]).is_empty() {
                     let message = "nodes are chosen by the scheduler; leave it out".to_owned();
                     let cause = Cause {
                         reason: "FieldValueForbidden",
@@ -90,17 +90,17 @@
                         "{} tasks wait for an answer, which is the most; try again",
                         self.open_most
                     );
-                    return Err(ApiError::too_many(text, 1));
+                    return Err(ApiError::too_many_requests(text, 1));
                 }
-                if !self.keeps_up(meta::text(object, &["spec", "priorityClassName"])) {
-                    return Err(ApiError::too_many(
+                if !self.keeps_up(meta::text_at(object, &["spec", "priorityClassName"])) {
+                    return Err(ApiError::too_many_requests(
                         "the edge is behind its work; try again",
                         1,
                     ));
                 }
                 // These speak for the Job controller alone.
                 if let Some(annotations) = object["metadata"]["annotations"].as_object_mut() {
-                    annotations.remove(names::ADOPTS);
+                    annotations.remove(names::ADOPTED_POD_NAME);
                 }
                 object["status"] = json!({"phase": "Pending"});
             }
@@ -125,7 +125,7 @@
     }
 
     /// Nodes belong to the register: a change of one is asked for there, and comes back by its watch.
-    async fn divert(
+    async fn intercept_write(
         &self,
         verb: Verb,
         resource: &'static Resource,
@@ -136,11 +136,11 @@
             return None;
         }
         if verb != Verb::Update {
-            return Some(Err(ApiError::method()));
+            return Some(Err(ApiError::method_not_allowed()));
         }
         let path = resource.path("", meta::name(object));
         let patch =
-            json!({"spec": {"unschedulable": meta::at(object, &["spec", "unschedulable"])}});
+            json!({"spec": {"unschedulable": meta::value_at(object, &["spec", "unschedulable"])}});
         let body = patch.to_string().into_bytes().into();
         let sent = self
             .register
@@ -156,7 +156,10 @@
             Ok(reply) if reply.status.is_success() => Ok(object.clone()),
             Ok(reply) => {
                 let status = reply.json();
-                let message = format!("the register says: {}", meta::text(&status, &["message"]));
+                let message = format!(
+                    "the register says: {}",
+                    meta::text_at(&status, &["message"])
+                );
                 Err(ApiError::new(reply.status.as_u16(), "Conflict", message))
             }
             Err(NetError::Timeout) => Err(ApiError::new(
@@ -178,27 +181,32 @@
         object: &Object,
         how: &DeleteOptions,
     ) -> Result<Object, ApiError> {
-        let gone = how.remove(store, resource, object)?;
+        let gone = how.apply(store, resource, object)?;
         match resource.kind {
             "Job" if how.propagation.as_deref() == Some("Orphan") => {
                 let uid = meta::uid(&gone);
                 let owned: Vec<Arc<Object>> = store
-                    .all(PODS, meta::namespace(&gone))
+                    .iter(PODS, meta::namespace(&gone))
                     .filter(|pod| owner_uid(pod) == uid)
                     .cloned()
                     .collect();
                 for pod in owned {
                     let mut pod = (*pod).clone();
                     meta::set(&mut pod, "ownerReferences", json!([]));
-                    drop(store.update(PODS, pod, &Expect::default()));
+                    drop(store.update(PODS, pod, &Precondition::default()));
                 }
             }
             "Namespace" => {
                 let name = meta::name(&gone);
                 for inner in [JOBS, PODS, EVENTS] {
-                    let all: Vec<Arc<Object>> = store.all(inner, name).cloned().collect();
+                    let all: Vec<Arc<Object>> = store.iter(inner, name).cloned().collect();
                     for object in all {
-                        drop(store.delete(inner, name, meta::name(&object), &Expect::default()));
+                        drop(store.delete(
+                            inner,
+                            name,
+                            meta::name(&object),
+                            &Precondition::default(),
+                        ));
                     }
                 }
             }
@@ -221,13 +229,13 @@
         }
     }
 
-    fn parts(&self) -> Vec<(&'static str, Result<String, String>)> {
+    fn component_status(&self) -> Vec<(&'static str, Result<String, String>)> {
         parts::all(self)
     }
 
     /// `/debug/waits`: why work waits. `/debug/waits/NAMESPACE/POD` is one Pod's record, `/debug/waits/NAMESPACE` all
     /// of a namespace, and the plain path the fleet's view, in counts alone: owners see only their own names.
-    fn other(&self, method: &str, path: &str, _: &[u8]) -> Option<Result<Object, ApiError>> {
+    fn handle_other(&self, method: &str, path: &str, _: &[u8]) -> Option<Result<Object, ApiError>> {
         let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
         if let (["debug", "ledger", rest @ ..], Some(voter)) = (parts.as_slice(), &self.voter) {
             return Some(match (rest, method) {
@@ -239,7 +247,7 @@
                     ));
                     Ok(voter.report())
                 }
-                _ => Err(ApiError::method()),
+                _ => Err(ApiError::method_not_allowed()),
             });
         }
         if let (["debug", "fleet"], "GET") = (parts.as_slice(), method) {
@@ -253,12 +261,12 @@
             return None;
         };
         if method != "GET" {
-            return Some(Err(ApiError::method()));
+            return Some(Err(ApiError::method_not_allowed()));
         }
         Some(waits::told(&lock(&self.ledger), rest))
     }
 
-    fn text(&self, path: &str) -> Option<String> {
+    fn serve_text(&self, path: &str) -> Option<String> {
         let (open, planners) = (
             self.open.load(Ordering::Relaxed),
             self.planners.load(Ordering::Relaxed),
@@ -270,17 +278,17 @@
         })
     }
 
-    async fn lasting(&self, version: u64, wrote: bool) -> Result<Option<String>, ApiError> {
+    async fn wait_durable(&self, version: u64, wrote: bool) -> Result<Option<String>, ApiError> {
         parts::lasting(self, version, wrote).await
     }
 
-    fn written(&self) {
+    fn on_write(&self) {
         // A full queue is being worked through, and the store is read after each step.
         let _ = self.inputs.try_send(Input::Kick);
     }
 
-    fn seen(&self, seen: &Seen<'_>) {
-        self.recorder.note("api", || {
+    fn log_request(&self, seen: &RequestLog<'_>) {
+        self.recorder.record("api", || {
             json!({"peer": seen.peer.to_string(), "method": seen.method, "path": seen.path, "status": seen.status,
                 "uid": meta::uid(seen.object)})
         });
--- a/crates/edge/src/hooks/waits.rs
+++ b/crates/edge/src/hooks/waits.rs
@@ -3,30 +3,31 @@
 use super::RECORDS_MOST;
 use serde_json::json;
 use tidespur_api::{ApiError, Object};
-use tidespur_pending::{Code, Held, Ledger, Record};
+use tidespur_pending::{PendingRecord, PendingRecords, PendingTotals, ReasonCode};
 
-pub(super) fn told(ledger: &Ledger, rest: &[&str]) -> Result<Object, ApiError> {
+pub(super) fn told(ledger: &PendingRecords, rest: &[&str]) -> Result<Object, ApiError> {
     match rest {
         [] => {
-            let line = |((class, namespace, zone, code), held): (_, Held)| {
-                let code: Code = code;
+            let line = |((class, namespace, zone, code), held): (_, PendingTotals)| {
+                let code: ReasonCode = code;
                 json!({"class": class, "namespace": namespace, "zone": zone, "reason": code, "source": code.source(),
-                    "words": code.words(), "tasks": held.tasks, "cores": held.cores, "memory": held.memory,
+                    "words": code.description(), "tasks": held.tasks, "cores": held.cores, "memory": held.memory,
                     "oldest": held.oldest})
             };
             Ok(
-                json!({"reasons": ledger.fleet().into_iter().map(line).collect::<Vec<_>>(),
-                "waiting": ledger.len(), "withoutRecord": ledger.without_record()}),
+                json!({"reasons": ledger.totals().into_iter().map(line).collect::<Vec<_>>(),
+                "waiting": ledger.len(), "withoutRecord": ledger.unrecorded_count()}),
             )
         }
         [space] => {
-            let mut all: Vec<&Record> = ledger.all(space).map(|(_, record)| record).collect();
+            let mut all: Vec<&PendingRecord> =
+                ledger.iter(space).map(|(_, record)| record).collect();
             all.sort_by(|a, b| a.since.total_cmp(&b.since));
             let remaining = all.len().saturating_sub(RECORDS_MOST);
             all.truncate(RECORDS_MOST);
             Ok(json!({"items": all, "remaining": remaining}))
         }
-        [space, pod] => match ledger.of(space, pod) {
+        [space, pod] => match ledger.find(space, pod) {
             Some(record) => Ok(json!(record)),
             None => Err(ApiError::not_found("waits", pod)),
         },
--- a/crates/edge/src/keep.rs
+++ b/crates/edge/src/keep.rs
@@ -120,7 +120,7 @@
     /// An object beyond the bound of a record; it is not kept, all else is.
     pub fn remember(&mut self, store: &mut Store) -> (Batch, Vec<PersistenceError>) {
         let (mut batch, mut problems) = (std::mem::take(&mut self.notes.batch), Vec::new());
-        for (at, object) in store.take_unkept() {
+        for (at, object) in store.take_unpersisted() {
             let resource = &RESOURCES[at.0];
             if !kept(resource) {
                 continue;
--- a/crates/edge/src/keep/recall.rs
+++ b/crates/edge/src/keep/recall.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use tidespur_api::resource::{JOBS, PODS, RESOURCES};
 use tidespur_api::{Object, meta, names, task};
-use tidespur_config::Effect;
+use tidespur_config::RetrySafety;
 use tidespur_job_controller::{
     self as controller, JobView, Kept, Past, Phase, PodEnd, PodPhase, PodView,
 };
 use tidespur_persistence::LoadedRecords;
-use tidespur_store::{Follower, Store};
+use tidespur_store::{ChangeReader, Store};
 
 /// A record that this program wrote and can't read.
 #[derive(Debug, thiserror::Error)]
@@ -87,7 +87,7 @@
             let plural = key.split('/').next().unwrap_or("");
             let resource = RESOURCES.iter().find(|resource| resource.plural == plural);
             let resource = resource.ok_or_else(|| wrong(OBJECT, key, "no such resource"))?;
-            store.recall(resource, read(OBJECT, key, bytes)?);
+            store.restore(resource, read(OBJECT, key, bytes)?);
             returned.objects += 1;
         }
         let mut open: BTreeMap<&str, Open> = BTreeMap::new();
@@ -95,11 +95,11 @@
             open.insert(uid, read(OPEN, uid, bytes)?);
         }
         (self.jobs, self.pods) = (
-            Follower::standing(JOBS, store),
-            Follower::standing(PODS, store),
+            ChangeReader::from_current(JOBS, store),
+            ChangeReader::from_current(PODS, store),
         );
         let (mut pods, mut events): (Vec<Arc<Object>>, Vec<desk::Event>) =
-            (store.all(PODS, "").cloned().collect(), vec![]);
+            (store.iter(PODS, "").cloned().collect(), vec![]);
         pods.sort_by_key(|pod| meta::version(pod));
         let mut owned: BTreeMap<&str, Vec<(u32, PodView)>> = BTreeMap::new();
         for pod in &pods {
@@ -114,21 +114,21 @@
                 self.ended.add(pod, store);
                 continue;
             }
-            let ask = task::ask(pod);
+            let ask = task::placement_request(pod);
             self.known.insert(
                 view.uid.clone(),
                 (view.namespace.clone(), view.name.clone()),
             );
-            let class = self.config.class_called(&ask.class);
-            let safe = class.is_some_and(|class| class.effect == Effect::Safe);
+            let class = self.config.class_or_default(&ask.class);
+            let safe = class.is_some_and(|class| class.retry_safety == RetrySafety::Idempotent);
             if view.phase != PodPhase::Waiting {
-                let node = meta::text(pod, &["spec", "nodeName"]).to_owned();
+                let node = meta::text_at(pod, &["spec", "nodeName"]).to_owned();
                 events.push(desk::Event::Adopt(ask, node));
                 returned.placed += 1;
                 continue;
             }
             let within = ask
-                .within
+                .timeout
                 .or(class.map(|class| class.deadline))
                 .unwrap_or(0.0);
             match open.get(view.uid.as_str()) {
@@ -174,7 +174,7 @@
             numbers.insert(job, read(JOB, job, bytes)?);
         }
         let mut events = Vec::new();
-        for job in store.all(JOBS, "") {
+        for job in store.iter(JOBS, "") {
             let uid = meta::uid(job);
             let all = owned.remove(uid).unwrap_or_default();
             let (over, pods) = all
@@ -206,20 +206,20 @@
 
 /// Number of the slot that a Job's Pod stands for.
 fn slot_number(pod: &Object) -> Option<u32> {
-    let (job, number) = meta::annotation(pod, names::KEY)?.rsplit_once('/')?;
+    let (job, number) = meta::annotation(pod, names::IDEMPOTENCY_KEY)?.rsplit_once('/')?;
     (!job.is_empty() && job == owner_uid(pod)).then(|| number.parse().ok())?
 }
 
 /// What a Job's status tells of its past.
 fn past(job: &Object, now: f64) -> Past {
-    let status = meta::at(job, &["status"]);
+    let status = meta::value_at(job, &["status"]);
     let count = |key: &str| {
         status[key]
             .as_u64()
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or(0)
     };
-    let time = |key: &str| meta::unix(meta::text(status, &[key]));
+    let time = |key: &str| meta::unix(meta::text_at(status, &[key]));
     let conditions = status["conditions"].as_array();
     let on = |kind: &str| {
         let is = |c: &&Object| c["type"] == kind && c["status"] == "True";
@@ -233,7 +233,7 @@
         None => Phase::Open,
     };
     let over = on("Failed").or(on("Complete"));
-    let ended = over.map(|c| meta::unix(meta::text(c, &["lastTransitionTime"])).unwrap_or(now));
+    let ended = over.map(|c| meta::unix(meta::text_at(c, &["lastTransitionTime"])).unwrap_or(now));
     Past {
         view: JobView::read(job),
         succeeded: count("succeeded"),
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use smol::net::{TcpListener, TcpStream};
 use std::sync::Arc;
-use tidespur_net::follow::{Followed, follow};
+use tidespur_net::follow::{ListWatchEvent, list_and_watch};
 use tidespur_net::{Client, clock, frames};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
@@ -38,9 +38,9 @@
 
     async fn serve_planner(&self, id: PlannerId, socket: TcpStream) -> Result<(), String> {
         socket.set_nodelay(true).map_err(|e| e.to_string())?;
-        let patience = self.config.edge.planner_patience;
+        let patience = self.config.edge.planner_timeout;
         let mut reader = frames::FrameReader::new(socket.clone());
-        let first = clock::within(patience, reader.next::<ToEdge>())
+        let first = clock::timeout(patience, reader.next::<ToEdge>())
             .await
             .ok_or("no Hello in time")??;
         let Some(ToEdge::Hello { planner, ordinal }) = first else {
@@ -52,7 +52,7 @@
             ordinal,
             "a planner is here"
         );
-        let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
+        let (send, queue) = async_channel::bounded(frames::MAX_QUEUED_MESSAGES);
         send.try_send(ToPlanner::Welcome {
             edge: self.options.name.clone(),
         })
@@ -75,18 +75,18 @@
             if matches!(message, ToEdge::PendingReasons(_)) {
                 return Some(Input::Said(id, message));
             }
-            self.recorder.note(
+            self.recorder.record(
                 "planner",
                 || json!({"planner": planner, "message": format!("{message:?}")}),
             );
             Some(Input::Said(id, message))
         };
-        let link = frames::Link {
+        let link = frames::Session {
             queue,
             send,
-            ping: ToPlanner::Heartbeat,
+            heartbeat: ToPlanner::Heartbeat,
         };
-        frames::keep(socket, reader, link, patience, read, &self.inputs).await
+        frames::run_session(socket, reader, link, patience, read, &self.inputs).await
     }
 
     pub(crate) async fn follow_register(self: Arc<Self>) {
@@ -104,9 +104,9 @@
     async fn watch_register(&self) -> String {
         let client = Client::new(&self.options.register, 2, vec![]);
         let read = |followed| match followed {
-            Followed::Whole(nodes) => Input::Nodes(nodes),
-            Followed::Change(node, deleted) => Input::Node(node, deleted),
+            ListWatchEvent::Whole(nodes) => Input::Nodes(nodes),
+            ListWatchEvent::Change(node, deleted) => Input::Node(node, deleted),
         };
-        follow(&client, "/api/v1/nodes", 2.0, SILENCE, read, &self.inputs).await
+        list_and_watch(&client, "/api/v1/nodes", 2.0, SILENCE, read, &self.inputs).await
     }
 }
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -19,7 +19,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    tidespur_net::logs(arguments.log_json);
+    tidespur_net::init_logging(arguments.log_json);
     let config = tidespur_config::load_or_default(arguments.options.config.as_deref());
     let ready = |at: &[String]| println!("ready {}", at.join(" "));
     let ran = config
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -31,7 +31,7 @@
     options: &crate::Options,
 ) -> Result<Option<(RecordStore, LoadedRecords)>, String> {
     let name = options.name.clone();
-    let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
+    let Some(folder) = tidespur_config::data_directory(config, options.data.as_deref()) else {
         tracing::warn!(
             edge = name,
             "keeps all in memory only: whatever it holds ends with it (see --data)"
@@ -94,8 +94,8 @@
             .map_err(|e| e.to_string())?;
         tracing::info!(?back, "returned");
         let disk = Arc::new(tidespur_persistence::Disk::start(memory).map_err(|e| e.to_string())?);
-        store.keep();
-        store.show(store.version());
+        store.track_writes();
+        store.set_visible_version(store.version());
         Ok(Self {
             disk,
             safe: AtomicU64::new(store.version()),
@@ -121,6 +121,6 @@
                 bell.await;
             }
         };
-        safe() || tidespur_net::clock::within(within, wait).await.is_some()
+        safe() || tidespur_net::clock::timeout(within, wait).await.is_some()
     }
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::AtomicU64;
-use tidespur_pending::Ledger;
+use tidespur_pending::PendingRecords;
 
 /// Namespaces that are shown by name.
 const NAMESPACES_MOST: usize = 50;
@@ -26,7 +26,7 @@
 
 /// The text.
 pub(crate) fn text(
-    ledger: &Ledger,
+    ledger: &PendingRecords,
     open: usize,
     planners: usize,
     behind: u64,
@@ -83,14 +83,14 @@
             trouble,
         );
     }
-    let unrecorded = ledger.without_record() as f64;
+    let unrecorded = ledger.unrecorded_count() as f64;
     plain(
         &mut registry,
         "waiting_without_record",
         "Tasks beyond the most records that are kept",
         unrecorded,
     );
-    let mut sums: BTreeMap<(String, String, String, tidespur_pending::Code), [f64; 3]> =
+    let mut sums: BTreeMap<(String, String, String, tidespur_pending::ReasonCode), [f64; 3]> =
         BTreeMap::new();
     let (mut namespaces, mut zones) = (BTreeSet::new(), BTreeSet::new());
     let bounded = |named: &mut BTreeSet<String>, name: String, most: usize| {
@@ -99,7 +99,7 @@
         named.insert(name.clone());
         name
     };
-    for ((class, namespace, zone, code), held) in ledger.fleet() {
+    for ((class, namespace, zone, code), held) in ledger.totals() {
         let namespace = bounded(&mut namespaces, namespace, NAMESPACES_MOST);
         let zone = bounded(&mut zones, zone, ZONES_MOST);
         let sum = sums.entry((class, namespace, zone, code)).or_default();
--- a/crates/edge/src/pods.rs
+++ b/crates/edge/src/pods.rs
@@ -13,14 +13,14 @@
     returned: bool,
     adopt: Option<&Adopt>,
 ) -> Object {
-    let template = meta::at(job, &["spec", "template"]);
-    let mut labels = meta::at(template, &["metadata", "labels"])
+    let template = meta::value_at(job, &["spec", "template"]);
+    let mut labels = meta::value_at(template, &["metadata", "labels"])
         .as_object()
         .cloned()
         .unwrap_or_default();
     labels.insert(names::JOB_NAME.into(), meta::name(job).into());
     labels.insert(names::JOB_UID.into(), meta::uid(job).into());
-    let mut annotations = meta::at(template, &["metadata", "annotations"])
+    let mut annotations = meta::value_at(template, &["metadata", "annotations"])
         .as_object()
         .cloned()
         .unwrap_or_default();
@@ -30,15 +30,15 @@
         }
     }
     annotations.insert(
-        names::KEY.into(),
+        names::IDEMPOTENCY_KEY.into(),
         format!("{}/{}", slot.job, slot.number).into(),
     );
     if returned {
-        annotations.insert(names::RETURNED.into(), "true".into());
+        annotations.insert(names::RESUBMITTED.into(), "true".into());
     }
-    let mut spec = meta::at(template, &["spec"]).clone();
+    let mut spec = meta::value_at(template, &["spec"]).clone();
     if let Some(adopt) = adopt {
-        annotations.insert(names::ADOPTS.into(), adopt.name.clone().into());
+        annotations.insert(names::ADOPTED_POD_NAME.into(), adopt.name.clone().into());
         spec["nodeName"] = adopt.node.clone().into();
     }
     json!({"kind": "Pod", "apiVersion": "v1",
@@ -133,12 +133,12 @@
 pub(crate) fn job_status(job: &Object, status: &JobStatus, now: f64) -> Value {
     let mut object = json!({"status": {"active": status.active, "ready": status.ready,
         "succeeded": status.succeeded, "failed": status.failed, "startTime": meta::timestamp(status.started)}});
-    if let Some(old) = meta::at(job, &["status", "conditions"]).as_array() {
+    if let Some(old) = meta::value_at(job, &["status", "conditions"]).as_array() {
         object["status"]["conditions"] = old.clone().into();
     }
     let ended = status.ended.unwrap_or(now);
     let (off, settling) = (status.backing_off, status.settling);
-    if off + settling > 0 || meta::has_condition(job, names::WAITING) {
+    if off + settling > 0 || meta::has_condition(job, names::PENDING_CONDITION) {
         let reason = match (settling, off) {
             (0, 0) => "",
             (0, _) => "BackingOff",
@@ -151,7 +151,13 @@
         };
         meta::set_condition(
             &mut object,
-            condition(names::WAITING, off + settling > 0, now, reason, &message),
+            condition(
+                names::PENDING_CONDITION,
+                off + settling > 0,
+                now,
+                reason,
+                &message,
+            ),
         );
     }
     match status.phase {
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -16,11 +16,11 @@
 use tidespur_coordination_net::VoterHandle;
 use tidespur_load_shedding::LoadShedder;
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{ShutdownReason, MemberHandle, shutdown_signal};
+use tidespur_membership_net::{MemberHandle, ShutdownReason, shutdown_signal};
 use tidespur_net::routes::Routes;
 use tidespur_net::{Client, Recorder, clock, server};
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_rest::{Api, Limits, Served};
+use tidespur_rest::{Api, ApiHandler, Limits};
 
 /// Inputs that may wait for the core.
 const INPUTS_MOST: usize = 16_384;
@@ -63,14 +63,13 @@
     };
     let (api_address, link_address) = (address(&api_listener)?, address(&link_listener)?);
     let recorder = match &options.record {
-        Some(path) => {
-            Recorder::to(path, &options.name).map_err(|e| format!("{}: {e}", path.display()))?
-        }
+        Some(path) => Recorder::append_to(path, &options.name)
+            .map_err(|e| format!("{}: {e}", path.display()))?,
         None => Recorder::default(),
     };
     let limits = tidespur_store::Limits {
-        history: config.edge.history as usize,
-        objects: config.edge.objects_most as usize,
+        max_history: config.edge.max_history as usize,
+        max_objects: config.edge.max_objects as usize,
         ..tidespur_store::Limits::default()
     };
     let remembered = memory::open(&config, &options)?;
@@ -100,14 +99,14 @@
     };
     let spaces = ["default".to_owned()]
         .into_iter()
-        .chain(config.tenant.keys().cloned());
+        .chain(config.tenants.keys().cloned());
     for space in spaces {
         let object = json!({"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": space},
             "spec": {}, "status": {"phase": "Active"}});
         // The second "default" stands already.
         drop(store.create(NAMESPACES, object, clock::now()));
     }
-    let routes = Routes::from(options.routes.clone());
+    let routes = Routes::from_file(options.routes.clone());
     let voter = VoterHandle::start(
         &config,
         &options.name,
@@ -133,9 +132,9 @@
     let member = member.map(Arc::new);
     let (send, receive) = async_channel::bounded(INPUTS_MOST);
     let hooks = EdgeHooks {
-        classes: config.class.keys().cloned().collect(),
+        classes: config.classes.keys().cloned().collect(),
         open: AtomicUsize::new(0),
-        open_most: config.edge.open_most as usize,
+        open_most: config.edge.max_open_tasks as usize,
         planners: AtomicUsize::new(0),
         inputs: send.clone(),
         register: Client::new(&options.register, 4, vec![]),
@@ -146,18 +145,21 @@
         disk: disk.clone(),
         voter,
         shedder: Mutex::new(LoadShedder::for_classes(
-            config.class.values().map(|class| (class.aim, class.worth)),
+            config
+                .classes
+                .values()
+                .map(|class| (class.latency_objective, class.priority_weight)),
         )),
     };
     let limits = Limits {
-        body: config.edge.body_most as usize,
+        max_body_bytes: config.edge.max_body_bytes as usize,
         body_timeout: config.edge.body_timeout,
-        bookmark_every: config.edge.bookmark_every,
+        bookmark_interval: config.edge.bookmark_interval,
         ..Limits::default()
     };
     let api = Arc::new(Api::new(store, limits, hooks));
     let served = server::ServerLimits {
-        connections: config.edge.connections_most as usize,
+        connections: config.edge.max_connections as usize,
         head_timeout: config.edge.head_timeout,
     };
     let this = Arc::new(Loop {
@@ -173,8 +175,10 @@
     smol::spawn(this.clone().follow_register()).detach();
     smol::spawn(this.clone().mark()).detach();
     smol::spawn(this.clone().count_planners()).detach();
-    smol::spawn(async move { server::serve(api_listener, served, Arc::new(Served(api))).await })
-        .detach();
+    smol::spawn(
+        async move { server::serve(api_listener, served, Arc::new(ApiHandler(api))).await },
+    )
+    .detach();
     tracing::info!(
         edge = this.options.name,
         api = api_address,
@@ -188,7 +192,9 @@
         match member {
             Some(member) => this.clone().keep_fleet(member, facts).await,
             // What is remembered is closed in order; without a memory nothing is.
-            None if this.disk.is_some() => shutdown_signal().await.unwrap_or(ShutdownReason::Signalled),
+            None if this.disk.is_some() => {
+                shutdown_signal().await.unwrap_or(ShutdownReason::Signalled)
+            }
             None => std::future::pending().await,
         }
     };
--- a/crates/edge/src/turn.rs
+++ b/crates/edge/src/turn.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tidespur_membership::MemberMetadata;
-use tidespur_membership_net::{ShutdownReason, MemberHandle};
+use tidespur_membership_net::{MemberHandle, ShutdownReason};
 use tidespur_net::clock;
 use tidespur_persistence::Outbox;
 use tidespur_planner_protocol::ToPlanner;
@@ -43,7 +43,7 @@
                 }
             };
             let heard = smol::future::or(inputs.recv(), came);
-            let mut batch = match clock::within(wake - clock::now(), heard).await {
+            let mut batch = match clock::timeout(wake - clock::now(), heard).await {
                 Some(Ok(input)) => vec![input],
                 Some(Err(_)) => return,
                 None => vec![],
@@ -80,7 +80,7 @@
                 out.into_iter()
                     .for_each(|(planner, message)| self.tell(planner, message));
                 if std::mem::replace(&mut shown, version) != version {
-                    self.api.ring();
+                    self.api.notify_watchers();
                 }
                 continue;
             };
@@ -111,9 +111,9 @@
                 match word {
                     Word::Tell(planner, message) => self.tell(planner, *message),
                     Word::Show(version) => {
-                        self.api.store().show(version);
+                        self.api.store().set_visible_version(version);
                         disk.show(version);
-                        self.api.ring();
+                        self.api.notify_watchers();
                     }
                 }
             }
--- a/crates/edge/src/waits.rs
+++ b/crates/edge/src/waits.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tidespur_api::resource::{EVENTS, PODS};
-use tidespur_api::{Object, meta, task::Ask};
-use tidespur_pending::{Ledger, Record, Settings, Word, Write};
-use tidespur_store::{Expect, Store};
+use tidespur_api::{Object, meta, task::PlacementRequest};
+use tidespur_pending::{PendingRecord, PendingRecords, ReasonUpdate, Settings, StatusUpdate};
+use tidespur_store::{Precondition, Store};
 
 /// The desk is asked this often what nobody has taken.
 const LOOK_EVERY: f64 = 0.25;
@@ -16,7 +16,7 @@
 /// Records of what waits; shared with those who answer questions about it.
 #[derive(Debug)]
 pub(crate) struct Waits {
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<PendingRecords>>,
     look_at: f64,
     /// Name of the one Event of a Pod that tells of its wait.
     events: BTreeMap<String, String>,
@@ -29,7 +29,7 @@
 
 impl Waits {
     pub(crate) fn new() -> Self {
-        let ledger = Arc::new(Mutex::new(Ledger::new(Settings::default())));
+        let ledger = Arc::new(Mutex::new(PendingRecords::new(Settings::default())));
         Self {
             ledger,
             look_at: 0.0,
@@ -37,24 +37,24 @@
         }
     }
 
-    pub(crate) fn ledger(&self) -> Arc<Mutex<Ledger>> {
+    pub(crate) fn ledger(&self) -> Arc<Mutex<PendingRecords>> {
         self.ledger.clone()
     }
 
     /// A task to place was taken.
-    pub(crate) fn open(&mut self, now: f64, ask: &Ask, pod: &str) {
-        let record = Record {
+    pub(crate) fn open(&mut self, now: f64, ask: &PlacementRequest, pod: &str) {
+        let record = PendingRecord {
             namespace: ask.tenant.clone(),
             pod: pod.to_owned(),
             service: ask.service.clone(),
             class: ask.class.clone(),
-            asks: [ask.cores, ask.memory],
+            requested: [ask.cores, ask.memory],
             since: now,
-            seen: now,
+            updated_at: now,
             codes: vec![],
             message: String::new(),
             hint: None,
-            word: None,
+            last_update: None,
             spans: Default::default(),
         };
         lock(&self.ledger).open(now, &ask.uid, record);
@@ -67,17 +67,23 @@
     }
 
     /// A planner's words, of tasks that it has: a word on another is late.
-    pub(crate) fn told(&mut self, now: f64, planner: PlannerId, words: Vec<Word>, desk: &Desk) {
+    pub(crate) fn told(
+        &mut self,
+        now: f64,
+        planner: PlannerId,
+        words: Vec<ReasonUpdate>,
+        desk: &Desk,
+    ) {
         let mut ledger = lock(&self.ledger);
         words
             .into_iter()
             .filter(|word| desk.is_with(&word.uid, planner))
-            .for_each(|word| ledger.told(now, word));
+            .for_each(|word| ledger.apply_update(now, word));
     }
 
     /// A planner has it now: the edge's own reasons hold no more.
     pub(crate) fn taken(&mut self, now: f64, uid: &str) {
-        lock(&self.ledger).taken(now, uid);
+        lock(&self.ledger).clear_edge_reason(now, uid);
     }
 
     pub(crate) fn next_wake(&self, desk: &Desk) -> Option<f64> {
@@ -100,8 +106,8 @@
         let due = {
             let mut ledger = lock(&self.ledger);
             desk.untaken(now)
-                .for_each(|(uid, code)| ledger.edge(now, uid, code));
-            ledger.due(now)
+                .for_each(|(uid, code)| ledger.set_edge_reason(now, uid, code));
+            ledger.due_updates(now)
         };
         for write in due {
             let Some((space, name)) = names.get(&write.uid) else {
@@ -116,7 +122,7 @@
             };
             let mut waits = (*pod).clone();
             pods::waits(&mut waits, &write.message, now);
-            if let Err(problem) = store.update(PODS, waits, &Expect::default()) {
+            if let Err(problem) = store.update(PODS, waits, &Precondition::default()) {
                 tracing::error!(uid = write.uid, %problem, "a Pod's wait can't be written");
             }
             self.event(now, &pod, &write, store, kept);
@@ -128,7 +134,7 @@
         &mut self,
         now: f64,
         pod: &Object,
-        write: &Write,
+        write: &StatusUpdate,
         store: &mut Store,
         kept: &mut Garbage,
     ) {
@@ -142,10 +148,10 @@
             Some(event) => {
                 let mut event = (*event).clone();
                 pods::repeat_event(&mut event, &write.message, write.count, now);
-                store.update(EVENTS, event, &Expect::default())
+                store.update(EVENTS, event, &Precondition::default())
             }
             None => {
-                let name = format!("{}.{}", meta::name(pod), store.suffix());
+                let name = format!("{}.{}", meta::name(pod), store.random_suffix());
                 self.events.insert(write.uid.clone(), name.clone());
                 let event = pods::event(
                     pod,
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -3,11 +3,11 @@
 use serde_json::{Value, json};
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
 use tidespur_api::{Object, meta};
-use tidespur_config::{DEFAULT, parse};
+use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
-use tidespur_pending::Code;
+use tidespur_pending::ReasonCode;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
-use tidespur_store::{Expect, Limits, Store};
+use tidespur_store::{Limits, Precondition, Store};
 
 struct World {
     core: Core,
@@ -18,7 +18,7 @@
     /// An edge whose store keeps four changes of each resource.
     fn new() -> Self {
         let limits = Limits {
-            history: 4,
+            max_history: 4,
             ..Limits::default()
         };
         let mut store = Store::new(limits, 1, 1000);
@@ -26,7 +26,7 @@
             json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
         store.create(NAMESPACES, space, 0.0).unwrap();
         Self {
-            core: Core::new(parse("built-in", DEFAULT).unwrap(), 1),
+            core: Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1),
             store,
         }
     }
@@ -68,7 +68,7 @@
     world.step(60.0, vec![Input::PlannerLost(1)]);
     for i in 0..40 {
         assert_eq!(
-            meta::text(&world.pod(&format!("p{i}")), &["status", "phase"]),
+            meta::text_at(&world.pod(&format!("p{i}")), &["status", "phase"]),
             "Failed"
         );
     }
@@ -83,7 +83,7 @@
     for name in ["gone", "again"] {
         world
             .store
-            .delete(PODS, "default", name, &Expect::default())
+            .delete(PODS, "default", name, &Precondition::default())
             .unwrap();
     }
     for i in 0..20 {
@@ -125,7 +125,7 @@
     assert_eq!(world.store.count(PODS), 2);
     world
         .store
-        .delete(JOBS, "default", "j", &Expect::default())
+        .delete(JOBS, "default", "j", &Precondition::default())
         .unwrap();
     for i in 0..20 {
         world
@@ -152,7 +152,7 @@
         ledger
             .lock()
             .unwrap()
-            .of("default", "p")
+            .find("default", "p")
             .unwrap()
             .codes
             .clone()
@@ -168,7 +168,7 @@
         world.step(now, vec![]);
         assert!(now < 1.5, "silence is not told");
     }
-    assert_eq!(codes(), [Code::PlannersSilent]);
+    assert_eq!(codes(), [ReasonCode::PlannersSilent]);
     // The planner speaks, is asked again and takes it.
     let taken = Input::Said(
         1,
@@ -190,12 +190,12 @@
     let spans = ledger
         .lock()
         .unwrap()
-        .of("default", "p")
+        .find("default", "p")
         .unwrap()
         .spans
         .clone();
     assert!(
-        spans.len() == 1 && spans[0].over,
+        spans.len() == 1 && spans[0].is_over,
         "the history keeps it: {spans:?}"
     );
 }
--- a/crates/edge/tests/desk.rs
+++ b/crates/edge/tests/desk.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_edge::desk::*;
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 
 fn desk() -> Desk {
     Desk::new(Settings {
@@ -16,11 +16,11 @@
     })
 }
 
-fn ask(uid: &str) -> Ask {
-    Ask {
+fn ask(uid: &str) -> PlacementRequest {
+    PlacementRequest {
         uid: uid.into(),
         service: format!("s/{uid}"),
-        ..Ask::default()
+        ..PlacementRequest::default()
     }
 }
 
@@ -92,7 +92,10 @@
             },
         )],
     );
-    assert_eq!(out, [Action::Ended("a".into(), TerminationReason::Succeeded)]);
+    assert_eq!(
+        out,
+        [Action::Ended("a".into(), TerminationReason::Succeeded)]
+    );
 }
 
 #[test]
@@ -119,12 +122,18 @@
     assert!(
         matches!(
             &out[..],
-            [Action::Tell(1, ToPlanner::Cancel { .. }), Action::Failed(..)]
+            [
+                Action::Tell(1, ToPlanner::Cancel { .. }),
+                Action::Failed(..)
+            ]
         ),
         "{out:?}"
     );
     let out = step(&mut desk, 1.2, vec![Event::Said(1, placed("a"))]);
-    assert_eq!(out, [Action::Tell(1, ToPlanner::Cancel { uid: "a".into() })]);
+    assert_eq!(
+        out,
+        [Action::Tell(1, ToPlanner::Cancel { uid: "a".into() })]
+    );
 }
 
 #[test]
@@ -139,7 +148,7 @@
     take(&mut desk, 0.2, 1, &["t0", "t1", "t2"]);
     let out = step(&mut desk, 0.5, vec![Event::Said(1, placed("t0"))]);
     assert!(
-        matches!(&out[1], Action::Tell(1, ToPlanner::Place(ask)) if ask.uid == "t3" && ask.within == Some(1.5))
+        matches!(&out[1], Action::Tell(1, ToPlanner::Place(ask)) if ask.uid == "t3" && ask.timeout == Some(1.5))
     );
     take(&mut desk, 0.6, 1, &["t3"]);
     let out = step(&mut desk, 2.0, vec![]);
@@ -241,13 +250,19 @@
         step(desk, 0.1, words.into_iter().map(said).collect())
     };
     let at = Location::At("n1".into());
-    let both = located(&mut desk(), vec![(1, Location::NotFound), (2, Location::NotFound)]);
+    let both = located(
+        &mut desk(),
+        vec![(1, Location::NotFound), (2, Location::NotFound)],
+    );
     assert_eq!(both, [Action::Located("x".into(), Location::NotFound)]);
     assert_eq!(
         located(&mut desk(), vec![(1, at.clone())]),
         [Action::Located("x".into(), at)]
     );
-    let doubt = located(&mut desk(), vec![(1, Location::Unknown), (2, Location::NotFound)]);
+    let doubt = located(
+        &mut desk(),
+        vec![(1, Location::Unknown), (2, Location::NotFound)],
+    );
     assert_eq!(doubt, [Action::Located("x".into(), Location::Unknown)]);
     let mut silent = desk();
     assert_eq!(located(&mut silent, vec![(1, Location::NotFound)]), []);
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
 use tidespur_api::{Object, meta};
-use tidespur_config::{DEFAULT, parse};
+use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
 use tidespur_persistence::{Batch, LoadedRecords};
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
 /// What really runs, whoever knows of it: it outlives every cut.
@@ -26,7 +26,7 @@
     store: Store,
     now: f64,
     /// Tasks that the planner has taken.
-    taken: BTreeMap<String, tidespur_api::task::Ask>,
+    taken: BTreeMap<String, tidespur_api::task::PlacementRequest>,
     pending: Vec<ToEdge>,
     /// Batches, and what was said after each.
     batches: Vec<(Batch, Vec<ToPlanner>)>,
@@ -34,19 +34,19 @@
 
 fn limits() -> Limits {
     Limits {
-        history: 64,
+        max_history: 64,
         ..Limits::default()
     }
 }
 
 impl World {
     fn new(now: f64, back: &LoadedRecords) -> Self {
-        let config = parse("built-in", DEFAULT).unwrap();
+        let config = parse("built-in", DEFAULT_CONFIG).unwrap();
         let version = keep::version(back).unwrap().max(1_000);
         let mut store = Store::new(limits(), 7 ^ back.generation, version);
         let mut core = Core::new(config, 3 ^ back.generation);
         core.recall(now, back, &mut store).unwrap();
-        store.keep();
+        store.track_writes();
         let space = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
         drop(store.create(NAMESPACES, space, now));
         Self {
@@ -82,7 +82,7 @@
                     let Some(ask) = self.taken.remove(&uid) else {
                         continue;
                     };
-                    *truth.starts.entry(ask.key).or_default() += 1;
+                    *truth.starts.entry(ask.idempotency_key).or_default() += 1;
                     truth.running.insert(uid.clone(), ask.name);
                     self.pending.push(ToEdge::Placed {
                         uid: uid.clone(),
@@ -109,13 +109,18 @@
                         true => Location::At("node-0".into()),
                         false => Location::NotFound,
                     };
-                    ToEdge::Located { uid, location: found }
+                    ToEdge::Located {
+                        uid,
+                        location: found,
+                    }
                 }
                 ToPlanner::Cancel { uid } => {
                     truth.running.remove(&uid);
                     continue;
                 }
-                ToPlanner::Welcome { .. } | ToPlanner::Heartbeat | ToPlanner::PlannerCount { .. } => continue,
+                ToPlanner::Welcome { .. }
+                | ToPlanner::Heartbeat
+                | ToPlanner::PlannerCount { .. } => continue,
             };
             self.pending.push(answer);
         }
@@ -137,7 +142,7 @@
 
     fn pods(&self) -> Vec<Object> {
         self.store
-            .all(PODS, "")
+            .iter(PODS, "")
             .map(|pod| (**pod).clone())
             .collect()
     }
@@ -209,7 +214,7 @@
         }
     }
     let placed = |world: &World| -> BTreeSet<String> {
-        let node = |pod: &&Object| !meta::text(pod, &["spec", "nodeName"]).is_empty();
+        let node = |pod: &&Object| !meta::text_at(pod, &["spec", "nodeName"]).is_empty();
         world
             .pods()
             .iter()
@@ -231,11 +236,11 @@
     let known: BTreeSet<String> = world
         .pods()
         .iter()
-        .map(|pod| tidespur_api::task::ask(pod).name)
+        .map(|pod| tidespur_api::task::placement_request(pod).name)
         .collect();
     let runs = truth.running.values().filter(|name| !known.contains(*name));
     wrong.extend(runs.map(|name| format!("{name} runs, nobody's")));
-    for job in world.store.all(JOBS, "") {
+    for job in world.store.iter(JOBS, "") {
         let ready = job["status"]["ready"].as_u64().unwrap_or(0);
         if ready != 2 {
             wrong.push(format!("{}: {ready} of 2 run", meta::name(job)));
@@ -306,7 +311,7 @@
         .records
         .insert(("open".into(), "x".into()), b"{".to_vec());
     let mut store = Store::new(limits(), 1, 1);
-    let mut core = Core::new(parse("built-in", DEFAULT).unwrap(), 1);
+    let mut core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1);
     let problem = core
         .recall(0.0, &spoilt, &mut store)
         .unwrap_err()
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -10,8 +10,8 @@
 use tidespur_api::resource::PODS;
 use tidespur_api::{ApiError, Object, Resource, meta, names, status::Cause, task};
 use tidespur_net::{Client, Recorder, clock, server};
-use tidespur_rest::{Api, CUT, DeleteOptions, Hooks, Limits, Served, Verb};
-use tidespur_store::{Expect, Store};
+use tidespur_rest::{ABORT_CONNECTION, Api, ApiHandler, DeleteOptions, Hooks, Limits, Verb};
+use tidespur_store::{Precondition, Store};
 
 /// Header of an offer: after this (Unix seconds) nobody waits for the answer.
 pub const UNTIL_HEADER: &str = "x-tidespur-until";
@@ -120,17 +120,20 @@
                     });
                     inner.ended.push((now + ENDED_KEPT, space, name));
                 }
-                Action::BreakWatches => api.break_watches(),
-                Action::Fell => self.recorder.note("fell", || json!({"node": node})),
+                Action::BreakWatches => api.close_watches(),
+                Action::Fell => self.recorder.record("fell", || json!({"node": node})),
             }
         }
         let due = inner.ended.iter().filter(|(at, ..)| *at <= now).count();
         for (_, space, name) in inner.ended.drain(..due) {
-            drop(api.store().delete(PODS, &space, &name, &Expect::default()));
+            drop(
+                api.store()
+                    .delete(PODS, &space, &name, &Precondition::default()),
+            );
         }
         drop(inner);
         if changed {
-            api.ring();
+            api.notify_watchers();
         }
         self.changed.notify(usize::MAX);
     }
@@ -147,31 +150,31 @@
             return;
         };
         change(&mut pod);
-        self.recorder.note("pod", || {
-            json!({"uid": meta::annotation(&pod, names::UID), "key": meta::annotation(&pod, names::KEY),
+        self.recorder.record("pod", || {
+            json!({"uid": meta::annotation(&pod, names::EDGE_POD_UID), "key": meta::annotation(&pod, names::IDEMPOTENCY_KEY),
                 "phase": pod["status"]["phase"], "reason": pod["status"]["reason"]})
         });
-        drop(store.update(PODS, pod, &Expect::default()));
+        drop(store.update(PODS, pod, &Precondition::default()));
     }
 
     fn read_offer(&self, pod: &Object, until: f64) -> Offer {
-        let ask = task::ask(pod);
+        let ask = task::placement_request(pod);
         let runs =
             meta::annotation(pod, "standin.tidespur.dev/run-seconds").and_then(|t| t.parse().ok());
-        let kind = meta::at(pod, &["spec", "nodeSelector"])
-            .get(names::KIND)
+        let kind = meta::value_at(pod, &["spec", "nodeSelector"])
+            .get(names::INSTANCE_TYPE)
             .and_then(Value::as_str);
         Offer {
             name: (ask.tenant, meta::name(pod).to_owned()),
-            uid: meta::annotation(pod, names::UID)
+            uid: meta::annotation(pod, names::EDGE_POD_UID)
                 .unwrap_or(&ask.uid)
                 .to_owned(),
-            key: ask.key,
+            key: ask.idempotency_key,
             service: ask.service,
             cores: ask.cores,
             memory: ask.memory,
             priority: self.priorities.get(&ask.class).copied().unwrap_or(0),
-            runs: runs.or(ask.life).unwrap_or(10.0),
+            runs: runs.or(ask.expected_duration).unwrap_or(10.0),
             kind: kind.map(str::to_owned),
             until,
         }
@@ -188,8 +191,8 @@
         let until = text(UNTIL_HEADER).parse().unwrap_or(f64::INFINITY);
         let offer = self.read_offer(object, until);
         let (uid, key, service) = (offer.uid.clone(), offer.key.clone(), offer.service.clone());
-        let class = meta::text(object, &["spec", "priorityClassName"]).to_owned();
-        self.recorder.note("offer", || {
+        let class = meta::text_at(object, &["spec", "priorityClassName"]).to_owned();
+        self.recorder.record("offer", || {
             json!({"uid": uid, "key": key, "service": service, "class": class, "from": text(names::PEER_HEADER)})
         });
         let (send, receive) = async_channel::bounded(1);
@@ -212,13 +215,13 @@
             Ok(()) => "accepted".to_owned(),
             Err(refusal) => format!("{refusal:?}"),
         };
-        self.recorder.note("answer", || {
+        self.recorder.record("answer", || {
             json!({"uid": uid, "key": key, "class": class, "said": said, "way": format!("{way:?}"),
                 "from": text(names::PEER_HEADER)})
         });
         match way {
             Way::Silent => std::future::pending().await,
-            Way::Reset => Err(ApiError::new(CUT, "Cut", "cut")),
+            Way::Reset => Err(ApiError::new(ABORT_CONNECTION, "Cut", "cut")),
             Way::Sent => {
                 let api = self
                     .api
@@ -244,8 +247,10 @@
         Refusal::Kind => ("NodeAffinity", "Predicate NodeAffinity failed"),
         Refusal::Draining => ("NodeShutdown", "The node is draining"),
         Refusal::TooLate => ("TooLate", "The offer came after its time"),
-        Refusal::Queue => return ApiError::too_many("too many offers wait at this node", 1),
-        Refusal::Copy => return ApiError::exists("pods", name),
+        Refusal::Queue => {
+            return ApiError::too_many_requests("too many offers wait at this node", 1);
+        }
+        Refusal::Copy => return ApiError::already_exists("pods", name),
         Refusal::Error => return ApiError::new(500, "InternalError", "the node failed"),
     };
     let mut error = ApiError::new(
@@ -284,7 +289,7 @@
         NONE.get_or_init(|| self.priorities.keys().cloned().collect())
     }
 
-    async fn gate(&self, method: &hyper::Method, headers: &HeaderMap) {
+    async fn wait_until_reachable(&self, method: &hyper::Method, headers: &HeaderMap) {
         let zone = Self::zone_of(headers);
         let cut = {
             let inner = self.inner();
@@ -296,7 +301,7 @@
         }
     }
 
-    async fn divert(
+    async fn intercept_write(
         &self,
         verb: Verb,
         _resource: &'static Resource,
@@ -305,7 +310,7 @@
     ) -> Option<Result<Object, ApiError>> {
         match verb {
             Verb::Create => Some(self.offer(object, headers).await),
-            Verb::Update => Some(Err(ApiError::method())),
+            Verb::Update => Some(Err(ApiError::method_not_allowed())),
             Verb::Delete => None,
         }
     }
@@ -340,7 +345,7 @@
         Ok(object.clone())
     }
 
-    fn written(&self) {
+    fn on_write(&self) {
         let due = self
             .deletions
             .lock()
@@ -359,13 +364,18 @@
         )]
     }
 
-    fn other(&self, method: &str, path: &str, body: &[u8]) -> Option<Result<Object, ApiError>> {
+    fn handle_other(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Option<Result<Object, ApiError>> {
         if (method, path) != ("POST", "/standin/fault") {
             return None;
         }
         Some(match serde_json::from_slice::<Fault>(body) {
             Ok(fault) => {
-                self.recorder.note("fault", || json!({"fault": fault}));
+                self.recorder.record("fault", || json!({"fault": fault}));
                 self.step(vec![Event::Fault(fault)]);
                 Ok(json!({}))
             }
@@ -382,11 +392,11 @@
     let address = listener.local_addr()?.to_string();
     let name = options.settings.name.clone();
     let recorder = match &options.record {
-        Some(path) => Recorder::to(path, &name)?,
+        Some(path) => Recorder::append_to(path, &name)?,
         None => Recorder::default(),
     };
     let up_since = clock::now();
-    recorder.note("up", || {
+    recorder.record("up", || {
         json!({"cold": options.settings.cold, "cores": options.settings.cores,
         "rack": options.settings.rack, "zone": options.settings.zone})
     });
@@ -406,7 +416,7 @@
         priorities: options.priorities.clone(),
     };
     let limits = Limits {
-        bookmark_every: HEARTBEAT,
+        bookmark_interval: HEARTBEAT,
         ..Limits::default()
     };
     // Versions of a node that comes back must be above those that it handed out before.
@@ -422,7 +432,7 @@
         loop {
             let listener = driver.hooks.changed.listen();
             let wake = driver.hooks.inner().model.next_wake();
-            clock::within(wake - clock::now(), listener).await;
+            clock::timeout(wake - clock::now(), listener).await;
             if clock::now() >= wake {
                 driver.hooks.step(vec![]);
             }
@@ -442,7 +452,7 @@
         connections: 1024,
         head_timeout: 30.0,
     };
-    server::serve(listener, limits, Arc::new(Served(api))).await;
+    server::serve(listener, limits, Arc::new(ApiHandler(api))).await;
     Ok(())
 }
 
--- a/crates/emulator/src/register.rs
+++ b/crates/emulator/src/register.rs
@@ -10,8 +10,8 @@
 use tidespur_api::resource::NODES;
 use tidespur_api::{ApiError, Object, Resource, meta, names};
 use tidespur_net::{Recorder, clock, server};
-use tidespur_rest::{Api, Hooks, Limits, Served, Verb};
-use tidespur_store::{Expect, Store};
+use tidespur_rest::{Api, ApiHandler, Hooks, Limits, Verb};
+use tidespur_store::{Precondition, Store};
 
 /// What the program is started with.
 #[derive(Clone, Debug)]
@@ -61,10 +61,10 @@
         json!({"cpu": format!("{}", beat.cores), "memory": format!("{}Gi", beat.memory)});
     json!({"kind": "Node", "apiVersion": "v1",
         "metadata": {"name": beat.name,
-            "labels": {names::ZONE: beat.zone, names::RACK: beat.rack, names::KIND: beat.kind},
-            "annotations": {names::ADDRESS: beat.address, names::UP_SINCE: format!("{:.3}", beat.up_since),
-                names::FREE_CORES: format!("{:.2}", beat.free_cores),
-                names::FREE_MEMORY: format!("{:.2}", beat.free_memory)}},
+            "labels": {names::ZONE: beat.zone, names::RACK: beat.rack, names::INSTANCE_TYPE: beat.kind},
+            "annotations": {names::ADDRESS: beat.address, names::STARTED_AT: format!("{:.3}", beat.up_since),
+                names::UNCLAIMED_CPU: format!("{:.2}", beat.free_cores),
+                names::UNCLAIMED_MEMORY: format!("{:.2}", beat.free_memory)}},
         "spec": {"unschedulable": unschedulable},
         "status": {"capacity": capacity, "allocatable": capacity,
             "conditions": [{"type": "Ready", "status": "True"}]}})
@@ -116,11 +116,13 @@
             let mut store = api.store();
             let stood = store.get(NODES, "", &name).cloned();
             let shown = match (object, &stood) {
-                (Some(object), Some(_)) => {
-                    store.update(NODES, object, &Expect::default()).map(drop)
-                }
+                (Some(object), Some(_)) => store
+                    .update(NODES, object, &Precondition::default())
+                    .map(drop),
                 (Some(object), None) => store.create(NODES, object, now).map(drop),
-                (None, Some(_)) => store.delete(NODES, "", &name, &Expect::default()).map(drop),
+                (None, Some(_)) => store
+                    .delete(NODES, "", &name, &Precondition::default())
+                    .map(drop),
                 (None, None) => Ok(()),
             };
             if let Err(problem) = shown {
@@ -130,7 +132,7 @@
         }
         drop(truth);
         if changed {
-            api.ring();
+            api.notify_watchers();
         }
     }
 }
@@ -140,7 +142,7 @@
         resource.kind == "Node"
     }
 
-    async fn divert(
+    async fn intercept_write(
         &self,
         verb: Verb,
         _resource: &'static Resource,
@@ -148,13 +150,13 @@
         _headers: &HeaderMap,
     ) -> Option<Result<Object, ApiError>> {
         if verb != Verb::Update {
-            return Some(Err(ApiError::method()));
+            return Some(Err(ApiError::method_not_allowed()));
         }
-        let unschedulable = meta::at(object, &["spec", "unschedulable"])
+        let unschedulable = meta::value_at(object, &["spec", "unschedulable"])
             .as_bool()
             .unwrap_or(false);
         let name = meta::name(object).to_owned();
-        self.recorder.note(
+        self.recorder.record(
             "mark",
             || json!({"node": name, "unschedulable": unschedulable}),
         );
@@ -169,7 +171,12 @@
         Some(Ok(object.clone()))
     }
 
-    fn other(&self, method: &str, path: &str, body: &[u8]) -> Option<Result<Object, ApiError>> {
+    fn handle_other(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Option<Result<Object, ApiError>> {
         if (method, path) != ("POST", "/standin/heartbeat") {
             return None;
         }
@@ -185,7 +192,7 @@
     let listener = smol::net::TcpListener::bind(&options.listen).await?;
     let address = listener.local_addr()?.to_string();
     let recorder = match &options.record {
-        Some(path) => Recorder::to(path, "register")?,
+        Some(path) => Recorder::append_to(path, "register")?,
         None => Recorder::default(),
     };
     let hooks = RegisterHooks {
@@ -197,7 +204,7 @@
     let version = (clock::now() * 1000.0) as u64;
     let store = Store::new(tidespur_store::Limits::default(), 1, version);
     let limits = Limits {
-        bookmark_every: 0.5,
+        bookmark_interval: 0.5,
         ..Limits::default()
     };
     let api = Arc::new(Api::new(store, limits, hooks));
@@ -215,6 +222,6 @@
         connections: 1024,
         head_timeout: 30.0,
     };
-    server::serve(listener, limits, Arc::new(Served(api))).await;
+    server::serve(listener, limits, Arc::new(ApiHandler(api))).await;
     Ok(())
 }
--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -73,7 +73,7 @@
     take: &mut impl FnMut(&str),
 ) -> String {
     let client = Client::new(address, 1, vec![("last-event-id", delivered.to_string())]);
-    let mut lines = match client.lines("/board/poll", HEAD_WITHIN).await {
+    let mut lines = match client.stream_lines("/board/poll", HEAD_WITHIN).await {
         Ok(lines) if lines.status.is_success() => lines,
         Ok(lines) => return format!("status {}", lines.status),
         Err(problem) => return problem.to_string(),
@@ -84,7 +84,7 @@
         if left <= 0.0 {
             return "it has moved".into();
         }
-        let line = match lines.next_within(SILENCE.min(left)).await {
+        let line = match lines.next_with_timeout(SILENCE.min(left)).await {
             Ok(line) => line,
             Err(why) => return why,
         };
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -115,7 +115,7 @@
             let now = clock::now();
             let due = self.gateway.borrow().next_wake() - now;
             if due > 0.0
-                && let Some(permit) = clock::within(due, self.wake.acquire()).await
+                && let Some(permit) = clock::timeout(due, self.wake.acquire()).await
             {
                 permit.forget();
             }
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -104,7 +104,7 @@
                 .get()
                 .map(|since| (since + HALF_FOR).min(first));
             let patience = half.map_or(f64::INFINITY, |until| until - clock::now());
-            let ready = clock::within(patience, connection.socket.readable()).await;
+            let ready = clock::timeout(patience, connection.socket.readable()).await;
             if connection.ended.get() {
                 return;
             }
@@ -222,7 +222,7 @@
         }
         let this = self.clone();
         self.spawn(async move {
-            clock::within(LINGER, socket.discard(&this.buffer)).await;
+            clock::timeout(LINGER, socket.discard(&this.buffer)).await;
             socket.close();
             this.closing
                 .borrow_mut()
--- a/crates/job-controller/src/slot.rs
+++ b/crates/job-controller/src/slot.rs
@@ -3,7 +3,7 @@
 use crate::{PodEnd, PodPhase, PodView, Settings};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
-use tidespur_planner_protocol::{TerminationReason, Location};
+use tidespur_planner_protocol::{Location, TerminationReason};
 
 /// Names a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/job-controller/src/view.rs
+++ b/crates/job-controller/src/view.rs
@@ -33,7 +33,7 @@
 impl JobView {
     /// Reads a checked Job.
     pub fn read(job: &Object) -> Self {
-        let spec = meta::at(job, &["spec"]);
+        let spec = meta::value_at(job, &["spec"]);
         let number = |key: &str| {
             spec.get(key)
                 .and_then(|v| v.as_i64())
@@ -43,7 +43,7 @@
             uid: meta::uid(job).to_owned(),
             namespace: meta::namespace(job).to_owned(),
             name: meta::name(job).to_owned(),
-            class: meta::text(spec, &["template", "spec", "priorityClassName"]).to_owned(),
+            class: meta::text_at(spec, &["template", "spec", "priorityClassName"]).to_owned(),
             parallelism: number("parallelism").unwrap_or(1),
             completions: number("completions")
                 .or_else(|| number("parallelism").is_none().then_some(1)),
@@ -54,7 +54,7 @@
                 .get("suspend")
                 .and_then(|v| v.as_bool())
                 .unwrap_or(false),
-            deleting: !meta::at(job, &["metadata", "deletionTimestamp"]).is_null(),
+            deleting: !meta::value_at(job, &["metadata", "deletionTimestamp"]).is_null(),
         }
     }
 }
@@ -108,8 +108,8 @@
 
 /// Reasons in the status of failed Pods, and what they mean to the owner.
 pub const REASONS: [(&str, PodEnd); 8] = [
-    (names::REFUSED, PodEnd::Refused),
-    (names::UNKNOWN, PodEnd::Unknown),
+    (names::PLACEMENT_REFUSED, PodEnd::Refused),
+    (names::PLACEMENT_UNKNOWN, PodEnd::Unknown),
     ("Evicted", PodEnd::Evicted),
     ("Preempting", PodEnd::Evicted),
     ("NodeShutdown", PodEnd::Evicted),
@@ -121,22 +121,22 @@
 impl PodView {
     /// Reads a Pod.
     pub fn read(pod: &Object) -> Self {
-        let reason = meta::text(pod, &["status", "reason"]);
-        let phase = match meta::text(pod, &["status", "phase"]) {
+        let reason = meta::text_at(pod, &["status", "reason"]);
+        let phase = match meta::text_at(pod, &["status", "phase"]) {
             "Succeeded" => PodPhase::Ended(PodEnd::Succeeded),
             "Failed" => {
                 let known = REASONS.iter().find(|(name, _)| *name == reason);
                 PodPhase::Ended(known.map_or(PodEnd::Failed, |(_, end)| *end))
             }
             "Running" => PodPhase::Running,
-            _ if meta::text(pod, &["spec", "nodeName"]).is_empty() => PodPhase::Waiting,
+            _ if meta::text_at(pod, &["spec", "nodeName"]).is_empty() => PodPhase::Waiting,
             _ => PodPhase::Placed,
         };
         Self {
             uid: meta::uid(pod).to_owned(),
             namespace: meta::namespace(pod).to_owned(),
             name: meta::name(pod).to_owned(),
-            known_as: meta::annotation(pod, names::ADOPTS)
+            known_as: meta::annotation(pod, names::ADOPTED_POD_NAME)
                 .unwrap_or(meta::name(pod))
                 .to_owned(),
             phase,
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -59,11 +59,13 @@
         seed: u64,
         incarnation: Option<u64>,
     ) -> Result<Option<Self>, String> {
-        if config.fleet.is_none() && options.fleet_listen.is_none() && options.fleet_join.is_empty()
+        if config.membership.is_none()
+            && options.fleet_listen.is_none()
+            && options.fleet_join.is_empty()
         {
             return Ok(None);
         }
-        let block = config.fleet.clone().unwrap_or_default();
+        let block = config.membership.clone().unwrap_or_default();
         let listen = options
             .fleet_listen
             .map_or(block.listen.clone(), |address| address.to_string());
@@ -96,7 +98,7 @@
         let settings = Settings {
             cluster: block.cluster,
             seed_addresses: join,
-            max_members: block.members_most as usize,
+            max_members: block.max_members as usize,
             ..Settings::default()
         };
         let fleet = Membership::new(settings, own, facts, seed ^ born, clock::now())?;
@@ -132,7 +134,7 @@
     /// Waits for news, this long at most; says where the process has to end, and why.
     pub async fn wait_for_shutdown(&self, seconds: f64) -> Option<ShutdownReason> {
         // The member's loop ends for nothing else.
-        let news = clock::within(seconds, self.news.recv()).await;
+        let news = clock::timeout(seconds, self.news.recv()).await;
         if !matches!(news, Some(Ok(Output::Replaced(_)) | Err(_))) {
             return None;
         }
@@ -215,7 +217,7 @@
             }
         };
         let asked = async { told.recv().await.ok() };
-        let first = clock::within(wake - clock::now(), smol::future::or(came, asked))
+        let first = clock::timeout(wake - clock::now(), smol::future::or(came, asked))
             .await
             .flatten();
         let mut inputs: Vec<Input> = first.into_iter().collect();
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
     /// More bytes than allowed.
-    TooLong,
+    TooLarge,
     /// It ended early.
-    Broken,
+    Interrupted,
     /// It took too long.
-    Slow,
+    TimedOut,
 }
 
 /// All bytes of a body, at most so many, within so many seconds.
@@ -51,10 +51,10 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let read = Limited::new(body, most).collect();
-    match crate::clock::within(seconds, read).await {
-        None => Err(BodyError::Slow),
+    match crate::clock::timeout(seconds, read).await {
+        None => Err(BodyError::TimedOut),
         Some(Ok(all)) => Ok(all.to_bytes()),
-        Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLong),
-        Some(Err(_)) => Err(BodyError::Broken),
+        Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge),
+        Some(Err(_)) => Err(BodyError::Interrupted),
     }
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -21,7 +21,7 @@
     /// No answer in time; the peer may have acted on it.
     Timeout,
     /// The connection broke before the answer was whole; the peer may have acted on it.
-    Broken(String),
+    Interrupted(String),
     /// The request itself can't be built.
     Request(String),
 }
@@ -32,7 +32,7 @@
             Self::Connect(why) => write!(f, "no connection: {why}"),
             Self::Refused => f.write_str("no connection: refused"),
             Self::Timeout => f.write_str("no answer in time"),
-            Self::Broken(why) => write!(f, "the connection broke: {why}"),
+            Self::Interrupted(why) => write!(f, "the connection broke: {why}"),
             Self::Request(why) => write!(f, "the request can't be sent: {why}"),
         }
     }
@@ -97,7 +97,7 @@
 
     /// The same client with one more header.
     #[must_use]
-    pub fn with(&self, name: &'static str, value: String) -> Self {
+    pub fn with_header(&self, name: &'static str, value: String) -> Self {
         let mut other = self.clone();
         other.headers.push((name, value));
         other
@@ -129,7 +129,7 @@
             .detach();
             Ok(send)
         };
-        clock::within(CONNECT_WITHIN, dial)
+        clock::timeout(CONNECT_WITHIN, dial)
             .await
             .unwrap_or_else(|| Err(lost("timed out".into())))
     }
@@ -190,7 +190,7 @@
                     return Err(if unsent {
                         NetError::Connect(why)
                     } else {
-                        NetError::Broken(why)
+                        NetError::Interrupted(why)
                     });
                 }
             }
@@ -211,7 +211,7 @@
             let (response, connection) = self.exchange(&method, path, media, &body).await?;
             let (head, body) = response.into_parts();
             let body = crate::body::read(body, REPLY_MOST, seconds).await;
-            let body = body.map_err(|e| NetError::Broken(format!("{e:?}")))?;
+            let body = body.map_err(|e| NetError::Interrupted(format!("{e:?}")))?;
             if let Ok(mut idle) = self.idle.lock()
                 && idle.len() < IDLE_MOST
             {
@@ -223,22 +223,22 @@
                 body,
             })
         };
-        clock::within(seconds, sent)
+        clock::timeout(seconds, sent)
             .await
             .unwrap_or(Err(NetError::Timeout))
     }
 
     /// A GET whose answer comes line by line, on a connection of its own.
-    pub async fn lines(&self, path: &str, head_within: f64) -> Result<Lines, NetError> {
+    pub async fn stream_lines(&self, path: &str, head_within: f64) -> Result<Lines, NetError> {
         let open = async {
             let mut connection = self.connect().await?;
             let request = self.request(&Method::GET, path, "", &Bytes::new())?;
             connection
                 .send_request(request)
                 .await
-                .map_err(|e| NetError::Broken(e.to_string()))
+                .map_err(|e| NetError::Interrupted(e.to_string()))
         };
-        let response = clock::within(head_within, open)
+        let response = clock::timeout(head_within, open)
             .await
             .unwrap_or(Err(NetError::Timeout))?;
         Ok(Lines {
@@ -260,8 +260,8 @@
 
 impl Lines {
     /// The next line, where it comes within so many seconds; else why there is none.
-    pub async fn next_within(&mut self, seconds: f64) -> Result<Vec<u8>, String> {
-        match clock::within(seconds, self.next()).await {
+    pub async fn next_with_timeout(&mut self, seconds: f64) -> Result<Vec<u8>, String> {
+        match clock::timeout(seconds, self.next()).await {
             None => Err("silence".into()),
             Some(Ok(Some(line))) => Ok(line),
             Some(Ok(None)) => Err("it ended".into()),
@@ -278,7 +278,7 @@
                 return Ok(Some(line));
             }
             if self.rest.len() > LINE_MOST {
-                return Err(NetError::Broken("a line without end".into()));
+                return Err(NetError::Interrupted("a line without end".into()));
             }
             match self.body.frame().await {
                 None if self.rest.is_empty() => return Ok(None),
@@ -288,7 +288,7 @@
                         self.rest.extend_from_slice(data);
                     }
                 }
-                Some(Err(e)) => return Err(NetError::Broken(e.to_string())),
+                Some(Err(e)) => return Err(NetError::Interrupted(e.to_string())),
             }
         }
     }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -26,7 +26,7 @@
 }
 
 /// The future's value, or `None` if it takes longer.
-pub async fn within<T>(seconds: f64, future: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout<T>(seconds: f64, future: impl Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
         sleep(seconds).await;
         None
--- a/crates/net/src/follow.rs
+++ b/crates/net/src/follow.rs
@@ -7,7 +7,7 @@
 
 /// What a list and its watch bring.
 #[derive(Clone, Debug)]
-pub enum Followed {
+pub enum ListWatchEvent {
     /// All objects.
     Whole(Vec<Value>),
     /// One as it stands now, or (true) as it last stood.
@@ -16,12 +16,12 @@
 
 /// Lists and watches a collection, and hands on what comes as `read` puts it, until it ends; says why. A watch silent for `silence`
 /// seconds is lost, so the server must send bookmarks more often.
-pub async fn follow<T: Send>(
+pub async fn list_and_watch<T: Send>(
     client: &Client,
     path: &str,
     within: f64,
     silence: f64,
-    read: impl Fn(Followed) -> T + Send,
+    read: impl Fn(ListWatchEvent) -> T + Send,
     to: &Sender<T>,
 ) -> String {
     let mut list = match client
@@ -40,15 +40,15 @@
         Value::Array(items) => items,
         _ => return "the list: no items".into(),
     };
-    drop(to.send(read(Followed::Whole(items))).await);
+    drop(to.send(read(ListWatchEvent::Whole(items))).await);
     let path = format!("{path}?watch=true&allowWatchBookmarks=true&resourceVersion={version}");
-    let mut lines = match client.lines(&path, within).await {
+    let mut lines = match client.stream_lines(&path, within).await {
         Ok(lines) if lines.status.is_success() => lines,
         Ok(lines) => return format!("the watch: status {}", lines.status),
         Err(problem) => return format!("the watch: {problem}"),
     };
     loop {
-        let line = match lines.next_within(silence).await {
+        let line = match lines.next_with_timeout(silence).await {
             Ok(line) => line,
             Err(why) => return why,
         };
@@ -59,9 +59,9 @@
         match event["type"].as_str() {
             Some("BOOKMARK") => {}
             Some("ADDED" | "MODIFIED") => {
-                drop(to.send(read(Followed::Change(object, false))).await)
+                drop(to.send(read(ListWatchEvent::Change(object, false))).await)
             }
-            Some("DELETED") => drop(to.send(read(Followed::Change(object, true))).await),
+            Some("DELETED") => drop(to.send(read(ListWatchEvent::Change(object, true))).await),
             _ => return format!("an error of the server: {}", object["message"]),
         }
     }
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -43,7 +43,7 @@
 }
 
 /// Messages that may wait for a slow peer; then the link counts as broken.
-pub const QUEUE_MOST: usize = 16_384;
+pub const MAX_QUEUED_MESSAGES: usize = 16_384;
 
 /// Writes what comes from the channel until either ends; all that waits goes out in one write.
 pub async fn write_all<T: Serialize>(
@@ -61,26 +61,30 @@
 }
 
 /// The sending side of a link.
-pub struct Link<Out> {
+pub struct Session<Out> {
     /// What waits to go out.
     pub queue: async_channel::Receiver<Out>,
     /// Where it is put.
     pub send: async_channel::Sender<Out>,
     /// Says only that this end lives.
-    pub ping: Out,
+    pub heartbeat: Out,
 }
 
 /// Keeps a link going until either end is lost: what comes goes to `to` as `read` puts it, what waits in `queue` goes out, and `ping`
 /// goes out often enough for the peer's patience. Says why it ended.
-pub async fn keep<In: DeserializeOwned + Send, Out: Serialize + Clone + Send, T: Send>(
+pub async fn run_session<In: DeserializeOwned + Send, Out: Serialize + Clone + Send, T: Send>(
     socket: TcpStream,
     mut reader: FrameReader,
-    link: Link<Out>,
+    link: Session<Out>,
     patience: f64,
     read: impl Fn(In) -> Option<T> + Send,
     to: &async_channel::Sender<T>,
 ) -> Result<(), String> {
-    let Link { queue, send, ping } = link;
+    let Session {
+        queue,
+        send,
+        heartbeat: ping,
+    } = link;
     let life = Mutex::new(Liveness::new(patience / 4.0, patience, clock::now()));
     let reading = async {
         while let Some(message) = reader.next::<In>().await? {
@@ -96,7 +100,10 @@
     let beating = async {
         loop {
             clock::sleep(patience / 4.0).await;
-            if life.lock().is_ok_and(|life| life.is_peer_lost(clock::now())) {
+            if life
+                .lock()
+                .is_ok_and(|life| life.is_peer_lost(clock::now()))
+            {
                 return Err("silence".to_owned());
             }
             send.try_send(ping.clone()).map_err(|e| e.to_string())?;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -14,7 +14,7 @@
 pub use record::Recorder;
 
 /// Sends logs to standard error, as text or JSON. `RUST_LOG` narrows or widens them; without it, `info` is shown.
-pub fn logs(json: bool) {
+pub fn init_logging(json: bool) {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     let colours = std::io::IsTerminal::is_terminal(&std::io::stderr());
--- a/crates/net/src/record.rs
+++ b/crates/net/src/record.rs
@@ -14,7 +14,7 @@
 
 impl Recorder {
     /// Appends to a file.
-    pub fn to(path: &Path, who: &str) -> std::io::Result<Self> {
+    pub fn append_to(path: &Path, who: &str) -> std::io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Self {
             file: Some(Arc::new(Mutex::new(file))),
@@ -23,13 +23,13 @@
     }
 
     /// Whether anything is written.
-    pub fn on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.file.is_some()
     }
 
     /// Writes what `line` makes, with time and writer; each line is out before this returns, so that a killed
     /// process loses none.
-    pub fn note(&self, what: &str, line: impl FnOnce() -> serde_json::Value) {
+    pub fn record(&self, what: &str, line: impl FnOnce() -> serde_json::Value) {
         let Some(file) = &self.file else { return };
         let mut value = line();
         if let Some(map) = value.as_object_mut() {
--- a/crates/net/src/routes.rs
+++ b/crates/net/src/routes.rs
@@ -16,12 +16,12 @@
 
 impl Routes {
     /// Routes from this file, which need not be there yet.
-    pub fn from(file: Option<PathBuf>) -> Self {
+    pub fn from_file(file: Option<PathBuf>) -> Self {
         Self { file }
     }
 
     /// Where to dial a peer that is known at this address.
-    pub fn to(&self, address: &str) -> String {
+    pub fn resolve(&self, address: &str) -> String {
         let text = self
             .file
             .as_ref()
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -19,7 +19,7 @@
 
 /// Marks a response that is not sent: its connection is cut instead.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut;
+pub struct ConnectionAborted;
 
 /// What answers requests.
 pub trait Handler: Send + Sync + 'static {
@@ -60,7 +60,7 @@
                 let handler = handler.clone();
                 async move {
                     let response = handler.answer(request, peer).await;
-                    let cut = response.extensions().get::<Cut>().is_some();
+                    let cut = response.extensions().get::<ConnectionAborted>().is_some();
                     if cut {
                         Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset))
                     } else {
--- a/crates/pending/src/diagnosis.rs
+++ b/crates/pending/src/diagnosis.rs
@@ -1,66 +1,73 @@
 //! What keeps tasks of one shape from the nodes, at one moment.
 
-use crate::Code;
+use crate::ReasonCode;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The node that came nearest to taking it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Nearest {
+pub struct NearestNode {
     /// The node.
     pub node: String,
     /// Its zone.
     pub zone: String,
     /// What kept it out.
-    pub code: Code,
+    pub code: ReasonCode,
     /// By how much: cores, memory units, seconds; 0 where it is not a matter of more or less.
-    pub short: f64,
+    #[serde(rename = "short")]
+    pub shortfall: f64,
 }
 
 /// The spread limit that holds for the class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limit {
+pub struct SpreadLimit {
     /// `node`, `rack`, `zone` or `all`.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub domain: String,
     /// The most of one service there, for one planner.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_tasks: u32,
 }
 
 /// Why tasks of one shape wait. Equal tasks share one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Diagnosis {
     /// Nodes that were looked at.
-    pub nodes: u32,
+    #[serde(rename = "nodes")]
+    pub node_count: u32,
     /// How many were ruled out by what.
-    pub bars: BTreeMap<Code, u32>,
+    #[serde(rename = "bars")]
+    pub rejections: BTreeMap<ReasonCode, u32>,
     /// The same by zone.
-    pub zones: BTreeMap<String, BTreeMap<Code, u32>>,
+    pub zones: BTreeMap<String, BTreeMap<ReasonCode, u32>>,
     /// What keeps it from all alike.
-    pub block: Option<Code>,
+    #[serde(rename = "block")]
+    pub blocker: Option<ReasonCode>,
     /// The node that came nearest.
-    pub nearest: Option<Nearest>,
+    pub nearest: Option<NearestNode>,
     /// The class's limit, where one bars.
-    pub limit: Option<Limit>,
+    #[serde(rename = "limit")]
+    pub spread_limit: Option<SpreadLimit>,
 }
 
 /// How far a node is from taking a task: whether time alone will do comes first, then room, then what only an
 /// operator or another shape can change.
-fn rank(code: Code) -> u32 {
+fn rank(code: ReasonCode) -> u32 {
     match code {
-        Code::Line => 0,
-        Code::ColdBudget => 1,
-        Code::SetAside => 2,
-        Code::Cores | Code::Memory => 3,
-        Code::Spread => 4,
-        Code::Draining => 5,
+        ReasonCode::Line => 0,
+        ReasonCode::ColdBudget => 1,
+        ReasonCode::SetAside => 2,
+        ReasonCode::Cores | ReasonCode::Memory => 3,
+        ReasonCode::Spread => 4,
+        ReasonCode::Draining => 5,
         _ => 6,
     }
 }
 
 impl Diagnosis {
     /// Counts a node that was ruled out.
-    pub fn bar(&mut self, node: &str, zone: &str, code: Code, short: f64) {
-        *self.bars.entry(code).or_default() += 1;
+    pub fn add_rejection(&mut self, node: &str, zone: &str, code: ReasonCode, short: f64) {
+        *self.rejections.entry(code).or_default() += 1;
         *self
             .zones
             .entry(zone.to_owned())
@@ -70,28 +77,29 @@
         let nearer = self.nearest.as_ref().is_none_or(|nearest| {
             let order = rank(code)
                 .cmp(&rank(nearest.code))
-                .then(short.total_cmp(&nearest.short));
+                .then(short.total_cmp(&nearest.shortfall));
             order.is_lt()
         });
         if nearer {
-            self.nearest = Some(Nearest {
+            self.nearest = Some(NearestNode {
                 node: node.to_owned(),
                 zone: zone.to_owned(),
                 code,
-                short,
+                shortfall: short,
             });
         }
     }
 
     /// Nodes that nothing rules out.
-    pub fn free(&self) -> u32 {
-        self.nodes.saturating_sub(self.bars.values().sum())
+    pub fn available_nodes(&self) -> u32 {
+        self.node_count
+            .saturating_sub(self.rejections.values().sum())
     }
 
     /// What rules nodes out and how many, the one that rules out most first.
-    fn ordered(&self) -> Vec<(Code, u32)> {
-        let mut bars: Vec<(Code, u32)> = self
-            .bars
+    fn ordered(&self) -> Vec<(ReasonCode, u32)> {
+        let mut bars: Vec<(ReasonCode, u32)> = self
+            .rejections
             .iter()
             .map(|(code, count)| (*code, *count))
             .collect();
@@ -100,10 +108,11 @@
     }
 
     /// All codes that hold now, the one that rules out most first.
-    pub fn codes(&self) -> Vec<Code> {
-        let free = (self.free() > 0 && self.block.is_none()).then_some(Code::Free);
-        let none = (self.nodes == 0).then_some(Code::NoList);
-        self.block
+    pub fn codes(&self) -> Vec<ReasonCode> {
+        let free =
+            (self.available_nodes() > 0 && self.blocker.is_none()).then_some(ReasonCode::Free);
+        let none = (self.node_count == 0).then_some(ReasonCode::NoList);
+        self.blocker
             .into_iter()
             .chain(none)
             .chain(self.ordered().into_iter().map(|(code, _)| code))
@@ -112,8 +121,9 @@
     }
 
     /// Zones in which a reason rules out nodes.
-    pub fn zones_of(&self, code: Code) -> impl Iterator<Item = &str> {
-        let there = move |(_, bars): &(&String, &BTreeMap<Code, u32>)| bars.contains_key(&code);
+    pub fn zones_of(&self, code: ReasonCode) -> impl Iterator<Item = &str> {
+        let there =
+            move |(_, bars): &(&String, &BTreeMap<ReasonCode, u32>)| bars.contains_key(&code);
         self.zones
             .iter()
             .filter(there)
@@ -121,36 +131,45 @@
     }
 
     /// Whether it says the same, leaving out by how much a node missed: that changes all the time.
-    pub fn same(&self, other: &Self) -> bool {
-        (self.nodes, &self.bars, &self.zones, self.block, &self.limit)
-            == (
-                other.nodes,
-                &other.bars,
-                &other.zones,
-                other.block,
-                &other.limit,
-            )
+    pub fn is_equivalent(&self, other: &Self) -> bool {
+        (
+            self.node_count,
+            &self.rejections,
+            &self.zones,
+            self.blocker,
+            &self.spread_limit,
+        ) == (
+            other.node_count,
+            &other.rejections,
+            &other.zones,
+            other.blocker,
+            &other.spread_limit,
+        )
     }
 
     /// In the style of the published scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
     pub fn message(&self) -> String {
-        if let Some(block) = self.block {
-            return format!("can't be sent: {}", block.words());
+        if let Some(block) = self.blocker {
+            return format!("can't be sent: {}", block.description());
         }
-        if self.nodes == 0 {
+        if self.node_count == 0 {
             return "0/0 nodes are available: no list of nodes yet".into();
         }
-        let one = |(code, count): (Code, u32)| match (&self.limit, code) {
-            (Some(limit), Code::Spread) => {
+        let one = |(code, count): (ReasonCode, u32)| match (&self.spread_limit, code) {
+            (Some(limit), ReasonCode::Spread) => {
                 format!(
                     "{count} {} limit of the service ({})",
-                    limit.place, limit.most
+                    limit.domain, limit.max_tasks
                 )
             }
-            _ => format!("{count} {}", code.words()),
+            _ => format!("{count} {}", code.description()),
         };
         let list: Vec<String> = self.ordered().into_iter().map(one).collect();
-        let head = format!("{}/{} nodes are available", self.free(), self.nodes);
+        let head = format!(
+            "{}/{} nodes are available",
+            self.available_nodes(),
+            self.node_count
+        );
         if list.is_empty() {
             head
         } else {
@@ -160,8 +179,11 @@
 
     /// What would have to change, in words.
     pub fn hint(&self) -> Option<String> {
-        if let Some(block) = self.block {
-            return Some(format!("nothing can be sent any more: {}", block.words()));
+        if let Some(block) = self.blocker {
+            return Some(format!(
+                "nothing can be sent any more: {}",
+                block.description()
+            ));
         }
         let nearest = self.nearest.as_ref()?;
         let at = if nearest.zone.is_empty() {
@@ -170,24 +192,31 @@
             format!(" in {}", nearest.zone)
         };
         let node = &nearest.node;
-        Some(match (nearest.code, &self.limit) {
-            (Code::Cores, _) => format!("{:.1} cores more free on {node}{at}", nearest.short),
-            (Code::Memory, _) => {
-                format!("{:.1} memory units more free on {node}{at}", nearest.short)
+        Some(match (nearest.code, &self.spread_limit) {
+            (ReasonCode::Cores, _) => {
+                format!("{:.1} cores more free on {node}{at}", nearest.shortfall)
             }
-            (Code::Spread, Some(limit)) => {
+            (ReasonCode::Memory, _) => {
+                format!(
+                    "{:.1} memory units more free on {node}{at}",
+                    nearest.shortfall
+                )
+            }
+            (ReasonCode::Spread, Some(limit)) => {
                 format!(
                     "one copy of the service fewer in the {} of {node}{at}",
-                    limit.place
+                    limit.domain
                 )
             }
-            (Code::SetAside, _) => format!("{node}{at} is tried again in {:.1} s", nearest.short),
-            (Code::Line, _) => format!("an answer of {node}{at}"),
-            (Code::ColdBudget, _) => {
+            (ReasonCode::SetAside, _) => {
+                format!("{node}{at} is tried again in {:.1} s", nearest.shortfall)
+            }
+            (ReasonCode::Line, _) => format!("an answer of {node}{at}"),
+            (ReasonCode::ColdBudget, _) => {
                 format!("{node}{at} has just come up and takes more in a moment")
             }
-            (Code::Draining, _) => format!("{node}{at} taken back into service"),
-            (code, _) => format!("{node}{at}: {}", code.words()),
+            (ReasonCode::Draining, _) => format!("{node}{at} taken back into service"),
+            (code, _) => format!("{node}{at}: {}", code.description()),
         })
     }
 }
--- a/crates/pending/src/ledger.rs
+++ b/crates/pending/src/ledger.rs
@@ -1,6 +1,6 @@
 //! The edge's side: a record for each task that waits, what is written to objects and when, and the fleet's view.
 
-use crate::{Code, Diagnosis, Record, Word};
+use crate::{Diagnosis, PendingRecord, ReasonCode, ReasonUpdate};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,39 +9,39 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Records that are kept.
-    pub most: usize,
+    pub max_records: usize,
     /// A Pod's condition and Event are written at most so often.
-    pub write_every: f64,
+    pub write_interval: f64,
     /// What has no answer at once waits: it is written of after this long.
-    pub after: f64,
+    pub initial_delay: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            most: 20_000,
-            write_every: 1.0,
-            after: 0.3,
+            max_records: 20_000,
+            write_interval: 1.0,
+            initial_delay: 0.3,
         }
     }
 }
 
 /// What is to be written to a Pod.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Write {
+pub struct StatusUpdate {
     /// The Pod.
     pub uid: String,
     /// Text of its condition and Event.
     pub message: String,
     /// The reason that weighs most.
-    pub code: Code,
+    pub code: ReasonCode,
     /// How often its reasons have changed.
     pub count: u32,
 }
 
 /// Work that one reason holds back.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Held {
+pub struct PendingTotals {
     /// Tasks.
     pub tasks: u32,
     /// Cores that they ask for.
@@ -53,21 +53,21 @@
 }
 
 #[derive(Debug)]
-struct Entry {
-    record: Record,
+struct RecordEntry {
+    record: PendingRecord,
     written: Option<(f64, String)>,
     count: u32,
 }
 
 /// All tasks of an edge that wait.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct PendingRecords {
     settings: Settings,
-    records: BTreeMap<String, Entry>,
+    records: BTreeMap<String, RecordEntry>,
     /// By namespace and name.
     names: BTreeMap<(String, String), String>,
     /// Those that are over, oldest first, so that an owner can ask afterwards.
-    past: VecDeque<Record>,
+    past: VecDeque<PendingRecord>,
     refused: u64,
     /// Diagnoses that were told lately: equal tasks share one.
     recent: VecDeque<Arc<Diagnosis>>,
@@ -78,7 +78,7 @@
 /// Diagnoses that are looked through for an equal one.
 const RECENT_MOST: usize = 32;
 
-impl Ledger {
+impl PendingRecords {
     /// Without records.
     pub fn new(settings: Settings) -> Self {
         let (records, names) = (BTreeMap::new(), BTreeMap::new());
@@ -93,14 +93,14 @@
     }
 
     /// A task waits from now on. Beyond the bound it gets no record, and that is counted.
-    pub fn open(&mut self, now: f64, uid: &str, record: Record) {
-        if self.records.len() >= self.settings.most {
+    pub fn open(&mut self, now: f64, uid: &str, record: PendingRecord) {
+        if self.records.len() >= self.settings.max_records {
             self.refused += 1;
             return;
         }
-        let record = Record {
+        let record = PendingRecord {
             since: now,
-            seen: now,
+            updated_at: now,
             ..record
         };
         self.names.insert(
@@ -109,7 +109,7 @@
         );
         self.records.insert(
             uid.to_owned(),
-            Entry {
+            RecordEntry {
                 record,
                 written: None,
                 count: 0,
@@ -134,12 +134,12 @@
         }
         let mut record = entry.record;
         record.codes.clear();
-        record.spans.iter_mut().for_each(|span| span.over = true);
+        record.spans.iter_mut().for_each(|span| span.is_over = true);
         self.past.push_back(record);
     }
 
     /// A planner's word.
-    pub fn told(&mut self, now: f64, mut word: Word) {
+    pub fn apply_update(&mut self, now: f64, mut word: ReasonUpdate) {
         match self.recent.iter().find(|known| **known == word.diagnosis) {
             Some(known) => word.diagnosis = known.clone(),
             None => {
@@ -152,38 +152,38 @@
         let Some(entry) = self.records.get_mut(&word.uid) else {
             return;
         };
-        let message = match &word.out {
+        let message = match &word.offered_to {
             Some(node) => format!("an offer is out to {node}"),
             None => word.diagnosis.message(),
         };
-        let message = match word.answers.last() {
+        let message = match word.node_answers.last() {
             Some((node, words)) => format!("{message}; {node} answered: {words}"),
             None => message,
         };
         let bars = word.diagnosis.clone();
         entry.hold(now, word.codes(), message, |code| {
-            bars.bars.get(&code).copied().unwrap_or(0)
+            bars.rejections.get(&code).copied().unwrap_or(0)
         });
         entry.record.hint = word.diagnosis.hint();
-        entry.record.word = Some(word);
+        entry.record.last_update = Some(word);
     }
 
     /// The edge's own reason: nobody has it. A planner's older word does not hold any more.
-    pub fn edge(&mut self, now: f64, uid: &str, code: Code) {
+    pub fn set_edge_reason(&mut self, now: f64, uid: &str, code: ReasonCode) {
         let Some(entry) = self.records.get_mut(uid) else {
             return;
         };
-        entry.record.word = None;
+        entry.record.last_update = None;
         entry.record.hint = Some(match code {
-            Code::NoPlanner => "a planner that connects".to_owned(),
-            Code::PlannersSilent => "a planner that speaks again".to_owned(),
+            ReasonCode::NoPlanner => "a planner that connects".to_owned(),
+            ReasonCode::PlannersSilent => "a planner that speaks again".to_owned(),
             _ => "room at a planner".to_owned(),
         });
-        entry.hold(now, vec![code], code.words().to_owned(), |_| 0);
+        entry.hold(now, vec![code], code.description().to_owned(), |_| 0);
     }
 
     /// A planner has taken it: what the edge said does not hold any more, and the planner has said nothing yet.
-    pub fn taken(&mut self, now: f64, uid: &str) {
+    pub fn clear_edge_reason(&mut self, now: f64, uid: &str) {
         let Some(entry) = self
             .records
             .get_mut(uid)
@@ -196,23 +196,23 @@
     }
 
     /// What is to be written now: new or changed messages, each Pod at most so often.
-    pub fn due(&mut self, now: f64) -> Vec<Write> {
+    pub fn due_updates(&mut self, now: f64) -> Vec<StatusUpdate> {
         let mut due = Vec::new();
         for (uid, entry) in &mut self.records {
             let Some(&code) = entry.record.codes.first() else {
                 continue;
             };
             let fresh = match &entry.written {
-                None => now - entry.record.since >= self.settings.after,
+                None => now - entry.record.since >= self.settings.initial_delay,
                 Some((at, text)) => {
-                    now - at >= self.settings.write_every && *text != entry.record.message
+                    now - at >= self.settings.write_interval && *text != entry.record.message
                 }
             };
             if fresh {
                 let message = entry.record.message.clone();
                 entry.written = Some((now, message.clone()));
                 entry.count += 1;
-                due.push(Write {
+                due.push(StatusUpdate {
                     uid: uid.clone(),
                     message,
                     code,
@@ -224,7 +224,7 @@
     }
 
     /// The record of a Pod: of one that waits, or the last one of that name that did.
-    pub fn of(&self, namespace: &str, pod: &str) -> Option<&Record> {
+    pub fn find(&self, namespace: &str, pod: &str) -> Option<&PendingRecord> {
         let key = (namespace.to_owned(), pod.to_owned());
         let waits = self
             .names
@@ -241,8 +241,12 @@
     }
 
     /// All that wait, of one namespace or of all ("").
-    pub fn all<'a>(&'a self, namespace: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
-        let wanted = move |record: &Record| namespace.is_empty() || record.namespace == namespace;
+    pub fn iter<'a>(
+        &'a self,
+        namespace: &'a str,
+    ) -> impl Iterator<Item = (&'a str, &'a PendingRecord)> {
+        let wanted =
+            move |record: &PendingRecord| namespace.is_empty() || record.namespace == namespace;
         let all = self
             .records
             .iter()
@@ -252,11 +256,12 @@
 
     /// How much work each reason holds back, by class, namespace and the zone whose nodes it rules out ("" where it
     /// rules out no nodes). A task counts under each reason that holds, in each zone.
-    pub fn fleet(&self) -> BTreeMap<(String, String, String, Code), Held> {
-        let mut fleet: BTreeMap<(String, String, String, Code), Held> = BTreeMap::new();
-        for (_, record) in self.all("") {
+    pub fn totals(&self) -> BTreeMap<(String, String, String, ReasonCode), PendingTotals> {
+        let mut fleet: BTreeMap<(String, String, String, ReasonCode), PendingTotals> =
+            BTreeMap::new();
+        for (_, record) in self.iter("") {
             for &code in &record.codes {
-                let diagnosis = record.word.as_ref().map(|word| &word.diagnosis);
+                let diagnosis = record.last_update.as_ref().map(|word| &word.diagnosis);
                 let mut zones: Vec<&str> = diagnosis
                     .iter()
                     .flat_map(|found| found.zones_of(code))
@@ -271,14 +276,14 @@
                         zone.to_owned(),
                         code,
                     );
-                    let new = || Held {
+                    let new = || PendingTotals {
                         oldest: f64::INFINITY,
-                        ..Held::default()
+                        ..PendingTotals::default()
                     };
                     let held = fleet.entry(key).or_insert_with(new);
                     held.tasks += 1;
-                    held.cores += record.asks[0];
-                    held.memory += record.asks[1];
+                    held.cores += record.requested[0];
+                    held.memory += record.requested[1];
                     held.oldest = held.oldest.min(record.since);
                 }
             }
@@ -297,13 +302,19 @@
     }
 
     /// Tasks that got no record, as the most were kept already.
-    pub fn without_record(&self) -> u64 {
+    pub fn unrecorded_count(&self) -> u64 {
         self.refused
     }
 }
 
-impl Entry {
-    fn hold(&mut self, now: f64, codes: Vec<Code>, message: String, nodes: impl Fn(Code) -> u32) {
+impl RecordEntry {
+    fn hold(
+        &mut self,
+        now: f64,
+        codes: Vec<ReasonCode>,
+        message: String,
+        nodes: impl Fn(ReasonCode) -> u32,
+    ) {
         self.record.hold(now, codes, nodes);
         self.record.message = message;
     }
--- a/crates/pending/src/reason.rs
+++ b/crates/pending/src/reason.rs
@@ -5,7 +5,7 @@
 /// Whose doing it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Source {
+pub enum ReasonSource {
     /// The scheduler's own choice.
     Policy,
     /// A node turned it away.
@@ -22,21 +22,21 @@
     ($($(#[$doc:meta])* $code:ident, $source:ident, $words:literal;)*) => {
         /// A reason. Its name is the label in metrics, its words stand in messages.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-        pub enum Code { $($(#[$doc])* $code,)* }
-        impl Code {
+        pub enum ReasonCode { $($(#[$doc])* $code,)* }
+        impl ReasonCode {
             /// All of them.
-            pub const ALL: &[Code] = &[$(Code::$code),*];
+            pub const ALL: &[ReasonCode] = &[$(ReasonCode::$code),*];
             /// Whose doing it is.
-            pub fn source(self) -> Source {
-                match self { $(Code::$code => Source::$source,)* }
+            pub fn source(self) -> ReasonSource {
+                match self { $(ReasonCode::$code => ReasonSource::$source,)* }
             }
             /// In words, for people.
-            pub fn words(self) -> &'static str {
-                match self { $(Code::$code => $words,)* }
+            pub fn description(self) -> &'static str {
+                match self { $(ReasonCode::$code => $words,)* }
             }
             /// As one word, for labels.
             pub fn name(self) -> &'static str {
-                match self { $(Code::$code => stringify!($code),)* }
+                match self { $(ReasonCode::$code => stringify!($code),)* }
             }
         }
     };
--- a/crates/pending/src/record.rs
+++ b/crates/pending/src/record.rs
@@ -1,34 +1,37 @@
 //! The reasons of one task over time.
 
-use crate::{Code, Source, Word};
+use crate::{ReasonCode, ReasonSource, ReasonUpdate};
 use serde::Serialize;
 use std::collections::VecDeque;
 
 /// Closed spans that are kept of one task.
-pub const SPANS_MOST: usize = 24;
+pub const MAX_SPANS: usize = 24;
 
 /// One reason, from when to when.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Span {
+pub struct ReasonSpan {
     /// The reason.
-    pub code: Code,
+    pub code: ReasonCode,
     /// Whose doing.
-    pub source: Source,
+    pub source: ReasonSource,
     /// It was first seen then.
-    pub first: f64,
+    #[serde(rename = "first")]
+    pub first_seen: f64,
     /// It was last seen then.
-    pub last: f64,
+    #[serde(rename = "last")]
+    pub last_seen: f64,
     /// It was seen anew so often: a reason that comes and goes is one span, as an Event with a count is.
     pub count: u32,
     /// Nodes that it ruled out when last seen.
     pub nodes: u32,
     /// It does not hold any more.
-    pub over: bool,
+    #[serde(rename = "over")]
+    pub is_over: bool,
 }
 
 /// A task that waits.
 #[derive(Clone, Debug, Serialize)]
-pub struct Record {
+pub struct PendingRecord {
     /// Namespace.
     pub namespace: String,
     /// Pod.
@@ -38,56 +41,64 @@
     /// Class, as it named it.
     pub class: String,
     /// Cores and memory units that it asks for.
-    pub asks: [f64; 2],
+    #[serde(rename = "asks")]
+    pub requested: [f64; 2],
     /// It waits since then.
     pub since: f64,
     /// When its reasons were last told.
-    pub seen: f64,
+    #[serde(rename = "seen")]
+    pub updated_at: f64,
     /// Reasons that hold, the weightiest first.
-    pub codes: Vec<Code>,
+    pub codes: Vec<ReasonCode>,
     /// For people.
     pub message: String,
     /// What would have to change.
     pub hint: Option<String>,
     /// What its planner told last.
-    pub word: Option<Word>,
+    #[serde(rename = "word")]
+    pub last_update: Option<ReasonUpdate>,
     /// Reasons over time, by when they were first seen.
-    pub spans: VecDeque<Span>,
+    pub spans: VecDeque<ReasonSpan>,
 }
 
-impl Record {
+impl PendingRecord {
     /// Takes in which reasons hold now.
-    pub(crate) fn hold(&mut self, now: f64, codes: Vec<Code>, nodes: impl Fn(Code) -> u32) {
+    pub(crate) fn hold(
+        &mut self,
+        now: f64,
+        codes: Vec<ReasonCode>,
+        nodes: impl Fn(ReasonCode) -> u32,
+    ) {
         for span in &mut self.spans {
             if !codes.contains(&span.code) {
-                span.over = true;
+                span.is_over = true;
             }
         }
         for &code in &codes {
             match self.spans.iter_mut().find(|span| span.code == code) {
                 Some(span) => {
-                    span.count += u32::from(span.over);
-                    (span.last, span.over, span.nodes) = (now, false, nodes(code));
+                    span.count += u32::from(span.is_over);
+                    (span.last_seen, span.is_over, span.nodes) = (now, false, nodes(code));
                 }
                 None => {
-                    if self.spans.len() >= SPANS_MOST {
+                    if self.spans.len() >= MAX_SPANS {
                         // There are fewer codes than this today; the bound holds all the same.
                         self.spans.pop_front();
                     }
                     let source = code.source();
                     let nodes = nodes(code);
-                    self.spans.push_back(Span {
+                    self.spans.push_back(ReasonSpan {
                         code,
                         source,
-                        first: now,
-                        last: now,
+                        first_seen: now,
+                        last_seen: now,
                         count: 1,
                         nodes,
-                        over: false,
+                        is_over: false,
                     });
                 }
             }
         }
-        (self.codes, self.seen) = (codes, now);
+        (self.codes, self.updated_at) = (codes, now);
     }
 }
--- a/crates/pending/src/teller.rs
+++ b/crates/pending/src/teller.rs
@@ -1,71 +1,74 @@
 //! The planner's side: which reasons travel to an edge, and how often.
 
-use crate::{Code, Diagnosis};
+use crate::{Diagnosis, ReasonCode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// What an edge is told of one task that waits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct ReasonUpdate {
     /// The task.
     pub uid: String,
     /// Why, shared by equal tasks.
     pub diagnosis: Arc<Diagnosis>,
     /// The node that has an offer of it now.
-    pub out: Option<String>,
+    #[serde(rename = "out")]
+    pub offered_to: Option<String>,
     /// What nodes answered to earlier attempts: node and words, last ones last.
-    pub answers: Vec<(String, String)>,
+    #[serde(rename = "answers")]
+    pub node_answers: Vec<(String, String)>,
     /// It can still be sent for so many seconds.
     pub sendable_for: f64,
     /// It is looked at again within so many seconds.
-    pub next_look: f64,
+    #[serde(rename = "next_look")]
+    pub next_attempt_in: f64,
 }
 
-impl Word {
+impl ReasonUpdate {
     /// All reasons in it.
-    pub fn codes(&self) -> Vec<Code> {
-        if self.out.is_some() {
-            return vec![Code::OfferOut];
+    pub fn codes(&self) -> Vec<ReasonCode> {
+        if self.offered_to.is_some() {
+            return vec![ReasonCode::OfferOut];
         }
-        let refused = (!self.answers.is_empty()).then_some(Code::NodeRefused);
+        let refused = (!self.node_answers.is_empty()).then_some(ReasonCode::NodeRefused);
         self.diagnosis.codes().into_iter().chain(refused).collect()
     }
 }
 
-/// A task that waits, as it stands now; a [`Word`] is made of it only where that is to be told.
+/// A task that waits, as it stands now; a [`ReasonUpdate`] is made of it only where that is to be told.
 #[derive(Clone, Copy, Debug)]
-pub struct Draft<'a> {
-    /// See [`Word::uid`].
+pub struct ReasonDraft<'a> {
+    /// See [`ReasonUpdate::uid`].
     pub uid: &'a str,
-    /// See [`Word::diagnosis`].
+    /// See [`ReasonUpdate::diagnosis`].
     pub diagnosis: &'a Arc<Diagnosis>,
-    /// See [`Word::out`].
-    pub out: Option<&'a str>,
-    /// See [`Word::answers`].
-    pub answers: &'a [(String, String)],
-    /// See [`Word::sendable_for`].
+    /// See [`ReasonUpdate::offered_to`].
+    pub offered_to: Option<&'a str>,
+    /// See [`ReasonUpdate::node_answers`].
+    pub node_answers: &'a [(String, String)],
+    /// See [`ReasonUpdate::sendable_for`].
     pub sendable_for: f64,
-    /// See [`Word::next_look`].
-    pub next_look: f64,
+    /// See [`ReasonUpdate::next_attempt_in`].
+    pub next_attempt_in: f64,
 }
 
-impl Draft<'_> {
-    fn word(&self) -> Word {
-        Word {
+impl ReasonDraft<'_> {
+    fn word(&self) -> ReasonUpdate {
+        ReasonUpdate {
             uid: self.uid.to_owned(),
             diagnosis: self.diagnosis.clone(),
-            out: self.out.map(str::to_owned),
-            answers: self.answers.to_vec(),
+            offered_to: self.offered_to.map(str::to_owned),
+            node_answers: self.node_answers.to_vec(),
             sendable_for: self.sendable_for,
-            next_look: self.next_look,
+            next_attempt_in: self.next_attempt_in,
         }
     }
 }
 
 /// What was told of a task.
 #[derive(Debug)]
-struct Told {
+struct PublishedReasons {
     at: f64,
     diagnosis: Arc<Diagnosis>,
     out: Option<String>,
@@ -74,27 +77,29 @@
     step: u64,
 }
 
-impl Told {
-    fn same(&self, draft: &Draft<'_>) -> bool {
-        let diagnosis =
-            Arc::ptr_eq(&self.diagnosis, draft.diagnosis) || self.diagnosis.same(draft.diagnosis);
+impl PublishedReasons {
+    fn same(&self, draft: &ReasonDraft<'_>) -> bool {
+        let diagnosis = Arc::ptr_eq(&self.diagnosis, draft.diagnosis)
+            || self.diagnosis.is_equivalent(draft.diagnosis);
         // Answers only ever come: as many are the same, until the oldest are forgotten at their bound.
-        diagnosis && self.out.as_deref() == draft.out && self.answers == draft.answers.len()
+        diagnosis
+            && self.out.as_deref() == draft.offered_to
+            && self.answers == draft.node_answers.len()
     }
 }
 
 /// Sends what has changed, for each task at most so often; an unchanged word is repeated now and then, so that its
 /// reader knows that it still holds.
 #[derive(Debug)]
-pub struct Teller {
+pub struct ReasonPublisher {
     every: f64,
     repeat: f64,
     most: usize,
-    told: BTreeMap<String, Told>,
+    told: BTreeMap<String, PublishedReasons>,
     steps: u64,
 }
 
-impl Teller {
+impl ReasonPublisher {
     /// Tells of one task at most every `every` seconds, of an unchanged one every `repeat`, and of at most `most` in
     /// one go.
     pub fn new(every: f64, repeat: f64, most: usize) -> Self {
@@ -109,9 +114,13 @@
 
     /// All that waits now; what of it is to be told. Tasks that are not in it any more are forgotten. Those that are
     /// left out for the bound come first next time, as they were told longest ago.
-    pub fn step<'a>(&mut self, now: f64, drafts: impl IntoIterator<Item = Draft<'a>>) -> Vec<Word> {
+    pub fn step<'a>(
+        &mut self,
+        now: f64,
+        drafts: impl IntoIterator<Item = ReasonDraft<'a>>,
+    ) -> Vec<ReasonUpdate> {
         self.steps += 1;
-        let mut due: Vec<(f64, Draft<'a>)> = Vec::new();
+        let mut due: Vec<(f64, ReasonDraft<'a>)> = Vec::new();
         for draft in drafts {
             let Some(told) = self.told.get_mut(draft.uid) else {
                 due.push((f64::NEG_INFINITY, draft));
@@ -130,12 +139,13 @@
         let step = self.steps;
         due.into_iter()
             .map(|(_, draft)| {
-                let (diagnosis, out) = (draft.diagnosis.clone(), draft.out.map(str::to_owned));
-                let told = Told {
+                let (diagnosis, out) =
+                    (draft.diagnosis.clone(), draft.offered_to.map(str::to_owned));
+                let told = PublishedReasons {
                     at: now,
                     diagnosis,
                     out,
-                    answers: draft.answers.len(),
+                    answers: draft.node_answers.len(),
                     step,
                 };
                 self.told.insert(draft.uid.to_owned(), told);
