--- a/crates/pending/tests/waiting.rs
+++ b/crates/pending/tests/waiting.rs
@@ -4,56 +4,56 @@
 use std::sync::Arc;
 use tidespur_pending::*;
 
-fn diagnosis(nodes: u32, bars: &[(Code, u32)]) -> Arc<Diagnosis> {
+fn diagnosis(nodes: u32, bars: &[(ReasonCode, u32)]) -> Arc<Diagnosis> {
     Arc::new(Diagnosis {
-        nodes,
-        bars: bars.iter().copied().collect(),
+        node_count: nodes,
+        rejections: bars.iter().copied().collect(),
         ..Diagnosis::default()
     })
 }
 
-fn word(uid: &str, diagnosis: &Arc<Diagnosis>) -> Word {
-    Word {
+fn word(uid: &str, diagnosis: &Arc<Diagnosis>) -> ReasonUpdate {
+    ReasonUpdate {
         uid: uid.into(),
         diagnosis: diagnosis.clone(),
-        out: None,
-        answers: vec![],
+        offered_to: None,
+        node_answers: vec![],
         sendable_for: 5.0,
-        next_look: 0.05,
+        next_attempt_in: 0.05,
     }
 }
 
-fn draft(word: &Word) -> Draft<'_> {
-    Draft {
+fn draft(word: &ReasonUpdate) -> ReasonDraft<'_> {
+    ReasonDraft {
         uid: &word.uid,
         diagnosis: &word.diagnosis,
-        out: word.out.as_deref(),
-        answers: &word.answers,
+        offered_to: word.offered_to.as_deref(),
+        node_answers: &word.node_answers,
         sendable_for: word.sendable_for,
-        next_look: word.next_look,
+        next_attempt_in: word.next_attempt_in,
     }
 }
 
-fn record(pod: &str) -> Record {
-    Record {
+fn record(pod: &str) -> PendingRecord {
+    PendingRecord {
         namespace: "default".into(),
         pod: pod.into(),
         service: "default/job".into(),
         class: "termin-web".into(),
-        asks: [1.0, 2.0],
+        requested: [1.0, 2.0],
         since: 0.0,
-        seen: 0.0,
+        updated_at: 0.0,
         codes: vec![],
         message: String::new(),
         hint: None,
-        word: None,
+        last_update: None,
         spans: Default::default(),
     }
 }
 
-fn ledger() -> Ledger {
-    Ledger::new(Settings {
-        most: 3,
+fn ledger() -> PendingRecords {
+    PendingRecords::new(Settings {
+        max_records: 3,
         ..Settings::default()
     })
 }
@@ -61,16 +61,16 @@
 #[test]
 fn a_message_counts_nodes_by_what_ruled_them_out_and_the_nearest_tells_what_would_help() {
     let mut found = Diagnosis {
-        nodes: 6,
+        node_count: 6,
         ..Diagnosis::default()
     };
-    found.bar("n1", "a", Code::Draining, 0.0);
-    found.bar("n2", "a", Code::Memory, 2.5);
-    found.bar("n3", "b", Code::Memory, 7.0);
-    found.bar("n4", "b", Code::Spread, 0.0);
-    found.limit = Some(Limit {
-        place: "rack".into(),
-        most: 3,
+    found.add_rejection("n1", "a", ReasonCode::Draining, 0.0);
+    found.add_rejection("n2", "a", ReasonCode::Memory, 2.5);
+    found.add_rejection("n3", "b", ReasonCode::Memory, 7.0);
+    found.add_rejection("n4", "b", ReasonCode::Spread, 0.0);
+    found.spread_limit = Some(SpreadLimit {
+        domain: "rack".into(),
+        max_tasks: 3,
     });
     assert_eq!(
         found.message(),
@@ -80,10 +80,16 @@
         found.hint().unwrap(),
         "2.5 memory units more free on n2 in a"
     );
-    assert_eq!(found.codes().first(), Some(&Code::Memory));
-    assert_eq!(found.zones_of(Code::Memory).collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!(found.zones_of(Code::Spread).collect::<Vec<_>>(), ["b"]);
-    found.block = Some(Code::MayHaveRun);
+    assert_eq!(found.codes().first(), Some(&ReasonCode::Memory));
+    assert_eq!(
+        found.zones_of(ReasonCode::Memory).collect::<Vec<_>>(),
+        ["a", "b"]
+    );
+    assert_eq!(
+        found.zones_of(ReasonCode::Spread).collect::<Vec<_>>(),
+        ["b"]
+    );
+    found.blocker = Some(ReasonCode::MayHaveRun);
     assert!(found.message().starts_with("can't be sent"));
 }
 
@@ -92,36 +98,41 @@
     let mut ledger = ledger();
     ledger.open(0.0, "u", record("p"));
     for (at, code) in [
-        (0.1, Code::Spread),
-        (0.4, Code::Memory),
-        (0.7, Code::Spread),
+        (0.1, ReasonCode::Spread),
+        (0.4, ReasonCode::Memory),
+        (0.7, ReasonCode::Spread),
     ] {
-        ledger.told(at, word("u", &diagnosis(4, &[(code, 4)])));
+        ledger.apply_update(at, word("u", &diagnosis(4, &[(code, 4)])));
     }
-    let record = ledger.of("default", "p").unwrap();
-    assert_eq!(record.codes, [Code::Spread]);
+    let record = ledger.find("default", "p").unwrap();
+    assert_eq!(record.codes, [ReasonCode::Spread]);
     let spread = record
         .spans
         .iter()
-        .find(|span| span.code == Code::Spread)
+        .find(|span| span.code == ReasonCode::Spread)
         .unwrap();
     assert_eq!(
-        (spread.count, spread.first, spread.last, spread.over),
+        (
+            spread.count,
+            spread.first_seen,
+            spread.last_seen,
+            spread.is_over
+        ),
         (2, 0.1, 0.7, false)
     );
     let memory = record
         .spans
         .iter()
-        .find(|span| span.code == Code::Memory)
+        .find(|span| span.code == ReasonCode::Memory)
         .unwrap();
-    assert!(memory.over && memory.last == 0.4);
+    assert!(memory.is_over && memory.last_seen == 0.4);
     // One write at first, then not again within a second.
-    assert_eq!(ledger.due(0.7).len(), 1);
-    ledger.told(0.9, word("u", &diagnosis(4, &[(Code::Cores, 4)])));
-    assert_eq!(ledger.due(1.0), []);
-    let write = &ledger.due(1.8)[0];
-    assert_eq!((write.code, write.count), (Code::Cores, 2));
-    assert_eq!(ledger.due(9.0), [], "nothing has changed");
+    assert_eq!(ledger.due_updates(0.7).len(), 1);
+    ledger.apply_update(0.9, word("u", &diagnosis(4, &[(ReasonCode::Cores, 4)])));
+    assert_eq!(ledger.due_updates(1.0), []);
+    let write = &ledger.due_updates(1.8)[0];
+    assert_eq!((write.code, write.count), (ReasonCode::Cores, 2));
+    assert_eq!(ledger.due_updates(9.0), [], "nothing has changed");
 }
 
 #[test]
@@ -130,20 +141,20 @@
     ledger.open(0.0, "u", record("p"));
     let mut told = word(
         "u",
-        &diagnosis(2, &[(Code::Memory, 1), (Code::SetAside, 1)]),
+        &diagnosis(2, &[(ReasonCode::Memory, 1), (ReasonCode::SetAside, 1)]),
     );
-    told.answers.push(("n1".into(), "OutOfcpu".into()));
-    ledger.told(0.5, told);
-    let record = ledger.of("default", "p").unwrap();
-    let source = |code: Code| {
+    told.node_answers.push(("n1".into(), "OutOfcpu".into()));
+    ledger.apply_update(0.5, told);
+    let record = ledger.find("default", "p").unwrap();
+    let source = |code: ReasonCode| {
         record
             .spans
             .iter()
             .find(|span| span.code == code)
             .map(|span| span.source)
     };
-    assert_eq!(source(Code::NodeRefused), Some(Source::Node));
-    assert_eq!(source(Code::Memory), Some(Source::Policy));
+    assert_eq!(source(ReasonCode::NodeRefused), Some(ReasonSource::Node));
+    assert_eq!(source(ReasonCode::Memory), Some(ReasonSource::Policy));
     assert!(
         record.message.ends_with("n1 answered: OutOfcpu"),
         "{}",
@@ -155,12 +166,12 @@
 fn a_planner_that_is_lost_leaves_no_reason_of_its_own_behind() {
     let mut ledger = ledger();
     ledger.open(0.0, "u", record("p"));
-    ledger.told(0.5, word("u", &diagnosis(2, &[(Code::Memory, 2)])));
-    ledger.edge(0.8, "u", Code::NoPlanner);
-    let record = ledger.of("default", "p").unwrap();
+    ledger.apply_update(0.5, word("u", &diagnosis(2, &[(ReasonCode::Memory, 2)])));
+    ledger.set_edge_reason(0.8, "u", ReasonCode::NoPlanner);
+    let record = ledger.find("default", "p").unwrap();
     assert_eq!(
-        (record.codes.as_slice(), record.word.is_none()),
-        (&[Code::NoPlanner][..], true)
+        (record.codes.as_slice(), record.last_update.is_none()),
+        (&[ReasonCode::NoPlanner][..], true)
     );
     assert_eq!(record.spans.len(), 2, "the history is kept");
 }
@@ -171,25 +182,25 @@
     for uid in ["a", "b", "c", "d"] {
         ledger.open(0.0, uid, record(uid));
     }
-    assert_eq!((ledger.len(), ledger.without_record()), (3, 1));
-    let shared = diagnosis(2, &[(Code::Cores, 2)]);
+    assert_eq!((ledger.len(), ledger.unrecorded_count()), (3, 1));
+    let shared = diagnosis(2, &[(ReasonCode::Cores, 2)]);
     for uid in ["a", "b", "c", "d"] {
-        ledger.told(0.5, word(uid, &shared));
+        ledger.apply_update(0.5, word(uid, &shared));
     }
-    let fleet = ledger.fleet();
+    let fleet = ledger.totals();
     let held = &fleet[&(
         "termin-web".to_owned(),
         "default".to_owned(),
         String::new(),
-        Code::Cores,
+        ReasonCode::Cores,
     )];
     assert_eq!((held.tasks, held.cores, held.memory), (3, 3.0, 6.0));
     ledger.close("a");
-    let past = ledger.of("default", "a").unwrap();
-    assert!(past.codes.is_empty() && past.spans[0].over);
-    assert_eq!(ledger.fleet().values().next().unwrap().tasks, 2);
+    let past = ledger.find("default", "a").unwrap();
+    assert!(past.codes.is_empty() && past.spans[0].is_over);
+    assert_eq!(ledger.totals().values().next().unwrap().tasks, 2);
     // A deletion while it is being explained: late words on it change nothing.
-    ledger.told(0.6, word("a", &shared));
+    ledger.apply_update(0.6, word("a", &shared));
     assert_eq!(ledger.len(), 2);
 }
 
@@ -200,12 +211,12 @@
     fn every_present_reason_is_told_in_time(
         changes in proptest::collection::vec((0usize..30, 0usize..4, any::<bool>()), 1..200),
     ) {
-        let codes = [Code::Cores, Code::Memory, Code::Spread, Code::Draining];
-        let mut teller = Teller::new(0.5, 2.0, 8);
-        let mut waits: std::collections::BTreeMap<String, Word> = Default::default();
-        let mut reader: std::collections::BTreeMap<String, Word> = Default::default();
+        let codes = [ReasonCode::Cores, ReasonCode::Memory, ReasonCode::Spread, ReasonCode::Draining];
+        let mut teller = ReasonPublisher::new(0.5, 2.0, 8);
+        let mut waits: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
+        let mut reader: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
         let mut now = 0.0;
-        let mut step = |now: f64, waits: &std::collections::BTreeMap<String, Word>| {
+        let mut step = |now: f64, waits: &std::collections::BTreeMap<String, ReasonUpdate>| {
             let told = teller.step(now, waits.values().map(draft));
             assert!(told.len() <= 8);
             for word in told {
@@ -230,7 +241,7 @@
         }
         let reader = step(now + 0.5, &waits);
         for (uid, word) in &waits {
-            prop_assert!(reader.get(uid).is_some_and(|told| told.diagnosis.same(&word.diagnosis)), "{}", uid);
+            prop_assert!(reader.get(uid).is_some_and(|told| told.diagnosis.is_equivalent(&word.diagnosis)), "{}", uid);
         }
     }
 }
--- a/crates/planner-protocol/src/frame.rs
+++ b/crates/planner-protocol/src/frame.rs
@@ -78,7 +78,8 @@
         let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else {
             return Ok(None);
         };
-        let message = postcard::from_bytes(body).map_err(|e| FrameError::Malformed(e.to_string()))?;
+        let message =
+            postcard::from_bytes(body).map_err(|e| FrameError::Malformed(e.to_string()))?;
         self.read += HEADER_BYTES + length;
         Ok(Some(message))
     }
--- a/crates/planner-protocol/src/lib.rs
+++ b/crates/planner-protocol/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use frame::{Decoder, FrameError, encode};
 pub use liveness::Liveness;
-pub use message::{TerminationReason, Location, ToEdge, ToPlanner};
+pub use message::{Location, TerminationReason, ToEdge, ToPlanner};
 
 /// Version of frames and messages.
 pub const PROTOCOL_VERSION: u16 = 3;
--- a/crates/planner-protocol/src/message.rs
+++ b/crates/planner-protocol/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages.
 
 use serde::{Deserialize, Serialize};
-use tidespur_api::task::Ask;
-use tidespur_pending::Word;
+use tidespur_api::task::PlacementRequest;
+use tidespur_pending::ReasonUpdate;
 
 /// From an edge to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -13,7 +13,7 @@
         edge: String,
     },
     /// A task to place. `Taken` is due at once; nothing may be offered before `Go`.
-    Place(Ask),
+    Place(PlacementRequest),
     /// The task is the planner's now: one of `Placed`, `Refused`, `Failed` is owed. Until this is sent the edge can
     /// take the task back and know that it was never offered.
     #[serde(rename = "Go")]
@@ -29,7 +29,7 @@
     Adopt {
         /// The task.
         #[serde(rename = "ask")]
-        request: Ask,
+        request: PlacementRequest,
         /// The node.
         node: String,
     },
@@ -159,7 +159,7 @@
     },
     /// Why tasks wait: what has changed, and now and then what has not.
     #[serde(rename = "Waits")]
-    PendingReasons(Vec<Word>),
+    PendingReasons(Vec<ReasonUpdate>),
     /// Answer to `Locate`.
     Located {
         /// The question's subject.
--- a/crates/planner-protocol/tests/frames.rs
+++ b/crates/planner-protocol/tests/frames.rs
@@ -1,15 +1,15 @@
 //! Frames cut anywhere, garbled, too long, and of another version.
 
 use proptest::prelude::*;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::*;
 
 fn message(uid: &str, n: u32) -> ToPlanner {
     match n % 3 {
-        0 => ToPlanner::Place(Ask {
+        0 => ToPlanner::Place(PlacementRequest {
             uid: uid.into(),
             cores: f64::from(n),
-            ..Ask::default()
+            ..PlacementRequest::default()
         }),
         1 => ToPlanner::Cancel { uid: uid.into() },
         _ => ToPlanner::Heartbeat,
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use std::time::{Duration, Instant};
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_planner::core::{Core, Input, Output};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
@@ -23,8 +23,8 @@
 /// CPU time of a planner on which `waiting` tasks of `services` services wait and one comes every step.
 fn run(reasons: bool, waiting: usize, services: usize) -> (Duration, usize) {
     let mut config =
-        tidespur_config::parse("built-in", tidespur_config::DEFAULT).expect("built in");
-    config.planner.reasons = reasons;
+        tidespur_config::parse("built-in", tidespur_config::DEFAULT_CONFIG).expect("built in");
+    config.planner.publishes_pending_reasons = reasons;
     let mut core = Core::new(config, 0, "halle-a", 1).expect("built in");
     let (mut now, mut words) = (1000.0, 0);
     let mut step = |core: &mut Core, now: f64, inputs: Vec<Input>| {
@@ -41,7 +41,7 @@
         now,
         vec![Input::ListWhole((0..NODES).map(node).collect())],
     );
-    let ask = |i: usize| Ask {
+    let ask = |i: usize| PlacementRequest {
         uid: format!("t{i}"),
         tenant: "default".into(),
         name: format!("p{i}"),
@@ -49,7 +49,7 @@
         class: "termin-web".into(),
         cores: 500.0,
         memory: 1.0,
-        ..Ask::default()
+        ..PlacementRequest::default()
     };
     for i in 0..waiting {
         let go = ToPlanner::Commit {
--- a/crates/planner/src/book.rs
+++ b/crates/planner/src/book.rs
@@ -1,7 +1,7 @@
 //! The tasks that a planner knows, and where their attempts stand.
 
 use std::collections::BTreeMap;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_policy::interface::{MachineId, TaskId};
 
 /// A connection to an edge.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Known {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// Whose it is.
     pub edge: EdgeId,
     /// How far it is.
@@ -66,7 +66,7 @@
     /// Takes in a task; `None` if its uid is known already, as a repeated frame would make it.
     pub fn open(
         &mut self,
-        ask: Ask,
+        ask: PlacementRequest,
         edge: EdgeId,
         safe: bool,
         stage: Stage,
--- a/crates/planner/src/carry.rs
+++ b/crates/planner/src/carry.rs
@@ -12,7 +12,7 @@
     pub(crate) fn carry_out(self: &Arc<Self>, output: Output) {
         match output {
             Output::Edge(edge, message) => {
-                self.recorder.note("tell", || json!({"message": message}));
+                self.recorder.record("tell", || json!({"message": message}));
                 let Ok(edges) = self.edges.lock() else { return };
                 // A full queue means that the edge reads nothing: its link ends, and its tasks with it.
                 if let Some(send) = edges.get(&edge)
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -7,7 +7,7 @@
 use crate::waits::Waits;
 use crate::words;
 use std::collections::BTreeMap;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_api::{Object, meta, names};
 use tidespur_config::Config;
 use tidespur_coordination::Fence;
@@ -50,7 +50,7 @@
     listed: bool,
     questions: Vec<Question>,
     /// Taken, but not yet told to go: nothing may be offered for them.
-    taken: BTreeMap<String, (EdgeId, Ask)>,
+    taken: BTreeMap<String, (EdgeId, PlacementRequest)>,
     stepped_at: f64,
     waits: Waits,
     /// Requests of which nothing may run any more: what turns up of them at a node is deleted. Bounded.
@@ -82,7 +82,7 @@
         zone: &str,
         seed: u64,
     ) -> Result<Self, SettingsError> {
-        let settings = config.policy(ordinal, words::place(zone));
+        let settings = config.scheduler_settings(ordinal, words::place(zone));
         let guarded = settings
             .classes
             .iter()
@@ -168,7 +168,7 @@
             self.carry_out(now, action, out);
         }
         self.answer_questions(now, out);
-        if self.config.planner.reasons {
+        if self.config.planner.publishes_pending_reasons {
             let known = (&self.book, &self.nodes, &self.machines);
             let told = self.waits.look(now, &self.scheduler, &self.config, known);
             out.extend(
@@ -186,7 +186,7 @@
     fn stood_still(&mut self, now: f64, events: &mut Vec<Event>, out: &mut Vec<Output>) {
         let still = now - self.stepped_at;
         self.stepped_at = now;
-        if still <= STILL * self.config.edge.planner_patience {
+        if still <= STILL * self.config.edge.planner_timeout {
             return;
         }
         out.push(Output::Log(format!(
@@ -199,7 +199,9 @@
 
 fn read_held(pod: &Object) -> ((String, String), Held) {
     let name = (meta::namespace(pod).to_owned(), meta::name(pod).to_owned());
-    let uid = meta::annotation(pod, names::UID).unwrap_or("").to_owned();
+    let uid = meta::annotation(pod, names::EDGE_POD_UID)
+        .unwrap_or("")
+        .to_owned();
     (
         name,
         Held {
--- a/crates/planner/src/core/acts.rs
+++ b/crates/planner/src/core/acts.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, LOCATE_FOR, Output, UNWANTED_FOR};
 use crate::book::Stage;
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge};
 use tidespur_policy::interface::Action;
 
 impl Core {
@@ -135,7 +135,13 @@
                 self.questions.push(q);
                 continue;
             }
-            out.push(Output::Edge(q.edge, ToEdge::Located { uid: q.uid, location: found }));
+            out.push(Output::Edge(
+                q.edge,
+                ToEdge::Located {
+                    uid: q.uid,
+                    location: found,
+                },
+            ));
         }
     }
 }
--- a/crates/planner/src/core/edges.rs
+++ b/crates/planner/src/core/edges.rs
@@ -4,7 +4,7 @@
 use crate::book::{EdgeId, Stage};
 use crate::nodes::Standing;
 use crate::words;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, Event, Resources, Task, TaskId};
 
@@ -78,12 +78,15 @@
                     }
                 }
             },
-            ToPlanner::Commit { uid, timeout: within } => {
+            ToPlanner::Commit {
+                uid,
+                timeout: within,
+            } => {
                 let Some((_, ask)) = self.taken.remove(&uid).filter(|(of, _)| *of == edge) else {
                     return;
                 };
-                let ask = Ask {
-                    within: Some(within),
+                let ask = PlacementRequest {
+                    timeout: Some(within),
                     ..ask
                 };
                 let Ok(mut task) = self.read_task(now, &ask) else {
@@ -187,31 +190,33 @@
         self.taken.contains_key(uid) || self.book.id(uid).is_some()
     }
 
-    pub(super) fn read_task(&self, now: f64, ask: &Ask) -> Result<Task, String> {
+    pub(super) fn read_task(&self, now: f64, ask: &PlacementRequest) -> Result<Task, String> {
         let class = match ask.class.as_str() {
             "" => 0,
-            name => match self.config.class.get_index_of(name) {
+            name => match self.config.classes.get_index_of(name) {
                 Some(class) => class,
                 None => return Err(format!("class {name:?} is not in the planner's settings")),
             },
         };
         let tenant = self
             .config
-            .tenant
+            .tenants
             .get_index_of(&ask.tenant)
-            .unwrap_or(self.config.tenant.len());
-        let within = ask
-            .within
-            .or(self.config.class.get_index(class).map(|(_, c)| c.deadline));
+            .unwrap_or(self.config.tenants.len());
+        let within = ask.timeout.or(self
+            .config
+            .classes
+            .get_index(class)
+            .map(|(_, c)| c.deadline));
         Ok(Task {
             id: TaskId(0),
             class,
             tenant,
             service: words::service(&ask.service),
             deadline: now + within.unwrap_or(0.0),
-            expected_duration: ask.life,
+            expected_duration: ask.expected_duration,
             request: Resources::new(ask.cores, ask.memory),
-            is_resubmission: ask.returned,
+            is_resubmission: ask.is_resubmission,
         })
     }
 
--- a/crates/planner/src/core/talk.rs
+++ b/crates/planner/src/core/talk.rs
@@ -2,7 +2,7 @@
 
 use crate::book::EdgeId;
 use tidespur_api::Object;
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, LoadReport, TaskId};
 
@@ -73,7 +73,7 @@
         /// Its address.
         address: String,
         /// The task.
-        ask: Ask,
+        ask: PlacementRequest,
         /// Wait so long for the answer.
         wait: f64,
     },
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_membership::{MemberMetadata, MemberStatus, Role};
-use tidespur_membership_net::{ShutdownReason, MemberHandle};
+use tidespur_membership_net::{MemberHandle, ShutdownReason};
 use tidespur_net::{clock, frames};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
@@ -65,11 +65,12 @@
     }
 
     pub(crate) async fn serve_edge(&self, id: EdgeId, address: &str) -> Result<(), String> {
-        let routes = tidespur_net::routes::Routes::from(self.options.routes.clone());
-        let socket = clock::within(1.0, smol::net::TcpStream::connect(routes.to(address))).await;
+        let routes = tidespur_net::routes::Routes::from_file(self.options.routes.clone());
+        let socket =
+            clock::timeout(1.0, smol::net::TcpStream::connect(routes.resolve(address))).await;
         let socket = socket.ok_or("timed out")?.map_err(|e| e.to_string())?;
         socket.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (send, queue) = async_channel::bounded(frames::QUEUE_MOST);
+        let (send, queue) = async_channel::bounded(frames::MAX_QUEUED_MESSAGES);
         let hello = ToEdge::Hello {
             planner: self.name.clone(),
             ordinal: self.options.ordinal,
@@ -78,21 +79,22 @@
         if let Ok(mut edges) = self.edges.lock() {
             edges.insert(id, send.clone());
         }
-        let patience = self.config.planner.edge_patience;
+        let patience = self.config.planner.edge_timeout;
         let read = |message| {
             if message == ToPlanner::Heartbeat {
                 return None;
             }
-            self.recorder.note("heard", || json!({"message": message}));
+            self.recorder
+                .record("heard", || json!({"message": message}));
             Some(Input::Edge(id, message))
         };
         let reader = frames::FrameReader::new(socket.clone());
-        let link = frames::Link {
+        let link = frames::Session {
             queue,
             send,
-            ping: ToEdge::Heartbeat,
+            heartbeat: ToEdge::Heartbeat,
         };
-        frames::keep(socket, reader, link, patience, read, &self.inputs).await
+        frames::run_session(socket, reader, link, patience, read, &self.inputs).await
     }
 }
 
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -28,7 +28,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    tidespur_net::logs(arguments.log_json);
+    tidespur_net::init_logging(arguments.log_json);
     let ran = match (arguments.front, arguments.options) {
         (Some(Front::Platform), _) => tidespur_gateway_net::run().map_err(|e| e.to_string()),
         (None, Some(options)) => tidespur_config::load_or_default(options.config.as_deref())
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::words::AtNode;
 use std::collections::BTreeMap;
-use tidespur_planner_protocol::{TerminationReason, Location};
+use tidespur_planner_protocol::{Location, TerminationReason};
 use tidespur_policy::interface::Endpoint;
 
 /// How the watch on a node stands.
@@ -97,7 +97,9 @@
                     at: AtNode::Over(end),
                     ..
                 }) => ended = Some(*end),
-                Some(_) if node.standing != Standing::Dead => return Location::At(node_name.clone()),
+                Some(_) if node.standing != Standing::Dead => {
+                    return Location::At(node_name.clone());
+                }
                 _ => {}
             }
             // One that has left the list and stays silent counts as gone, with what it held.
--- a/crates/planner/src/offers.rs
+++ b/crates/planner/src/offers.rs
@@ -5,7 +5,7 @@
 use crate::words;
 use hyper::Method;
 use serde_json::{Value, json};
-use tidespur_api::task::Ask;
+use tidespur_api::task::PlacementRequest;
 use tidespur_api::{Object, names};
 use tidespur_net::{Client, NetError, clock};
 use tidespur_policy::interface::{AttemptOutcome, FailureCause};
@@ -16,7 +16,7 @@
             (names::ZONE_HEADER, self.options.zone.clone()),
             (names::PEER_HEADER, self.name.clone()),
         ];
-        let connections = self.config.planner.node_connections as usize;
+        let connections = self.config.planner.max_connections_per_node as usize;
         let new = || Client::new(address, connections, headers);
         match self.clients.lock() {
             Ok(mut clients) => clients
@@ -31,20 +31,20 @@
         &self,
         node: &str,
         address: &str,
-        ask: &Ask,
+        ask: &PlacementRequest,
         attempt: u32,
         wait: f64,
     ) -> Answer {
         let until = clock::now() + wait;
         let path = format!("/api/v1/namespaces/{}/pods", ask.tenant);
         let pod = pod(ask);
-        self.recorder.note("send", || {
-            json!({"uid": ask.uid, "key": ask.key, "service": ask.service, "class": ask.class, "node": node,
+        self.recorder.record("send", || {
+            json!({"uid": ask.uid, "key": ask.idempotency_key, "service": ask.service, "class": ask.class, "node": node,
                 "attempt": attempt})
         });
         let client = self
             .client(address)
-            .with("x-tidespur-until", format!("{until:.6}"));
+            .with_header("x-tidespur-until", format!("{until:.6}"));
         let body = pod.to_string().into_bytes().into();
         let reply = client
             .send(Method::POST, &path, "application/json", body, wait)
@@ -66,7 +66,9 @@
                         AttemptOutcome::ConnectFailed
                     }
                     NetError::Timeout => AttemptOutcome::TimedOut,
-                    NetError::Broken(_) => AttemptOutcome::Interrupted(FailureCause::Unspecified),
+                    NetError::Interrupted(_) => {
+                        AttemptOutcome::Interrupted(FailureCause::Unspecified)
+                    }
                 };
                 (
                     Answer::Ended(ending, problem.to_string(), None),
@@ -74,7 +76,7 @@
                 )
             }
         };
-        self.recorder.note(
+        self.recorder.record(
             "answer",
             || json!({"uid": ask.uid, "node": node, "attempt": attempt, "said": said}),
         );
@@ -112,7 +114,8 @@
                 {
                     return;
                 }
-                Ok(_) | Err(NetError::Timeout | NetError::Broken(_) | NetError::Connect(_)) => {}
+                Ok(_)
+                | Err(NetError::Timeout | NetError::Interrupted(_) | NetError::Connect(_)) => {}
                 // Its process is dead, and the Pod with it.
                 Err(NetError::Refused) => return,
                 Err(NetError::Request(problem)) => {
@@ -135,11 +138,12 @@
 }
 
 /// The Pod that a node is offered: the owner's spec, with what was read from it as the one sum of requests.
-fn pod(ask: &Ask) -> Object {
+fn pod(ask: &PlacementRequest) -> Object {
     let memory = (ask.memory * names::MEMORY_UNIT).round();
     let job = ask.service.split_once('/').map_or("", |(_, job)| job);
-    let mut annotations = json!({names::UID: ask.uid, names::KEY: ask.key});
-    if let Some(life) = ask.life {
+    let mut annotations =
+        json!({names::EDGE_POD_UID: ask.uid, names::IDEMPOTENCY_KEY: ask.idempotency_key});
+    if let Some(life) = ask.expected_duration {
         annotations[names::EXPECTED_SECONDS] = life.to_string().into();
     }
     let mut spec: Value = serde_json::from_str(&ask.spec).unwrap_or(Value::Null);
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -12,7 +12,7 @@
 use tidespur_config::Config;
 use tidespur_coordination::Fence;
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{ShutdownReason, MemberHandle, shutdown_signal};
+use tidespur_membership_net::{MemberHandle, ShutdownReason, shutdown_signal};
 use tidespur_net::{Client, Recorder, clock};
 use tidespur_persistence::{Disk, Identity, LoadedRecords, Outbox};
 use tidespur_planner_protocol::ToEdge;
@@ -52,7 +52,9 @@
         .clone()
         .unwrap_or_else(|| format!("planner-{}", options.ordinal));
     let recorder = match &options.record {
-        Some(path) => Recorder::to(path, &name).map_err(|e| format!("{}: {e}", path.display()))?,
+        Some(path) => {
+            Recorder::append_to(path, &name).map_err(|e| format!("{}: {e}", path.display()))?
+        }
         None => Recorder::default(),
     };
     let core = Core::new(
@@ -107,7 +109,7 @@
         }
     })
     .detach();
-    this.recorder.note("started", || json!({}));
+    this.recorder.record("started", || json!({}));
     tracing::info!(planner = this.name, "started");
     let alone = member.is_none();
     let ended = async {
@@ -138,7 +140,7 @@
     options: &Options,
     name: &str,
 ) -> Result<Option<(Disk, LoadedRecords)>, String> {
-    let Some(folder) = tidespur_config::data(config, options.data.as_deref()) else {
+    let Some(folder) = tidespur_config::data_directory(config, options.data.as_deref()) else {
         tracing::warn!(
             planner = name,
             "keeps its attempts in memory only (see --data)"
@@ -172,12 +174,13 @@
                     None => std::future::pending().await,
                 }
             };
-            let mut batch = match clock::within(0.25, smol::future::or(inputs.recv(), came)).await {
+            let mut batch = match clock::timeout(0.25, smol::future::or(inputs.recv(), came)).await
+            {
                 Some(Ok(input)) => vec![input],
                 Some(Err(_)) => return,
                 None => vec![Input::Tick],
             };
-            while batch.len() < self.config.planner.step_most as usize {
+            while batch.len() < self.config.planner.max_events_per_step as usize {
                 let Ok(input) = inputs.try_recv() else { break };
                 batch.push(input);
             }
--- a/crates/planner/src/waits.rs
+++ b/crates/planner/src/waits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_config::Config;
-use tidespur_pending::{Code, Diagnosis, Draft, Limit, Teller};
+use tidespur_pending::{Diagnosis, ReasonCode, ReasonDraft, ReasonPublisher, SpreadLimit};
 use tidespur_planner_protocol::ToEdge;
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::{FilterReason, PendingDiagnosis, RetryBlocker, TaskId};
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Waits {
     look_at: f64,
-    tellers: BTreeMap<EdgeId, Teller>,
+    tellers: BTreeMap<EdgeId, ReasonPublisher>,
     shapes: BTreeMap<Shape, Found>,
 }
 
@@ -68,7 +68,7 @@
         }
         self.refresh(now, scheduler, config, &waits, nodes, names);
         let none = Arc::new(Diagnosis::default());
-        let mut drafts: BTreeMap<EdgeId, Vec<Draft<'_>>> =
+        let mut drafts: BTreeMap<EdgeId, Vec<ReasonDraft<'_>>> =
             self.tellers.keys().map(|edge| (*edge, vec![])).collect();
         for (_, known, shape) in &waits {
             let out = match &known.stage {
@@ -79,18 +79,18 @@
             if found.is_none() && out.is_none() {
                 continue;
             }
-            drafts.entry(known.edge).or_default().push(Draft {
+            drafts.entry(known.edge).or_default().push(ReasonDraft {
                 uid: &known.ask.uid,
                 diagnosis: found.map_or(&none, |found| &found.diagnosis),
-                out,
-                answers: &known.answers,
+                offered_to: out,
+                node_answers: &known.answers,
                 sendable_for: found.map_or(0.0, |found| found.until - now),
-                next_look: found.map_or(0.0, |found| (found.next_look - now).max(0.0)),
+                next_attempt_in: found.map_or(0.0, |found| (found.next_look - now).max(0.0)),
             });
         }
         let mut out = Vec::new();
         for (edge, drafts) in drafts {
-            let new = || Teller::new(2.0 * LOOK_EVERY, REPEAT, WORDS_MOST);
+            let new = || ReasonPublisher::new(2.0 * LOOK_EVERY, REPEAT, WORDS_MOST);
             let teller = self.tellers.entry(edge).or_insert_with(new);
             let due = teller.step(now, drafts);
             if teller.is_empty() {
@@ -136,11 +136,11 @@
             let Some(waiting) = scheduler.explain(now, id) else {
                 continue;
             };
-            let limit = config.class_called(&shape.1).and_then(|class| {
-                let place = format!("{:?}", class.spread?).to_lowercase();
-                Some(Limit {
-                    place,
-                    most: class.spread_most,
+            let limit = config.class_or_default(&shape.1).and_then(|class| {
+                let place = format!("{:?}", class.spread_domain?).to_lowercase();
+                Some(SpreadLimit {
+                    domain: place,
+                    max_tasks: class.max_per_spread_domain,
                 })
             });
             let diagnosis = diagnose(now, &waiting, limit, nodes, names);
@@ -183,19 +183,19 @@
 fn diagnose(
     now: f64,
     waiting: &PendingDiagnosis,
-    limit: Option<Limit>,
+    limit: Option<SpreadLimit>,
     nodes: &Nodes,
     names: &Names,
 ) -> Diagnosis {
     let block = waiting.blocker.map(|block| match block {
-        RetryBlocker::AttemptsExhausted => Code::AttemptsUsed,
-        RetryBlocker::MayHaveRun => Code::MayHaveRun,
-        RetryBlocker::DeduplicationWindowElapsed => Code::WindowOver,
-        RetryBlocker::DeadlineExceeded => Code::GivesUp,
+        RetryBlocker::AttemptsExhausted => ReasonCode::AttemptsUsed,
+        RetryBlocker::MayHaveRun => ReasonCode::MayHaveRun,
+        RetryBlocker::DeduplicationWindowElapsed => ReasonCode::WindowOver,
+        RetryBlocker::DeadlineExceeded => ReasonCode::GivesUp,
     });
     let mut diagnosis = Diagnosis {
-        nodes: waiting.machine_count as u32,
-        block,
+        node_count: waiting.machine_count as u32,
+        blocker: block,
         ..Diagnosis::default()
     };
     for (machine, bar) in &waiting.rejections {
@@ -208,28 +208,28 @@
                     .get(node)
                     .is_some_and(|node| node.listed && !node.is_known()) =>
             {
-                (Code::Unheard, 0.0)
+                (ReasonCode::Unheard, 0.0)
             }
-            FilterReason::NotListed => (Code::Unlisted, 0.0),
-            FilterReason::Draining => (Code::Draining, 0.0),
-            FilterReason::MachineTypeMismatch => (Code::WrongKind, 0.0),
-            FilterReason::OutsideDeduplicationDomain => (Code::OutsideGroup, 0.0),
-            FilterReason::SlowStart => (Code::ColdBudget, 0.0),
-            FilterReason::SpreadLimit(_) => (Code::Spread, 0.0),
-            FilterReason::CircuitOpen(until) => (Code::SetAside, (until - now).max(0.0)),
-            FilterReason::TooManyOffersInFlight => (Code::Line, 0.0),
-            FilterReason::InsufficientCpu(short) => (Code::Cores, short),
-            FilterReason::InsufficientMemory(short) => (Code::Memory, short),
+            FilterReason::NotListed => (ReasonCode::Unlisted, 0.0),
+            FilterReason::Draining => (ReasonCode::Draining, 0.0),
+            FilterReason::MachineTypeMismatch => (ReasonCode::WrongKind, 0.0),
+            FilterReason::OutsideDeduplicationDomain => (ReasonCode::OutsideGroup, 0.0),
+            FilterReason::SlowStart => (ReasonCode::ColdBudget, 0.0),
+            FilterReason::SpreadLimit(_) => (ReasonCode::Spread, 0.0),
+            FilterReason::CircuitOpen(until) => (ReasonCode::SetAside, (until - now).max(0.0)),
+            FilterReason::TooManyOffersInFlight => (ReasonCode::Line, 0.0),
+            FilterReason::InsufficientCpu(short) => (ReasonCode::Cores, short),
+            FilterReason::InsufficientMemory(short) => (ReasonCode::Memory, short),
         };
         // Nodes that left the list are no nodes any more, as far as an owner is concerned.
-        if code == Code::Unlisted {
-            diagnosis.nodes = diagnosis.nodes.saturating_sub(1);
+        if code == ReasonCode::Unlisted {
+            diagnosis.node_count = diagnosis.node_count.saturating_sub(1);
             continue;
         }
-        diagnosis.bar(node, zone, code, short);
+        diagnosis.add_rejection(node, zone, code, short);
     }
-    if diagnosis.bars.contains_key(&Code::Spread) {
-        diagnosis.limit = limit;
+    if diagnosis.rejections.contains_key(&ReasonCode::Spread) {
+        diagnosis.spread_limit = limit;
     }
     diagnosis
 }
--- a/crates/planner/src/watches.rs
+++ b/crates/planner/src/watches.rs
@@ -4,7 +4,7 @@
 use crate::run::{AGAIN, HEAD_WITHIN, Loop, SILENCE};
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
-use tidespur_net::follow::{Followed, follow};
+use tidespur_net::follow::{ListWatchEvent, list_and_watch};
 use tidespur_net::{NetError, clock};
 
 impl Loop {
@@ -13,10 +13,10 @@
             &resourceVersionMatch=NotOlderThan";
         loop {
             let client = self.client(address);
-            let down = match client.lines(path, HEAD_WITHIN).await {
+            let down = match client.stream_lines(path, HEAD_WITHIN).await {
                 Ok(mut lines) => {
                     let mut first = Some(Vec::new());
-                    while let Some(Ok(Some(line))) = clock::within(SILENCE, lines.next()).await {
+                    while let Some(Ok(Some(line))) = clock::timeout(SILENCE, lines.next()).await {
                         let Ok(mut event) = serde_json::from_slice::<Value>(&line) else {
                             break;
                         };
@@ -56,19 +56,19 @@
     pub(crate) async fn watch_register(&self) -> String {
         let client = self.client(&self.options.register);
         let read = |followed| match followed {
-            Followed::Whole(nodes) => {
+            ListWatchEvent::Whole(nodes) => {
                 let lines: Vec<Value> = nodes.iter().map(told).collect();
-                self.recorder.note("list", || json!({"nodes": lines}));
+                self.recorder.record("list", || json!({"nodes": lines}));
                 Input::ListWhole(nodes)
             }
-            Followed::Change(node, deleted) => {
+            ListWatchEvent::Change(node, deleted) => {
                 let mut line = told(&node);
                 line["deleted"] = deleted.into();
-                self.recorder.note("told", || line);
+                self.recorder.record("told", || line);
                 Input::ListChange(node, deleted)
             }
         };
-        follow(
+        list_and_watch(
             &client,
             "/api/v1/nodes",
             HEAD_WITHIN,
@@ -82,7 +82,7 @@
 
 /// What a Node in the list says, for the recording.
 fn told(node: &Object) -> Value {
-    json!({"node": meta::name(node), "unschedulable": meta::at(node, &["spec", "unschedulable"]),
-        "up_since": meta::annotation(node, names::UP_SINCE), "rack": meta::label(node, names::RACK),
+    json!({"node": meta::name(node), "unschedulable": meta::value_at(node, &["spec", "unschedulable"]),
+        "up_since": meta::annotation(node, names::STARTED_AT), "rack": meta::label(node, names::RACK),
         "zone": meta::label(node, names::ZONE)})
 }
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/words.rs
@@ -46,21 +46,21 @@
 pub fn node(object: &Object, config: &Config) -> Option<Listed> {
     let name = meta::name(object).to_owned();
     let kind = config
-        .kind
-        .get_index_of(meta::label(object, names::KIND)?)?;
+        .node_types
+        .get_index_of(meta::label(object, names::INSTANCE_TYPE)?)?;
     let number = |key| meta::annotation(object, key).and_then(|text| text.parse::<f64>().ok());
     let zone = meta::label(object, names::ZONE).unwrap_or("");
     // Two racks of one name in two zones are two racks.
     let rack = format!("{zone}/{}", meta::label(object, names::RACK).unwrap_or(""));
     let allocatable =
-        |key| quantity::parse(meta::text(object, &["status", "allocatable", key])).ok();
-    let unready = meta::at(object, &["status", "conditions"])
+        |key| quantity::parse(meta::text_at(object, &["status", "allocatable", key])).ok();
+    let unready = meta::value_at(object, &["status", "conditions"])
         .as_array()
         .is_some_and(|list| {
             list.iter()
                 .any(|c| c["type"] == "Ready" && c["status"] != "True")
         });
-    let standing = match meta::at(object, &["spec", "unschedulable"]).as_bool() {
+    let standing = match meta::value_at(object, &["spec", "unschedulable"]).as_bool() {
         _ if unready => EndpointStatus::Gone,
         Some(true) => EndpointStatus::Draining,
         _ => EndpointStatus::Ready,
@@ -72,12 +72,12 @@
         cell: place(&rack),
         zone: place(zone),
         status: standing,
-        started_at: number(names::UP_SINCE),
+        started_at: number(names::STARTED_AT),
         unclaimed: Resources::new(
-            number(names::FREE_CORES)
+            number(names::UNCLAIMED_CPU)
                 .or(allocatable("cpu"))
                 .unwrap_or(0.0),
-            number(names::FREE_MEMORY).or(memory).unwrap_or(0.0),
+            number(names::UNCLAIMED_MEMORY).or(memory).unwrap_or(0.0),
         ),
     };
     let address = meta::annotation(object, names::ADDRESS)?.to_owned();
@@ -109,9 +109,9 @@
 
 /// What a node's answer to an offer says: `None` where it was accepted.
 pub fn answer(status: u16, body: &Object) -> Option<AttemptOutcome> {
-    let cause = meta::at(body, &["details", "causes"])
+    let cause = meta::value_at(body, &["details", "causes"])
         .get(0)
-        .map_or("", |c| meta::text(c, &["reason"]));
+        .map_or("", |c| meta::text_at(c, &["reason"]));
     Some(match (status, cause) {
         (200..=299, _) => return None,
         (429, _) => AttemptOutcome::Rejected(FailureCause::QueueFull),
@@ -124,7 +124,7 @@
 
 /// What a node's words for why it turned an offer away are, for people.
 pub fn refusal(status: u16, body: &Object) -> String {
-    let message = meta::text(body, &["message"]);
+    let message = meta::text_at(body, &["message"]);
     if message.is_empty() {
         format!("status {status}")
     } else {
@@ -147,8 +147,8 @@
 pub fn at_node(pod: &Object) -> AtNode {
     use tidespur_planner_protocol::TerminationReason;
     match (
-        meta::text(pod, &["status", "phase"]),
-        meta::text(pod, &["status", "reason"]),
+        meta::text_at(pod, &["status", "phase"]),
+        meta::text_at(pod, &["status", "reason"]),
     ) {
         ("Running", _) => AtNode::Runs,
         ("Succeeded", _) => AtNode::Over(TerminationReason::Succeeded),
--- a/crates/planner/tests/asked_first.rs
+++ b/crates/planner/tests/asked_first.rs
@@ -1,9 +1,9 @@
 //! A node is asked what it holds before anything is offered to it.
 
 use serde_json::{Value, json};
-use tidespur_api::task::Ask;
-use tidespur_config::{DEFAULT, parse};
-use tidespur_pending::Code;
+use tidespur_api::task::PlacementRequest;
+use tidespur_config::{DEFAULT_CONFIG, parse};
+use tidespur_pending::ReasonCode;
 use tidespur_planner::core::{Core, Input, Output};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
@@ -21,7 +21,7 @@
 impl World {
     /// A planner with a list of these nodes, none of them heard, and one task.
     fn new(nodes: &[&str]) -> Self {
-        let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
+        let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
         let mut world = Self { core, now: 100.0 };
         let out = world.step(vec![Input::ListWhole(
             nodes.iter().map(|name| node(name)).collect(),
@@ -31,7 +31,7 @@
             .filter(|output| matches!(output, Output::WatchNode(..)))
             .count();
         assert_eq!(watched, nodes.len(), "each is asked");
-        let ask = Ask {
+        let ask = PlacementRequest {
             uid: "u".into(),
             name: "n".into(),
             tenant: "default".into(),
@@ -39,7 +39,7 @@
             service: "default/s".into(),
             cores: 1.0,
             memory: 1.0,
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
         let go = ToPlanner::Commit {
             uid: "u".into(),
@@ -59,7 +59,7 @@
     }
 
     /// Lets seconds pass, these nodes being heard; what is offered where, and why the task waits.
-    fn pass(&mut self, seconds: u32, heard: &[&str]) -> (Vec<String>, Vec<Code>) {
+    fn pass(&mut self, seconds: u32, heard: &[&str]) -> (Vec<String>, Vec<ReasonCode>) {
         let (mut offers, mut reasons) = (Vec::new(), Vec::new());
         for _ in 0..seconds * 10 {
             self.now += 0.1;
@@ -75,7 +75,7 @@
                         reasons.extend(
                             words
                                 .into_iter()
-                                .flat_map(|word| word.diagnosis.bars.clone().into_keys()),
+                                .flat_map(|word| word.diagnosis.rejections.clone().into_keys()),
                         );
                     }
                     _ => {}
@@ -91,7 +91,7 @@
     let mut world = World::new(&["a", "b"]);
     let (offers, reasons) = world.pass(5, &[]);
     assert_eq!(offers, [""; 0], "neither has been heard");
-    assert!(reasons.contains(&Code::Unheard), "{reasons:?}");
+    assert!(reasons.contains(&ReasonCode::Unheard), "{reasons:?}");
     // Changes of the list change nothing of that.
     world.step(vec![
         Input::ListChange(node("a"), false),
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
-use tidespur_config::{DEFAULT, parse};
+use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_coordination::Fence;
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
@@ -38,7 +38,7 @@
 
 /// A planner that comes back with these attempts, in a register that lists these nodes.
 fn planner(attempts: Attempts, listed: &[&str]) -> Core {
-    let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
+    let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
     let mut core = core.recalling(attempts, Fence::default());
     let list = listed.iter().map(|name| node(name)).collect();
     core.step(0.0, vec![Input::ListWhole(list)], &mut vec![]);
@@ -73,7 +73,12 @@
     core.step(now, vec![Input::Edge(1, ask)], &mut out);
     pass(core, now, 2.0, nodes, &mut out);
     let found = out.into_iter().find_map(|output| match output {
-        Output::Edge(_, ToEdge::Located { location: found, .. }) => Some(found),
+        Output::Edge(
+            _,
+            ToEdge::Located {
+                location: found, ..
+            },
+        ) => Some(found),
         _ => None,
     });
     found.expect("each question gets its answer")
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core.rs
@@ -1,14 +1,14 @@
 //! The planner's core: each task to its one answer, whatever nodes, register and edges do.
 
 use serde_json::{Value, json};
-use tidespur_api::task::Ask;
-use tidespur_config::{Config, DEFAULT, parse};
+use tidespur_api::task::PlacementRequest;
+use tidespur_config::{Config, DEFAULT_CONFIG, parse};
 use tidespur_planner::core::{Answer, Core, Input, Output};
-use tidespur_planner_protocol::{TerminationReason, Location, ToEdge, ToPlanner};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, FailureCause};
 
 fn config() -> Config {
-    parse("built-in", DEFAULT).unwrap()
+    parse("built-in", DEFAULT_CONFIG).unwrap()
 }
 
 fn node(name: &str) -> Value {
@@ -25,8 +25,8 @@
         "annotations": {"placement.tidespur.dev/uid": uid}}, "status": {"phase": phase, "reason": reason}})
 }
 
-fn ask(uid: &str, class: &str) -> Ask {
-    Ask {
+fn ask(uid: &str, class: &str) -> PlacementRequest {
+    PlacementRequest {
         uid: uid.into(),
         tenant: "default".into(),
         name: format!("pod-{uid}"),
@@ -34,8 +34,8 @@
         class: class.into(),
         cores: 1.0,
         memory: 2.0,
-        within: Some(2.0),
-        ..Ask::default()
+        timeout: Some(2.0),
+        ..PlacementRequest::default()
     }
 }
 
@@ -74,7 +74,7 @@
     fn place(&mut self, uid: &str, class: &str) -> Vec<Output> {
         let mut out = self.step(vec![Input::Edge(1, ToPlanner::Place(ask(uid, class)))]);
         if out.contains(&Output::Edge(1, ToEdge::Acknowledged { uid: uid.into() })) {
-            let within = ask(uid, class).within.unwrap();
+            let within = ask(uid, class).timeout.unwrap();
             out = self.step(vec![Input::Edge(
                 1,
                 ToPlanner::Commit {
@@ -449,7 +449,10 @@
         1,
         ToPlanner::Place(ask("t", "termin-web")),
     )]);
-    assert_eq!(out, [Output::Edge(1, ToEdge::Acknowledged { uid: "t".into() })]);
+    assert_eq!(
+        out,
+        [Output::Edge(1, ToEdge::Acknowledged { uid: "t".into() })]
+    );
     assert_eq!(
         world.until(1.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
         None
@@ -489,7 +492,7 @@
     );
 }
 
-fn waits(out: &[Output]) -> Vec<tidespur_pending::Word> {
+fn waits(out: &[Output]) -> Vec<tidespur_pending::ReasonUpdate> {
     let words = out.iter().filter_map(|o| match o {
         Output::Edge(1, ToEdge::PendingReasons(words)) => Some(words.clone()),
         _ => None,
@@ -499,16 +502,16 @@
 
 #[test]
 fn an_edge_is_told_why_its_tasks_wait_and_told_anew_when_that_changes() {
-    use tidespur_pending::Code;
+    use tidespur_pending::ReasonCode;
     let mut world = World::new(&["a"]);
-    let large = |uid: &str| Ask {
+    let large = |uid: &str| PlacementRequest {
         cores: 500.0,
         ..ask(uid, "termin-web")
     };
     for uid in ["x", "y"] {
         world.step(vec![Input::Edge(
             1,
-            ToPlanner::Place(Ask {
+            ToPlanner::Place(PlacementRequest {
                 service: "default/s".into(),
                 ..large(uid)
             }),
@@ -531,7 +534,7 @@
         std::sync::Arc::ptr_eq(&words[0].diagnosis, &words[1].diagnosis),
         "equal tasks share one"
     );
-    assert_eq!(words[0].codes(), [Code::Cores]);
+    assert_eq!(words[0].codes(), [ReasonCode::Cores]);
     assert_eq!(
         words[0].diagnosis.message(),
         "0/1 nodes are available: 1 no cores"
@@ -539,7 +542,7 @@
     // 24 cores, of which 2.5 times 0.97 are planned with.
     let nearest = words[0].diagnosis.nearest.clone().unwrap();
     assert!(
-        (nearest.short - (500.0 - 24.0 * 2.5 * 0.97)).abs() < 1e-6,
+        (nearest.shortfall - (500.0 - 24.0 * 2.5 * 0.97)).abs() < 1e-6,
         "{nearest:?}"
     );
     world.now += 0.3;
@@ -556,9 +559,9 @@
     assert_eq!(
         words
             .iter()
-            .map(tidespur_pending::Word::codes)
+            .map(tidespur_pending::ReasonUpdate::codes)
             .collect::<Vec<_>>(),
-        [[Code::Draining]; 2]
+        [[ReasonCode::Draining]; 2]
     );
     // An edge that was lost and is back knows nothing: it is told of its new tasks as if for the first time.
     world.step(vec![Input::EdgeLost(1)]);
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/sharers.rs
@@ -2,8 +2,8 @@
 //! planner's end, and what is said divides what this planner offers to cold nodes.
 
 use serde_json::json;
-use tidespur_api::task::Ask;
-use tidespur_config::{DEFAULT, parse};
+use tidespur_api::task::PlacementRequest;
+use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_coordination::Fence;
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
@@ -25,7 +25,7 @@
 
 /// A planner that comes back with this memory.
 fn planner(memory: &LoadedRecords) -> Core {
-    let core = Core::new(parse("built-in", DEFAULT).unwrap(), 0, "", 1).unwrap();
+    let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
     core.recalling(Attempts::recall(memory).unwrap(), Fence::load(memory))
 }
 
@@ -92,7 +92,7 @@
     while now < 1_003.0 {
         let uid = format!("t-{next}");
         next += 1;
-        let ask = Ask {
+        let ask = PlacementRequest {
             uid: uid.clone(),
             name: uid.clone(),
             tenant: "default".into(),
@@ -100,7 +100,7 @@
             service: format!("default/{uid}"),
             cores: 0.1,
             memory: 0.1,
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
         inputs.push(Input::Edge(1, ToPlanner::Place(ask)));
         inputs.push(Input::Edge(1, ToPlanner::Commit { uid, timeout: 5.0 }));
--- a/crates/rest/src/handle.rs
+++ b/crates/rest/src/handle.rs
@@ -1,7 +1,7 @@
 //! Requests to verbs, answers to responses.
 
 use crate::verbs::Answer;
-use crate::{Api, Hooks, Options, Route, Seen, Target, route};
+use crate::{Api, Hooks, Options, RequestLog, Route, Target, route};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -12,16 +12,18 @@
 use tidespur_net::{Body, server};
 
 /// Serves an API.
-pub struct Served<H>(pub Arc<Api<H>>);
+pub struct ApiHandler<H>(pub Arc<Api<H>>);
 
-impl<H: Hooks> server::Handler for Served<H> {
+impl<H: Hooks> server::Handler for ApiHandler<H> {
     async fn answer(
         &self,
         request: Request<Incoming>,
         peer: std::net::SocketAddr,
     ) -> Response<Body> {
         let api = &self.0;
-        api.hooks.gate(request.method(), request.headers()).await;
+        api.hooks
+            .wait_until_reachable(request.method(), request.headers())
+            .await;
         let (head, incoming) = request.into_parts();
         let method = head.method.as_str().to_owned();
         let path = head
@@ -30,7 +32,7 @@
             .map_or("/", |p| p.as_str())
             .to_owned();
         if head.method == Method::GET
-            && let Some(text) = api.hooks.text(head.uri.path())
+            && let Some(text) = api.hooks.serve_text(head.uri.path())
         {
             let mut response = Response::new(body::full(text));
             let media = "text/plain; version=1.0.0; charset=utf-8";
@@ -40,18 +42,18 @@
             );
             return response;
         }
-        let body = body::read(incoming, api.limits.body, api.limits.body_timeout).await;
+        let body = body::read(incoming, api.limits.max_body_bytes, api.limits.body_timeout).await;
         let outcome = match body {
             Ok(body) => respond(api, &head, body).await,
-            Err(BodyError::TooLong) => Err(ApiError::new(
+            Err(BodyError::TooLarge) => Err(ApiError::new(
                 413,
                 "RequestEntityTooLarge",
                 format!(
                     "the body is longer than {} bytes, which is the most",
-                    api.limits.body
+                    api.limits.max_body_bytes
                 ),
             )),
-            Err(BodyError::Slow) => Err(ApiError::new(
+            Err(BodyError::TimedOut) => Err(ApiError::new(
                 408,
                 "Timeout",
                 format!(
@@ -59,14 +61,14 @@
                     api.limits.body_timeout
                 ),
             )),
-            Err(BodyError::Broken) => {
+            Err(BodyError::Interrupted) => {
                 Err(ApiError::bad_request("the body ended before it was whole"))
             }
         };
         let (status, answer) = match outcome {
             Ok(Good::Object(status, object, warnings)) => (status, Ok((object, warnings))),
             Ok(Good::Stream(stream)) => {
-                api.hooks.seen(&Seen {
+                api.hooks.log_request(&RequestLog {
                     peer,
                     method: &method,
                     path: &path,
@@ -80,15 +82,15 @@
                 );
                 return decorated(api, response);
             }
-            Err(error) if error.code == crate::CUT => {
+            Err(error) if error.code == crate::ABORT_CONNECTION => {
                 let mut cut = Response::new(body::full(""));
-                cut.extensions_mut().insert(server::Cut);
+                cut.extensions_mut().insert(server::ConnectionAborted);
                 return cut;
             }
             Err(error) => (error.code, Err(error)),
         };
         let object = answer.as_ref().map_or(&Value::Null, |(object, _)| object);
-        api.hooks.seen(&Seen {
+        api.hooks.log_request(&RequestLog {
             peer,
             method: &method,
             path: &path,
@@ -121,11 +123,11 @@
         }
         Route::Other => api
             .hooks
-            .other(head.method.as_str(), path, &body)
+            .handle_other(head.method.as_str(), path, &body)
             .unwrap_or_else(|| Err(ApiError::no_such_path()))
             .map(|object| Good::Object(200, object, vec![])),
         Route::Objects(_) => Err(ApiError::no_such_path()),
-        _ if !read => Err(ApiError::method()),
+        _ if !read => Err(ApiError::method_not_allowed()),
         Route::Version => plain(version()),
         Route::Health
             if path.starts_with("/readyz")
@@ -159,7 +161,7 @@
         Ok(how) => format!("[+]{name} ok: {how}\n"),
         Err(waits) => format!("[-]{name} waits: {waits}\n"),
     };
-    let lines: String = api.hooks.parts().into_iter().map(line).collect();
+    let lines: String = api.hooks.component_status().into_iter().map(line).collect();
     let whole = if api.hooks.ready().is_ok() {
         "passed"
     } else {
@@ -229,14 +231,14 @@
             api.delete(target, &options, &head.headers, &body).await
         }
         (&Method::DELETE, false) => api.delete_collection(target, &options, &body),
-        _ => Err(ApiError::method()),
+        _ => Err(ApiError::method_not_allowed()),
     };
     let (status, object, mut warnings) = answer?;
     // Whatever was written or read: nothing is told that a power loss could take back.
     let version = api.store().version();
     warnings.extend(
         api.hooks
-            .lasting(version, head.method != Method::GET)
+            .wait_durable(version, head.method != Method::GET)
             .await?,
     );
     Ok(Good::Object(status, object, warnings))
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -7,7 +7,7 @@
 mod verbs;
 mod watch;
 
-pub use handle::Served;
+pub use handle::ApiHandler;
 pub use options::Options;
 pub use route::{Route, Target};
 
@@ -15,28 +15,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard};
 use tidespur_api::{ApiError, Object, Resource, meta};
-use tidespur_store::{Expect, Store};
+use tidespur_store::{Precondition, Store};
 
 /// Bounds of the API.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Bytes of one body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// A body must be there within this.
     pub body_timeout: f64,
     /// A bookmark goes to watches that want them this often.
-    pub bookmark_every: f64,
+    pub bookmark_interval: f64,
     /// A watcher that takes nothing for this long is cut.
-    pub stall: f64,
+    pub write_timeout: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: 3 << 20,
+            max_body_bytes: 3 << 20,
             body_timeout: 30.0,
-            bookmark_every: 15.0,
-            stall: 30.0,
+            bookmark_interval: 15.0,
+            write_timeout: 30.0,
         }
     }
 }
@@ -54,13 +54,13 @@
 
 impl DeleteOptions {
     /// Removes the object alone, if it is the one that is demanded.
-    pub fn remove(
+    pub fn apply(
         &self,
         store: &mut Store,
         resource: &Resource,
         object: &Object,
     ) -> Result<Object, ApiError> {
-        let expect = Expect {
+        let expect = Precondition {
             uid: self.uid.clone(),
             version: self.version,
         };
@@ -91,7 +91,7 @@
         Ok(())
     }
     /// Takes a write over in place of the store, such as one for the owner of that object elsewhere.
-    fn divert(
+    fn intercept_write(
         &self,
         _verb: Verb,
         _resource: &'static Resource,
@@ -108,16 +108,16 @@
         object: &Object,
         how: &DeleteOptions,
     ) -> Result<Object, ApiError> {
-        how.remove(store, resource, object)
+        how.apply(store, resource, object)
     }
     /// Called after any write, without the lock.
-    fn written(&self) {}
+    fn on_write(&self) {}
     /// Waits until all up to this version of the store will be there after a power loss; an answer may rest on it then.
     /// A read that can't wait for that comes back with a warning for its reader.
     ///
     /// # Errors
     /// What is told the writer (`wrote`) instead of an answer.
-    fn lasting(
+    fn wait_durable(
         &self,
         _version: u64,
         _wrote: bool,
@@ -133,19 +133,24 @@
         Ok("ok".into())
     }
     /// What `/readyz?verbose` shows, a line each: a part of the program, and how it stands or what it waits for.
-    fn parts(&self) -> Vec<(&'static str, Result<String, String>)> {
+    fn component_status(&self) -> Vec<(&'static str, Result<String, String>)> {
         vec![]
     }
     /// Answers what the plain API does not know.
-    fn other(&self, _method: &str, _path: &str, _body: &[u8]) -> Option<Result<Object, ApiError>> {
+    fn handle_other(
+        &self,
+        _method: &str,
+        _path: &str,
+        _body: &[u8],
+    ) -> Option<Result<Object, ApiError>> {
         None
     }
     /// Plain text that is served at a path, such as `/metrics`.
-    fn text(&self, _path: &str) -> Option<String> {
+    fn serve_text(&self, _path: &str) -> Option<String> {
         None
     }
     /// Waits as long as nothing may be answered to this caller, if it is cut off.
-    fn gate(
+    fn wait_until_reachable(
         &self,
         _method: &hyper::Method,
         _headers: &hyper::HeaderMap,
@@ -153,11 +158,11 @@
         async {}
     }
     /// Told of each request and answer, for recordings.
-    fn seen(&self, _request: &Seen<'_>) {}
+    fn log_request(&self, _request: &RequestLog<'_>) {}
 }
 
 /// An answer of this code is never sent: the connection is cut instead. For stand-ins that lose answers.
-pub const CUT: u16 = 0;
+pub const ABORT_CONNECTION: u16 = 0;
 
 /// A write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -172,7 +177,7 @@
 
 /// One request and its answer.
 #[derive(Debug)]
-pub struct Seen<'a> {
+pub struct RequestLog<'a> {
     /// Who asked.
     pub peer: std::net::SocketAddr,
     /// Method.
@@ -218,13 +223,13 @@
     }
 
     /// Ends all watches that are open now, as a fault or a shutdown does.
-    pub fn break_watches(&self) {
+    pub fn close_watches(&self) {
         self.watch_generation.fetch_add(1, Ordering::Relaxed);
-        self.ring();
+        self.notify_watchers();
     }
 
     /// Wakes all watches; to be called after changes.
-    pub fn ring(&self) {
+    pub fn notify_watchers(&self) {
         self.bell.notify(usize::MAX);
     }
 }
--- a/crates/rest/src/options.rs
+++ b/crates/rest/src/options.rs
@@ -118,7 +118,7 @@
 
     /// Takes in the body of a deletion.
     pub fn deletion(&self, body: &serde_json::Value) -> Result<crate::DeleteOptions, ApiError> {
-        let text = |path: &[&str]| meta::at(body, path).as_str().map(str::to_owned);
+        let text = |path: &[&str]| meta::value_at(body, path).as_str().map(str::to_owned);
         let propagation = text(&["propagationPolicy"]).or_else(|| self.propagation.clone());
         if let Some(how) = &propagation
             && !["Background", "Foreground", "Orphan"].contains(&how.as_str())
@@ -127,7 +127,7 @@
                 format!("propagationPolicy is {how:?}: use Background, Foreground or Orphan");
             return Err(ApiError::bad_request(text));
         }
-        if meta::at(body, &["gracePeriodSeconds"])
+        if meta::value_at(body, &["gracePeriodSeconds"])
             .as_i64()
             .is_some_and(|grace| grace < 0)
         {
@@ -135,7 +135,7 @@
                 "gracePeriodSeconds must be 0 or more",
             ));
         }
-        let grace = meta::at(body, &["gracePeriodSeconds"])
+        let grace = meta::value_at(body, &["gracePeriodSeconds"])
             .as_u64()
             .or(self.grace)
             .unwrap_or(0);
@@ -146,7 +146,7 @@
                 "only 0 is served: a deletion is at once",
             ),
             (
-                !meta::at(body, &["orphanDependents"]).is_null(),
+                !meta::value_at(body, &["orphanDependents"]).is_null(),
                 "orphanDependents",
                 "use propagationPolicy",
             ),
@@ -181,7 +181,7 @@
     /// Whether the body of a deletion asks for a dry run.
     pub fn dry_deletion(&self, body: &serde_json::Value) -> bool {
         self.dry_run
-            || meta::at(body, &["dryRun"])
+            || meta::value_at(body, &["dryRun"])
                 .as_array()
                 .is_some_and(|list| list.iter().any(|d| d == "All"))
     }
--- a/crates/rest/src/verbs.rs
+++ b/crates/rest/src/verbs.rs
@@ -7,7 +7,7 @@
 use tidespur_api::patch::{self, PatchKind};
 use tidespur_api::{ApiError, Object, decode, meta, status, validate};
 use tidespur_net::clock;
-use tidespur_store::{Expect, PageRequest, Store};
+use tidespur_store::{PageRequest, Precondition, Store};
 
 /// A good answer: status, object, warnings.
 pub(crate) type Answer = Result<(u16, Object, Vec<String>), ApiError>;
@@ -18,8 +18,8 @@
 impl<H: Hooks> Api<H> {
     /// Tells the program of a write, and all watches: the program may have nothing to add to it.
     fn after_write(&self) {
-        self.hooks.written();
-        self.ring();
+        self.hooks.on_write();
+        self.notify_watchers();
     }
 
     pub(crate) fn get(&self, target: &Target) -> Answer {
@@ -98,14 +98,14 @@
             }
             meta::set(&mut object, "namespace", target.namespace.clone().into());
         }
-        if !meta::text(&object, &["metadata", "resourceVersion"]).is_empty() {
+        if !meta::text_at(&object, &["metadata", "resourceVersion"]).is_empty() {
             return Err(ApiError::bad_request(
                 "resourceVersion should not be set on objects to be created",
             ));
         }
-        let base = meta::text(&object, &["metadata", "generateName"]).to_owned();
+        let base = meta::text_at(&object, &["metadata", "generateName"]).to_owned();
         if meta::name(&object).is_empty() && !base.is_empty() {
-            let name = format!("{base}{}", self.store().suffix());
+            let name = format!("{base}{}", self.store().random_suffix());
             meta::set(&mut object, "name", name.into());
         }
         if meta::name(&object).is_empty() {
@@ -119,7 +119,10 @@
         self.hooks.admit(&self.store(), r, &mut object)?;
         validate::check(r, &object, None, self.hooks.classes())?;
         if !options.dry_run
-            && let Some(done) = self.hooks.divert(Verb::Create, r, &object, headers).await
+            && let Some(done) = self
+                .hooks
+                .intercept_write(Verb::Create, r, &object, headers)
+                .await
         {
             return done.map(|object| (201, object, warnings));
         }
@@ -129,7 +132,7 @@
             .is_some();
         if options.dry_run {
             if stands {
-                return Err(ApiError::exists(r.plural, meta::name(&object)));
+                return Err(ApiError::already_exists(r.plural, meta::name(&object)));
             }
             return Ok((201, object, warnings));
         }
@@ -149,7 +152,7 @@
         let r = target.resource;
         let (mut object, warnings) = decode::object(r, body, options.fields)?;
         for (key, wanted) in [("name", &target.name), ("namespace", &target.namespace)] {
-            let found = meta::text(&object, &["metadata", key]);
+            let found = meta::text_at(&object, &["metadata", key]);
             if !found.is_empty() && found != wanted {
                 let text = format!(
                     "the {key} of the object ({found}) does not match that of the request ({wanted})"
@@ -160,16 +163,16 @@
                 meta::set(&mut object, key, wanted.as_str().into());
             }
         }
-        let version = meta::text(&object, &["metadata", "resourceVersion"]);
+        let version = meta::text_at(&object, &["metadata", "resourceVersion"]);
         let expect = match version {
-            "" => Expect::default(),
+            "" => Precondition::default(),
             text => {
                 let version = text.parse().map_err(|_| {
                     ApiError::bad_request(format!(
                         "metadata.resourceVersion is {text:?}: use a whole number"
                     ))
                 })?;
-                Expect {
+                Precondition {
                     version: Some(version),
                     uid: None,
                 }
@@ -206,7 +209,7 @@
             } else {
                 meta::version(&old)
             };
-            let expect = Expect {
+            let expect = Precondition {
                 version: Some(version),
                 uid: None,
             };
@@ -228,7 +231,7 @@
         options: &Options,
         headers: &HeaderMap,
         mut object: Object,
-        expect: &Expect,
+        expect: &Precondition,
         warnings: Vec<String>,
     ) -> Answer {
         let r = target.resource;
@@ -244,8 +247,8 @@
         };
         if target.status {
             let status = object.get("status").cloned();
-            let labels =
-                ["labels", "annotations"].map(|key| meta::at(&object, &["metadata", key]).clone());
+            let labels = ["labels", "annotations"]
+                .map(|key| meta::value_at(&object, &["metadata", key]).clone());
             object = (*old).clone();
             object["status"] = status.unwrap_or_else(|| json!({}));
             for (key, value) in ["labels", "annotations"]
@@ -262,7 +265,11 @@
         if options.dry_run {
             return Ok((200, object, warnings));
         }
-        if let Some(done) = self.hooks.divert(Verb::Update, r, &object, headers).await {
+        if let Some(done) = self
+            .hooks
+            .intercept_write(Verb::Update, r, &object, headers)
+            .await
+        {
             return done.map(|object| (200, object, warnings));
         }
         let written = self.store().update(r, object, expect)?;
@@ -289,7 +296,7 @@
         }
         if let Some(done) = self
             .hooks
-            .divert(Verb::Delete, target.resource, &object, headers)
+            .intercept_write(Verb::Delete, target.resource, &object, headers)
             .await
         {
             return done.map(|object| (200, object, vec![]));
@@ -324,7 +331,7 @@
         };
         let mut store = self.store();
         let all: Vec<Arc<Object>> = store
-            .all(target.resource, &target.namespace)
+            .iter(target.resource, &target.namespace)
             .filter(|object| options.selector.matches(object))
             .cloned()
             .collect();
--- a/crates/rest/src/watch.rs
+++ b/crates/rest/src/watch.rs
@@ -60,7 +60,7 @@
     fn show(&self, change: &Change, out: &mut Vec<u8>) {
         let now = change.kind != ChangeKind::Deleted && self.wants(&change.object);
         let before = change
-            .before
+            .previous
             .as_ref()
             .is_some_and(|before| self.wants(before));
         let kind = match (before, now) {
@@ -129,16 +129,16 @@
     }
 
     async fn follow(self: Arc<Self>, mut watch: Watch, mut ready: Vec<u8>) {
-        let mut bookmark_at = clock::now() + self.limits.bookmark_every;
+        let mut bookmark_at = clock::now() + self.limits.bookmark_interval;
         let mut told = watch.cursor.version();
         // What stood when it began; where it is not safe in time, what follows is all the same.
-        drop(self.hooks.lasting(told, false).await);
+        drop(self.hooks.wait_durable(told, false).await);
         loop {
             let bell = self.bell.listen();
             let mut changes = Vec::new();
             let polled = self
                 .store()
-                .poll_shown(&mut watch.cursor, BATCH, &mut changes);
+                .poll_visible(&mut watch.cursor, BATCH, &mut changes);
             for change in &changes {
                 watch.show(change, &mut ready);
                 if ready.len() >= PIECE && !self.pass(&watch, &mut ready).await {
@@ -156,7 +156,7 @@
                 return;
             }
             if watch.bookmarks && now >= bookmark_at {
-                bookmark_at = now + self.limits.bookmark_every;
+                bookmark_at = now + self.limits.bookmark_interval;
                 told = watch.cursor.version();
                 line(
                     &mut ready,
@@ -188,7 +188,7 @@
                 let closed = async {
                     watch.pipe.closed().await;
                 };
-                clock::within(wake - now, futures_lite::future::or(bell, closed)).await;
+                clock::timeout(wake - now, futures_lite::future::or(bell, closed)).await;
             }
         }
     }
@@ -197,7 +197,7 @@
     async fn pass(&self, watch: &Watch, ready: &mut Vec<u8>) -> bool {
         let piece = Bytes::from(std::mem::take(ready));
         matches!(
-            clock::within(self.limits.stall, watch.pipe.send(piece)).await,
+            clock::timeout(self.limits.write_timeout, watch.pipe.send(piece)).await,
             Some(Ok(()))
         )
     }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -14,14 +14,14 @@
 
 /// A reader of all changes of one resource.
 #[derive(Debug)]
-pub struct Follower {
+pub struct ChangeReader {
     resource: &'static Resource,
     cursor: Cursor,
     seen: BTreeMap<(String, String), Arc<Object>>,
     behind: u64,
 }
 
-impl Follower {
+impl ChangeReader {
     /// A reader for which all that stands now is new.
     pub fn new(resource: &'static Resource) -> Self {
         // No store's history reaches back to a version below its first, so the first read compares.
@@ -35,9 +35,9 @@
     }
 
     /// A reader for which all that stands now is known already, as after a return.
-    pub fn standing(resource: &'static Resource, store: &Store) -> Self {
+    pub fn from_current(resource: &'static Resource, store: &Store) -> Self {
         let seen = store
-            .all(resource, "")
+            .iter(resource, "")
             .map(|object| (key(object), object.clone()))
             .collect();
         Self {
@@ -49,12 +49,12 @@
     }
 
     /// Whether all that the store holds has been read.
-    pub fn current(&self, store: &Store) -> bool {
+    pub fn is_current(&self, store: &Store) -> bool {
         self.cursor.version() == store.version()
     }
 
     /// How often it fell behind the history and had to compare.
-    pub fn behind(&self) -> u64 {
+    pub fn resync_count(&self) -> u64 {
         self.behind
     }
 
@@ -80,7 +80,7 @@
         }
         let (mut gone, mut stands) = (Vec::new(), Vec::new());
         let mut before = self.seen.clone();
-        for object in store.all(self.resource, "") {
+        for object in store.iter(self.resource, "") {
             let (kind, before) = match before.remove(&key(object)) {
                 None => (ChangeKind::Added, None),
                 Some(old) if meta::uid(&old) != meta::uid(object) => {
@@ -95,7 +95,7 @@
                 version: meta::version(object),
                 kind,
                 object: object.clone(),
-                before,
+                previous: before,
             });
         }
         gone.extend(before.into_values());
@@ -103,7 +103,7 @@
             version: store.version(),
             kind: ChangeKind::Deleted,
             object: old.clone(),
-            before: Some(old),
+            previous: Some(old),
         };
         stands.sort_by_key(|change| change.version);
         self.cursor = Cursor::new(self.resource.index, store.version());
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -25,14 +25,14 @@
     /// The object after it; at a deletion as it last stood, with the version of its end.
     pub object: Arc<Object>,
     /// The object before it.
-    pub before: Option<Arc<Object>>,
+    pub previous: Option<Arc<Object>>,
 }
 
 /// The versions asked for are no longer, or not yet, known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expired {
     /// What was asked for.
-    pub asked: u64,
+    pub requested: u64,
     /// The oldest version from which all changes are known.
     pub oldest: u64,
 }
@@ -42,7 +42,7 @@
         write!(
             f,
             "too old resource version: {} ({})",
-            self.asked, self.oldest
+            self.requested, self.oldest
         )
     }
 }
@@ -105,7 +105,7 @@
     pub(crate) fn check(&self, version: u64) -> Result<(), Expired> {
         if version < self.complete_from {
             return Err(Expired {
-                asked: version,
+                requested: version,
                 oldest: self.complete_from,
             });
         }
--- a/crates/store/src/kept.rs
+++ b/crates/store/src/kept.rs
@@ -8,7 +8,7 @@
 impl Store {
     /// Takes in an object as an earlier store had it, version and uid included. Only before anything is written or
     /// watched: its version must not be above the one that this store began at.
-    pub fn recall(&mut self, resource: &Resource, object: Object) {
+    pub fn restore(&mut self, resource: &Resource, object: Object) {
         let key = key(
             resource,
             tidespur_api::meta::namespace(&object),
@@ -19,13 +19,13 @@
         }
     }
 
-    /// From now on notes what is written, for [`Store::take_unkept`].
-    pub fn keep(&mut self) {
+    /// From now on notes what is written, for [`Store::take_unpersisted`].
+    pub fn track_writes(&mut self) {
         self.unkept.get_or_insert_with(BTreeSet::new);
     }
 
     /// What was written or removed since the last call, each as it stands now; one that is gone without its object.
-    pub fn take_unkept(&mut self) -> Vec<(Key, Option<Arc<Object>>)> {
+    pub fn take_unpersisted(&mut self) -> Vec<(Key, Option<Arc<Object>>)> {
         let keys = self.unkept.as_mut().map(std::mem::take).unwrap_or_default();
         keys.into_iter()
             .map(|key| (key.clone(), self.objects.get(&key).cloned()))
@@ -35,7 +35,7 @@
     /// Watches may see all up to this version. A store that nobody keeps shows all.
     ///
     /// Guards against a watcher who was told what a power loss then takes back.
-    pub fn show(&mut self, version: u64) {
+    pub fn set_visible_version(&mut self, version: u64) {
         self.shown = version;
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -10,7 +10,7 @@
 mod list;
 mod write;
 
-pub use follow::Follower;
+pub use follow::ChangeReader;
 pub use history::{Change, ChangeKind, Cursor, Expired};
 pub use list::{ListError, Page, PageRequest};
 
@@ -29,26 +29,26 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Changes that the history of one resource keeps.
-    pub history: usize,
+    pub max_history: usize,
     /// Versions that a paged list may still be continued at.
-    pub snapshots: usize,
+    pub max_snapshots: usize,
     /// Objects of one resource.
-    pub objects: usize,
+    pub max_objects: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            history: 16_384,
-            snapshots: 64,
-            objects: 200_000,
+            max_history: 16_384,
+            max_snapshots: 64,
+            max_objects: 200_000,
         }
     }
 }
 
 /// What a writer demands of the object that stands.
 #[derive(Clone, Debug, Default)]
-pub struct Expect {
+pub struct Precondition {
     /// Its uid.
     pub uid: Option<String>,
     /// Its version; `None` writes over whatever stands.
@@ -79,7 +79,7 @@
             objects: OrdMap::new(),
             counts: [0; RESOURCES.len()],
             version,
-            histories: std::array::from_fn(|_| History::new(limits.history, version)),
+            histories: std::array::from_fn(|_| History::new(limits.max_history, version)),
             snapshots: VecDeque::new(),
             limits,
             rng: rand_pcg::Pcg64::seed_from_u64(seed),
@@ -109,7 +109,7 @@
     }
 
     /// Five characters for a generated name, of the published alphabet without vowels.
-    pub fn suffix(&mut self) -> String {
+    pub fn random_suffix(&mut self) -> String {
         const LETTERS: &[u8] = b"bcdfghjklmnpqrstvwxz2456789";
         (0..5)
             .map(|_| LETTERS[self.rng.next_u32() as usize % LETTERS.len()] as char)
@@ -127,7 +127,7 @@
     }
 
     /// All objects of a resource, of one namespace or of all (""), in order.
-    pub fn all<'a>(
+    pub fn iter<'a>(
         &'a self,
         resource: &Resource,
         namespace: &'a str,
@@ -155,8 +155,8 @@
         self.histories[cursor.resource()].read(cursor, most, self.version, out)
     }
 
-    /// The same, but for what may not be shown yet: see [`Store::show`].
-    pub fn poll_shown(
+    /// The same, but for what may not be shown yet: see [`Store::set_visible_version`].
+    pub fn poll_visible(
         &self,
         cursor: &mut Cursor,
         most: usize,
--- a/crates/store/src/list.rs
+++ b/crates/store/src/list.rs
@@ -97,7 +97,7 @@
             .filter(|_| left > 0)
             .map(|k| (format!("{version}/{}/{}", k.1, k.2), left));
         if next.is_some() && !self.snapshots.iter().any(|(v, _)| *v == version) {
-            while self.snapshots.len() >= self.limits.snapshots.max(1) {
+            while self.snapshots.len() >= self.limits.max_snapshots.max(1) {
                 self.snapshots.pop_front();
             }
             self.snapshots.push_back((version, objects));
--- a/crates/store/src/write.rs
+++ b/crates/store/src/write.rs
@@ -1,6 +1,6 @@
 //! Writes: each gets the next version, is checked against what its writer has seen, and is noted for what keeps it.
 
-use crate::{Change, ChangeKind, Expect, Key, Store, key};
+use crate::{Change, ChangeKind, Key, Precondition, Store, key};
 use std::sync::Arc;
 use tidespur_api::{ApiError, Object, Resource, meta};
 
@@ -14,14 +14,14 @@
     ) -> Result<Arc<Object>, ApiError> {
         let key = key(resource, meta::namespace(&object), meta::name(&object));
         if self.objects.contains_key(&key) {
-            return Err(ApiError::exists(resource.plural, &key.2));
+            return Err(ApiError::already_exists(resource.plural, &key.2));
         }
-        if self.counts[resource.index] >= self.limits.objects {
+        if self.counts[resource.index] >= self.limits.max_objects {
             let text = format!(
                 "{} {} stand already, which is the most that is held",
-                self.limits.objects, resource.plural
+                self.limits.max_objects, resource.plural
             );
-            return Err(ApiError::too_many(text, 10));
+            return Err(ApiError::too_many_requests(text, 10));
         }
         let uid = self.new_uid();
         meta::set(&mut object, "uid", uid.into());
@@ -42,7 +42,7 @@
         &mut self,
         resource: &Resource,
         mut object: Object,
-        expect: &Expect,
+        expect: &Precondition,
     ) -> Result<Arc<Object>, ApiError> {
         let key = key(resource, meta::namespace(&object), meta::name(&object));
         let Some(old) = self.objects.get(&key).cloned() else {
@@ -56,7 +56,7 @@
             "generation",
             "deletionTimestamp",
         ] {
-            let value = meta::at(&old, &["metadata", field]).clone();
+            let value = meta::value_at(&old, &["metadata", field]).clone();
             match value.is_null() {
                 true => drop(meta::map_mut(&mut object, "metadata").remove(field)),
                 false => meta::set(&mut object, field, value),
@@ -66,7 +66,7 @@
             return Ok(old);
         }
         if object.get("spec") != old.get("spec") {
-            let generation = meta::at(&old, &["metadata", "generation"])
+            let generation = meta::value_at(&old, &["metadata", "generation"])
                 .as_i64()
                 .unwrap_or(0);
             meta::set(&mut object, "generation", (generation + 1).into());
@@ -80,7 +80,7 @@
         resource: &Resource,
         namespace: &str,
         name: &str,
-        expect: &Expect,
+        expect: &Precondition,
     ) -> Result<Arc<Object>, ApiError> {
         let key = key(resource, namespace, name);
         let Some(old) = self.objects.get(&key).cloned() else {
@@ -102,7 +102,7 @@
             version: self.version,
             kind: ChangeKind::Deleted,
             object: last.clone(),
-            before: Some(old),
+            previous: Some(old),
         };
         self.histories[resource.index].push(change);
         Ok(last)
@@ -139,14 +139,18 @@
             version: self.version,
             kind,
             object: object.clone(),
-            before,
+            previous: before,
         };
         self.histories[resource.index].push(change);
         object
     }
 }
 
-fn check_expected(resource: &Resource, old: &Object, expect: &Expect) -> Result<(), ApiError> {
+fn check_expected(
+    resource: &Resource,
+    old: &Object,
+    expect: &Precondition,
+) -> Result<(), ApiError> {
     let name = meta::name(old);
     if expect
         .uid
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -14,9 +14,9 @@
 fn store(history: usize) -> Store {
     Store::new(
         Limits {
-            history,
-            snapshots: 2,
-            objects: 1000,
+            max_history: history,
+            max_snapshots: 2,
+            max_objects: 1000,
         },
         1,
         100,
@@ -29,9 +29,9 @@
     let first = store.create(PODS, pod("a"), 0.0).unwrap();
     let mut changed = (*first).clone();
     changed["metadata"]["labels"] = json!({"x": "1"});
-    let expect = Expect {
+    let expect = Precondition {
         version: Some(meta::version(&first)),
-        ..Expect::default()
+        ..Precondition::default()
     };
     store.update(PODS, changed.clone(), &expect).unwrap();
     changed["metadata"]["labels"] = json!({"x": "2"});
@@ -40,9 +40,9 @@
         store.create(PODS, pod("a"), 0.0).unwrap_err().reason,
         "AlreadyExists"
     );
-    let other = Expect {
+    let other = Precondition {
         uid: Some("x".into()),
-        ..Expect::default()
+        ..Precondition::default()
     };
     assert_eq!(
         store
@@ -96,7 +96,7 @@
     };
     let first = store.list(PODS, &request).unwrap();
     store
-        .delete(PODS, "default", "p3", &Expect::default())
+        .delete(PODS, "default", "p3", &Precondition::default())
         .unwrap();
     request.continue_token = first.next.map(|n| n.0);
     let second = store.list(PODS, &request).unwrap();
@@ -147,15 +147,15 @@
                 1 => {
                     let mut changed = pod(&name);
                     changed["spec"]["nodeName"] = json!(format!("n{most}"));
-                    drop(store.update(PODS, changed, &Expect::default()));
+                    drop(store.update(PODS, changed, &Precondition::default()));
                 }
-                _ => drop(store.delete(PODS, "default", &name, &Expect::default())),
+                _ => drop(store.delete(PODS, "default", &name, &Precondition::default())),
             }
             follow(&store, most);
         }
         let seen = follow(&store, 1000);
         let listed: BTreeMap<String, u64> =
-            store.all(PODS, "").map(|o| (meta::name(o).to_owned(), meta::version(o))).collect();
+            store.iter(PODS, "").map(|o| (meta::name(o).to_owned(), meta::version(o))).collect();
         prop_assert_eq!(seen, listed);
     }
 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -60,7 +60,10 @@
     let client = Client::new(&address, 2, vec![]);
     let path =
         format!("{PODS}?watch=true&resourceVersion=0&fieldSelector=metadata.namespace%3Ddefault");
-    let mut lines = client.lines(&path, 5.0).await.map_err(|e| e.to_string())?;
+    let mut lines = client
+        .stream_lines(&path, 5.0)
+        .await
+        .map_err(|e| e.to_string())?;
     for i in 0..count {
         let name = format!("{prefix}-{i}");
         let reply = client
@@ -83,7 +86,9 @@
             }
             let event: Value = serde_json::from_slice(&line).map_err(|e| e.to_string())?;
             let object = &event["object"];
-            if meta::name(object) == name && !meta::text(object, &["spec", "nodeName"]).is_empty() {
+            if meta::name(object) == name
+                && !meta::text_at(object, &["spec", "nodeName"]).is_empty()
+            {
                 break;
             }
         }
@@ -175,7 +180,10 @@
         let mut tasks = Vec::new();
         for _ in 0..watchers {
             let path = "/api/v1/namespaces?watch=true&resourceVersion=0";
-            let mut lines = client.lines(path, 10.0).await.map_err(|e| e.to_string())?;
+            let mut lines = client
+                .stream_lines(path, 10.0)
+                .await
+                .map_err(|e| e.to_string())?;
             let (seen, last) = (seen.clone(), last.clone());
             tasks.push(smol::spawn(async move {
                 while let Ok(Some(line)) = lines.next().await {
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -90,7 +90,7 @@
     }
     fn trouble(&self, what: &str, on: &[String]) {
         self.recorder
-            .note("trouble", || json!({"trouble": what, "on": on}));
+            .record("trouble", || json!({"trouble": what, "on": on}));
         if let Ok(mut trouble) = self.progress.trouble.lock() {
             *trouble = format!("{what} on {}", on.join(", "));
         }
@@ -113,7 +113,8 @@
         records: Some(records.to_owned()),
         ..layout
     })?;
-    let recorder = Recorder::to(&records.join("rig.jsonl"), "rig").map_err(|e| e.to_string())?;
+    let recorder =
+        Recorder::append_to(&records.join("rig.jsonl"), "rig").map_err(|e| e.to_string())?;
     smol::block_on(async {
         cluster.wait_ready(60.0).await?;
         let apis: Vec<String> = (0..day.edges)
@@ -188,7 +189,7 @@
             let now = clock::now();
             if now > ends || (open == 0 && now > start + troubled.max(day.seconds)) {
                 this.recorder
-                    .note("end", || json!({"open": open, "done": done}));
+                    .record("end", || json!({"open": open, "done": done}));
                 break;
             }
             clock::sleep(0.25).await;
@@ -213,7 +214,7 @@
                 .await;
             let status = sent.as_ref().map_or(0, |reply| reply.status.as_u16());
             day.recorder
-                .note("submitted", || json!({"job": one.name, "status": status}));
+                .record("submitted", || json!({"job": one.name, "status": status}));
             match status {
                 201 | 409 => {
                     day.progress.submitted.fetch_add(1, Ordering::Relaxed);
@@ -231,13 +232,13 @@
 async fn watch(day: Arc<Day>, edge: usize) {
     let client = Client::new(&day.apis[edge], 2, vec![]);
     let note = |kind: &str, pod: &Value, gone: bool| {
-        day.recorder.note("pod", || {
+        day.recorder.record("pod", || {
             json!({"edge": edge, "type": kind, "gone": gone, "uid": meta::uid(pod), "name": meta::name(pod),
-                "key": meta::annotation(pod, names::KEY), "class": meta::text(pod, &["spec", "priorityClassName"]),
-                "node": meta::text(pod, &["spec", "nodeName"]), "phase": meta::text(pod, &["status", "phase"]),
-                "reason": meta::text(pod, &["status", "reason"]),
+                "key": meta::annotation(pod, names::IDEMPOTENCY_KEY), "class": meta::text_at(pod, &["spec", "priorityClassName"]),
+                "node": meta::text_at(pod, &["spec", "nodeName"]), "phase": meta::text_at(pod, &["status", "phase"]),
+                "reason": meta::text_at(pod, &["status", "reason"]),
                 "give_up": meta::annotation(pod, names::GIVE_UP_SECONDS),
-                "version": meta::text(pod, &["metadata", "resourceVersion"])})
+                "version": meta::text_at(pod, &["metadata", "resourceVersion"])})
         });
     };
     while clock::now() < day.ends + 10.0 {
@@ -251,18 +252,18 @@
                 continue;
             }
         };
-        day.recorder.note("listed", || json!({"edge": edge}));
+        day.recorder.record("listed", || json!({"edge": edge}));
         list["items"]
             .as_array()
             .into_iter()
             .flatten()
             .for_each(|pod| note("LISTED", pod, false));
-        let mut version = meta::text(&list, &["metadata", "resourceVersion"]).to_owned();
+        let mut version = meta::text_at(&list, &["metadata", "resourceVersion"]).to_owned();
         'resume: loop {
             let path = format!(
                 "/api/v1/pods?watch=true&allowWatchBookmarks=true&resourceVersion={version}"
             );
-            let Ok(mut lines) = client.lines(&path, 2.0).await else {
+            let Ok(mut lines) = client.stream_lines(&path, 2.0).await else {
                 break;
             };
             if !lines.status.is_success() {
@@ -278,7 +279,7 @@
                     "BOOKMARK" => {}
                     kind => note(kind, pod, kind == "DELETED"),
                 }
-                version = meta::text(pod, &["metadata", "resourceVersion"]).to_owned();
+                version = meta::text_at(pod, &["metadata", "resourceVersion"]).to_owned();
             }
             clock::sleep(0.05).await;
         }
@@ -296,7 +297,7 @@
     while clock::now() < day.ends + 10.0 {
         clock::sleep(rng.random_range(0.3..0.9)).await;
         if let Some(sample) = sampler.take().await {
-            day.recorder.note("why", || sample);
+            day.recorder.record("why", || sample);
         }
     }
 }
@@ -353,7 +354,7 @@
         Kind::Crash => {
             for node in &struck {
                 day.with(|cluster| cluster.process(node).map(|process| process.kill()));
-                day.recorder.note("killed", || json!({"node": node}));
+                day.recorder.record("killed", || json!({"node": node}));
             }
             clock::sleep(until - clock::now()).await;
             for node in struck {
@@ -437,14 +438,15 @@
             let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
             let planner = format!("planner-{}", rng.random_range(0..planners));
             day.with(|cluster| cluster.process(&planner).map(|process| process.kill()));
-            day.recorder.note("killed", || json!({"planner": planner}));
+            day.recorder
+                .record("killed", || json!({"planner": planner}));
             clock::sleep(until - clock::now()).await;
             day.with(|cluster| cluster.restart_planner(&planner));
         }
         Kind::KillEdge => {
             let edge = rng.random_range(0..day.apis.len());
             let name = format!("edge-{edge}");
-            day.recorder.note("killed", || json!({"edge": edge}));
+            day.recorder.record("killed", || json!({"edge": edge}));
             day.with(|cluster| cluster.process(&name).map(|process| process.kill()));
             clock::sleep(until - clock::now()).await;
             let this = day.clone();
--- a/crates/testbed/src/sample.rs
+++ b/crates/testbed/src/sample.rs
@@ -53,11 +53,11 @@
         let pods = read(&self.edge, "/api/v1/namespaces/default/pods").await?;
         let listed = read(&self.register, "/api/v1/nodes").await?;
         let waiting: Vec<Value> = items(&pods)
-            .filter(|pod| meta::text(pod, &["status", "phase"]) == "Pending")
-            .filter(|pod| meta::text(pod, &["spec", "nodeName"]).is_empty())
+            .filter(|pod| meta::text_at(pod, &["status", "phase"]) == "Pending")
+            .filter(|pod| meta::text_at(pod, &["spec", "nodeName"]).is_empty())
             .map(|pod| {
                 // Written in whole seconds: it may have come up to a second later.
-                let since = meta::unix(meta::text(pod, &["metadata", "creationTimestamp"]))
+                let since = meta::unix(meta::text_at(pod, &["metadata", "creationTimestamp"]))
                     .map(|t| t + 1.0);
                 json!({"name": meta::name(pod), "since": since})
             })
@@ -77,19 +77,19 @@
             let Some(held) = held else { continue };
             let mut asked = [0.0; 2];
             for pod in items(&held) {
-                if ["Succeeded", "Failed"].contains(&meta::text(pod, &["status", "phase"])) {
+                if ["Succeeded", "Failed"].contains(&meta::text_at(pod, &["status", "phase"])) {
                     continue;
                 }
-                let (cores, memory) = task::requests(pod);
+                let (cores, memory) = task::resource_requests(pod);
                 asked = [asked[0] + cores, asked[1] + memory];
             }
             let size = |key, unit: f64| {
-                quantity::parse(meta::text(node, &["status", "allocatable", key])).unwrap_or(0.0)
+                quantity::parse(meta::text_at(node, &["status", "allocatable", key])).unwrap_or(0.0)
                     / unit
             };
             let size = [size("cpu", 1.0), size("memory", names::MEMORY_UNIT)];
             let admits = [size[0] * self.admits[0], size[1] * self.admits[1]];
-            let drains = meta::at(node, &["spec", "unschedulable"]) == true;
+            let drains = meta::value_at(node, &["spec", "unschedulable"]) == true;
             nodes.push(json!({"name": name, "drains": drains, "asked": asked, "admits": admits}));
         }
         Some(json!({"records": records["items"], "waiting": waiting, "nodes": nodes}))
