--- /dev/null
+++ b/crates/platform/tests/common/fixtures.rs
@@ -0,0 +1,66 @@
+//! Fixture files hold one sample a line, `name: encoded value`, as an earlier build encoded it.
+
+use std::fmt::Debug;
+use std::path::Path;
+
+/// Set to `1`, this environment variable has fixture files written anew before they are compared.
+const UPDATE_VARIABLE: &str = "UPDATE_FIXTURES";
+
+/// A value under the name that it has in its fixture file.
+pub type Sample<T> = (&'static str, T);
+
+/// Lists one sample of each variant, or several. A variant without a line here does not compile.
+#[macro_export]
+macro_rules! samples_of_each_variant {
+    ($type:ty: $($name:literal, $pattern:pat => $value:expr;)+) => {{
+        fn assert_exhaustive(value: &$type) {
+            match value { $($pattern => {})+ }
+        }
+        let samples: Vec<$crate::fixtures::Sample<$type>> = vec![$(($name, $value)),+];
+        $(assert!(samples.iter().any(|(name, value)| *name == $name && matches!(value, $pattern)));)+
+        samples.iter().for_each(|(_, value)| assert_exhaustive(value));
+        samples
+    }};
+}
+
+/// Asserts that the samples are encoded as the fixture file has them, that the file has no others, and that its
+/// lines are decoded to the samples.
+pub fn assert_compatible<T: PartialEq + Debug>(
+    file: &str,
+    samples: &[Sample<T>],
+    encode: impl Fn(&T) -> String,
+    decode: impl Fn(&str) -> T,
+) {
+    let encoded: Vec<(&str, String)> = samples.iter().map(|(name, value)| (*name, encode(value))).collect();
+    let fixture = assert_encoded(file, &encoded);
+    for ((name, value), line) in samples.iter().zip(fixture.lines()) {
+        let (_, text) = line.split_once(": ").expect("a line is `name: encoded value`");
+        assert_eq!(decode(text), *value, "{file}: {name}");
+    }
+}
+
+/// Asserts that the fixture file holds these names and encoded values, and gives out its text.
+pub fn assert_encoded(file: &str, encoded: &[(&str, String)]) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
+    let actual: String = encoded.iter().map(|(name, text)| format!("{name}: {text}\n")).collect();
+    if std::env::var_os(UPDATE_VARIABLE).is_some_and(|value| value == "1") {
+        std::fs::write(&path, &actual).expect("the fixture file can be written");
+    }
+    let fixture = std::fs::read_to_string(&path).expect("the fixture file can be read");
+    for (actual, expected) in actual.lines().zip(fixture.lines()) {
+        assert_eq!(actual, expected, "{file}");
+    }
+    assert_eq!(actual.lines().count(), fixture.lines().count(), "{file}: samples");
+    fixture
+}
+
+/// Two hex digits a byte.
+pub fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The bytes of hex digits.
+pub fn from_hex(text: &str) -> Vec<u8> {
+    let byte = |start| u8::from_str_radix(&text[start..start + 2], 16).expect("two hex digits");
+    (0..text.len()).step_by(2).map(byte).collect()
+}
--- /dev/null
+++ b/crates/platform/tests/compatibility.rs
@@ -0,0 +1,258 @@
+//! The operators' protocol: what this program writes, and how it reads what owners, machines and the notice board
+//! write, stay as they were.
+
+mod common;
+#[path = "common/fixtures.rs"]
+mod fixtures;
+
+use common::{OWNER, Played, answer, release, set_up, site};
+use fixtures::{Sample, assert_compatible, assert_encoded, from_hex, to_hex};
+use tidespur_platform::message::{Decoder, Id, Kind, Message, cause, code};
+use tidespur_platform::pool::PoolAction;
+use tidespur_platform::{Input, Output, ask, discovery};
+use tidespur_policy::interface::{Note, Report, ServiceId, Standing, Why};
+
+const ID: Id = Id(0x0123_4567_89ab_cdef);
+
+/// A set-up with every parameter that an owner can send.
+fn full_set_up(id: Id) -> Message {
+    Message::new(Kind::SetUp, id)
+        .with(code::CLASS, b"slot")
+        .with(code::WAIT, b"6000")
+        .with(code::TENANT, b"tenant-1")
+        .with(code::RETRY, b"1")
+        .with(code::NAME, b"task-1")
+        .with(code::ASKS, b"cores:1.5;memory:2.25;service:service-1")
+        .with(code::HINT, b"8200.0")
+        .with(code::DESCRIPTION, b"v=0 \x00\xff")
+}
+
+fn word(word: &str) -> Message {
+    Message::new(Kind::Note, ID).with(code::WORD, word.as_bytes())
+}
+
+fn decode(text: &str) -> Message {
+    let mut decoder = Decoder::default();
+    decoder.feed(&from_hex(text));
+    decoder.message().expect("a readable message").expect("a complete message")
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let kinds = samples_of_each_variant! { Kind:
+        "empty SetUp", Kind::SetUp => Kind::SetUp;
+        "empty Progress", Kind::Progress => Kind::Progress;
+        "empty Answer", Kind::Answer => Kind::Answer;
+        "empty Release", Kind::Release => Kind::Release;
+        "empty Heard", Kind::Heard => Kind::Heard;
+        "empty Test", Kind::Test => Kind::Test;
+        "empty Tested", Kind::Tested => Kind::Tested;
+        "empty Note", Kind::Note => Kind::Note;
+        "empty Move", Kind::Move => Kind::Move;
+    };
+    let mut samples: Vec<Sample<Message>> =
+        kinds.into_iter().map(|(name, kind)| (name, Message::new(kind, ID))).collect();
+    samples.extend([
+        ("set-up of an owner", full_set_up(ID)),
+        ("answer of a machine", Message::new(Kind::Answer, ID).with(code::DESCRIPTION, b"bytes \x01")),
+        ("refusal of a machine", {
+            Message::release(ID, cause::FULL).with(code::WORD, b"lack_cpu").with(code::LOAD, b"x0:1;q:2")
+        }),
+        ("note of a machine", word("use_cpu").with(code::FIGURE, b"1.5")),
+        ("test", Message::new(Kind::Test, ID).with(code::CAUSE, &[0])),
+        ("tested", Message::new(Kind::Tested, ID).with(code::CAUSE, &[1])),
+    ]);
+    assert_compatible("message.hex.txt", &samples, |message| to_hex(&message.bytes()), decode);
+}
+
+#[test]
+fn codes_and_causes_keep_their_numbers() {
+    let numbers = [
+        ("code CLASS", code::CLASS),
+        ("code WAIT", code::WAIT),
+        ("code TENANT", code::TENANT),
+        ("code RETRY", code::RETRY),
+        ("code NAME", code::NAME),
+        ("code ASKS", code::ASKS),
+        ("code WORD", code::WORD),
+        ("code LOAD", code::LOAD),
+        ("code HINT", code::HINT),
+        ("code FIGURE", code::FIGURE),
+        ("code CAUSE", code::CAUSE),
+        ("code DESCRIPTION", code::DESCRIPTION),
+        ("cause NORMAL", cause::NORMAL),
+        ("cause ENDED", cause::ENDED),
+        ("cause FULL", cause::FULL),
+        ("cause FAILED", cause::FAILED),
+        ("cause CONGESTED", cause::CONGESTED),
+        ("cause ERROR", cause::ERROR),
+        ("cause CONTENT", cause::CONTENT),
+        ("cause MOOT", cause::MOOT),
+    ];
+    let encoded: Vec<(&str, String)> =
+        numbers.into_iter().map(|(name, number)| (name, number.to_string())).collect();
+    assert_encoded("numbers.txt", &encoded);
+}
+
+/// The bytes that the last step had written, each with whom they are for.
+fn written(played: &Played) -> String {
+    let written = |output: &Output| match output {
+        Output::Downstream(_, bytes) => Some(format!("owner {}", to_hex(bytes))),
+        Output::Upstream(PoolAction::Write(_, bytes) | PoolAction::Offer(_, _, bytes)) => {
+            Some(format!("machine {}", to_hex(bytes)))
+        }
+        _ => None,
+    };
+    played.out.iter().filter_map(written).collect::<Vec<_>>().join(", ")
+}
+
+#[test]
+fn gateway_writes_the_same_bytes_when_requests_run_through_it() {
+    let mut played = Played::new(1);
+    let mut transcript = Vec::new();
+
+    let (line, _) = played.offered(full_set_up(Id(5)));
+    transcript.push(("offer of a set-up", written(&played)));
+    played.machine_says(line, answer(5));
+    transcript.push(("answer passed on", written(&played)));
+    played.client_says(OWNER, Message::new(Kind::Test, Id(9)).with(code::CAUSE, &[0]));
+    transcript.push(("test of an owner", written(&played)));
+    played.machine_says(line, Message::new(Kind::Test, Id(9)).with(code::CAUSE, &[0]));
+    transcript.push(("test of a machine", written(&played)));
+    played.machine_says(line, release(5, cause::NORMAL));
+    transcript.push(("end at the machine", written(&played)));
+    played.machine_says(line, release(99, cause::NORMAL));
+    transcript.push(("end of an unknown task", written(&played)));
+    played.client_says(OWNER, Message::new(Kind::SetUp, Id(10)));
+    transcript.push(("unreadable set-up", written(&played)));
+
+    let mut played = Played::new(1);
+    played.standing(6, "web");
+    played.client_says(OWNER, release(6, cause::NORMAL));
+    transcript.push(("standing task ended by its owner", written(&played)));
+
+    let mut played = Played::new(1);
+    played.offered(set_up(7, "web"));
+    played.client_says(OWNER, release(7, cause::NORMAL));
+    transcript.push(("waiting set-up given up by its owner", written(&played)));
+
+    let mut played = Played::new(1);
+    let (line, _) = played.offered(set_up(8, "web"));
+    played.machine_says(line, release(8, cause::FULL).with(code::WORD, b"lack_cpu"));
+    played.wait(7.0, None);
+    transcript.push(("set-up that no machine has room for", written(&played)));
+
+    let mut played = Played::new(1);
+    let (line, _) = played.offered(set_up(8, "slot"));
+    played.machine_says(line, release(8, cause::ERROR));
+    transcript.push(("set-up that may have run and must not run twice", written(&played)));
+
+    let mut played = Played::new(1);
+    played.standing(11, "web");
+    played.wait(2.0, None);
+    transcript.push(("test of a silent machine", written(&played)));
+    played.wait(5.9, None);
+    transcript.push(("task lost with its machine", written(&played)));
+
+    let mut played = Played::new(1);
+    played.step(Input::Leave);
+    played.now += 0.8;
+    played.gateway.step(played.now, [Input::Tick], &mut played.out);
+    played.gateway.step(played.now, [Input::Unlistened], &mut played.out);
+    played.out.clear();
+    played.gateway.step(played.now, [Input::DownstreamSaid(OWNER, set_up(12, "web"))], &mut played.out);
+    transcript.push(("set-up during shutdown", written(&played)));
+
+    assert!(transcript.iter().all(|(_, bytes)| !bytes.is_empty()), "each step writes: {transcript:#?}");
+    assert_encoded("gateway.hex.txt", &transcript);
+}
+
+#[test]
+fn every_field_of_a_set_up_is_read() {
+    let mut site = site();
+    site.tenants = vec!["tenant-0".into(), "tenant-1".into()];
+    let read = ask::read(&site, 1000.0, &full_set_up(ID)).expect("a readable set-up");
+    assert_eq!(read.task.class, 1);
+    assert_eq!(read.task.tenant, 1);
+    assert_eq!(read.task.service, ServiceId(0x11ec_c33b_f6dd_cb2e));
+    assert_eq!(read.task.deadline, 1006.0);
+    assert_eq!(read.task.life, Some(8.2));
+    assert_eq!(read.task.cores, 1.5);
+    assert_eq!(read.task.memory, 2.25);
+    assert!(read.task.returned);
+    assert_eq!(read.at, None);
+    assert!(!ask::is_handed(&full_set_up(ID)));
+}
+
+#[test]
+fn set_up_names_its_machine_when_it_is_handed_over() {
+    let message = common::handed(5, "machine-1");
+    assert!(ask::is_handed(&message));
+    let read = ask::read(&site(), 1000.0, &message).expect("a readable set-up");
+    assert_eq!(read.at.as_deref(), Some("machine-1"));
+    assert_eq!(read.task.deadline, f64::INFINITY);
+}
+
+#[test]
+fn parameters_for_schedulers_alone_are_not_passed_on() {
+    let codes: Vec<u8> = ask::passed(full_set_up(ID)).into_iter().map(|(code, _)| code).collect();
+    assert_eq!(codes, [180, 183, 186, 192, 225]);
+}
+
+#[test]
+fn reasons_of_machines_are_read_by_their_words() {
+    let words = [
+        ("lack_cpu", Why::Cores),
+        ("lack_ram", Why::Memory),
+        ("backlog", Why::Queue),
+        ("unfit", Why::NotHere),
+        ("killed", Why::Evicted),
+        ("displaced", Why::PushedOut),
+        ("dismissed", Why::SentAway),
+        ("another", Why::Unknown),
+    ];
+    for (text, expected) in words {
+        assert_eq!(ask::why(&word(text)), expected, "{text}");
+    }
+}
+
+#[test]
+fn notes_of_machines_are_read_by_their_words() {
+    let words = [
+        ("running", Some(Note::Runs)),
+        ("use_cpu", Some(Note::UsesCores(1.5))),
+        ("use_ram", Some(Note::UsesMemory(1.5))),
+        ("health", Some(Note::Served(1.5))),
+        ("ram_high", Some(Note::MachineMemory(1.5))),
+        ("another", None),
+    ];
+    for (text, expected) in words {
+        assert_eq!(ask::note(&word(text).with(code::FIGURE, b"1.5")), expected, "{text}");
+    }
+}
+
+#[test]
+fn every_figure_of_a_load_report_is_read() {
+    let report = |text: &str| ask::report(&Message::new(Kind::Answer, ID).with(code::LOAD, text.as_bytes()));
+    let expected =
+        Report { free_cores: Some(1.5), free_memory: Some(2.5), waiting: Some(3.0), busy: Some(0.25) };
+    assert_eq!(report("x0:1.5;x1:2.5;q:3;busy:0.25"), Some(expected));
+    assert_eq!(report("x0:1.5;x1:2.5;queue:3;busy:0.25"), Some(expected));
+    assert_eq!(report("another:1"), None);
+}
+
+#[test]
+fn every_field_of_a_discovery_event_is_read() {
+    let text = include_str!("fixtures/discovery_event.json");
+    let event = discovery::event(&site(), text).expect("a readable event");
+    assert_eq!((event.number, event.whole), (7, true));
+    let [first, second, third] = event.listed.as_slice() else { panic!("three machines") };
+    assert_eq!((first.name.as_str(), first.address.as_str()), ("machine-1", "127.0.1.1:9"));
+    assert_eq!(first.entry.machine.0, 0x060f_8ad2_44c8_fb38);
+    assert_eq!((first.entry.kind, first.entry.cell, first.entry.zone), (0, 3, 1));
+    assert_eq!(first.entry.standing, Standing::Ready);
+    assert_eq!(first.entry.up_since, Some(12.5));
+    assert_eq!((first.entry.free_cores, first.entry.free_memory), (30.5, 60.25));
+    assert_eq!(second.entry.standing, Standing::Draining);
+    assert_eq!(third.entry.standing, Standing::Gone);
+}
