--- a/crates/ledger-net/src/lib.rs
+++ b/crates/ledger-net/src/lib.rs
@@ -13,9 +13,12 @@
 use streams::Streams;
 use tidespur_config::Config;
 use tidespur_durable::{Disk, Recalled};
-use tidespur_ledger::{Input, Ledger, Settings, Standing};
+use tidespur_ledger::{Input, Ledger, Seconds, Settings, Standing};
 use tidespur_net::{clock, routes::Routes};
 
+pub use pack::{pack, unpack};
+pub use streams::Frame;
+
 /// The lease of the one edge that acts for the whole fleet.
 pub const FLEET: &str = "fleet";
 /// Inputs that may wait for the loop.
@@ -130,21 +133,24 @@
 
     /// All that an operator may want to see.
     pub fn report(&self) -> Value {
-        let ledger = lock(&self.ledger);
-        let now = clock::now();
-        let lease = |(name, lease): (&String, &tidespur_ledger::Lease)| {
-            let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
-            json!({"name": name, "token": lease.token, "holder": holder,
-                "mayActHere": ledger.may_act(now, name)})
-        };
-        let standing = match ledger.standing() {
-            Standing::Voting => "voting",
-            Standing::Asking(_) => "asking",
-            Standing::Barred { .. } => "barred",
-        };
-        let state = ledger.state();
-        json!({"standing": standing, "leader": ledger.leader(),
-            "leases": state.leases.iter().map(lease).collect::<Vec<_>>(),
-            "notes": state.notes.len(), "asking": ledger.asking().collect::<Vec<_>>()})
+        report(&lock(&self.ledger), clock::now())
     }
 }
+
+/// A voter's state as JSON, for operators and their tools. `now` is the voter's clock.
+pub fn report(ledger: &Ledger, now: Seconds) -> Value {
+    let lease = |(name, lease): (&String, &tidespur_ledger::Lease)| {
+        let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
+        json!({"name": name, "token": lease.token, "holder": holder,
+            "mayActHere": ledger.may_act(now, name)})
+    };
+    let standing = match ledger.standing() {
+        Standing::Voting => "voting",
+        Standing::Asking(_) => "asking",
+        Standing::Barred { .. } => "barred",
+    };
+    let state = ledger.state();
+    json!({"standing": standing, "leader": ledger.leader(),
+        "leases": state.leases.iter().map(lease).collect::<Vec<_>>(),
+        "notes": state.notes.len(), "asking": ledger.asking().collect::<Vec<_>>()})
+}
--- a/crates/ledger-net/src/pack.rs
+++ b/crates/ledger-net/src/pack.rs
@@ -10,7 +10,7 @@
 const WORD_MOST: usize = 64 << 20;
 
 /// A word as it goes over a stream; `None` where it is beyond all bounds.
-pub(crate) fn pack(word: Word) -> Option<Frame> {
+pub fn pack(word: Word) -> Option<Frame> {
     if !matches!(word, Word::Agree(_)) {
         return Some(Frame::Word(word));
     }
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub(crate) fn unpack(bytes: &[u8]) -> Result<Word, String> {
+pub fn unpack(bytes: &[u8]) -> Result<Word, String> {
     let (head, _) = bytes.split_first_chunk::<4>().ok_or("it has no length")?;
     let length = u32::from_le_bytes(*head) as usize;
     if length > WORD_MOST {
--- a/crates/ledger-net/src/streams.rs
+++ b/crates/ledger-net/src/streams.rs
@@ -20,7 +20,7 @@
 
 /// What goes over a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Frame {
+pub enum Frame {
     /// First: of which cluster, and who.
     Hi(String, String),
     /// A voter's word.
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -22,7 +22,7 @@
 pub use log::Log;
 pub use mark::{Mark, Standing};
 pub use state::{Again, Lease, State};
-pub use words::{Input, Output, Settings, SettingsError, Word};
+pub use words::{Input, Known, Output, Settings, SettingsError, Word};
 
 /// Seconds, on the machine's own monotonic clock.
 pub type Seconds = f64;
--- /dev/null
+++ b/crates/ledger/tests/stored_data.rs
@@ -0,0 +1,140 @@
+//! The data folder of a voter and the fences of those who carry acts out: what an earlier version wrote comes back
+//! whole, and this version writes the same records.
+
+mod samples;
+
+use omnipaxos::storage::Storage;
+use samples::{ballot, entries, known, mark};
+use tidespur_durable::{Batch, Identity, Recalled};
+use tidespur_fixtures::{StoredFolder, assert_stored};
+use tidespur_ledger::{Entry, Fence, Input, Known, Ledger, Log, Mark, Output, Settings, Standing, Word};
+
+const VOTERS: [&str; 5] = ["edge-1", "edge-2", "edge-3", "edge-4", "edge-5"];
+const OWN_START: u64 = 42;
+
+fn settings() -> Settings {
+    Settings {
+        voters: VOTERS.map(str::to_owned).to_vec(),
+        own: VOTERS[0].into(),
+        incarnation: 1,
+        start: OWN_START,
+        term: 3.0,
+        drift: 0.01,
+    }
+}
+
+/// Two entries at the front that were folded away, and one of each kind behind them.
+fn log_entries() -> Vec<Entry> {
+    let folded = [Entry::Nothing, Entry::Nothing];
+    let all = entries().into_iter().map(|(_, entry)| entry).filter(|entry| *entry != Entry::Nothing);
+    folded.into_iter().chain(all).chain([Entry::Nothing]).collect()
+}
+
+fn log_batch() -> Batch {
+    let mut log = Log::default();
+    log.append_entries(log_entries()).unwrap();
+    log.set_promise(ballot(8)).unwrap();
+    log.set_accepted_round(ballot(7)).unwrap();
+    log.set_decided_idx(5).unwrap();
+    log.take()
+}
+
+fn recalled(batch: &Batch) -> Recalled {
+    let written = batch.changes().filter_map(|(record, value)| Some((record.clone(), value?.to_vec())));
+    Recalled { records: written.collect(), turn: 1, begun: 1 }
+}
+
+/// How far a peer is that was never taken in again.
+fn peer_mark() -> Mark {
+    Mark { life: 0, ..mark() }
+}
+
+/// What the voter remembers once `edge-2` has said how far it is and `edge-3` how far it knows this one.
+fn peers_batch(log: &Batch) -> Batch {
+    let mut ledger = Ledger::new(settings(), &recalled(log), 0.0).unwrap();
+    let inputs = [
+        Input::Heard("edge-2".into(), Word::Here(peer_mark())),
+        Input::Heard("edge-3".into(), Word::Known(known())),
+    ];
+    let mut outputs = Vec::new();
+    ledger.step(0.0, inputs, &mut outputs);
+    let mut batch = Batch::default();
+    for output in outputs {
+        if let Output::Write(_, written) = output {
+            batch.extend(written);
+        }
+    }
+    batch
+}
+
+fn stored_voter() -> StoredFolder {
+    let mut batch = log_batch();
+    batch.extend(peers_batch(&batch));
+    let owner = Identity { role: "edge".into(), name: VOTERS[0].into(), cluster: "altmuehlfeld".into() };
+    assert_stored(env!("CARGO_MANIFEST_DIR"), "voter", &owner, &batch)
+}
+
+#[test]
+fn log_is_whole_when_loaded_from_an_earlier_versions_folder() {
+    let stored = stored_voter();
+
+    let log = Log::recall(&stored.loaded).unwrap();
+
+    assert_eq!(log.get_suffix(0).unwrap(), log_entries());
+    assert_eq!(log.len(), log_entries().len());
+    assert_eq!(log.decided(), 5);
+    assert_eq!(log.accepted(), (Some(ballot(7)), log_entries().len()));
+    // Not the round that was promised first: `edge-3` told of a higher one.
+    assert_eq!(log.promise(), Some(ballot(9)));
+}
+
+#[test]
+fn own_and_peers_positions_are_whole_when_loaded_from_an_earlier_versions_folder() {
+    let stored = stored_voter();
+    let mut ledger = Ledger::new(settings(), &stored.loaded, 0.0).unwrap();
+    assert_eq!(ledger.standing(), &Standing::Asking(0));
+
+    let mut outputs = Vec::new();
+    let older = Mark { turn: 3, ..peer_mark() };
+    ledger.step(0.0, [Input::Heard("edge-2".into(), Word::Here(older))], &mut outputs);
+
+    let said: Vec<(String, Word)> = outputs
+        .into_iter()
+        .filter_map(|output| match output {
+            Output::Say(voter, word) => Some((voter, word)),
+            _ => None,
+        })
+        .collect();
+    let answer = Known { mark: Some(peer_mark()), fits: false, floor: Some(ballot(9)), life: 0 };
+    let own = Mark {
+        begun: stored.loaded.begun,
+        turn: 2,
+        start: OWN_START,
+        life: 2,
+        promise: Some(ballot(9)),
+        accepted: (Some(ballot(7)), log_entries().len()),
+        decided: 5,
+    };
+    let mut expected: Vec<(String, Word)> =
+        VOTERS[1..].iter().map(|voter| ((*voter).to_owned(), Word::Here(own))).collect();
+    expected.push(("edge-2".into(), Word::Known(answer)));
+    expected.rotate_right(1);
+    assert_eq!(format!("{said:?}"), format!("{expected:?}"));
+}
+
+#[test]
+fn fences_are_whole_when_loaded_from_an_earlier_versions_folder() {
+    let mut written = Fence::default();
+    written.pass("fleet", 70_000).unwrap();
+    written.pass("other", 1).unwrap();
+    let owner = Identity { role: "planner".into(), name: "planner-1".into(), cluster: "altmuehlfeld".into() };
+    let stored = assert_stored(env!("CARGO_MANIFEST_DIR"), "fence", &owner, &written.take());
+
+    let mut fence = Fence::recall(&stored.loaded);
+
+    let stale = fence.pass("fleet", 69_999).unwrap_err();
+    assert_eq!((stale.lease.as_str(), stale.token, stale.newest), ("fleet", 69_999, 70_000));
+    assert_eq!(fence.pass("other", 0).unwrap_err().newest, 1);
+    assert_eq!(fence.pass("fleet", 70_000), Ok(()));
+    assert!(fence.take().is_empty());
+}
