--- /dev/null
+++ b/crates/edge/tests/compatibility.rs
@@ -0,0 +1,204 @@
+//! The data folder of an edge: what an earlier version wrote comes back whole and is carried on with, and this version
+//! writes the same records.
+
+use serde_json::json;
+use std::collections::BTreeMap;
+use tidespur_api::resource::{JOBS, NAMESPACES, PODS, RESOURCES};
+use tidespur_api::{Object, meta};
+use tidespur_config::{DEFAULT, parse};
+use tidespur_durable::{Batch, Identity, Recalled};
+use tidespur_edge::core::{Core, Input};
+use tidespur_edge::keep::{self, Returned};
+use tidespur_fixtures::{StoredFolder, assert_lines, assert_stored, fixture_path};
+use tidespur_link::{End, ToEdge, ToPlanner};
+use tidespur_store::{Limits, Store};
+
+const PLANNER: u64 = 1;
+const START: f64 = 1_000_000_000.0;
+const FIRST_VERSION: u64 = 1_000;
+const STEP: f64 = 0.1;
+/// Steps in which the planner answers, and steps after that.
+const ANSWERED_STEPS: usize = 10;
+const UNANSWERED_STEPS: usize = 3;
+/// All kinds of records that an edge writes but for the end in order, which is the disk's.
+const KINDS: [&str; 6] = ["job", "object", "open", "slot", "stray", "version"];
+
+/// An edge's core over its store, without I/O.
+struct Edge {
+    core: Core,
+    store: Store,
+    now: f64,
+    batch: Batch,
+}
+
+impl Edge {
+    fn new() -> Self {
+        let core = Core::new(parse("built-in", DEFAULT).unwrap(), 3);
+        let mut store = Store::new(Limits::default(), 7, FIRST_VERSION);
+        store.keep();
+        Self { core, store, now: START, batch: Batch::default() }
+    }
+
+    /// Loads what an earlier process left, as the program does.
+    fn load(recalled: &Recalled) -> (Self, Returned) {
+        let version = keep::version(recalled).unwrap();
+        let mut edge = Self::new();
+        edge.store = Store::new(Limits::default(), 7, version);
+        let returned = edge.core.recall(edge.now, recalled, &mut edge.store).unwrap();
+        edge.store.keep();
+        (edge, returned)
+    }
+
+    fn step(&mut self, inputs: Vec<Input>) -> Vec<ToPlanner> {
+        self.now += STEP;
+        let mut sent = Vec::new();
+        self.core.step(self.now, inputs, &mut self.store, &mut sent);
+        let (batch, problems) = self.core.remember(&mut self.store);
+        assert!(problems.is_empty(), "{problems:?}");
+        self.batch.extend(batch);
+        sent.into_iter().map(|(_, message)| message).collect()
+    }
+
+    fn create_job(&mut self, name: &str, class: &str) {
+        let pod_spec =
+            json!({"priorityClassName": class, "restartPolicy": "Never", "containers": [{"name": "m"}]});
+        let spec =
+            json!({"parallelism": 2, "completions": 2, "backoffLimit": 6, "template": {"spec": pod_spec}});
+        let metadata = json!({"name": name, "namespace": "default"});
+        let job = json!({"kind": "Job", "apiVersion": "batch/v1", "metadata": metadata, "spec": spec, "status": {}});
+        self.store.create(JOBS, job, self.now).unwrap();
+    }
+
+    fn create_pod(&mut self, name: &str) {
+        let pod = json!({"kind": "Pod", "apiVersion": "v1", "metadata": {"name": name, "namespace": "default"},
+            "spec": {"priorityClassName": "slot-abgleich", "containers": [{"name": "m"}]},
+            "status": {"phase": "Pending"}});
+        self.store.create(PODS, pod, self.now).unwrap();
+    }
+}
+
+/// A planner that answers each task by the task's name.
+#[derive(Default)]
+struct Planner {
+    names: BTreeMap<String, String>,
+    guarded: usize,
+}
+
+impl Planner {
+    fn answers(&mut self, message: ToPlanner) -> Vec<ToEdge> {
+        match message {
+            ToPlanner::Place(ask) => {
+                self.names.insert(ask.uid.clone(), ask.name);
+                vec![ToEdge::Taken { uid: ask.uid }]
+            }
+            ToPlanner::Go { uid, .. } => self.outcome(uid),
+            _ => vec![],
+        }
+    }
+
+    fn outcome(&mut self, uid: String) -> Vec<ToEdge> {
+        let placed = ToEdge::Placed { uid: uid.clone(), node: "node-0".into() };
+        let failed = ToEdge::Failed { uid: uid.clone(), why: "no answer".into() };
+        let name = &self.names[&uid];
+        if name.starts_with("web") {
+            return vec![placed, ToEdge::Runs { uid }];
+        }
+        if name == "done" {
+            return vec![placed, ToEdge::Ended { uid, end: End::Succeeded }];
+        }
+        if name == "stray" {
+            return vec![failed];
+        }
+        if name.starts_with("guarded") {
+            self.guarded += 1;
+            let refused = ToEdge::Refused { uid, why: "no room".into(), retry_in: 0.0 };
+            return vec![if self.guarded == 1 { failed } else { refused }];
+        }
+        vec![]
+    }
+}
+
+/// Runs an edge until there are records of each kind: Jobs with Pods that run, that may run and that were refused; Pods
+/// that ended, that may have been offered, that were not offered yet, and that nobody owns.
+fn run_edge() -> Edge {
+    let mut edge = Edge::new();
+    let namespace = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
+    edge.store.create(NAMESPACES, namespace, edge.now).unwrap();
+    edge.create_job("web", "termin-web");
+    edge.create_job("guarded", "slot-abgleich");
+    ["done", "stray", "offered"].iter().for_each(|name| edge.create_pod(name));
+    let mut planner = Planner::default();
+    let mut inputs = vec![Input::PlannerUp(PLANNER)];
+    for _ in 0..ANSWERED_STEPS {
+        let sent = edge.step(inputs);
+        let answers = sent.into_iter().flat_map(|message| planner.answers(message));
+        inputs = answers.map(|answer| Input::Said(PLANNER, answer)).collect();
+    }
+    edge.step(inputs);
+    edge.create_pod("unanswered");
+    for _ in 0..UNANSWERED_STEPS {
+        edge.step(vec![Input::Kick]);
+    }
+    edge
+}
+
+fn stored_edge() -> StoredFolder {
+    let owner = Identity { role: "edge".into(), name: "edge-1".into(), cluster: "altmuehlfeld".into() };
+    assert_stored(env!("CARGO_MANIFEST_DIR"), "edge", &owner, &run_edge().batch)
+}
+
+#[test]
+fn records_of_each_kind_are_loaded_from_an_earlier_versions_folder() {
+    let stored = stored_edge();
+
+    for kind in KINDS {
+        assert!(stored.loaded.of(kind).next().is_some(), "no record of the kind {kind}");
+    }
+    let is_known = |kind: &str| KINDS.contains(&kind);
+    assert!(stored.loaded.records.keys().all(|(kind, _)| is_known(kind)));
+    let opens: Vec<String> =
+        stored.loaded.of("open").map(|(_, value)| String::from_utf8(value.to_vec()).unwrap()).collect();
+    assert!(opens.iter().any(|open| open.contains("true")), "{opens:?}");
+    assert!(opens.iter().any(|open| open.contains("false")), "{opens:?}");
+}
+
+#[test]
+fn objects_are_whole_when_loaded_from_an_earlier_versions_folder() {
+    let stored = stored_edge();
+
+    let (edge, returned) = Edge::load(&stored.loaded);
+
+    let mut loaded: BTreeMap<String, Object> = BTreeMap::new();
+    for resource in [NAMESPACES, JOBS, PODS] {
+        for object in edge.store.all(resource, "") {
+            let key = format!("{}/{}/{}", resource.plural, meta::namespace(object), meta::name(object));
+            loaded.insert(key, (**object).clone());
+        }
+    }
+    let expected: BTreeMap<String, Object> = stored
+        .loaded
+        .of("object")
+        .map(|(key, value)| (key.to_owned(), serde_json::from_slice(value).unwrap()))
+        .collect();
+    assert_eq!(loaded, expected);
+    assert_eq!(RESOURCES.iter().map(|resource| edge.store.count(resource)).sum::<usize>(), expected.len());
+    assert_eq!(returned, Returned { objects: 12, placed: 2, waiting: 2, cut: 1 });
+    assert_eq!(keep::version(&stored.loaded).unwrap(), edge.store.version());
+}
+
+/// Open requests, slots and strays can't be read from outside: what is sent for them shows that each came back.
+#[test]
+fn requests_slots_and_strays_are_carried_on_with_when_loaded_from_an_earlier_versions_folder() {
+    let stored = stored_edge();
+    let (mut edge, _) = Edge::load(&stored.loaded);
+
+    let mut lines = Vec::new();
+    let mut inputs = vec![Input::PlannerUp(PLANNER)];
+    for step in 0..300 {
+        for (number, message) in edge.step(std::mem::take(&mut inputs)).into_iter().enumerate() {
+            lines.push((format!("step {step} message {number}"), serde_json::to_string(&message).unwrap()));
+        }
+    }
+
+    assert_lines(&fixture_path(env!("CARGO_MANIFEST_DIR"), "edge.after-return.txt"), &lines);
+}
--- /dev/null
+++ b/crates/planner/tests/compatibility.rs
@@ -0,0 +1,79 @@
+//! The data folder of a planner: what an earlier version wrote comes back whole, and this version writes the same
+//! records.
+
+use std::collections::BTreeMap;
+use tidespur_durable::{Batch, Identity, Recalled};
+use tidespur_fixtures::{StoredFolder, assert_stored};
+use tidespur_ledger::Fence;
+use tidespur_planner::attempts::{Attempt, Attempts};
+
+const ONE_NODE: &str = "6d0f0000-0001";
+const TWO_NODES: &str = "6d0f0000-0002";
+const PROVED: &str = "6d0f0000-0003";
+
+fn written() -> Batch {
+    let mut attempts = Attempts::recall(&Recalled::default()).unwrap();
+    attempts.sent(ONE_NODE, ("default", "job-abcde"), "node-0", 1_000_000_000.25);
+    attempts.sent(TWO_NODES, ("team-a", "pod-b"), "node-0", 2.0);
+    attempts.sent(TWO_NODES, ("team-a", "pod-b"), "node-1", 3.5);
+    attempts.sent(PROVED, ("default", "pod-c"), "node-1", 4.0);
+    attempts.proved(PROVED, "node-1");
+    let mut fence = Fence::default();
+    fence.pass("fleet", 70_000).unwrap();
+    let mut batch = attempts.take();
+    batch.extend(fence.take());
+    batch
+}
+
+fn stored() -> StoredFolder {
+    let owner = Identity { role: "planner".into(), name: "planner-1".into(), cluster: "altmuehlfeld".into() };
+    assert_stored(env!("CARGO_MANIFEST_DIR"), "planner", &owner, &written())
+}
+
+fn attempt(namespace: &str, name: &str, at: &[(&str, f64)]) -> Attempt {
+    let at = at.iter().map(|(node, until)| ((*node).to_owned(), *until));
+    Attempt { name: (namespace.into(), name.into()), at: at.collect() }
+}
+
+#[test]
+fn records_of_attempts_are_whole_when_read_from_an_earlier_versions_folder() {
+    let stored = stored();
+
+    let read: BTreeMap<&str, Attempt> = stored
+        .loaded
+        .of("attempt")
+        .map(|(uid, bytes)| (uid, serde_json::from_slice(bytes).unwrap()))
+        .collect();
+
+    let expected = BTreeMap::from([
+        (ONE_NODE, attempt("default", "job-abcde", &[("node-0", 1_000_000_000.25)])),
+        (TWO_NODES, attempt("team-a", "pod-b", &[("node-0", 2.0), ("node-1", 3.5)])),
+    ]);
+    assert_eq!(read, expected);
+}
+
+#[test]
+fn attempts_and_fence_are_whole_when_loaded_from_an_earlier_versions_folder() {
+    let stored = stored();
+
+    let mut attempts = Attempts::recall(&stored.loaded).unwrap();
+    let mut fence = Fence::recall(&stored.loaded);
+
+    assert_eq!(attempts.len(), 2);
+    assert!(attempts.unsure(ONE_NODE, |node| node != "node-0"));
+    assert!(!attempts.unsure(ONE_NODE, |node| node == "node-0"));
+    assert!(attempts.unsure(TWO_NODES, |node| node == "node-0"));
+    assert!(attempts.unsure(TWO_NODES, |node| node == "node-1"));
+    assert!(!attempts.unsure(PROVED, |_| false));
+    assert_eq!(fence.pass("fleet", 69_999).unwrap_err().newest, 70_000);
+    attempts.gone("node-0");
+    let left: Vec<(String, Option<Vec<u8>>)> = attempts
+        .take()
+        .changes()
+        .map(|((kind, uid), value)| (format!("{kind} {uid}"), value.map(<[u8]>::to_vec)))
+        .collect();
+    let at_second = br#"{"name":["team-a","pod-b"],"at":{"node-1":3.5}}"#.to_vec();
+    let expected =
+        vec![(format!("attempt {ONE_NODE}"), None), (format!("attempt {TWO_NODES}"), Some(at_second))];
+    assert_eq!(left, expected);
+}
