--- /dev/null
+++ b/crates/config/tests/compatibility.rs
@@ -0,0 +1,220 @@
+//! Keys of the settings file stay as they are: `fixtures/full.hcl` sets every key to a value that is not its default.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use std::collections::BTreeSet;
+use tidespur_config::{Class, Config, Effect, Place, parse};
+
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+const FULL: &str = include_str!("fixtures/full.hcl");
+
+/// Adds `KEY = VALUE` for each field, under the key that the file has, however the field is called in Rust.
+macro_rules! values {
+    ($lines:ident, $block:expr, $of:expr, { $($key:literal: $field:ident),* $(,)? }) => {
+        $($lines.push(format!("{}.{} = {:?}", $block, $key, $of.$field));)*
+    };
+}
+
+fn effect(effect: Effect) -> &'static str {
+    match effect {
+        Effect::Safe => "safe",
+        Effect::Keyed => "keyed",
+        Effect::Unsafe => "unsafe",
+    }
+}
+
+fn place(place: Option<Place>) -> &'static str {
+    match place {
+        None => "none",
+        Some(Place::All) => "all",
+        Some(Place::Zone) => "zone",
+        Some(Place::Rack) => "rack",
+        Some(Place::Node) => "node",
+    }
+}
+
+fn values_of_class(block: &str, class: &Class) -> Vec<String> {
+    let mut lines = vec![
+        format!("{block}.effect = {}", effect(class.effect)),
+        format!("{block}.group = {}", place(class.group)),
+        format!("{block}.spread = {}", place(class.spread)),
+    ];
+    values!(lines, block, class, {
+        "aim": aim, "deadline": deadline, "window": window, "worth": worth, "start_worth": start_worth, "calm": calm,
+        "fade": fade, "kind": kind, "priority": priority, "spread_most": spread_most,
+    });
+    lines
+}
+
+fn values_of_blocks_with_defaults(config: &Config) -> Vec<String> {
+    let mut lines = Vec::new();
+    values!(lines, "nodes", config.nodes, {
+        "admit_cores": admit_cores, "admit_memory": admit_memory, "lists_free": lists_free, "reports": reports,
+        "reports_use": reports_use, "probes": probes, "max_attempts": max_attempts,
+    });
+    values!(lines, "safety", config.safety, {
+        "answer_slack": answer_slack, "ask_within": ask_within, "cold_from": cold_from, "cold": cold,
+        "cold_bears": cold_bears, "drain_grace": drain_grace, "fall_multiple": fall_multiple,
+        "overload_for": overload_for,
+    });
+    values!(lines, "prices", config.prices, {
+        "machines": machines, "refused": refused, "moves": moves, "eviction_as_moves": eviction_as_moves,
+        "probe": probe, "message": message,
+    });
+    values!(lines, "edge", config.edge, {
+        "open_most": open_most, "planner_most": planner_most, "connections_most": connections_most,
+        "body_most": body_most, "head_timeout": head_timeout, "body_timeout": body_timeout, "history": history,
+        "objects_most": objects_most, "bookmark_every": bookmark_every, "planner_patience": planner_patience,
+        "one_home": one_home,
+    });
+    values!(lines, "planner", config.planner, {
+        "node_connections": node_connections, "step_most": step_most, "edge_patience": edge_patience,
+        "planners": planners, "reasons": reasons,
+    });
+    values!(lines, "owner", config.owner, {
+        "again_first": again_first, "again_most": again_most, "again_lost": again_lost, "settle": settle,
+    });
+    lines
+}
+
+fn values_of(config: &Config) -> Vec<String> {
+    let mut lines = values_of_blocks_with_defaults(config);
+    for (name, tenant) in &config.tenant {
+        values!(lines, format!("tenant.{name}"), tenant, { "share": share, "quota_per_s": quota_per_s });
+    }
+    for (name, kind) in &config.kind {
+        values!(lines, format!("kind.{name}"), kind, { "cores": cores, "memory": memory });
+    }
+    for (name, class) in &config.class {
+        lines.extend(values_of_class(&format!("class.{name}"), class));
+    }
+    if let Some(fleet) = &config.fleet {
+        values!(lines, "fleet", fleet, {
+            "cluster": cluster, "listen": listen, "join": join, "members_most": members_most,
+        });
+    }
+    if let Some(ledger) = &config.ledger {
+        values!(lines, "ledger", ledger, { "voters": voters, "term": term, "drift": drift });
+    }
+    if let Some(durable) = &config.durable {
+        values!(lines, "durable", durable, { "dir": dir });
+    }
+    lines
+}
+
+/// One attribute of a settings file.
+struct Attribute {
+    /// Its line, from 0.
+    line: usize,
+    /// The line that opens its block, from 0.
+    opening: usize,
+    key: String,
+    value: String,
+}
+
+fn attributes(text: &str) -> Vec<Attribute> {
+    let mut opening = 0;
+    let mut attributes = Vec::new();
+    for (line, content) in text.lines().enumerate() {
+        if content.ends_with('{') {
+            opening = line;
+        } else if let Some((key, value)) = content.split_once('=') {
+            let (key, value) = (key.trim().to_owned(), value.trim().to_owned());
+            attributes.push(Attribute { line, opening, key, value });
+        }
+    }
+    attributes
+}
+
+/// The name of the block that a line opens: `class "safe" {` is `class`.
+fn block_of(opening: &str) -> &str {
+    opening.split(' ').next().unwrap_or_default()
+}
+
+fn with_line(text: &str, line: usize, replacement: &str) -> String {
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines[line] = replacement;
+    lines.join("\n")
+}
+
+#[test]
+fn every_key_goes_to_its_field() {
+    let config = parse("full.hcl", FULL).unwrap();
+    fixture::check(PACKAGE, "values.txt", values_of(&config), Additions::Rejected);
+}
+
+#[test]
+fn defaults_stay_as_they_are() {
+    let required = "class \"a\" {\n  aim = 1\n  deadline = 2\n  effect = \"safe\"\n}\nkind \"k\" {\n  cores = 1\n  memory = 1\n}\n";
+    let bare = parse("bare.hcl", required).unwrap();
+    assert!(
+        bare.fleet.is_none() && bare.ledger.is_none() && bare.durable.is_none() && bare.tenant.is_empty()
+    );
+    let named = format!("{required}fleet {{\n}}\nledger {{\n  voters = {{ e = \"127.0.0.1:1\" }}\n}}\n");
+    let named = parse("named.hcl", &named).unwrap();
+    fixture::check(PACKAGE, "defaults.txt", values_of(&named), Additions::Rejected);
+}
+
+#[test]
+fn no_key_of_the_full_file_is_ignored() {
+    let full = format!("{:?}", parse("full.hcl", FULL).unwrap());
+    let attributes = attributes(FULL);
+    assert!(!attributes.is_empty());
+    for attribute in attributes {
+        let without = parse("full.hcl", &with_line(FULL, attribute.line, ""));
+        let is_read = without.is_err() || without.is_ok_and(|config| format!("{config:?}") != full);
+        assert!(is_read, "line {}: {} changes nothing", attribute.line + 1, attribute.key);
+    }
+}
+
+/// The keys that the message about an unknown one offers.
+fn offered(message: &str) -> BTreeSet<String> {
+    let (_, list) = message.split_once("expected ").expect("what is expected");
+    list.split('`').skip(1).step_by(2).map(str::to_owned).collect()
+}
+
+#[test]
+fn an_unknown_key_is_named_with_its_place_and_all_known_ones_are_in_the_full_file() {
+    let attributes = attributes(FULL);
+    let openings: BTreeSet<usize> = attributes.iter().map(|attribute| attribute.opening).collect();
+    let (mut places, mut known, mut used) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
+    for opening in openings {
+        let head = FULL.lines().nth(opening).unwrap();
+        let text = with_line(FULL, opening, &format!("{head}\n  no_such_key = 1"));
+        let problem = parse("full.hcl", &text).unwrap_err().to_string();
+        let (place, message) = problem.split_once(": unknown field `no_such_key`").expect(&problem);
+        places.push(place.to_owned());
+        known.extend(offered(message).into_iter().map(|key| format!("{}.{key}", block_of(head))));
+    }
+    for attribute in attributes {
+        let head = FULL.lines().nth(attribute.opening).unwrap();
+        used.insert(format!("{}.{}", block_of(head), attribute.key));
+    }
+    let problem = parse("full.hcl", &format!("{FULL}\nno_such_block {{\n}}\n")).unwrap_err().to_string();
+    let (place, message) = problem.split_once(": unknown field `no_such_block`").expect(&problem);
+    places.push(place.to_owned());
+    let blocks: BTreeSet<String> =
+        FULL.lines().filter(|l| l.ends_with('{')).map(|l| block_of(l).to_owned()).collect();
+    assert_eq!(offered(message), blocks, "a block of the settings is not in full.hcl");
+    assert_eq!(known, used, "a key of the settings is not in full.hcl");
+    fixture::check(PACKAGE, "unknown_keys.txt", places, Additions::Rejected);
+}
+
+#[test]
+fn wrong_values_are_told_with_the_same_place_and_range() {
+    let mut problems = Vec::new();
+    for attribute in attributes(FULL) {
+        let is_number = attribute.value.parse::<f64>().is_ok();
+        // A flag or a word has no range: another type is given there.
+        let wrong: &[&str] = if is_number { &["-1", "1e18"] } else { &["7"] };
+        for value in wrong {
+            let text = with_line(FULL, attribute.line, &format!("  {} = {value}", attribute.key));
+            let told =
+                parse("full.hcl", &text).map_or_else(|problem| problem.to_string(), |_| "accepted".into());
+            problems.push(format!("{} = {value} -> {told}", attribute.line + 1));
+        }
+    }
+    fixture::check(PACKAGE, "wrong_values.txt", problems, Additions::Rejected);
+}
