--- /dev/null
+++ b/crates/edge/tests/status_reasons.rs
@@ -0,0 +1,185 @@
+//! Phases, conditions and reason codes that the edge writes into Pods, Jobs and Events stay as they are.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use serde_json::{Value, json};
+use tidespur_api::resource::{EVENTS, JOBS, NAMESPACES, PODS};
+use tidespur_api::{Object, meta};
+use tidespur_config::{DEFAULT, parse};
+use tidespur_edge::core::{Core, Input};
+use tidespur_link::{End, ToEdge};
+use tidespur_store::{Expect, Limits, Store};
+
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+const PLANNER: u64 = 1;
+
+/// An edge with one planner, without I/O.
+struct Edge {
+    core: Core,
+    store: Store,
+    now: f64,
+}
+
+impl Edge {
+    fn new() -> Self {
+        let mut store = Store::new(Limits::default(), 1, 1000);
+        let space = json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
+        store.create(NAMESPACES, space, 0.0).unwrap();
+        let mut edge = Self { core: Core::new(parse("built-in", DEFAULT).unwrap(), 1), store, now: 0.0 };
+        edge.step(vec![Input::PlannerUp(PLANNER)]);
+        edge
+    }
+
+    fn step(&mut self, inputs: Vec<Input>) {
+        self.now += 0.01;
+        self.core.step(self.now, inputs, &mut self.store, &mut Vec::new());
+    }
+
+    fn says(&mut self, message: ToEdge) {
+        self.step(vec![Input::Said(PLANNER, message)]);
+    }
+
+    /// The only Pod, as it is now.
+    fn pod(&self) -> Object {
+        (**self.store.all(PODS, "default").next().expect("a Pod")).clone()
+    }
+
+    fn create_pod(&mut self) {
+        let pod = json!({"metadata": {"name": "p", "namespace": "default"},
+            "spec": {"containers": [{"name": "m"}]}, "status": {"phase": "Pending"}});
+        self.store.create(PODS, pod, self.now).unwrap();
+        self.step(vec![Input::Kick]);
+    }
+
+    /// Creates a Job of one Pod with more in its `spec`.
+    fn create_job(&mut self, spec: &Value) {
+        let class = "slot-abgleich";
+        let template = json!({"spec": {"restartPolicy": "Never", "priorityClassName": class,
+            "containers": [{"name": "m"}]}});
+        let mut job = json!({"metadata": {"name": "j", "namespace": "default"}, "status": {},
+            "spec": {"parallelism": 1, "completions": 1, "backoffLimit": 6, "suspend": false, "template": template}});
+        job["spec"].as_object_mut().unwrap().extend(spec.as_object().unwrap().clone());
+        self.store.create(JOBS, job, self.now).unwrap();
+        self.step(vec![Input::Kick]);
+    }
+
+    fn job(&self) -> Object {
+        (**self.store.get(JOBS, "default", "j").expect("a Job")).clone()
+    }
+
+    fn take(&mut self) -> String {
+        let uid = meta::uid(&self.pod()).to_owned();
+        self.says(ToEdge::Taken { uid: uid.clone() });
+        uid
+    }
+
+    fn run(&mut self) -> String {
+        let uid = self.take();
+        self.says(ToEdge::Placed { uid: uid.clone(), node: "n".into() });
+        self.says(ToEdge::Runs { uid: uid.clone() });
+        uid
+    }
+
+    fn end(&mut self, end: End) {
+        let uid = self.run();
+        self.says(ToEdge::Ended { uid, end });
+    }
+
+    /// Reasons of all Events.
+    fn events(&self) -> Vec<String> {
+        let event = |event: &Object| format!("{} {}", event["type"], event["reason"]);
+        self.store.all(EVENTS, "default").map(|one| event(one)).collect()
+    }
+}
+
+/// A status in one line, without times and messages.
+fn summary(status: &Value) -> String {
+    let text = |value: &Value| value.as_str().unwrap_or("-").to_owned();
+    let condition =
+        |c: &Value| format!("{}={}({})", text(&c["type"]), text(&c["status"]), text(&c["reason"]));
+    let conditions: Vec<String> =
+        status["conditions"].as_array().into_iter().flatten().map(condition).collect();
+    let keys: Vec<&String> = status.as_object().unwrap().keys().collect();
+    format!(
+        "phase {} reason {} keys {keys:?} {}",
+        text(&status["phase"]),
+        text(&status["reason"]),
+        conditions.join(" ")
+    )
+}
+
+#[test]
+fn pods_tell_their_state_in_the_same_codes() {
+    let mut lines = Vec::new();
+    let mut add = |case: &str, act: &dyn Fn(&mut Edge)| {
+        let mut edge = Edge::new();
+        edge.create_pod();
+        act(&mut edge);
+        lines.push(format!("{case}: {}", summary(&edge.pod()["status"])));
+        lines.extend(edge.events().into_iter().map(|event| format!("{case}: event {event}")));
+    };
+    add("created", &|_| {});
+    add("placed", &|edge| {
+        let uid = edge.take();
+        edge.says(ToEdge::Placed { uid, node: "n".into() });
+    });
+    add("runs", &|edge| {
+        edge.run();
+    });
+    add("refused", &|edge| {
+        let uid = edge.take();
+        edge.says(ToEdge::Refused { uid, why: "full".into(), retry_in: 0.0 });
+    });
+    add("may have run", &|edge| {
+        let uid = edge.take();
+        edge.says(ToEdge::Failed { uid, why: "silence".into() });
+    });
+    for (case, end) in [
+        ("succeeded", End::Succeeded),
+        ("failed", End::Failed),
+        ("evicted for memory", End::Evicted),
+        ("pushed out by a higher priority", End::PushedOut),
+        ("sent away by a draining node", End::SentAway),
+        ("lost with its node", End::Lost),
+        ("stopped", End::Stopped),
+    ] {
+        add(case, &|edge| edge.end(end));
+    }
+    fixture::check(PACKAGE, "pod_status.txt", lines, Additions::Rejected);
+}
+
+#[test]
+fn jobs_tell_their_state_in_the_same_codes() {
+    let mut lines = Vec::new();
+    let mut add = |case: &str, spec: Value, act: &dyn Fn(&mut Edge)| {
+        let mut edge = Edge::new();
+        edge.create_job(&spec);
+        act(&mut edge);
+        lines.push(format!("{case}: {}", summary(&edge.job()["status"])));
+    };
+    add("open", json!({}), &|_| {});
+    add("complete", json!({}), &|edge| edge.end(End::Succeeded));
+    add("failed too often", json!({"backoffLimit": 0}), &|edge| edge.end(End::Failed));
+    add("took too long", json!({"activeDeadlineSeconds": 1}), &|edge| {
+        edge.now += 5.0;
+        edge.step(vec![Input::Kick]);
+    });
+    add("pauses", json!({}), &|edge| {
+        let uid = edge.take();
+        edge.says(ToEdge::Refused { uid, why: "full".into(), retry_in: 0.0 });
+    });
+    add("looks for what may run", json!({}), &|edge| {
+        let uid = edge.take();
+        edge.says(ToEdge::Failed { uid, why: "silence".into() });
+    });
+    add("suspended", json!({"suspend": true}), &|_| {});
+    add("resumed", json!({"suspend": true}), &|edge| {
+        let mut job = edge.job();
+        job["spec"]["suspend"] = false.into();
+        edge.store.update(JOBS, job, &Expect::default()).unwrap();
+        edge.step(vec![Input::Kick]);
+    });
+    fixture::check(PACKAGE, "job_status.txt", lines, Additions::Rejected);
+}
