--- /dev/null
+++ b/crates/api/tests/compatibility.rs
@@ -0,0 +1,58 @@
+//! Names in the API that people and scripts use: annotations, labels, headers, reasons, and what is served.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use tidespur_api::{names, resource};
+
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+
+#[test]
+fn annotations_labels_headers_and_reasons_stay_as_they_are() {
+    let found = [
+        ("annotation: expected seconds", names::EXPECTED_SECONDS),
+        ("annotation: seconds until the owner gives up", names::GIVE_UP_SECONDS),
+        ("annotation: comes after a refused, failed or lost one", names::RETURNED),
+        ("annotation: name of the orphan that is taken over", names::ADOPTS),
+        ("annotation at a node: key of repeats", names::KEY),
+        ("annotation at a node: uid of the edge's Pod", names::UID),
+        ("annotation of a node: address", names::ADDRESS),
+        ("annotation of a node: up since", names::UP_SINCE),
+        ("annotation of a node: free cores", names::FREE_CORES),
+        ("annotation of a node: free memory", names::FREE_MEMORY),
+        ("label of a node: zone", names::ZONE),
+        ("label of a node: rack", names::RACK),
+        ("label of a node: kind", names::KIND),
+        ("label of a Pod: name of its Job", names::JOB_NAME),
+        ("label of a Pod: uid of its Job", names::JOB_UID),
+        ("header: load of a node", names::LOAD_HEADER),
+        ("header: zone of a request", names::ZONE_HEADER),
+        ("header: program that sent a request", names::PEER_HEADER),
+        ("condition of a Job: waiting", names::WAITING),
+        ("reason of a Pod: not placed", names::REFUSED),
+        ("reason of a Pod: may have run", names::UNKNOWN),
+    ];
+    let lines = found.map(|(what, name)| format!("{what} = {name}"));
+    fixture::check(PACKAGE, "names.txt", lines, Additions::Rejected);
+    assert_eq!(names::MEMORY_UNIT, 1_073_741_824.0);
+}
+
+#[test]
+fn no_constant_of_names_is_left_out() {
+    let source = include_str!("../src/names.rs");
+    let texts = source.lines().filter(|line| line.starts_with("pub const") && line.contains("&str")).count();
+    assert_eq!(texts, fixture::read(PACKAGE, "names.txt").len(), "a name without a line in names.txt");
+}
+
+#[test]
+fn resources_are_served_and_called_as_before() {
+    let mut lines = Vec::new();
+    for group in ["", "batch"] {
+        let list = resource::resource_list(group);
+        lines.extend(list["resources"].as_array().unwrap().iter().map(|r| format!("{group:?} {r}")));
+    }
+    lines.extend(resource::RESOURCES.iter().map(|r| format!("one: {}", r.path("SPACE", "NAME"))));
+    lines.extend(resource::RESOURCES.iter().map(|r| format!("all: {}", r.path("", ""))));
+    fixture::check(PACKAGE, "resources.txt", lines, Additions::Rejected);
+}
--- /dev/null
+++ b/crates/waiting/tests/reason_codes.rs
@@ -0,0 +1,16 @@
+//! Codes of the reasons for waiting, which are labels in metrics and values in JSON.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use tidespur_waiting::Code;
+
+#[test]
+fn codes_sources_and_words_stay_as_they_are() {
+    // The edge writes the source into `/metrics` in this form.
+    let source = |code: &Code| format!("{:?}", code.source()).to_lowercase();
+    let line = |code: &Code| format!("{} {}: {}", code.name(), source(code), code.words());
+    let lines = Code::ALL.iter().map(line);
+    fixture::check(env!("CARGO_MANIFEST_DIR"), "reason_codes.txt", lines, Additions::Rejected);
+}
