--- /dev/null
+++ b/crates/rig/tests/compatibility.rs
@@ -0,0 +1,110 @@
+//! Scenario files: the keys and the kinds of trouble that they are written with.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use std::collections::BTreeSet;
+use std::path::Path;
+use tidespur_rig::scenario::Scenario;
+
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+
+/// Every key of a day, of its work and of its troubles, each with a value that is not its default.
+const FULL: &str = include_str!("fixtures/full.hcl");
+
+fn scenarios() -> Vec<(String, String)> {
+    let folder = Path::new(PACKAGE).join("../../scenarios");
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        let name = path.file_name().unwrap().to_string_lossy().into_owned();
+        files.push((name, std::fs::read_to_string(&path).unwrap()));
+    }
+    files.sort();
+    files
+}
+
+/// `key = value` pairs of a scenario, with the sort of block that they stand in.
+fn attributes(text: &str) -> Vec<(&str, &str, &str)> {
+    let mut block = "day";
+    let mut attributes = Vec::new();
+    for line in text.lines().map(str::trim).filter(|line| !line.starts_with('#')) {
+        if line.ends_with('{') {
+            block = line.split(' ').next().unwrap();
+        } else if line == "}" {
+            block = "day";
+        } else if let Some((key, value)) = line.split_once('=') {
+            let value = value.split('#').next().unwrap_or_default();
+            attributes.push((block, key.trim(), value.trim().trim_matches('"')));
+        }
+    }
+    attributes
+}
+
+#[test]
+fn scenario_files_are_there_and_parse() {
+    let files = scenarios();
+    fixture::check(PACKAGE, "scenarios.txt", files.iter().map(|(name, _)| name.clone()), Additions::Accepted);
+    for (name, text) in files {
+        Scenario::parse(&text).unwrap_or_else(|e| panic!("{name}: {e}"));
+    }
+}
+
+#[test]
+fn keys_of_scenarios_are_still_read() {
+    let mut used: BTreeSet<String> = BTreeSet::new();
+    for (_, text) in scenarios().iter().chain([&("full.hcl".to_owned(), FULL.to_owned())]) {
+        used.extend(attributes(text).into_iter().map(|(block, key, _)| format!("{block}.{key}")));
+    }
+    fixture::check(PACKAGE, "scenario_keys.txt", used, Additions::Accepted);
+    let parsed = format!("{:?}", Scenario::parse(FULL).unwrap());
+    let mut in_full = BTreeSet::new();
+    for (number, line) in FULL.lines().enumerate().filter(|(_, line)| line.contains(" = ")) {
+        let text: Vec<&str> =
+            FULL.lines().enumerate().map(|(n, l)| if n == number { "" } else { l }).collect();
+        let without = Scenario::parse(&text.join("\n"));
+        let is_read = without.is_err() || without.is_ok_and(|day| format!("{day:?}") != parsed);
+        assert!(is_read, "line {}: {line} changes nothing", number + 1);
+    }
+    in_full.extend(attributes(FULL).into_iter().map(|(block, key, _)| format!("{block}.{key}")));
+    let listed: BTreeSet<String> = fixture::read(PACKAGE, "scenario_keys.txt").into_iter().collect();
+    assert_eq!(listed, in_full, "a key of scenarios is not in full.hcl");
+}
+
+#[test]
+fn no_other_key_is_known() {
+    for (block, text) in [
+        ("day", format!("no_such_key = 1\n{FULL}")),
+        ("work", FULL.replacen("work \"all\" {", "work \"all\" {\n  no_such_key = 1", 1)),
+        ("trouble", FULL.replacen("trouble \"all\" {", "trouble \"all\" {\n  no_such_key = 1", 1)),
+    ] {
+        let problem = Scenario::parse(&text).unwrap_err().to_string();
+        let (_, offered) = problem.split_once("unknown field `no_such_key`, expected ").expect(&problem);
+        let offered: BTreeSet<&str> = offered.split('`').skip(1).step_by(2).collect();
+        let mut known: BTreeSet<&str> =
+            attributes(FULL).into_iter().filter(|(b, ..)| *b == block).map(|(_, key, _)| key).collect();
+        if block == "day" {
+            known.extend(["work", "trouble"]);
+        }
+        assert_eq!(offered, known, "a key of {block} is not in full.hcl");
+    }
+}
+
+#[test]
+fn kinds_of_trouble_are_accepted_by_their_names() {
+    let of_files = scenarios();
+    let used = of_files.iter().flat_map(|(_, text)| attributes(text));
+    let kinds = used.filter(|(block, key, _)| (*block, *key) == ("trouble", "kind"));
+    let kinds: BTreeSet<String> = kinds.map(|(.., kind)| kind.to_owned()).collect();
+    let with =
+        |kind: &str| Scenario::parse(&FULL.replace("kind     = \"crash\"", &format!("kind = \"{kind}\"")));
+    let problem = with("no-such-kind").unwrap_err().to_string();
+    let (_, offered) = problem.split_once("expected one of ").expect(&problem);
+    let offered: BTreeSet<String> = offered.split('`').skip(1).step_by(2).map(str::to_owned).collect();
+    assert!(kinds.is_subset(&offered), "{kinds:?}");
+    fixture::check(PACKAGE, "trouble_kinds.txt", offered, Additions::Rejected);
+    for kind in fixture::read(PACKAGE, "trouble_kinds.txt") {
+        with(&kind).unwrap_or_else(|e| panic!("{kind}: {e}"));
+    }
+}
