--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -12,10 +12,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use streams::Streams;
 use tidespur_config::Config;
-use tidespur_coordination::{Input, Settings, Voter, VoterStatus};
+use tidespur_coordination::{Input, Seconds, Settings, Voter, VoterStatus};
 use tidespur_net::{clock, routes::Routes};
 use tidespur_persistence::{Disk, LoadedRecords};
 
+pub use pack::{pack, unpack};
+pub use streams::Frame;
+
 /// The lease of the one edge that acts for the whole fleet.
 pub const FLEET_LEASE: &str = "fleet";
 /// Inputs that may wait for the loop.
@@ -152,21 +155,25 @@
 
     /// All that an operator may want to see.
     pub fn report(&self) -> Value {
-        let ledger = lock(&self.ledger);
-        let now = clock::now();
-        let lease = |(name, lease): (&String, &tidespur_coordination::Lease)| {
-            let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
-            json!({"name": name, "token": lease.token, "holder": holder,
-                "mayActHere": ledger.valid_token(now, name)})
-        };
-        let standing = match ledger.status() {
-            VoterStatus::Voting => "voting",
-            VoterStatus::Verifying(_) => "asking",
-            VoterStatus::Quarantined { .. } => "barred",
-        };
-        let state = ledger.state();
-        json!({"standing": standing, "leader": ledger.leader(),
-            "leases": state.leases.iter().map(lease).collect::<Vec<_>>(),
-            "notes": state.values.len(), "asking": ledger.voters_awaiting_readmission().collect::<Vec<_>>()})
+        report(&lock(&self.ledger), clock::now())
     }
 }
+
+/// A voter's state as JSON, for operators and their tools. `now` is the voter's clock.
+pub fn report(ledger: &Voter, now: Seconds) -> Value {
+    let lease = |(name, lease): (&String, &tidespur_coordination::Lease)| {
+        let holder = lease.holder.as_ref().map(|holder| holder.name.as_str());
+        json!({"name": name, "token": lease.token, "holder": holder,
+            "mayActHere": ledger.valid_token(now, name)})
+    };
+    let standing = match ledger.status() {
+        VoterStatus::Voting => "voting",
+        VoterStatus::Verifying(_) => "asking",
+        VoterStatus::Quarantined { .. } => "barred",
+    };
+    let state = ledger.state();
+    json!({"standing": standing, "leader": ledger.leader(),
+        "leases": state.leases.iter().map(lease).collect::<Vec<_>>(),
+        "notes": state.values.len(),
+        "asking": ledger.voters_awaiting_readmission().collect::<Vec<_>>()})
+}
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -22,7 +22,7 @@
 pub use log::Log;
 pub use mark::{LogPosition, VoterStatus};
 pub use state::{Lease, Readmission, ReplicatedState};
-pub use words::{Input, Output, PeerMessage, Settings, SettingsError};
+pub use words::{Input, Known, Output, PeerMessage, Settings, SettingsError};
 
 /// Seconds, on the machine's own monotonic clock.
 pub type Seconds = f64;
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -104,8 +104,9 @@
     async fn watch_register(&self) -> String {
         let client = Client::new(&self.options.register, 2, vec![]);
         let read = |followed| match followed {
-            ListWatchEvent::Whole(nodes) => Input::Nodes(nodes),
-            ListWatchEvent::Change(node, deleted) => Input::Node(node, deleted),
+            ListWatchEvent::Listed(nodes) => Input::Nodes(nodes),
+            ListWatchEvent::Updated(node) => Input::Node(node, false),
+            ListWatchEvent::Deleted(node) => Input::Node(node, true),
         };
         list_and_watch(&client, "/api/v1/nodes", 2.0, SILENCE, read, &self.inputs).await
     }
--- /dev/null
+++ b/crates/membership-net/tests/report.rs
@@ -0,0 +1,67 @@
+//! Keys and words of the fleet's report, which `/debug/fleet` and `tidespur fleet -o json` show.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use std::collections::BTreeMap;
+use tidespur_membership::{
+    DropReason, MemberId, MemberMetadata, MemberState, MemberStatus, MembershipView, Role,
+};
+
+fn seen(name: &str, standing: MemberStatus, role: Role) -> MemberState {
+    let id = MemberId {
+        name: name.into(),
+        address: "127.0.0.1:7001".parse().unwrap(),
+        incarnation: 17,
+        rejoin_count: 2,
+    };
+    let mut facts = MemberMetadata::for_role(role);
+    facts.zone = "halle-a".into();
+    facts.api = "127.0.0.1:8001".into();
+    facts.link = "127.0.0.1:8002".into();
+    facts.open_tasks = Some(5);
+    MemberState {
+        id,
+        status: standing,
+        since: 10.0,
+        metadata: Some(facts),
+        metadata_received_at: 11.0,
+    }
+}
+
+#[test]
+fn the_report_is_the_same_to_the_byte() {
+    let mut unknown = seen("edge-9", MemberStatus::Alive, Role::Edge);
+    unknown.metadata = None;
+    let members = vec![
+        seen("edge-0", MemberStatus::Alive, Role::Edge),
+        seen("edge-1", MemberStatus::Suspect, Role::Edge),
+        seen("planner-0", MemberStatus::Failed, Role::Planner),
+        seen("planner-1", MemberStatus::Left, Role::Planner),
+        unknown,
+    ];
+    let causes = [
+        DropReason::Malformed,
+        DropReason::ProtocolVersion,
+        DropReason::OtherCluster,
+        DropReason::TooManyMembers,
+    ];
+    let drops: BTreeMap<DropReason, u64> = causes.into_iter().zip(1..).collect();
+    let own = members[0].id.clone();
+    let view = MembershipView {
+        own,
+        members,
+        settled: true,
+        drops,
+        rejoins: 3,
+        stalls: 4,
+    };
+    let report = tidespur_membership_net::view_to_json(&view, 20.5).to_string();
+    fixture::check(
+        env!("CARGO_MANIFEST_DIR"),
+        "report.json",
+        [report],
+        Additions::Rejected,
+    );
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,9 +10,9 @@
 mod id;
 mod shared;
 mod view;
-mod wire;
+pub mod wire;
 
-pub use facts::{MAX_METADATA_BYTES, MemberMetadata, MetadataVersion, Role};
+pub use facts::{MAX_METADATA_BYTES, MemberMetadata, MetadataUpdate, MetadataVersion, Role};
 pub use fleet::{Input, Membership, Output, Settings};
 pub use id::{MAX_NAME_BYTES, MemberId, is_valid_name};
 pub use view::{MemberState, MemberStatus, MembershipView};
--- a/crates/net/src/follow.rs
+++ b/crates/net/src/follow.rs
@@ -5,13 +5,15 @@
 use hyper::Method;
 use serde_json::Value;
 
-/// What a list and its watch bring.
+/// What a list and the watch after it report.
 #[derive(Clone, Debug)]
 pub enum ListWatchEvent {
-    /// All objects.
-    Whole(Vec<Value>),
-    /// One as it stands now, or (true) as it last stood.
-    Change(Value, bool),
+    /// All objects of the collection.
+    Listed(Vec<Value>),
+    /// An object was created or changed; as it is now.
+    Updated(Value),
+    /// An object was deleted; as it was last.
+    Deleted(Value),
 }
 
 /// Lists and watches a collection, and hands on what comes as `read` puts it, until it ends; says why. A watch silent for `silence`
@@ -40,7 +42,7 @@
         Value::Array(items) => items,
         _ => return "the list: no items".into(),
     };
-    drop(to.send(read(ListWatchEvent::Whole(items))).await);
+    drop(to.send(read(ListWatchEvent::Listed(items))).await);
     let path = format!("{path}?watch=true&allowWatchBookmarks=true&resourceVersion={version}");
     let mut lines = match client.stream_lines(&path, within).await {
         Ok(lines) if lines.status.is_success() => lines,
@@ -59,9 +61,9 @@
         match event["type"].as_str() {
             Some("BOOKMARK") => {}
             Some("ADDED" | "MODIFIED") => {
-                drop(to.send(read(ListWatchEvent::Change(object, false))).await)
+                drop(to.send(read(ListWatchEvent::Updated(object))).await)
             }
-            Some("DELETED") => drop(to.send(read(ListWatchEvent::Change(object, true))).await),
+            Some("DELETED") => drop(to.send(read(ListWatchEvent::Deleted(object))).await),
             _ => return format!("an error of the server: {}", object["message"]),
         }
     }
--- /dev/null
+++ b/crates/pending/tests/reason_codes.rs
@@ -0,0 +1,22 @@
+//! Codes of the reasons for waiting, which are labels in metrics and values in JSON.
+
+#[path = "../../cli/tests/common/fixture.rs"]
+mod fixture;
+
+use fixture::Additions;
+use tidespur_pending::ReasonCode;
+
+#[test]
+fn codes_sources_and_words_stay_as_they_are() {
+    // The edge writes the source into `/metrics` in this form.
+    let source = |code: &ReasonCode| format!("{:?}", code.source()).to_lowercase();
+    let line =
+        |code: &ReasonCode| format!("{} {}: {}", code.name(), source(code), code.description());
+    let lines = ReasonCode::ALL.iter().map(line);
+    fixture::check(
+        env!("CARGO_MANIFEST_DIR"),
+        "reason_codes.txt",
+        lines,
+        Additions::Rejected,
+    );
+}
--- a/crates/planner/src/watches.rs
+++ b/crates/planner/src/watches.rs
@@ -55,18 +55,20 @@
     /// One list and the watch after it; says why it ended.
     pub(crate) async fn watch_register(&self) -> String {
         let client = self.client(&self.options.register);
-        let read = |followed| match followed {
-            ListWatchEvent::Whole(nodes) => {
+        let node_changed = |node: Value, deleted: bool| {
+            let mut line = told(&node);
+            line["deleted"] = deleted.into();
+            self.recorder.record("told", || line);
+            Input::ListChange(node, deleted)
+        };
+        let read = |event| match event {
+            ListWatchEvent::Listed(nodes) => {
                 let lines: Vec<Value> = nodes.iter().map(told).collect();
                 self.recorder.record("list", || json!({"nodes": lines}));
                 Input::ListWhole(nodes)
             }
-            ListWatchEvent::Change(node, deleted) => {
-                let mut line = told(&node);
-                line["deleted"] = deleted.into();
-                self.recorder.record("told", || line);
-                Input::ListChange(node, deleted)
-            }
+            ListWatchEvent::Updated(node) => node_changed(node, false),
+            ListWatchEvent::Deleted(node) => node_changed(node, true),
         };
         list_and_watch(
             &client,
