--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -12,9 +12,9 @@
 
 pub fn edge(options: tidespur_edge::Options) -> Result<(), String> {
     end_with_parent();
-    let config = config(options.config.as_ref())?;
+    let config = config(options.shared.config.as_ref())?;
     let ready = |at: &[String]| println!("ready {}", at.join(" "));
-    smol::block_on(tidespur_edge::run(config, options, ready))
+    smol::block_on(tidespur_edge::run(config, options, ready)).map_err(|error| error.to_string())
 }
 
 /// A planner, and how many there are.
@@ -29,11 +29,12 @@
 
 pub fn planner(options: PlannerOptions) -> Result<(), String> {
     end_with_parent();
-    let mut config = config(options.options.config.as_ref())?;
+    let mut config = config(options.options.shared.config.as_ref())?;
     if let Some(planners) = options.planners {
         config.planner.planner_count = planners.max(1);
     }
     smol::block_on(tidespur_planner::run(config, options.options))
+        .map_err(|error| error.to_string())
 }
 
 /// A stand-in node.
--- /dev/null
+++ b/crates/daemon/src/options.rs
@@ -0,0 +1,30 @@
+//! Command-line options that edge and planner have in common.
+
+use std::path::PathBuf;
+use tidespur_membership_net::JoinOptions;
+
+/// Options that each program accepts.
+#[derive(Clone, Debug, clap::Args)]
+pub struct SharedOptions {
+    /// Settings (HCL); without it the built-in ones hold
+    #[arg(long)]
+    pub config: Option<PathBuf>,
+    /// Address of the register of nodes
+    #[arg(long)]
+    pub register: String,
+    /// Seed of the program's random numbers
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
+    /// Record what crosses the program's sockets in this file
+    #[arg(long)]
+    pub record: Option<PathBuf>,
+    /// Store what outlives the process in a folder of its name beneath this one
+    #[arg(long)]
+    pub data: Option<PathBuf>,
+    /// Dial peers as this file says instead of where they are known to be (for tests)
+    #[arg(long, hide = true)]
+    pub routes: Option<PathBuf>,
+    /// How the process joins a fleet
+    #[command(flatten)]
+    pub fleet: JoinOptions,
+}
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -102,7 +102,7 @@
     }
 
     async fn watch_register(&self) -> String {
-        let client = Client::new(&self.options.register, 2, vec![]);
+        let client = Client::new(&self.options.shared.register, 2, vec![]);
         let read = |followed| match followed {
             ListWatchEvent::Listed(nodes) => Input::Nodes(nodes),
             ListWatchEvent::Updated(node) => Input::Node(node, false),
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -20,11 +20,12 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     tidespur_net::init_logging(arguments.log_json);
-    let config = tidespur_config::load_or_default(arguments.options.config.as_deref());
+    let config = tidespur_config::load_or_default(arguments.options.shared.config.as_deref());
     let ready = |at: &[String]| println!("ready {}", at.join(" "));
-    let ran = config
-        .map_err(|e| e.to_string())
-        .and_then(|config| smol::block_on(tidespur_edge::run(config, arguments.options, ready)));
+    let ran = config.map_err(|e| e.to_string()).and_then(|config| {
+        smol::block_on(tidespur_edge::run(config, arguments.options, ready))
+            .map_err(|e| e.to_string())
+    });
     match ran {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
--- a/crates/edge/src/memory.rs
+++ b/crates/edge/src/memory.rs
@@ -6,8 +6,7 @@
 use event_listener::Event;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use tidespur_config::Config;
-use tidespur_persistence::{Identity, LoadedRecords, RecordStore};
+use tidespur_persistence::{LoadedRecords, RecordStore};
 use tidespur_store::Store;
 
 /// The disk as all of the edge's loops see it; `None` where all is kept in memory only.
@@ -22,32 +21,6 @@
     bell: Event,
 }
 
-/// Opens the memory of this edge, where it has one.
-///
-/// # Errors
-/// Why it can't be used, and what an operator can do.
-pub(crate) fn open(
-    config: &Config,
-    options: &crate::Options,
-) -> Result<Option<(RecordStore, LoadedRecords)>, String> {
-    let name = options.name.clone();
-    let Some(folder) = tidespur_config::data_directory(config, options.data.as_deref()) else {
-        tracing::warn!(
-            edge = name,
-            "keeps all in memory only: whatever it holds ends with it (see --data)"
-        );
-        return Ok(None);
-    };
-    let who = Identity {
-        role: "edge".into(),
-        name,
-        cluster: config.cluster().to_owned(),
-    };
-    tidespur_persistence::Disk::open(&folder, &who)
-        .map(Some)
-        .map_err(|e| e.to_string())
-}
-
 /// A store that begins above all versions that an earlier process may have told.
 ///
 /// # Errors
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -62,7 +62,7 @@
             .map_err(|e| e.to_string())
     };
     let (api_address, link_address) = (address(&api_listener)?, address(&link_listener)?);
-    let recorder = match &options.record {
+    let recorder = match &options.shared.record {
         Some(path) => Recorder::append_to(path, &options.name)
             .map_err(|e| format!("{}: {e}", path.display()))?,
         None => Recorder::default(),
@@ -72,10 +72,16 @@
         max_objects: config.edge.max_objects as usize,
         ..tidespur_store::Limits::default()
     };
-    let remembered = memory::open(&config, &options)?;
+    let remembered = tidespur_daemon::open_store(
+        &config,
+        options.shared.data.as_deref(),
+        "edge",
+        &options.name,
+    )
+    .map_err(|error| error.to_string())?;
     let mut store = memory::store(
         limits,
-        options.seed,
+        options.shared.seed,
         clock::now(),
         remembered.as_ref().map(|(_, back)| back),
     )?;
@@ -83,7 +89,7 @@
     let incarnation = back
         .as_ref()
         .map(tidespur_persistence::LoadedRecords::incarnation);
-    let mut core = Core::new(config.clone(), options.seed);
+    let mut core = Core::new(config.clone(), options.shared.seed);
     let disk = match (memory, &back) {
         (Some(memory), Some(back)) => Some(Arc::new(Disk::start(
             memory,
@@ -106,7 +112,7 @@
         // The second "default" stands already.
         drop(store.create(NAMESPACES, object, clock::now()));
     }
-    let routes = Routes::from_file(options.routes.clone());
+    let routes = Routes::from_file(options.shared.routes.clone());
     let voter = VoterHandle::start(
         &config,
         &options.name,
@@ -122,10 +128,10 @@
     };
     let member = MemberHandle::join(
         &config,
-        &options.fleet,
+        &options.shared.fleet,
         &options.name,
         facts.clone(),
-        options.seed,
+        options.shared.seed,
         incarnation,
     );
     let member = member.await?;
@@ -137,7 +143,7 @@
         open_most: config.edge.max_open_tasks as usize,
         planners: AtomicUsize::new(0),
         inputs: send.clone(),
-        register: Client::new(&options.register, 4, vec![]),
+        register: Client::new(&options.shared.register, 4, vec![]),
         recorder: recorder.clone(),
         ledger: core.ledger(),
         behind: AtomicU64::new(0),
--- a/crates/planner/src/links.rs
+++ b/crates/planner/src/links.rs
@@ -65,7 +65,7 @@
     }
 
     pub(crate) async fn serve_edge(&self, id: EdgeId, address: &str) -> Result<(), String> {
-        let routes = tidespur_net::routes::Routes::from_file(self.options.routes.clone());
+        let routes = tidespur_net::routes::Routes::from_file(self.options.shared.routes.clone());
         let socket =
             clock::timeout(1.0, smol::net::TcpStream::connect(routes.resolve(address))).await;
         let socket = socket.ok_or("timed out")?.map_err(|e| e.to_string())?;
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -31,9 +31,11 @@
     tidespur_net::init_logging(arguments.log_json);
     let ran = match (arguments.front, arguments.options) {
         (Some(Front::Platform), _) => tidespur_gateway_net::run().map_err(|e| e.to_string()),
-        (None, Some(options)) => tidespur_config::load_or_default(options.config.as_deref())
+        (None, Some(options)) => tidespur_config::load_or_default(options.shared.config.as_deref())
             .map_err(|e| e.to_string())
-            .and_then(|config| smol::block_on(tidespur_planner::run(config, options))),
+            .and_then(|config| {
+                smol::block_on(tidespur_planner::run(config, options)).map_err(|e| e.to_string())
+            }),
         (None, None) => {
             Err("--edge and --register are needed, or the subcommand `platform`".into())
         }
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -51,7 +51,7 @@
         .name
         .clone()
         .unwrap_or_else(|| format!("planner-{}", options.ordinal));
-    let recorder = match &options.record {
+    let recorder = match &options.shared.record {
         Some(path) => {
             Recorder::append_to(path, &name).map_err(|e| format!("{}: {e}", path.display()))?
         }
@@ -61,7 +61,7 @@
         config.clone(),
         options.ordinal as usize,
         &options.zone,
-        options.seed,
+        options.shared.seed,
     );
     let core = core.map_err(|e| e.to_string())?;
     let (disk, back) = remember(&config, &options, &name)?.unzip();
@@ -88,10 +88,10 @@
     let incarnation = back.as_ref().map(LoadedRecords::incarnation);
     let member = MemberHandle::join(
         &this.config,
-        &options.fleet,
+        &options.shared.fleet,
         &this.name,
         facts,
-        options.seed,
+        options.shared.seed,
         incarnation,
     );
     let member = member.await?;
@@ -140,7 +140,8 @@
     options: &Options,
     name: &str,
 ) -> Result<Option<(Disk, LoadedRecords)>, String> {
-    let Some(folder) = tidespur_config::data_directory(config, options.data.as_deref()) else {
+    let Some(folder) = tidespur_config::data_directory(config, options.shared.data.as_deref())
+    else {
         tracing::warn!(
             planner = name,
             "keeps its attempts in memory only (see --data)"
--- a/crates/planner/src/watches.rs
+++ b/crates/planner/src/watches.rs
@@ -54,7 +54,7 @@
 
     /// One list and the watch after it; says why it ended.
     pub(crate) async fn watch_register(&self) -> String {
-        let client = self.client(&self.options.register);
+        let client = self.client(&self.options.shared.register);
         let node_changed = |node: Value, deleted: bool| {
             let mut line = told(&node);
             line["deleted"] = deleted.into();
