--- a/crates/cli/tests/full.rs
+++ b/crates/cli/tests/full.rs
@@ -106,5 +106,5 @@
             "{name} was acknowledged and is gone"
         );
     }
-    assert!(std::fs::read_to_string(log).unwrap().contains("CutOff"));
+    assert!(std::fs::read_to_string(log).unwrap().contains("Unclean"));
 }
