--- /dev/null
+++ b/crates/cli/tests/docs.rs
@@ -0,0 +1,42 @@
+//! Files and packages that `docs/architecture.md` names are there.
+
+use std::path::{Path, PathBuf};
+
+const PAGE: &str = include_str!("../../../docs/architecture.md");
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn packages() -> Vec<String> {
+    let folders = std::fs::read_dir(root().join("crates")).unwrap();
+    let names = folders.map(|folder| folder.unwrap().file_name().into_string().unwrap());
+    names.collect()
+}
+
+#[test]
+fn every_package_is_on_the_page_of_the_architecture() {
+    for package in packages() {
+        let quoted = format!("`{package}`");
+        assert!(PAGE.contains(&quoted) || PAGE.contains(&format!("`{package}::")), "{package} is missing");
+    }
+}
+
+#[test]
+fn every_file_that_the_page_names_is_there() {
+    let mut files = 0;
+    for word in PAGE.split(|c: char| !(c.is_ascii_alphanumeric() || "/._-".contains(c))) {
+        if !word.ends_with(".rs") {
+            continue;
+        }
+        files += 1;
+        assert!(
+            packages().iter().any(|package| {
+                let source = root().join("crates").join(package).join("src");
+                source.join(word).is_file() || root().join("crates").join(word).is_file()
+            }),
+            "{word} is no source file"
+        );
+    }
+    assert!(files > 10, "only {files} files are named");
+}
--- /dev/null
+++ b/crates/cli/tests/on_call.rs
@@ -0,0 +1,90 @@
+//! What `docs/on-call.md` quotes is what the programs write: an engineer who searches a log, an answer or a metric for a
+//! quoted text finds it.
+
+use std::path::{Path, PathBuf};
+
+const PAGE: &str = include_str!("../../../docs/on-call.md");
+
+/// Stands in a quote for a value that differs from line to line.
+const PLACEHOLDER: &str = "...";
+
+/// Words in back quotes that are tools of the system, or placeholders' parts.
+const NOT_OURS: [&str; 4] = ["curl", "POST", "proc", "RUST_LOG"];
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn collect(folder: &Path, text: &mut String) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            collect(&path, text);
+        } else if path.extension().is_some_and(|it| it == "rs" || it == "hcl") {
+            text.push_str(&std::fs::read_to_string(&path).unwrap());
+        }
+    }
+}
+
+/// The sources of all packages and the documented settings, with string literals that go over several lines joined.
+fn sources() -> String {
+    let mut text = String::new();
+    for package in std::fs::read_dir(root().join("crates")).unwrap() {
+        let package = package.unwrap().path();
+        collect(&package.join("src"), &mut text);
+        let settings = package.join("default.hcl");
+        if settings.exists() {
+            text.push_str(&std::fs::read_to_string(settings).unwrap());
+        }
+    }
+    let joined: Vec<&str> = text.split("\\\n").map(str::trim_start).collect();
+    joined.concat().replace("\\\"", "\"")
+}
+
+/// Texts between a pair of `mark` on one line of the page.
+fn quoted(mark: char) -> Vec<String> {
+    let mut found = Vec::new();
+    for line in PAGE.lines() {
+        let parts: Vec<&str> = line.split(mark).collect();
+        assert!(parts.len() % 2 == 1, "an unpaired {mark} in: {line}");
+        found.extend(parts.into_iter().skip(1).step_by(2).map(str::to_owned));
+    }
+    found
+}
+
+fn has_word(text: &str, word: &str) -> bool {
+    let is_part = |c: char| c.is_ascii_alphanumeric() || c == '_';
+    text.match_indices(word).any(|(at, _)| {
+        let before = text[..at].chars().next_back();
+        let after = text[at + word.len()..].chars().next();
+        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+    })
+}
+
+#[test]
+fn every_quoted_message_is_in_the_source() {
+    let sources = sources();
+    let quotes = quoted('"');
+    assert!(quotes.len() > 20, "only {} quotes", quotes.len());
+    for quote in quotes {
+        for part in quote.split(PLACEHOLDER) {
+            let part = part.trim();
+            assert!(sources.contains(part), "{part:?} of the quote {quote:?} is in no source");
+        }
+    }
+}
+
+#[test]
+fn every_name_in_back_quotes_is_in_the_source() {
+    let sources = sources();
+    let names = quoted('`');
+    assert!(names.len() > 40, "only {} names", names.len());
+    for name in names {
+        let words = name.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_'));
+        // Words in capitals are placeholders of the reader's own values.
+        let words = words.filter(|word| word.len() > 3 && word.chars().any(char::is_lowercase));
+        for word in words.filter(|word| !NOT_OURS.contains(word)) {
+            assert!(has_word(&sources, word), "{word:?} of `{name}` is in no source");
+        }
+    }
+}
