--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
 #![doc = include_str!("../README.md")]
 
-pub mod choice;
 pub mod interface;
-mod mean;
+mod running_mean;
+pub mod scheduler;
 
-pub use choice::Scheduler;
+pub use scheduler::Scheduler;
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,24 +1,24 @@
 //! All decisions of tidespur; here what is known. Types, events and actions: `src/interface.rs`.
 //!
-//! The path of a request: `step` takes in what was observed (`events`), then `place` takes what waits. `pick`
-//! (`ordinary`) filters machines by what bars them (`bars`: the five rules, troubles, room), narrows these to
+//! The path of a request: `step` takes in what was observed (`observations`), then `placement` takes what waits. `pick`
+//! (`dice`) filters machines by what bars them (`filters`: the five rules, troubles, room), narrows these to
 //! those that lose least (late start, crowding, a machine kept in use), and lets Dice choose (Xie, Hyytiä,
 //! Righter, "Size-Aware Dispatching to Fluid Queues"). What can't be placed ends in `finish`, or by an event.
 
-use crate::{interface::*, mean::*};
+use crate::{interface::*, running_mean::*};
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-mod bars;
-mod events;
-mod machine;
-mod ordinary;
-mod place;
+mod dice;
+mod filters;
+mod gossip;
+mod machine_state;
+mod observations;
+mod placement;
 #[cfg(test)]
 mod plain;
-mod tell;
 
-use machine::cold;
+use machine_state::cold;
 
 const GUESSED: f64 = 3.0; // What is taken before anything is seen counts as this many observations.
 const USED: [f64; 2] = [0.6, 0.75]; // Use of asked cores and memory before any was seen.
--- a/crates/policy/src/choice/plain.rs
+++ b/crates/policy/src/scheduler/plain.rs
@@ -1,6 +1,6 @@
 //! The plain walk, one for each waiting task over all machines, held against the shared one event by event.
 
-use super::ordinary::*;
+use super::dice::*;
 use super::*;
 
 impl Scheduler {
