--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,98 +1,98 @@
-//! What a scheduler wants done, and why work waits.
+//! What a scheduler wants done, and why tasks are pending.
 
-use super::*;
+use super::{FailureDomain, MachineId, Seconds, TaskId};
 
-/// What a scheduler wants done, in this order.
+/// What a scheduler wants done. Actions of a step are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Offer the task to a machine. Attempts of a task count from 0 in order of sends.
+    /// Offer the task to a machine. Attempts of a task are counted from 0 in the order of their offers.
     Offer {
         /// The request.
         task: TaskId,
-        /// Where to.
+        /// The machine that the offer goes to.
         machine: MachineId,
-        /// Wait this long for the confirmation.
+        /// The time to wait for the confirmation, in seconds.
         timeout: Seconds,
     },
-    /// Final answer: not placed, asking again does no harm.
+    /// Final answer: the task was not placed, and submitting it again does no harm.
     Reject {
         /// The request.
         task: TaskId,
-        /// Advice to stay away this long; 0: none.
+        /// Advice not to submit it again for this many seconds; 0 if none.
         retry_after: Seconds,
     },
-    /// Final answer: failed, no claim whether it ran.
+    /// Final answer: the task failed, and may have run.
     Fail(TaskId),
-    /// Stop a placed task; its owner asks again.
+    /// Stop a placed task; its owner submits it again.
     Migrate(TaskId),
-    /// Subscribe to the machine list.
+    /// Subscribe to the endpoint list.
     SubscribeEndpoints,
-    /// Ask for a `Timer` event.
+    /// Deliver a [`TimerFired`](super::Event::TimerFired) event.
     SetTimer {
-        /// How long from now.
+        /// The time until then, in seconds.
         after: Seconds,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Ask a machine for its load.
     PollLoad(MachineId),
-    /// Tell all other schedulers these bytes, 256 at most.
+    /// Send these bytes, 256 at most, to all other schedulers.
     Gossip(Vec<u8>),
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
-/// What keeps a task from one machine. Amounts are those of the moment of the question. Of several the first
-/// in this order is told.
+/// Why a task must not be sent to one machine. Amounts are those at the time of the question. Where several reasons
+/// apply, the first in this order is given.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum FilterReason {
-    /// The list does not show it, or shows it as gone.
+    /// The endpoint list does not show the machine, or shows it as gone.
     NotListed,
-    /// It drains.
+    /// The machine is draining.
     Draining,
-    /// It is not of the kind that the class needs.
+    /// The class needs another machine type.
     MachineTypeMismatch,
-    /// An earlier attempt may have run, and repeats are dropped elsewhere.
+    /// An earlier attempt may have run, and the machine is outside the domain that drops repeats of it.
     OutsideDeduplicationDomain,
-    /// It has just come up and bears no more offers now.
+    /// The machine has come up a short time ago, and the slow-start budget is spent.
     SlowStart,
-    /// As many tasks of the service as may be are in that place.
+    /// As many tasks of the service as are permitted are in this domain of the machine.
     SpreadLimit(FailureDomain),
-    /// Set aside after troubles until this time; then one task at a time is let through.
+    /// A circuit breaker is open until this time, or half open while an offer is unconfirmed.
     CircuitOpen(Seconds),
-    /// As many offers of ours as may be wait there for an answer.
+    /// As many offers of this scheduler as are permitted wait at the machine for an answer.
     TooManyOffersInFlight,
-    /// So many cores too few.
+    /// This many cores are missing.
     InsufficientCpu(f64),
-    /// So much memory too little.
+    /// This much memory is missing.
     InsufficientMemory(f64),
 }
 
-/// What keeps a task from all machines alike.
+/// Why a task must not be sent to any machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryBlocker {
     /// All its attempts are used up.
     AttemptsExhausted,
-    /// An earlier attempt may have run, and a second start does harm.
+    /// An earlier attempt may have run, and the task is not idempotent.
     MayHaveRun,
-    /// An earlier attempt may have run, and the time in which repeats are dropped is over.
+    /// An earlier attempt may have run, and the time in which repeats of it are dropped is over.
     DeduplicationWindowElapsed,
-    /// Its owner gives up now.
+    /// Its deadline has come.
     DeadlineExceeded,
 }
 
-/// Why a task waits.
+/// Why a task is pending.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingDiagnosis {
-    /// What keeps it from each machine, in order of their ids; machines without an entry would take it.
+    /// The machines that would not take the task, in order of their ids, each with its reason.
     pub rejections: Vec<(MachineId, FilterReason)>,
-    /// Machines that were looked at.
+    /// The number of machines that were examined.
     pub machine_count: usize,
-    /// What keeps it from all.
+    /// What keeps the task from all machines.
     pub blocker: Option<RetryBlocker>,
-    /// Until when it can be sent.
+    /// The time until which the task may be sent.
     pub send_deadline: Seconds,
-    /// When it is looked at next.
+    /// The time of the next retry.
     pub next_attempt_at: Seconds,
     /// Attempts made.
     pub attempts: u32,
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,45 +1,45 @@
-//! What a scheduler is told.
+//! What a scheduler is notified of.
 
-use super::*;
+use super::{MachineId, Resources, Seconds, ServiceId, TaskId};
 
 /// A task as its owner describes it.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
     /// The request.
     pub id: TaskId,
-    /// Index into [`Settings::classes`].
+    /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Index into [`Settings::tenants`].
+    /// Index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
     /// The service that it belongs to.
     pub service: ServiceId,
-    /// When the owner gives up on this request; may be infinite.
+    /// The time at which the owner gives up on this request; may be infinite.
     pub deadline: Seconds,
-    /// How long it is expected to run, roughly.
+    /// Roughly how long it is expected to run, in seconds.
     pub expected_duration: Option<Seconds>,
-    /// CPU and memory that it asks for.
+    /// The CPU and memory that it requests.
     pub request: Resources,
-    /// It came back after a refusal, failure, move or loss.
+    /// It was submitted before, and came back after a rejection, failure, migration or loss.
     pub is_resubmission: bool,
 }
 
-/// State of a machine in the list.
+/// The state of a machine in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes tasks.
+    /// It takes tasks.
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// It finishes its tasks and must get no new ones.
     Draining,
-    /// Taken away.
+    /// It was removed.
     Gone,
 }
 
-/// A line of the machine list.
+/// A line of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The machine.
     pub machine: MachineId,
-    /// Index into [`Settings::machine_types`].
+    /// Index into [`Settings::machine_types`](super::Settings::machine_types).
     pub machine_type: usize,
     /// Its cell.
     pub cell: usize,
@@ -47,9 +47,9 @@
     pub zone: usize,
     /// Whether it takes tasks.
     pub status: EndpointStatus,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Seconds>,
-    /// CPU and memory that no accepted task asks for, a while ago; below 0 where more was accepted.
+    /// CPU and memory that no accepted task requested a while ago; below 0 where more was accepted.
     pub unclaimed: Resources,
 }
 
@@ -60,122 +60,124 @@
     Finished,
     /// The machine returned an error; the task may have run.
     Failed,
-    /// Turned away, never ran.
+    /// The machine rejected the task, which never ran.
     Rejected(FailureCause),
-    /// No answer in time; it may have run.
+    /// No answer came in time; the task may have run.
     TimedOut,
-    /// No connection, never ran.
+    /// No connection could be made; the task never ran.
     ConnectFailed,
-    /// Before confirmation: answer cut short, may have run. After it: evicted, sent away or lost.
+    /// Before the confirmation: the answer was cut short, and the task may have run. After it: the task was evicted,
+    /// sent away or lost.
     Interrupted(FailureCause),
-    /// Given up or moved; may have run unless it was confirmed.
+    /// The task was cancelled or migrated; it may have run unless it was confirmed.
     Cancelled,
-    /// Never sent.
+    /// The offer was never sent.
     NeverSent,
 }
 
-/// The reason that came with an ending.
+/// The cause that came with an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// Not told.
+    /// None was given.
     Unspecified,
-    /// No cores left.
+    /// Too few cores are left.
     InsufficientCpu,
-    /// No memory left.
+    /// Too little memory is left.
     InsufficientMemory,
-    /// Too many offers wait there.
+    /// Too many offers wait at the machine.
     QueueFull,
-    /// Wrong kind, leaving, too late, or a copy stands.
+    /// The machine has another type or is leaving, the offer came too late, or the task is there already.
     NotEligible,
-    /// Evicted for memory.
+    /// The task was evicted to free memory.
     Evicted,
-    /// Pushed out by a higher priority.
+    /// A task of higher priority took its place.
     Preempted,
-    /// Sent away by a machine that leaves.
+    /// The machine is leaving and sent the task away.
     Drained,
 }
 
-/// Load of a machine, some time ago; what is not told is `None`.
+/// The load of a machine some time ago; `None` for what the machine does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Cores not in use or not asked for, see [`Settings::reports_measured_usage`].
+    /// Cores that are not in use, or not requested: see
+    /// [`Settings::reports_measured_usage`](super::Settings::reports_measured_usage).
     pub free_cpu: Option<f64>,
     /// Memory, likewise.
     pub free_memory: Option<f64>,
     /// Offers and starts that wait.
     pub queued: Option<f64>,
-    /// Fraction of the cores that is busy.
+    /// The fraction of the cores that is busy.
     pub cpu_utilization: Option<f64>,
 }
 
-/// News of a running attempt.
+/// The progress of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptProgress {
     /// The task runs now.
     Started,
-    /// Cores that it uses now.
+    /// The cores that it uses now.
     CpuUsage(f64),
-    /// Memory that it uses now.
+    /// The memory that it uses now.
     MemoryUsage(f64),
-    /// Share of full service that it gets.
+    /// The fraction of full service that it gets.
     ServiceLevel(f64),
-    /// Share of its machine's memory that is in use.
+    /// The fraction of its machine's memory that is in use.
     MachineMemoryUtilization(f64),
 }
 
-/// What a scheduler is told. Events of one step share its time and stand in the order of arrival.
+/// What a scheduler is notified of. Events of one step share its time and stand in the order of their arrival.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A task to place. Exactly one final answer is owed.
+    /// A task is to be placed. Exactly one final answer is owed.
     TaskSubmitted(Task),
-    /// A task that already runs on a machine is now this scheduler's. Attempt 0 counts as made.
+    /// This scheduler is now responsible for a task that already runs on a machine. Attempt 0 counts as made.
     TaskAdopted(Task, MachineId),
-    /// The task is placed by this attempt: the final answer. An `Outcome` tells its end.
+    /// This attempt has placed the task, which is the final answer. An `AttemptEnded` event tells its end.
     AttemptConfirmed {
         /// The request.
         task: TaskId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// News of an attempt that has no outcome yet.
+    /// An attempt that has no outcome yet has made progress.
     AttemptProgressed {
         /// The request.
         task: TaskId,
-        /// What is told.
+        /// The progress.
         progress: AttemptProgress,
     },
-    /// The one end of an attempt.
+    /// An attempt has ended, which is told once.
     AttemptEnded {
         /// The request.
         task: TaskId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
         /// How it ended.
         outcome: AttemptOutcome,
         /// The request is closed; if not, a final answer may still be owed.
         closed: bool,
-        /// Load of the machine, where it came along.
+        /// The load of the machine, where it was reported with the outcome.
         report: Option<LoadReport>,
     },
-    /// The request is over; nothing is owed.
+    /// The request is over; no answer is owed.
     TaskCancelled(TaskId),
-    /// A timer is due.
+    /// The timer with this token has fired.
     TimerFired(u64),
-    /// Changes of the machine list.
+    /// These lines of the endpoint list have changed.
     EndpointsChanged(Vec<Endpoint>),
-    /// The whole machine list; what is absent is gone.
+    /// The complete endpoint list; machines that are absent are gone.
     EndpointsListed(Vec<Endpoint>),
-    /// A subscription or a call for the list failed or broke.
+    /// A subscription or a request for the endpoint list failed or broke.
     EndpointListFailed,
-    /// What a probe brought; `None`: it failed.
+    /// A load poll was answered.
     LoadPolled {
         /// The machine.
         machine: MachineId,
-        /// Its load.
+        /// Its load; `None` if the poll failed.
         report: Option<LoadReport>,
     },
-    /// What another scheduler told; may be late, and some are lost.
+    /// A gossip message of another scheduler, which may be late. Some are lost.
     GossipReceived(Vec<u8>),
-    /// So many schedulers share what cold machines bear, from now on; this one is counted.
+    /// From now on this many schedulers share the slow-start budget, this one included.
     SchedulerCountChanged(usize),
 }
--- a/crates/policy/src/scheduler/candidates.rs
+++ b/crates/policy/src/scheduler/candidates.rs
@@ -4,8 +4,10 @@
 use super::Scheduler;
 use super::candidate_cache::{CandidateCache, PlacementConstraints};
 use super::dice;
-use super::homes::{CACHED_AT_HOME, HOME_DECAY, HOMES, home_rank};
 use super::machine_state::MachineState;
+use super::preferred_machines::{
+    CACHED_PROBABILITY, CACHED_PROBABILITY_DECAY, PREFERRED_MACHINES, preference_rank,
+};
 use super::task_record::{TaskRecord, TaskState, TrafficClass};
 use crate::interface::{MachineId, RetrySafety, Seconds, ServiceId, TaskId};
 
@@ -16,8 +18,8 @@
 pub(super) struct Candidate<'a> {
     id: MachineId,
     machine: &'a MachineState,
-    /// Its place in the order of homes of the task's service; less is earlier.
-    home_rank: f64,
+    /// Its place in the order of preference of the task's service; less is earlier.
+    preference_rank: f64,
     /// Infinite where the task would not be admitted.
     loss: f64,
 }
@@ -59,11 +61,8 @@
         let backlogs = self.backlogs(now, &candidates);
         let work = self.estimates.work_of(&record.task);
         let mean_work = self.estimates.work.value();
-        let chosen = candidates
-            .iter()
-            .map(|candidate| candidate.id)
-            .collect::<Vec<_>>();
-        Some(chosen[dice::choose(&backlogs, work, mean_work, &mut self.rng)])
+        let ids: Vec<MachineId> = candidates.iter().map(|candidate| candidate.id).collect();
+        Some(ids[dice::choose(&backlogs, work, mean_work, &mut self.rng)])
     }
 
     fn placement_constraints(&self, record: &TaskRecord) -> PlacementConstraints {
@@ -106,10 +105,10 @@
             .filter_map(|id| Some((*id, self.machines.get(id)?)))
     }
 
-    /// The candidates in order of preference: needed machines before idle capacity, then the homes of the service.
+    /// The candidates in order of preference: needed machines before idle capacity, then by the service.
     ///
     /// Where programs of other schedulers are not seen, all schedulers thus prefer the same few machines for a
-    /// service, and the next takes the place of one that is filtered. The cost: a popular service fills its homes.
+    /// service, and the next takes the place of one that is filtered. The cost: a popular service fills its machines.
     fn candidates<'a>(
         &'a self,
         now: Seconds,
@@ -124,20 +123,20 @@
             candidates.push(Candidate {
                 id,
                 machine,
-                home_rank: self.candidate_rank(now, record, id, machine),
+                preference_rank: self.candidate_preference_rank(now, record, id, machine),
                 loss: f64::INFINITY,
             });
         }
         candidates.sort_by(|a, b| {
             let idle_last = a.machine.is_idle_capacity.cmp(&b.machine.is_idle_capacity);
-            idle_last.then(a.home_rank.total_cmp(&b.home_rank))
+            idle_last.then(a.preference_rank.total_cmp(&b.preference_rank))
         });
         candidates
     }
 
-    /// The place of a machine in the order of homes. A machine in slow start has no programs, and all schedulers
+    /// The place of a machine in the order of preference. A machine in slow start has no programs, and all schedulers
     /// must not choose the same one: there the order is another one for each task and scheduler.
-    fn candidate_rank(
+    fn candidate_preference_rank(
         &self,
         now: Seconds,
         record: &TaskRecord,
@@ -150,28 +149,28 @@
             0
         };
         let service = ServiceId(record.task.service.0 ^ salt);
-        home_rank(service, id, machine.capacity.cpu)
+        preference_rank(service, id, machine.capacity.cpu)
     }
 
     /// Fills in the losses of candidates that are in order of preference.
     fn estimate_losses(&self, now: Seconds, record: &TaskRecord, candidates: &mut [Candidate<'_>]) {
-        let mut home_probability = if self.knows_all_programs() {
+        let mut unknown_cached_probability = if self.knows_all_programs() {
             0.0
         } else {
-            CACHED_AT_HOME
+            CACHED_PROBABILITY
         };
         for (place, candidate) in candidates.iter_mut().enumerate() {
-            if place >= HOMES {
-                home_probability *= HOME_DECAY;
+            if place >= PREFERRED_MACHINES {
+                unknown_cached_probability *= CACHED_PROBABILITY_DECAY;
             }
             let machine = candidate.machine;
             let cached_probability =
                 if self.has_cached_program(now, record.task.service, candidate.id) {
-                    CACHED_AT_HOME
+                    CACHED_PROBABILITY
                 } else if self.is_in_slow_start(now, machine) {
                     0.0
                 } else {
-                    home_probability
+                    unknown_cached_probability
                 };
             candidate.loss = self
                 .loss(now, record, machine, cached_probability)
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Keeps the candidates that lose least; of these the homes alone where programs are not known.
+    /// Keeps the candidates that lose least; of these only the preferred machines where programs are not known.
     fn keep_least_loss(&self, candidates: &mut Vec<Candidate<'_>>) {
         let losses = candidates.iter().map(|candidate| candidate.loss);
         let least = losses.fold(f64::INFINITY, f64::min);
@@ -187,7 +186,7 @@
             candidate.loss.is_finite() && candidate.loss <= least + MAX_EXCESS_LOSS
         });
         if !self.knows_all_programs() {
-            candidates.truncate(HOMES);
+            candidates.truncate(PREFERRED_MACHINES);
         }
     }
 
--- a/crates/policy/src/scheduler/circuit_breakers.rs
+++ b/crates/policy/src/scheduler/circuit_breakers.rs
@@ -5,7 +5,7 @@
 //! filters, and updated from outcomes and confirmations.
 
 use super::task_record::TrafficClass;
-use crate::backoff::{MAX_COUNTED_FAILURES, exponential_backoff};
+use crate::backoff::{Backoff, MAX_COUNTED_FAILURES};
 use crate::interface::Seconds;
 use std::collections::BTreeMap;
 
@@ -35,17 +35,10 @@
 }
 
 impl CircuitBreakers {
-    /// Counts a failure and opens the breaker of `scope` for `initial` seconds, doubled for each failure before
-    /// this one in a row, and for `max` seconds at most.
-    pub(super) fn record_failure(
-        &mut self,
-        now: Seconds,
-        scope: BreakerScope,
-        initial: Seconds,
-        max: Seconds,
-    ) {
+    /// Counts a failure and opens the breaker of `scope` for the time of the backoff.
+    pub(super) fn record_failure(&mut self, now: Seconds, scope: BreakerScope, backoff: Backoff) {
         let breaker = self.breakers.entry(scope).or_default();
-        breaker.open_until = now + exponential_backoff(initial, breaker.failures, max);
+        breaker.open_until = now + backoff.after(breaker.failures);
         breaker.failures = (breaker.failures + 1).min(MAX_COUNTED_FAILURES);
     }
 
--- a/crates/policy/src/scheduler/endpoint_subscription.rs
+++ b/crates/policy/src/scheduler/endpoint_subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to the endpoint list: whether it stands, which call is in flight, and when the next one may
 //! go after failures. Owned by the scheduler.
 
-use crate::backoff::{MAX_COUNTED_FAILURES, exponential_backoff};
+use crate::backoff::{Backoff, MAX_COUNTED_FAILURES};
 use crate::interface::{SafetyLimits, Seconds};
 use rand::Rng;
 
@@ -52,12 +52,14 @@
         limits: &SafetyLimits,
         rng: &mut impl Rng,
     ) {
-        let max_backoff = (limits.max_poll_interval / 2.0).max(INITIAL_BACKOFF);
-        let backoff = exponential_backoff(INITIAL_BACKOFF, self.failures, max_backoff);
+        let backoff = Backoff {
+            initial: INITIAL_BACKOFF,
+            max: (limits.max_poll_interval / 2.0).max(INITIAL_BACKOFF),
+        };
         let jitter: f64 = rng.random_range(0.5..1.0);
         self.is_subscribed = !self.is_required;
         self.requested_at = None;
-        self.retry_at = now + backoff * jitter;
+        self.retry_at = now + backoff.after(self.failures) * jitter;
         self.failures = (self.failures + 1).min(MAX_COUNTED_FAILURES);
     }
 
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip: tells the other schedulers which programs are in which caches.
 //!
 //! A start without the program is mostly too late, and programs of other schedulers are seen nowhere else. Where
-//! messages are forbidden or dear, the homes of a service must do. The cost: a program that is gone draws some
+//! messages are forbidden or dear, the preferred machines of a service must do. The cost: a program that is gone draws some
 //! starts until its announcement expires.
 
 use super::Scheduler;
--- a/crates/policy/src/scheduler/observer.rs
+++ b/crates/policy/src/scheduler/observer.rs
@@ -5,8 +5,8 @@
 
 use super::Scheduler;
 use super::dice;
-use super::homes::home_rank;
 use super::machine_state::MachineState;
+use super::preferred_machines::preference_rank;
 use super::task_record::{TaskRecord, TaskState};
 use crate::interface::{FilterReason, MachineId, Seconds, ServiceId, Task, TaskId};
 
@@ -159,10 +159,10 @@
         !self.machine.reservations.is_empty()
     }
 
-    /// Its place in the order of homes of a service; less is earlier.
+    /// Its place in the order of preferred machines of a service; less is earlier.
     #[must_use]
-    pub fn home_rank(&self, service: ServiceId) -> f64 {
-        home_rank(service, self.id, self.machine.capacity.cpu)
+    pub fn preference_rank(&self, service: ServiceId) -> f64 {
+        preference_rank(service, self.id, self.machine.capacity.cpu)
     }
 
     /// What placing the task there is expected to cost, in seconds of its full service; `None` if the machine would
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -4,7 +4,7 @@
 use super::candidate_cache::CandidateCache;
 use super::observer::{PickInputs, PlacementObserver};
 use super::task_record::{FINAL_ANSWER_MARGIN, TaskState};
-use crate::backoff::exponential_backoff;
+use crate::backoff::Backoff;
 use crate::interface::{Action, MachineId, RetrySafety, Seconds, TaskId};
 
 impl Scheduler {
@@ -107,8 +107,11 @@
         let timeout = if is_patient {
             class.deadline / 2.0
         } else {
-            let initial = self.estimates.answer_time.timeout();
-            exponential_backoff(initial, record.attempts as i32, class.deadline)
+            let timeout = Backoff {
+                initial: self.estimates.answer_time.timeout(),
+                max: class.deadline,
+            };
+            timeout.after(record.attempts as i32)
         };
         Some(timeout.min(record.task.deadline - now - FINAL_ANSWER_MARGIN / 2.0))
     }
--- a/crates/policy/src/scheduler/homes.rs
+++ b/crates/policy/src/scheduler/preferred_machines.rs
@@ -1,17 +1,17 @@
-//! The homes of a service: the machines that all schedulers prefer for it where they don't know each other's
-//! programs, and what is known of programs in caches.
+//! The preferred machines of a service, which are the same at all schedulers, so that these share programs in
+//! caches without knowledge of each other; and what is known of programs in caches.
 
 use super::Scheduler;
 use crate::interface::{MachineId, Seconds, ServiceId};
 
-/// The number of homes of a service.
-pub(super) const HOMES: usize = 2;
+/// The number of preferred machines of a service.
+pub(super) const PREFERRED_MACHINES: usize = 2;
 
-/// The probability that a home, or a machine that is known to have the program, has it in its cache.
-pub(super) const CACHED_AT_HOME: f64 = 0.9;
+/// The probability that a preferred machine, or one that is known to have the program, has it in its cache.
+pub(super) const CACHED_PROBABILITY: f64 = 0.9;
 
-/// The probability falls by this factor with each machine after the homes.
-pub(super) const HOME_DECAY: f64 = 0.7;
+/// The probability falls by this factor with each machine after the preferred ones.
+pub(super) const CACHED_PROBABILITY_DECAY: f64 = 0.7;
 
 /// The smallest hash and the fewest cores that are reckoned with, so that ranks stay finite.
 const MIN_HASH: f64 = 1e-12;
@@ -37,11 +37,11 @@
     }
 }
 
-/// The place of a machine in a service's order of homes; less is earlier. The same at every scheduler.
+/// The place of a machine in a service's order of preference; less is earlier. The same at every scheduler.
 ///
-/// A weighted rendezvous hash: a machine with more cores is home to more services, and when a machine comes or goes
-/// the homes of other services stay.
-pub(super) fn home_rank(service: ServiceId, machine: MachineId, cores: f64) -> f64 {
+/// A weighted rendezvous hash: a machine with more cores is preferred by more services, and when a machine comes or
+/// goes the order of all other machines stays.
+pub(super) fn preference_rank(service: ServiceId, machine: MachineId, cores: f64) -> f64 {
     let hash = (service.0 ^ machine.0.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/policy/tests/reference/mod.rs
+++ b/crates/policy/tests/reference/mod.rs
@@ -5,21 +5,21 @@
 use tidespur_policy::interface::{MachineId, Seconds, ServiceId, TaskId};
 use tidespur_policy::scheduler::observer::{MachineInputs, PickInputs, PlacementObserver, dice};
 
-/// The number of homes of a service.
-const HOMES: usize = 2;
+/// The number of preferred machines of a service.
+const PREFERRED_MACHINES: usize = 2;
 
-/// The probability that a home, or a machine that is known to have the program, has it.
-const CACHED_AT_HOME: f64 = 0.9;
+/// The probability that a preferred machine, or one that is known to have the program, has it.
+const CACHED_PROBABILITY: f64 = 0.9;
 
-/// The factor by which the probability falls with each machine after the homes.
-const HOME_DECAY: f64 = 0.7;
+/// The factor by which the probability falls with each machine after the preferred ones.
+const CACHED_PROBABILITY_DECAY: f64 = 0.7;
 
 /// Candidates within this many seconds of full service of the least loss are alike.
 const MAX_EXCESS_LOSS: Seconds = 1.3;
 
 struct Candidate<'a> {
     machine: MachineInputs<'a>,
-    home_rank: f64,
+    preference_rank: f64,
     loss: f64,
 }
 
@@ -34,7 +34,7 @@
         candidate.loss.is_finite() && candidate.loss <= least + MAX_EXCESS_LOSS
     });
     if !inputs.knows_all_programs() {
-        candidates.truncate(HOMES);
+        candidates.truncate(PREFERRED_MACHINES);
     }
     if candidates.is_empty() {
         return (None, rng);
@@ -58,7 +58,7 @@
             0
         };
         candidates.push(Candidate {
-            home_rank: machine.home_rank(ServiceId(task.service.0 ^ salt)),
+            preference_rank: machine.preference_rank(ServiceId(task.service.0 ^ salt)),
             machine,
             loss: f64::INFINITY,
         });
@@ -67,25 +67,29 @@
         let idle = |candidate: &Candidate| candidate.machine.is_idle_capacity();
         idle(a)
             .cmp(&idle(b))
-            .then(a.home_rank.total_cmp(&b.home_rank))
+            .then(a.preference_rank.total_cmp(&b.preference_rank))
     });
     candidates
 }
 
 fn estimate_losses(inputs: &PickInputs<'_>, candidates: &mut [Candidate<'_>]) {
-    let mut home_probability = if inputs.knows_all_programs() {
+    let mut unknown_cached_probability = if inputs.knows_all_programs() {
         0.0
     } else {
-        CACHED_AT_HOME
+        CACHED_PROBABILITY
     };
     for (place, candidate) in candidates.iter_mut().enumerate() {
-        home_probability *= if place < HOMES { 1.0 } else { HOME_DECAY };
+        unknown_cached_probability *= if place < PREFERRED_MACHINES {
+            1.0
+        } else {
+            CACHED_PROBABILITY_DECAY
+        };
         let probability = if candidate.machine.has_cached_program() {
-            CACHED_AT_HOME
+            CACHED_PROBABILITY
         } else if candidate.machine.is_in_slow_start() {
             0.0
         } else {
-            home_probability
+            unknown_cached_probability
         };
         let loss = candidate.machine.loss(probability);
         candidate.loss = loss.unwrap_or(f64::INFINITY);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -234,7 +234,7 @@
 #[test]
 fn settings_that_make_no_sense_are_named() {
     use tidespur_policy::Scheduler;
-    let field = |set: Settings| Scheduler::new(set, 1).unwrap_err().field;
+    let field = |set: Settings| Scheduler::new(set, 1).unwrap_err().field();
     assert_eq!(field(settings(vec![])), "classes");
     assert_eq!(
         field(settings(vec![Class {
