--- a/crates/policy/src/scheduler/filters.rs
+++ b/crates/policy/src/scheduler/filters.rs
@@ -133,11 +133,11 @@
     ) -> Option<FilterReason> {
         let requested = requested_fraction(task, machine);
         let admitted = self.settings.overcommit * PLANNED_ADMISSION_FRACTION;
-        let excess = requested - admitted;
-        let fits = !(requested.cpu > admitted.cpu || requested.memory > admitted.memory);
-        if fits {
+        let is_admitted = !(requested.cpu > admitted.cpu || requested.memory > admitted.memory);
+        if is_admitted {
             return None;
         }
+        let excess = requested - admitted;
         let relative_excess = excess / admitted;
         let missing = excess * machine.capacity;
         Some(if relative_excess.cpu > relative_excess.memory {
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -22,18 +22,21 @@
 
     /// An amount of `cpu` cores and `memory` units.
     #[must_use]
+    #[inline]
     pub const fn new(cpu: f64, memory: f64) -> Self {
         Self { cpu, memory }
     }
 
     /// The result of `function` for each resource.
     #[must_use]
+    #[inline]
     pub fn map(self, function: impl Fn(f64) -> f64) -> Self {
         Self::new(function(self.cpu), function(self.memory))
     }
 
     /// The result of `function` for each resource of both amounts.
     #[must_use]
+    #[inline]
     pub fn zip_with(self, other: Self, function: impl Fn(f64, f64) -> f64) -> Self {
         Self::new(
             function(self.cpu, other.cpu),
@@ -43,30 +46,35 @@
 
     /// The larger of both amounts, for each resource.
     #[must_use]
+    #[inline]
     pub fn max(self, other: Self) -> Self {
         self.zip_with(other, f64::max)
     }
 
     /// The smaller of both amounts, for each resource.
     #[must_use]
+    #[inline]
     pub fn min(self, other: Self) -> Self {
         self.zip_with(other, f64::min)
     }
 
     /// Whether `predicate` holds for CPU, for memory, or for both.
     #[must_use]
+    #[inline]
     pub fn any(self, predicate: impl Fn(f64) -> bool) -> bool {
         predicate(self.cpu) || predicate(self.memory)
     }
 
     /// Whether neither amount is above that of `available`.
     #[must_use]
+    #[inline]
     pub fn fits_in(self, available: Self) -> bool {
         self.cpu <= available.cpu && self.memory <= available.memory
     }
 
     /// The larger of the two components; meaningful for ratios.
     #[must_use]
+    #[inline]
     pub fn max_component(self) -> f64 {
         self.cpu.max(self.memory)
     }
@@ -75,6 +83,7 @@
 impl Add for Resources {
     type Output = Self;
 
+    #[inline]
     fn add(self, other: Self) -> Self {
         self.zip_with(other, |a, b| a + b)
     }
@@ -83,6 +92,7 @@
 impl Sub for Resources {
     type Output = Self;
 
+    #[inline]
     fn sub(self, other: Self) -> Self {
         self.zip_with(other, |a, b| a - b)
     }
@@ -91,6 +101,7 @@
 impl Mul for Resources {
     type Output = Self;
 
+    #[inline]
     fn mul(self, other: Self) -> Self {
         self.zip_with(other, |a, b| a * b)
     }
@@ -99,6 +110,7 @@
 impl Mul<f64> for Resources {
     type Output = Self;
 
+    #[inline]
     fn mul(self, factor: f64) -> Self {
         self.map(|amount| amount * factor)
     }
@@ -107,6 +119,7 @@
 impl Div for Resources {
     type Output = Self;
 
+    #[inline]
     fn div(self, other: Self) -> Self {
         self.zip_with(other, |a, b| a / b)
     }
@@ -115,18 +128,21 @@
 impl Neg for Resources {
     type Output = Self;
 
+    #[inline]
     fn neg(self) -> Self {
         self.map(|amount| -amount)
     }
 }
 
 impl AddAssign for Resources {
+    #[inline]
     fn add_assign(&mut self, other: Self) {
         *self = *self + other;
     }
 }
 
 impl SubAssign for Resources {
+    #[inline]
     fn sub_assign(&mut self, other: Self) {
         *self = *self - other;
     }
