--- /dev/null
+++ b/crates/policy/src/scheduler/observations.rs
@@ -0,0 +1,91 @@
+//! Observations: each event is taken in by one handler. Handlers change what is known and decide nothing.
+
+use super::Scheduler;
+use super::task_record::{TaskRecord, TaskState};
+use crate::interface::{Event, MachineId, Seconds, Task, TaskId};
+
+impl Scheduler {
+    pub(super) fn observe(&mut self, now: Seconds, event: Event) {
+        match event {
+            Event::TaskSubmitted(task) => self.task_submitted(now, task),
+            Event::TaskAdopted(task, machine) => self.task_adopted(now, task, machine),
+            Event::AttemptConfirmed { task, attempt } => self.attempt_confirmed(now, task, attempt),
+            Event::AttemptProgressed { task, progress } => {
+                self.attempt_progressed(now, task, progress);
+            }
+            Event::AttemptEnded {
+                task,
+                attempt,
+                outcome,
+                closed,
+                report,
+            } => {
+                let machine = self.tasks.get(&task).map(|record| record.machine);
+                if let (Some(machine), Some(report)) = (machine, report) {
+                    self.record_load_report(now, machine, &report);
+                }
+                self.attempt_ended(now, task, attempt, outcome, closed);
+            }
+            Event::TaskCancelled(task) => self.task_cancelled(task),
+            Event::TimerFired(_) => self.next_wakeup_at = f64::INFINITY,
+            Event::EndpointsChanged(endpoints) => self.endpoints_changed(now, endpoints),
+            Event::EndpointsListed(endpoints) => self.endpoints_listed(now, endpoints),
+            Event::EndpointListFailed => self.endpoint_subscription.record_failure(
+                now,
+                &self.settings.safety_limits,
+                &mut self.rng,
+            ),
+            Event::GossipReceived(message) => self.programs.record_gossip(now, &message),
+            Event::SchedulerCountChanged(count) => self.scheduler_count_changed(count),
+            Event::LoadPolled { machine, report } => self.load_polled(now, machine, report),
+        }
+    }
+
+    fn task_submitted(&mut self, now: Seconds, task: Task) {
+        if self.tasks.contains_key(&task.id) {
+            return;
+        }
+        self.estimates.record_task(now, &task);
+        let id = task.id;
+        let record = TaskRecord {
+            task,
+            sent_at: now,
+            ..TaskRecord::default()
+        };
+        self.tasks.insert(id, record);
+        self.pending.push(id);
+    }
+
+    fn task_adopted(&mut self, now: Seconds, task: Task, machine: MachineId) {
+        if self.tasks.contains_key(&task.id) {
+            return;
+        }
+        self.estimates.record_task(now, &task);
+        let id = task.id;
+        let record = TaskRecord {
+            task,
+            state: TaskState::Placed,
+            attempts: 1,
+            sent_at: now,
+            machine,
+            ..TaskRecord::default()
+        };
+        self.tasks.insert(id, record);
+        self.reserve(now, id);
+    }
+
+    fn task_cancelled(&mut self, id: TaskId) {
+        let Some(record) = self.tasks.get_mut(&id) else {
+            return;
+        };
+        if record.state == TaskState::Pending {
+            self.tasks.remove(&id);
+        } else {
+            record.state = TaskState::Finished;
+        }
+    }
+
+    fn scheduler_count_changed(&mut self, count: usize) {
+        self.settings.scheduler_count = count.max(self.settings.ordinal + 1);
+    }
+}
