--- a/crates/planner-protocol/src/frame.rs
+++ b/crates/planner-protocol/src/frame.rs
@@ -1,41 +1,37 @@
-//! Bytes to messages and back.
+//! Encoding messages as frames and decoding frames from a byte stream. Called by the sockets of edges and planners.
 
 use crate::PROTOCOL_VERSION;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// A frame may have so many bytes.
+/// Largest size of a message in a frame, in bytes, without the frame's header.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
+
+/// A frame's header: the message's length (four bytes) and the protocol version (two bytes), both big endian.
 const HEADER_BYTES: usize = 6;
 
-/// What is wrong with what a peer sent. None can be recovered from: the connection is to be closed.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a frame can't be encoded or decoded. After a decoding error the stream has no known frame boundary any more:
+/// the connection has to be closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The peer speaks another version.
+    /// The peer speaks another version of the protocol.
+    #[error(
+        "the peer speaks version {0} of the planner protocol, this program version {PROTOCOL_VERSION}: upgrade the older one"
+    )]
     Version(u16),
-    /// Longer than [`MAX_FRAME_BYTES`].
+    /// The message has more bytes than [`MAX_FRAME_BYTES`].
+    #[error("a frame of {0} bytes exceeds the maximum of {MAX_FRAME_BYTES}")]
     TooLong(usize),
-    /// No message in it.
-    Malformed(String),
-}
-
-impl std::fmt::Display for FrameError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Self::Version(v) => write!(
-                f,
-                "the peer speaks version {v} of the link, this program {PROTOCOL_VERSION}: upgrade the older one"
-            ),
-            Self::TooLong(n) => write!(f, "a frame of {n} bytes, {MAX_FRAME_BYTES} are allowed"),
-            Self::Malformed(why) => write!(f, "a frame that holds no message: {why}"),
-        }
-    }
+    /// The frame's body is no message of the expected type, or the message can't be serialized.
+    #[error("a malformed frame: {0}")]
+    Malformed(postcard::Error),
 }
 
-impl std::error::Error for FrameError {}
-
-/// One frame.
+/// Encodes a message as one frame.
+///
+/// # Errors
+/// [`FrameError::TooLong`], or [`FrameError::Malformed`] where the message can't be serialized.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    let body = postcard::to_stdvec(message).map_err(|e| FrameError::Malformed(e.to_string()))?;
+    let body = postcard::to_stdvec(message).map_err(FrameError::Malformed)?;
     if body.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
@@ -46,41 +42,44 @@
     Ok(frame)
 }
 
-/// Takes in bytes as they come and gives out whole messages.
+/// Buffers the bytes of a stream and decodes messages from them.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    bytes: Vec<u8>,
-    read: usize,
+    buffer: Vec<u8>,
+    /// Bytes at the start of `buffer` that were decoded already.
+    consumed: usize,
 }
 
 impl Decoder {
-    /// Takes in bytes.
+    /// Appends bytes that were read from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.read);
-        self.read = 0;
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one.
+    /// Decodes the next message; `None` until all bytes of its frame have been fed.
+    ///
+    /// # Errors
+    /// What is wrong with the next frame. The connection has to be closed then.
     pub fn next_message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let rest = &self.bytes[self.read..];
-        let Some(head) = rest.first_chunk::<HEADER_BYTES>() else {
+        let unread = &self.buffer[self.consumed..];
+        let Some(header) = unread.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
-        let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        let version = u16::from_be_bytes([head[4], head[5]]);
+        let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+        let version = u16::from_be_bytes([header[4], header[5]]);
         if version != PROTOCOL_VERSION {
             return Err(FrameError::Version(version));
         }
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
-        let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else {
+        let Some(body) = unread.get(HEADER_BYTES..HEADER_BYTES + length) else {
             return Ok(None);
         };
-        let message =
-            postcard::from_bytes(body).map_err(|e| FrameError::Malformed(e.to_string()))?;
-        self.read += HEADER_BYTES + length;
+        let message = postcard::from_bytes(body).map_err(FrameError::Malformed)?;
+        self.consumed += HEADER_BYTES + length;
         Ok(Some(message))
     }
 }
--- a/crates/planner-protocol/src/lib.rs
+++ b/crates/planner-protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! The link between edge and planner, without I/O.
+//! The protocol between edge and planner: messages, framing and failure detection, without I/O.
 //!
-//! A frame is four bytes of length (big endian), two of the protocol's version, and a message in postcard. A peer
-//! of another version is told so by its first frame and cut, before a message of it is read.
+//! A frame consists of the message's length (four bytes, big endian), the protocol version (two bytes, big endian) and
+//! the message in the postcard encoding. The version is checked before a message is decoded; a peer of another version
+//! is disconnected with an error that names both versions.
 
 pub mod frame;
 pub mod liveness;
@@ -11,5 +12,5 @@
 pub use liveness::Liveness;
 pub use message::{Location, TerminationReason, ToEdge, ToPlanner};
 
-/// Version of frames and messages.
+/// Version of the frames and messages. Peers of different versions do not talk to each other.
 pub const PROTOCOL_VERSION: u16 = 3;
--- a/crates/planner-protocol/src/message.rs
+++ b/crates/planner-protocol/src/message.rs
@@ -1,30 +1,31 @@
-//! Messages.
+//! The messages of the protocol. Names in `serde(rename)` are the names of earlier versions; they stay in JSON recordings.
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::task::PlacementRequest;
 use tidespur_pending::ReasonUpdate;
 
-/// From an edge to a planner.
+/// A message from an edge to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToPlanner {
-    /// Answer to `Hello`.
+    /// Answer to [`ToEdge::Hello`].
     Welcome {
         /// Name of the edge.
         edge: String,
     },
-    /// A task to place. `Taken` is due at once; nothing may be offered before `Go`.
+    /// A task to place. The planner replies with [`ToEdge::Acknowledged`] at once, and offers the task to no node before
+    /// [`ToPlanner::Commit`].
     Place(PlacementRequest),
-    /// The task is the planner's now: one of `Placed`, `Refused`, `Failed` is owed. Until this is sent the edge can
-    /// take the task back and know that it was never offered.
+    /// The planner now owns the task and owes it exactly one of [`ToEdge::Placed`], [`ToEdge::Rejected`] and
+    /// [`ToEdge::Failed`]. Before this is sent the edge can withdraw the task, knowing that no node was offered it.
     #[serde(rename = "Go")]
     Commit {
         /// The task.
         uid: String,
-        /// Seconds from now in which its owner waits.
+        /// How long its owner waits for an answer, in seconds from now.
         #[serde(rename = "within")]
         timeout: f64,
     },
-    /// A task that a node holds; from now on this planner tells of it.
+    /// A task that a node already holds: this planner reports its state from now on.
     #[serde(rename = "InPlace")]
     Adopt {
         /// The task.
@@ -33,152 +34,153 @@
         /// The node.
         node: String,
     },
-    /// Nobody wants the task any more: nothing more may be sent for it, and what runs of it is to be stopped.
+    /// The task is not wanted any more: it is offered to no node any more, and what runs of it is stopped.
     #[serde(rename = "Stop")]
     Cancel {
         /// The task.
         uid: String,
     },
-    /// Asks whether a node holds what was once offered for this task.
+    /// Asks whether any node holds the task, which was offered by this or another planner.
     Locate {
-        /// The question's subject.
+        /// The task.
         uid: String,
-        /// Namespace and name at nodes.
+        /// Namespace of its Pod.
         tenant: String,
-        /// See `tenant`.
+        /// Name of its Pod.
         name: String,
     },
-    /// Still here.
+    /// Keeps the connection alive while nothing else is sent.
     #[serde(rename = "Ping")]
     Heartbeat,
-    /// So many planners share what cold nodes bear. Said under a lease; an older token than one heard before is refused.
+    /// The number of planners that share the slow-start budget of nodes. Sent by the holder of a lease; a planner
+    /// rejects a fencing token older than the newest that it knows ([`ToEdge::StaleToken`]).
     #[serde(rename = "Sharers")]
     PlannerCount {
         /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// Fencing token of the lease.
         token: u64,
-        /// How many, the planner that hears it included.
+        /// Number of planners, the receiver included.
         planners: u32,
     },
 }
 
-/// How a placed task ended.
+/// Why a placed task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TerminationReason {
-    /// It finished.
+    /// The program finished successfully.
     Succeeded,
-    /// It ended with an error.
+    /// The program ended with an error.
     Failed,
-    /// Evicted for memory.
+    /// The node evicted it for lack of memory.
     Evicted,
-    /// Pushed out by a higher priority.
+    /// The node preempted it for a task of higher priority.
     #[serde(rename = "PushedOut")]
     Preempted,
-    /// Sent away by a node that drains.
+    /// The node drained it, or shut down.
     #[serde(rename = "SentAway")]
     Drained,
-    /// Lost with its node.
+    /// Its node was lost.
     #[serde(rename = "Lost")]
     NodeLost,
-    /// Stopped as its owner wanted, or moved by the policy.
+    /// It was stopped at its owner's request, or migrated by the policy.
     Stopped,
 }
 
-/// What is known of a task that may have been taken by a node.
+/// Where a task is that a node may have accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Location {
     /// This node holds it.
     At(String),
-    /// It came to its end there.
+    /// A node held it, and it has ended there.
     Ended(TerminationReason),
-    /// No node holds it, and every node that it was offered to has been heard since.
+    /// No node holds it. Every node that may have been offered it has reported its Pods since the question.
     #[serde(rename = "Nowhere")]
     NotFound,
-    /// A node that it may have gone to can't be heard now.
+    /// A node that may hold it does not report its Pods now.
     #[serde(rename = "Unclear")]
     Unknown,
 }
 
-/// From a planner to an edge.
+/// A message from a planner to an edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEdge {
-    /// First message.
+    /// The first message on a connection.
     Hello {
         /// Name of the planner.
         planner: String,
-        /// Its number.
+        /// Its ordinal, from 0.
         ordinal: u32,
     },
-    /// The task has been read; `Go` or `Stop` is due.
+    /// The task was read. The edge replies with [`ToPlanner::Commit`] or [`ToPlanner::Cancel`].
     #[serde(rename = "Taken")]
     Acknowledged {
         /// The task.
         uid: String,
     },
-    /// A node accepted the task: its one answer.
+    /// A node accepted the task. Also the answer to [`ToPlanner::Adopt`].
     Placed {
         /// The task.
         uid: String,
         /// The node.
         node: String,
     },
-    /// Not placed and never run: its one answer.
+    /// The task was not placed and has not run; or, where it is idempotent, what may run of it is being stopped.
     #[serde(rename = "Refused")]
     Rejected {
         /// The task.
         uid: String,
-        /// Why, for people.
+        /// The reason, for people.
         #[serde(rename = "why")]
         reason: String,
-        /// Advice to stay away this long, in seconds; 0: none.
+        /// Retry-After: how long the owner should wait before it submits again, in seconds; 0 for no advice.
         #[serde(rename = "retry_in")]
         retry_after: f64,
     },
-    /// No claim whether it ran: its one answer.
+    /// The task was given up, and it may have run.
     Failed {
         /// The task.
         uid: String,
-        /// Why, for people.
+        /// The reason, for people.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A placed task runs now.
+    /// A placed task has started to run.
     #[serde(rename = "Runs")]
     Started {
         /// The task.
         uid: String,
     },
-    /// A placed task ended.
+    /// A placed task has ended.
     Ended {
         /// The task.
         uid: String,
-        /// How.
+        /// Why it ended.
         #[serde(rename = "end")]
         reason: TerminationReason,
     },
-    /// Why tasks wait: what has changed, and now and then what has not.
+    /// Why tasks are pending: changes since the last message, and unchanged reasons again from time to time.
     #[serde(rename = "Waits")]
     PendingReasons(Vec<ReasonUpdate>),
-    /// Answer to `Locate`.
+    /// Answer to [`ToPlanner::Locate`].
     Located {
-        /// The question's subject.
+        /// The task.
         uid: String,
-        /// What is known.
+        /// Where the task is.
         #[serde(rename = "found")]
         location: Location,
     },
-    /// Still here.
+    /// Keeps the connection alive while nothing else is sent.
     #[serde(rename = "Ping")]
     Heartbeat,
-    /// What was said under a lease is refused: its token is not the newest any more.
+    /// A message sent under a lease was rejected: its fencing token is not the newest any more.
     #[serde(rename = "Stale")]
     StaleToken {
         /// Name of the lease.
         lease: String,
-        /// The token that was said.
+        /// The token of the rejected message.
         token: u64,
-        /// The newest one known.
+        /// The newest token that the planner knows.
         newest: u64,
     },
 }
