--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -218,7 +218,7 @@
     assert!(try_one("edge-0").contains("another process has it open"));
     let told = try_one("planner-0");
     assert!(
-        told.contains("another process has it open") || told.contains("is the memory of"),
+        told.contains("another process has it open") || told.contains("is the store of"),
         "{told}"
     );
 }
--- a/crates/edge/tests/compatibility.rs
+++ b/crates/edge/tests/compatibility.rs
@@ -193,7 +193,8 @@
         );
     }
     let is_known = |kind: &str| KINDS.contains(&kind);
-    assert!(stored.loaded.records.keys().all(|(kind, _)| is_known(kind)));
+    let mut records = stored.loaded.records.keys();
+    assert!(records.all(|record| is_known(&record.kind)));
     let opens: Vec<String> = stored
         .loaded
         .records_of_kind("open")
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/recall.rs
@@ -8,7 +8,7 @@
 use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
 use tidespur_edge::keep;
-use tidespur_persistence::{Batch, LoadedRecords};
+use tidespur_persistence::{Batch, LoadedRecords, RecordKey};
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
 
@@ -309,7 +309,7 @@
     let mut spoilt = back;
     spoilt
         .records
-        .insert(("open".into(), "x".into()), b"{".to_vec());
+        .insert(RecordKey::new("open", "x"), b"{".to_vec());
     let mut store = Store::new(limits(), 1, 1);
     let mut core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1);
     let problem = core
--- a/crates/persistence/src/batch.rs
+++ b/crates/persistence/src/batch.rs
@@ -1,22 +1,38 @@
-//! Changes that become safe together.
+//! Batches of changes, each of which is committed atomically.
 
 use crate::{MAX_RECORD_BYTES, PersistenceError};
 use std::collections::BTreeMap;
 
-/// Kind and key of a record. Kinds are few and chosen by the program; keys come from names.
-pub type RecordKey = (String, String);
+/// Key of a record. Records are ordered by kind, then by key.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RecordKey {
+    /// Kind of the record: one of a few constants of the program.
+    pub kind: String,
+    /// Key within the kind, usually the name of an object; may be empty.
+    pub key: String,
+}
+
+impl RecordKey {
+    /// The key `key` within `kind`.
+    pub fn new(kind: impl Into<String>, key: impl Into<String>) -> Self {
+        Self {
+            kind: kind.into(),
+            key: key.into(),
+        }
+    }
+}
 
-/// Changes of records, the last one of each: all of them last, or none.
+/// Changes of records that are committed together: all of them, or none. It holds the last change of each record.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     changes: BTreeMap<RecordKey, Option<Vec<u8>>>,
 }
 
 impl Batch {
-    /// Writes a record over what stands.
+    /// Adds the write of a record, which replaces its earlier value.
     ///
     /// # Errors
-    /// [`PersistenceError::RecordTooLarge`]; the batch stays as it was.
+    /// [`PersistenceError::RecordTooLarge`]; the batch is unchanged then.
     pub fn put(&mut self, kind: &str, key: &str, value: Vec<u8>) -> Result<(), PersistenceError> {
         let bytes = kind.len() + key.len() + value.len();
         if bytes > MAX_RECORD_BYTES {
@@ -25,14 +41,13 @@
                 bytes,
             });
         }
-        self.changes
-            .insert((kind.to_owned(), key.to_owned()), Some(value));
+        self.changes.insert(RecordKey::new(kind, key), Some(value));
         Ok(())
     }
 
-    /// Removes a record, if it stands.
+    /// Adds the removal of a record; it has no effect if there is no such record.
     pub fn remove(&mut self, kind: &str, key: &str) {
-        self.changes.insert((kind.to_owned(), key.to_owned()), None);
+        self.changes.insert(RecordKey::new(kind, key), None);
     }
 
     /// Whether it changes nothing.
@@ -40,19 +55,19 @@
         self.changes.is_empty()
     }
 
-    /// Records that it changes.
+    /// Number of records that it changes.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// The changes, in order of kind and key; `None` removes.
+    /// The changes in order of kind and key: the value of a record that is written, `None` for one that is removed.
     pub fn changes(&self) -> impl Iterator<Item = (&RecordKey, Option<&[u8]>)> {
         self.changes
             .iter()
             .map(|(record, value)| (record, value.as_deref()))
     }
 
-    /// Takes in a later batch: of each record the later word holds.
+    /// Adds the changes of a later batch. Where both change a record, the later change replaces the earlier one.
     pub fn extend(&mut self, later: Batch) {
         self.changes.extend(later.changes);
     }
--- a/crates/persistence/src/error.rs
+++ b/crates/persistence/src/error.rs
@@ -1,22 +1,23 @@
-//! What can go wrong with a memory, each with what an operator can do.
+//! Errors of a store. Each message says what failed, with which file, and what an operator can do.
 
-use std::path::PathBuf;
+use std::io::ErrorKind;
+use std::path::{Path, PathBuf};
 
-/// Why a memory can't be opened, read or written.
+/// Why a store can't be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum PersistenceError {
-    /// The folder is not there and can't be made, or can't be entered.
+    /// The folder does not exist and can't be created, or can't be accessed.
     #[error(
-        "{folder}: the folder can't be used: {why}; make it, give this user rights to it, or name another with --data"
+        "{folder}: the folder can't be used: {reason}; make it, give this user rights to it, or name another with --data"
     )]
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// The system's word.
-        why: std::io::Error,
+        /// The operating system's error.
+        reason: std::io::Error,
     },
-    /// Another process has it open.
+    /// Another process has the file open.
     #[error(
         "{file}: another process has it open; end that process, or give each its own folder with --data"
     )]
@@ -24,9 +25,9 @@
         /// The file.
         file: PathBuf,
     },
-    /// It is another process's memory.
+    /// The file is the store of another process.
     #[error(
-        "{file}: it is the memory of {found}, not of {wanted}; start that one here, or name another folder with --data"
+        "{file}: it is the store of {found}, not of {wanted}; start that one here, or name another folder with --data"
     )]
     WrongOwner {
         /// The file.
@@ -36,7 +37,7 @@
         /// Role and name of this process.
         wanted: String,
     },
-    /// It belongs to another cluster.
+    /// The file belongs to another cluster.
     #[error(
         "{file}: it belongs to the cluster {found:?}, not to {wanted:?}; look at fleet.cluster in the settings, or name another folder with --data"
     )]
@@ -48,47 +49,47 @@
         /// The cluster of this process.
         wanted: String,
     },
-    /// A newer program wrote it.
+    /// A newer version of the program wrote the file.
     #[error(
         "{file}: it was written by a newer program (format {found}, known here: {known}); start that version"
     )]
     NewerFormat {
         /// The file.
         file: PathBuf,
-        /// Its format.
+        /// Format version of the file.
         found: u64,
-        /// The newest format that this program reads.
+        /// The newest format version that this program reads.
         known: u64,
     },
-    /// It is no memory of ours, or its head is gone.
+    /// The file was not written by tidespur, or its header is damaged.
     #[error(
-        "{file}: it is no memory of tidespur, or its head is damaged; restore it from a copy, or move it away to start with none"
+        "{file}: it is no store of tidespur, or its header is damaged; restore it from a copy, or move it away to start with an empty store"
     )]
     NotAStore {
         /// The file.
         file: PathBuf,
     },
-    /// The file ends before what it says it holds.
+    /// The file is shorter than its header says.
     #[error(
-        "{file}: it is cut off ({why}); move it away, restore it from a copy, or start with none: what it held is then settled by asking"
+        "{file}: it is truncated ({reason}); move it away, then restore it from a copy or start with an empty store: the other processes are asked for what it held"
     )]
     Truncated {
         /// The file.
         file: PathBuf,
-        /// What was found.
-        why: String,
+        /// What the check of the file found.
+        reason: String,
     },
     /// A page does not match its checksum.
     #[error(
-        "{file}: a page of it is damaged ({why}); look at the disk, move the file away, and restore it from a copy or start with none"
+        "{file}: a page of it is damaged ({reason}); look at the disk, move the file away, then restore it from a copy or start with an empty store"
     )]
     Corrupted {
         /// The file.
         file: PathBuf,
-        /// What was found.
-        why: String,
+        /// What the check of the file found.
+        reason: String,
     },
-    /// The disk, or the share of it that this user has, is full.
+    /// The disk is full, or the quota of this user is used up.
     #[error(
         "{file}: the disk is full; nothing that was acknowledged is lost, and writing goes on once there is room"
     )]
@@ -96,68 +97,68 @@
         /// The file.
         file: PathBuf,
     },
-    /// The disk or the system refuses otherwise.
+    /// Any other error of the disk or of the operating system.
     #[error(
-        "{file}: the disk does not do what it is asked: {why}; look at the disk and at the rights of this user"
+        "{file}: the disk does not do what it is asked: {reason}; look at the disk and at the rights of this user"
     )]
     Io {
         /// The file.
         file: PathBuf,
-        /// The system's word.
-        why: String,
+        /// The operating system's error.
+        reason: String,
     },
-    /// A record is beyond the bound.
+    /// A record is larger than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
     #[error(
         "{record}: {bytes} bytes, which is more than a record may have; make the object smaller"
     )]
     RecordTooLarge {
-        /// Kind and key.
+        /// Kind and key of the record.
         record: String,
-        /// Its size.
+        /// Size of the record, in bytes.
         bytes: usize,
     },
 }
 
-/// What the file's library says, in this package's words.
-pub(crate) fn told(file: &std::path::Path, problem: redb::Error) -> PersistenceError {
+/// Converts an error of the database library. `file` is the file that it concerns.
+pub(crate) fn from_database(file: &Path, error: redb::Error) -> PersistenceError {
     let file = file.to_owned();
-    match problem {
+    match error {
         redb::Error::DatabaseAlreadyOpen => PersistenceError::InUse { file },
-        redb::Error::UpgradeRequired(found) => PersistenceError::Corrupted {
+        redb::Error::UpgradeRequired(version) => PersistenceError::Corrupted {
             file,
-            why: format!("an old format of its library, {found}"),
+            reason: format!("an old format of its library, {version}"),
         },
-        // Its library tells the two apart by its words alone; unknown words count as the worse one.
-        redb::Error::Corrupted(why) if why.contains("truncated") => {
-            PersistenceError::Truncated { file, why }
+        // The library tells truncation from corruption by its text only. Unknown texts count as corruption, which is
+        // the worse of the two.
+        redb::Error::Corrupted(reason) if reason.contains("truncated") => {
+            PersistenceError::Truncated { file, reason }
         }
-        redb::Error::Corrupted(why) => PersistenceError::Corrupted { file, why },
-        redb::Error::Io(why) => by_kind(file, &why),
+        redb::Error::Corrupted(reason) => PersistenceError::Corrupted { file, reason },
+        redb::Error::Io(error) => from_io(file, &error),
         redb::Error::RepairAborted => PersistenceError::Corrupted {
             file,
-            why: "what a power loss left could not be put right".into(),
+            reason: "the repair after a power loss was aborted".into(),
         },
         other => PersistenceError::Io {
             file,
-            why: other.to_string(),
+            reason: other.to_string(),
         },
     }
 }
 
-fn by_kind(file: PathBuf, why: &std::io::Error) -> PersistenceError {
-    use std::io::ErrorKind;
-    match why.kind() {
+fn from_io(file: PathBuf, error: &std::io::Error) -> PersistenceError {
+    match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
             PersistenceError::DiskFull { file }
         }
         ErrorKind::UnexpectedEof => PersistenceError::Truncated {
             file,
-            why: "a page lies beyond its end".into(),
+            reason: "a page lies beyond its end".into(),
         },
         ErrorKind::InvalidData => PersistenceError::NotAStore { file },
         _ => PersistenceError::Io {
             file,
-            why: why.to_string(),
+            reason: error.to_string(),
         },
     }
 }
--- a/crates/persistence/src/export.rs
+++ b/crates/persistence/src/export.rs
@@ -1,81 +1,90 @@
-//! What can be read from a damaged folder. A library call for an operator's own program, no command.
+//! Reading what is still readable of a damaged store. A library call for an operator's own program; no command uses it.
 
-use crate::memory::{RECORDS, records};
-use crate::{PersistenceError, RecordKey, STORE_FILE, error::told};
-use redb::{Builder, ReadableDatabase, ReadableTable};
+use crate::error::from_database;
+use crate::tables::{RECORDS, read_records};
+use crate::{PersistenceError, RecordKey, STORE_FILE};
+use redb::{AccessGuard, Builder, Database, ReadableDatabase, ReadableTable, StorageError};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What was read.
+/// The readable part of a store.
 #[derive(Clone, Debug, Default)]
 pub struct Export {
     /// Records that could be read.
     pub records: BTreeMap<RecordKey, Vec<u8>>,
-    /// Why there may be more: each place at which reading had to end.
+    /// Why records may be missing: the error at each place where reading had to stop.
     pub missing: Vec<String>,
 }
 
-/// Reads what can be read, from the front and from the back up to the damage. Works on a copy: the folder is left as
-/// it is. Nobody may have it open. Pages are not all checked here: what comes back may be older than what was lost.
+/// Reads all records that can be read, from the front and from the back up to the damage. It works on a copy and leaves
+/// the store as it is; no process may have the store open. Not all pages are verified here, so a record may have an
+/// older value than the one that was lost.
 ///
 /// # Errors
-/// Where the file can't be read or copied at all, or nothing in it makes sense.
+/// If the file can't be read or copied, or no record can be read from it.
 pub fn export(folder: &Path) -> Result<Export, PersistenceError> {
     let file = folder.join(STORE_FILE);
     let copy = folder.join(format!("{STORE_FILE}.export"));
-    let system = |why: std::io::Error| PersistenceError::Io {
+    let io_error = |error: std::io::Error| PersistenceError::Io {
         file: file.clone(),
-        why: why.to_string(),
+        reason: error.to_string(),
     };
-    std::fs::copy(&file, &copy).map_err(system)?;
-    let read = read(&copy);
-    std::fs::remove_file(&copy).map_err(system)?;
-    read
+    std::fs::copy(&file, &copy).map_err(io_error)?;
+    let export = read_copy(&copy);
+    std::fs::remove_file(&copy).map_err(io_error)?;
+    export
 }
 
-fn read(copy: &Path) -> Result<Export, PersistenceError> {
-    let disk = Builder::new()
+fn read_copy(copy: &Path) -> Result<Export, PersistenceError> {
+    let database = Builder::new()
         .create(copy)
-        .map_err(|e| told(copy, e.into()))?;
-    if let Ok(records) = records(&disk) {
+        .map_err(|error| from_database(copy, error.into()))?;
+    if let Ok(records) = read_records(&database) {
         return Ok(Export {
             records,
             missing: vec![],
         });
     }
     let mut export = Export::default();
-    let mut walk = || -> Result<(), redb::Error> {
-        let table = disk.begin_read()?.open_table(RECORDS)?;
-        for backwards in [false, true] {
-            let mut all = table.iter()?;
-            while let Some(entry) = if backwards {
-                all.next_back()
-            } else {
-                all.next()
-            } {
-                match entry {
-                    Ok((key, value)) => {
-                        let (kind, key) = key.value();
-                        export
-                            .records
-                            .insert((kind.to_owned(), key.to_owned()), value.value().to_owned());
-                    }
-                    Err(problem) => {
-                        export.missing.push(problem.to_string());
-                        break;
-                    }
-                }
+    match read_from_both_ends(&database, &mut export) {
+        Err(error) if export.records.is_empty() => return Err(from_database(copy, error)),
+        Err(error) => export.missing.push(error.to_string()),
+        Ok(()) => {}
+    }
+    Ok(export)
+}
+
+fn read_from_both_ends(database: &Database, export: &mut Export) -> Result<(), redb::Error> {
+    let table = database.begin_read()?.open_table(RECORDS)?;
+    let forwards = table.iter()?;
+    read_until_error(forwards, export);
+    let backwards = table.iter()?.rev();
+    read_until_error(backwards, export);
+    Ok(())
+}
+
+/// Kind, key and value of a record as the table's iterator returns them.
+type RawEntry<'a> = (
+    AccessGuard<'a, (&'static str, &'static str)>,
+    AccessGuard<'a, &'static [u8]>,
+);
+
+fn read_until_error<'a>(
+    entries: impl Iterator<Item = Result<RawEntry<'a>, StorageError>>,
+    export: &mut Export,
+) {
+    for entry in entries {
+        match entry {
+            Ok((record, value)) => {
+                let (kind, key) = record.value();
+                export
+                    .records
+                    .insert(RecordKey::new(kind, key), value.value().to_owned());
+            }
+            Err(error) => {
+                export.missing.push(error.to_string());
+                return;
             }
         }
-        Ok(())
-    };
-    let walked = walk();
-    match walked {
-        Err(problem) if export.records.is_empty() => Err(told(copy, problem)),
-        Err(problem) => {
-            export.missing.push(problem.to_string());
-            Ok(export)
-        }
-        Ok(()) => Ok(export),
     }
 }
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,29 +1,33 @@
-//! One process's memory over its end: records by kind and key, written in batches, synced before anyone is told.
+//! The store of one process, which outlives it: records by kind and key, written in batches that are synced before
+//! anybody is told of them.
 //!
-//! A [`Batch`] is all or nothing. [`RecordStore`] is the file; [`Writer`] writes to it from a thread of its own, many
-//! batches in one sync where they come faster than the disk takes them. What may be said only once a batch is safe
-//! waits in an [`Outbox`], which is a state machine without I/O.
+//! A [`Batch`] is committed atomically. [`RecordStore`] is the file; [`Writer`] writes to it from a thread of its own
+//! and commits several batches in one sync if they are submitted faster than the disk takes them. Messages that may be
+//! sent only after a batch is synced wait in an [`Outbox`], which is a state machine without I/O. [`Disk`] is what a
+//! running process uses: a store with its writer and subscribers.
 //!
-//! The file is `redb`'s: a copy-on-write tree with checksums, in which a torn write can only hit what was not yet
-//! synced. This package adds whose file it is, its version, how often it was opened, and errors an operator can act on.
+//! The file is a `redb` database: a copy-on-write tree with checksums, in which a torn write can only damage what was
+//! not yet synced. This package adds the identity of its owner, a format version, a count of its starts, and errors
+//! that an operator can act on. Called by the event loops of edge, planner and voter.
 
 mod batch;
+mod disk;
 mod error;
 mod export;
-mod memory;
+mod loaded_records;
 mod outbox;
-mod process;
-mod recalled;
+mod record_store;
+mod tables;
 mod writer;
 
 pub use batch::{Batch, RecordKey};
+pub use disk::Disk;
 pub use error::PersistenceError;
 pub use export::{Export, export};
-pub use memory::{RecordStore, STORE_FILE};
+pub use loaded_records::{Identity, LoadedRecords, PreviousShutdown};
 pub use outbox::Outbox;
-pub use process::{Disk, PreviousShutdown};
-pub use recalled::{Identity, LoadedRecords};
+pub use record_store::{RecordStore, STORE_FILE};
 pub use writer::{Progress, Writer};
 
-/// Bytes of one record, key and value; more is refused before it is written.
+/// Largest size of a record, in bytes of kind, key and value. [`Batch::put`] refuses larger ones.
 pub const MAX_RECORD_BYTES: usize = 8 << 20;
--- a/crates/persistence/src/outbox.rs
+++ b/crates/persistence/src/outbox.rs
@@ -1,58 +1,68 @@
-//! What may be said only once what it rests on is safe. No I/O.
+//! Messages that must not be sent before a batch is on the disk. No I/O.
 
 use std::collections::VecDeque;
 
-/// Words in the order in which they were said, each held until the batch that it rests on is on the disk.
+/// A queue of messages, each of which waits until the batch that it depends on is on the disk.
 ///
-/// Guards against a word that outlives its reason: an offer whose intent a power loss took, an answer for an object
-/// that was never kept. Should guard as well against a disk that stands still: then nothing is said. Harm: each word
-/// waits for one sync; and a word that rests on nothing new waits behind those that do, so that the order stays.
+/// It prevents that a message is sent whose cause is lost in a power failure: an offer without its recorded intent, or
+/// the acknowledgement of an object that was never stored. If the disk makes no progress, nothing is sent. Its cost is
+/// a delay of one sync for each message; a message that depends on nothing new waits behind the earlier ones, which
+/// keeps the order.
 #[derive(Debug)]
 pub struct Outbox<T> {
-    held: VecDeque<(u64, T)>,
+    /// Each message with the number of the batch that it waits for.
+    queue: VecDeque<(u64, T)>,
 }
 
 impl<T> Default for Outbox<T> {
     fn default() -> Self {
         Self {
-            held: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 }
 
 impl<T> Outbox<T> {
-    /// Holds a word until this batch is safe.
-    pub fn hold(&mut self, batch: u64, word: T) {
-        self.held.push_back((batch, word));
+    /// Appends a message that waits for the batch of this number.
+    pub fn hold(&mut self, batch: u64, message: T) {
+        self.queue.push_back((batch, message));
     }
 
-    /// The words that may be said once all batches up to this one are safe.
-    pub fn release(&mut self, safe: u64) -> Vec<T> {
-        let ready = self
-            .held
+    /// Removes and returns the messages from the front of the queue that wait for no batch after `synced`.
+    pub fn release(&mut self, synced: u64) -> Vec<T> {
+        let released = self
+            .queue
             .iter()
-            .take_while(|(batch, _)| *batch <= safe)
+            .take_while(|(batch, _)| *batch <= synced)
             .count();
-        self.held.drain(..ready).map(|(_, word)| word).collect()
+        self.queue
+            .drain(..released)
+            .map(|(_, message)| message)
+            .collect()
     }
 
-    /// Takes back words that need not, or must not, be said any more.
-    pub fn remove_matching(&mut self, which: impl Fn(&T) -> bool) -> Vec<T> {
-        let (back, held) = std::mem::take(&mut self.held)
-            .into_iter()
-            .partition(|(_, word)| which(word));
-        self.held = held;
-        let back: VecDeque<(u64, T)> = back;
-        back.into_iter().map(|(_, word)| word).collect()
+    /// Removes and returns the messages that match; they are not sent any more. The others keep their order.
+    pub fn remove_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<T> {
+        let mut removed = Vec::new();
+        let mut kept = VecDeque::with_capacity(self.queue.len());
+        for (batch, message) in self.queue.drain(..) {
+            if matches(&message) {
+                removed.push(message);
+            } else {
+                kept.push_back((batch, message));
+            }
+        }
+        self.queue = kept;
+        removed
     }
 
-    /// Words that wait.
+    /// Number of messages that wait.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Whether no message waits.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queue.is_empty()
     }
 }
--- a/crates/persistence/src/writer.rs
+++ b/crates/persistence/src/writer.rs
@@ -1,20 +1,23 @@
-//! The thread that writes: it alone waits for the disk.
+//! The writer thread, the only one that waits for the disk. Owned by [`Disk`](crate::Disk).
 
 use crate::{Batch, PersistenceError, RecordStore};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use parking_lot::{Condvar, Mutex};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause before a write that failed is tried again: first, and at most.
-const AGAIN: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(5)];
+/// Pause before a failed write is retried for the first time; it doubles with each retry.
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(200);
+/// The longest pause between retries.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How far the disk has come.
+/// How far the writer has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// All batches up to this number are on the disk.
     pub synced: u64,
-    /// The last batch that was handed in.
+    /// Number of the last batch that was submitted.
     pub submitted: u64,
-    /// Syncs so far.
+    /// Number of syncs so far.
     pub syncs: u64,
     /// Why the last write failed, until one succeeds.
     pub error: Option<String>,
@@ -23,92 +26,80 @@
 #[derive(Default)]
 struct State {
     progress: Progress,
-    waiting: Batch,
-    closing: bool,
+    /// Changes that are submitted and not yet taken by the thread.
+    pending: Batch,
+    is_closing: bool,
 }
 
+#[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    bell: Condvar,
+    /// Notified whenever the state changes.
+    changed: Condvar,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, State> {
-        // Each change under the lock is a few assignments; a panic leaves none half made.
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-/// Writes batches in order, as many at once as have come.
+/// Writes batches in the order of their submission. All batches that are submitted during a sync share the next one.
 ///
-/// Guards against a loop that waits for the disk. A write that fails is kept and tried again with what came after it,
-/// so that a full disk delays and loses nothing; what waits is the newest word of each record, so it is bounded by the
-/// records there are.
+/// Its callers never wait for the disk. A failed write is retried together with what was submitted after it, so a full
+/// disk delays writes and loses none. Pending changes need bounded memory, because only the last change of each record
+/// is kept.
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts the thread. `told` is called from it after each try, with how far the disk has come.
+    /// Starts the thread. `on_progress` is called from it after each attempt to write.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// If the operating system can't start a thread.
     pub fn start(
-        memory: RecordStore,
-        told: impl Fn(&Progress) + Send + 'static,
+        store: RecordStore,
+        on_progress: impl Fn(&Progress) + Send + 'static,
     ) -> Result<Self, PersistenceError> {
-        let shared = Arc::new(Shared {
-            state: Mutex::default(),
-            bell: Condvar::new(),
-        });
-        let its = shared.clone();
-        let run = move || write_all(&its, memory, told);
+        let shared = Arc::new(Shared::default());
+        let thread_shared = shared.clone();
         let thread = std::thread::Builder::new()
-            .name("durable".into())
-            .spawn(run);
-        let thread = thread.map_err(|e| PersistenceError::Io {
-            file: "".into(),
-            why: format!("no thread: {e}"),
-        })?;
+            .name("persistence".into())
+            .spawn(move || write_until_closed(&thread_shared, store, on_progress))
+            .map_err(|error| PersistenceError::Io {
+                file: "".into(),
+                reason: format!("no thread: {error}"),
+            })?;
         Ok(Self {
             shared,
             thread: Some(thread),
         })
     }
 
-    /// Hands in a batch; its number. An empty one rests on all that was handed in before it.
+    /// Submits a batch and returns its number. An empty batch gets no number of its own: the number of the last batch
+    /// is returned, on which everything up to now depends.
     pub fn write(&self, batch: Batch) -> u64 {
-        let mut state = self.shared.lock();
+        let mut state = self.shared.state.lock();
         if !batch.is_empty() {
             state.progress.submitted += 1;
-            state.waiting.extend(batch);
-            self.shared.bell.notify_all();
+            state.pending.extend(batch);
+            self.shared.changed.notify_all();
         }
         state.progress.submitted
     }
 
-    /// How far the disk has come.
+    /// How far the writer has come.
     pub fn progress(&self) -> Progress {
-        self.shared.lock().progress.clone()
+        self.shared.state.lock().progress.clone()
     }
 
-    /// Waits until all that was handed in is safe, this long at most; whether it is.
-    pub fn flush(&self, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        let mut state = self.shared.lock();
+    /// Waits until everything that was submitted is on the disk, for `timeout` at most. Returns whether it is.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let mut state = self.shared.state.lock();
         let last = state.progress.submitted;
         while state.progress.synced < last {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            if Instant::now() >= deadline {
                 return false;
             }
-            state = self
-                .shared
-                .bell
-                .wait_timeout(state, left)
-                .unwrap_or_else(PoisonError::into_inner)
-                .0;
+            // The loop checks both conditions again, so it does not matter which of them ended the wait.
+            let _ = self.shared.changed.wait_until(&mut state, deadline);
         }
         true
     }
@@ -116,59 +107,77 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.shared.lock().closing = true;
-        self.shared.bell.notify_all();
+        self.shared.state.lock().is_closing = true;
+        self.shared.changed.notify_all();
         if let Some(thread) = self.thread.take() {
-            // It ends once what waits is written, or can't be.
+            // The thread ends after the next write, successful or not. A panic of it was reported by the panic hook.
             let _ = thread.join();
         }
     }
 }
 
-fn write_all(shared: &Shared, mut memory: RecordStore, told: impl Fn(&Progress)) {
-    let mut pause = AGAIN[0];
-    loop {
-        let (batch, upto) = {
-            let mut state = shared.lock();
-            while state.waiting.is_empty() {
-                if state.closing {
-                    return;
-                }
-                state = shared
-                    .bell
-                    .wait(state)
-                    .unwrap_or_else(PoisonError::into_inner);
-            }
-            (std::mem::take(&mut state.waiting), state.progress.submitted)
-        };
-        let failed = memory.write(&batch).err().map(|problem| (problem, batch));
-        let progress = {
-            let mut state = shared.lock();
-            state.progress.error = failed.as_ref().map(|(problem, _)| problem.to_string());
-            match failed {
-                None => {
-                    state.progress.synced = upto;
-                    state.progress.syncs += 1;
-                    pause = AGAIN[0];
-                }
-                Some((_, mut batch)) => {
-                    // What came meanwhile is newer.
-                    batch.extend(std::mem::take(&mut state.waiting));
-                    state.waiting = batch;
-                }
-            }
-            state.progress.clone()
-        };
-        shared.bell.notify_all();
-        told(&progress);
-        if progress.error.is_some() {
-            if shared.lock().closing {
-                return;
-            }
-            std::thread::sleep(pause);
-            pause = (pause * 2).min(AGAIN[1]);
-            // If that fails, the next write does, and says why.
-            let _ = memory.reopen();
+/// A batch that the thread has taken, with the number of the last submitted batch in it.
+struct PendingWrite {
+    batch: Batch,
+    last: u64,
+}
+
+/// Waits for something to write; `None` once the writer is closed and nothing is pending.
+fn next_write(shared: &Shared) -> Option<PendingWrite> {
+    let mut state = shared.state.lock();
+    while state.pending.is_empty() {
+        if state.is_closing {
+            return None;
+        }
+        shared.changed.wait(&mut state);
+    }
+    Some(PendingWrite {
+        batch: std::mem::take(&mut state.pending),
+        last: state.progress.submitted,
+    })
+}
+
+/// Updates the shared state after an attempt to write, and returns the new progress.
+fn record_result(
+    shared: &Shared,
+    write: PendingWrite,
+    result: Result<(), PersistenceError>,
+) -> Progress {
+    let mut state = shared.state.lock();
+    match result {
+        Ok(()) => {
+            state.progress.error = None;
+            state.progress.synced = write.last;
+            state.progress.syncs += 1;
+        }
+        Err(error) => {
+            state.progress.error = Some(error.to_string());
+            let mut retried = write.batch;
+            // What was submitted meanwhile is newer.
+            retried.extend(std::mem::take(&mut state.pending));
+            state.pending = retried;
+        }
+    }
+    state.progress.clone()
+}
+
+fn write_until_closed(shared: &Shared, mut store: RecordStore, on_progress: impl Fn(&Progress)) {
+    let mut backoff = MIN_RETRY_BACKOFF;
+    while let Some(write) = next_write(shared) {
+        let result = store.write(&write.batch);
+        let progress = record_result(shared, write, result);
+        shared.changed.notify_all();
+        on_progress(&progress);
+        if progress.error.is_none() {
+            backoff = MIN_RETRY_BACKOFF;
+            continue;
+        }
+        if shared.state.lock().is_closing {
+            return;
         }
+        std::thread::sleep(backoff);
+        backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
+        // If the store can't be opened, the next write fails and its error is recorded.
+        let _ = store.reopen();
     }
 }
--- a/crates/persistence/tests/compatibility.rs
+++ b/crates/persistence/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! A data folder that an earlier version wrote is opened, and a new one has the same tables and notes in it.
+//! A data folder that an earlier version wrote is opened, and a new one has the same tables and header fields.
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
@@ -7,10 +7,10 @@
     save_file,
 };
 use tidespur_persistence::{
-    Batch, Disk, Identity, LoadedRecords, PreviousShutdown, RecordStore, STORE_FILE,
+    Batch, Disk, Identity, LoadedRecords, PreviousShutdown, RecordKey, RecordStore, STORE_FILE,
 };
 
-const ABOUT: TableDefinition<&str, &str> = TableDefinition::new("about");
+const HEADER: TableDefinition<&str, &str> = TableDefinition::new("about");
 const RECORDS: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("records");
 
 fn owner() -> Identity {
@@ -41,10 +41,10 @@
     assert_eq!(stored.loaded.previous_shutdown(), PreviousShutdown::Unclean);
 }
 
-/// What a file says of itself, but for when it was begun.
-fn about(file: &Path) -> Vec<(String, String)> {
+/// Fields of a file's header, without the creation time.
+fn header_fields(file: &Path) -> Vec<(String, String)> {
     let database = Database::create(file).unwrap();
-    let table = database.begin_read().unwrap().open_table(ABOUT).unwrap();
+    let table = database.begin_read().unwrap().open_table(HEADER).unwrap();
     let lines = table.iter().unwrap().map(|entry| {
         let (key, value) = entry.unwrap();
         (key.value().to_owned(), value.value().to_owned())
@@ -64,66 +64,68 @@
 }
 
 #[test]
-fn tables_and_notes_are_named_as_before_when_a_folder_is_begun() {
+fn tables_and_header_fields_are_named_as_before_when_a_store_is_created() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut memory, _) = RecordStore::open(folder.path(), &owner()).unwrap();
-    memory.write(&batch()).unwrap();
-    drop(memory);
+    let (mut store, _) = RecordStore::open(folder.path(), &owner()).unwrap();
+    store.write(&batch()).unwrap();
+    drop(store);
 
     let file = folder.path().join(STORE_FILE);
     assert_lines(
         &fixture_path(env!("CARGO_MANIFEST_DIR"), "about.txt"),
-        &about(&file),
+        &header_fields(&file),
     );
     let written: Vec<_> = batch()
         .changes()
-        .filter_map(|((kind, key), value)| Some((kind.clone(), key.clone(), value?.to_vec())))
+        .filter_map(|(record, value)| {
+            Some((record.kind.clone(), record.key.clone(), value?.to_vec()))
+        })
         .collect();
     assert_eq!(raw_records(&file), written);
 }
 
-/// Runs a process that ends in order, in a folder of its name beneath `all`.
-fn run_to_its_end(all: &Path) -> LoadedRecords {
-    let (memory, recalled) = Disk::open(all, &owner()).unwrap();
-    let disk = Disk::start(memory).unwrap();
+/// Runs a process to its clean shutdown, with its store in the folder of its name beneath `directory`.
+fn run_to_clean_shutdown(directory: &Path) -> LoadedRecords {
+    let (store, loaded) = Disk::open(directory, &owner()).unwrap();
+    let disk = Disk::start(store).unwrap();
     disk.write(batch());
     disk.finish();
-    recalled
+    loaded
 }
 
 #[test]
-fn an_earlier_versions_end_in_order_is_known_when_its_folder_is_loaded() {
+fn clean_shutdown_of_an_earlier_version_is_recognized_when_its_store_is_opened() {
     let path = format!("{}/{STORE_FILE}", owner().name);
     let fixture = fixture_path(env!("CARGO_MANIFEST_DIR"), "ended.redb.lz4");
     if is_update_requested() {
-        let all = tempfile::tempdir().unwrap();
-        run_to_its_end(all.path());
-        save_file(&all.path().join(&path), &fixture);
+        let directory = tempfile::tempdir().unwrap();
+        run_to_clean_shutdown(directory.path());
+        save_file(&directory.path().join(&path), &fixture);
     }
 
-    let all = restore_file(&fixture, &path);
-    let (memory, recalled) = Disk::open(all.path(), &owner()).unwrap();
-    drop(memory);
+    let directory = restore_file(&fixture, &path);
+    let (store, loaded) = Disk::open(directory.path(), &owner()).unwrap();
+    drop(store);
 
-    assert_eq!(recalled.previous_shutdown(), PreviousShutdown::Clean);
-    let end = (("end".to_owned(), String::new()), b"in order".to_vec());
-    assert!(recalled.records.contains_key(&end.0));
-    assert_eq!(recalled.records[&end.0], end.1);
-    assert_eq!(recalled.records.len(), batch().len());
+    assert_eq!(loaded.previous_shutdown(), PreviousShutdown::Clean);
+    let mark = RecordKey::new("end", "");
+    assert!(loaded.records.contains_key(&mark));
+    assert_eq!(loaded.records[&mark], b"in order");
+    assert_eq!(loaded.records.len(), batch().len());
 }
 
 #[test]
-fn an_end_in_order_is_written_as_before_when_a_process_ends() {
-    let all = tempfile::tempdir().unwrap();
+fn mark_of_a_clean_shutdown_is_written_as_before_when_a_process_ends() {
+    let directory = tempfile::tempdir().unwrap();
     assert_eq!(
-        run_to_its_end(all.path()).previous_shutdown(),
+        run_to_clean_shutdown(directory.path()).previous_shutdown(),
         PreviousShutdown::FirstStart
     );
 
-    let written = raw_records(&all.path().join(owner().name).join(STORE_FILE));
+    let written = raw_records(&directory.path().join(owner().name).join(STORE_FILE));
 
-    let end = ("end".to_owned(), String::new(), b"in order".to_vec());
-    assert!(written.contains(&end), "{written:?}");
+    let mark = ("end".to_owned(), String::new(), b"in order".to_vec());
+    assert!(written.contains(&mark), "{written:?}");
     let lines = read_lines(&fixture_path(
         env!("CARGO_MANIFEST_DIR"),
         "records.records.txt",
--- a/crates/persistence/tests/cuts.rs
+++ b/crates/persistence/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! A small run cut at every write and every sync: what was not synced is lost, torn or reordered, and what comes back
-//! is checked.
+//! Simulated power loss at every write and every sync of a small run: what was not synced is lost, torn or reordered,
+//! and the records that are loaded afterwards are checked.
 
 use rand::{Rng, SeedableRng};
 use redb::StorageBackend;
@@ -9,72 +9,84 @@
 use tidespur_persistence::{Batch, Identity, RecordKey, RecordStore};
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Operation {
     Write(u64, Vec<u8>),
     Size(u64),
     Sync,
 }
 
-/// A disk that keeps each operation.
+#[derive(Debug, Default)]
+struct DiskState {
+    bytes: Vec<u8>,
+    operations: Vec<Operation>,
+}
+
+/// A disk in memory that records each operation.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<(Vec<u8>, Vec<Op>)>>);
+struct SimulatedDisk(Arc<Mutex<DiskState>>);
 
-impl Disk {
-    fn of(bytes: Vec<u8>) -> Self {
-        Self(Arc::new(Mutex::new((bytes, vec![]))))
+impl SimulatedDisk {
+    fn with_bytes(bytes: Vec<u8>) -> Self {
+        Self(Arc::new(Mutex::new(DiskState {
+            bytes,
+            operations: vec![],
+        })))
+    }
+    fn operation_count(&self) -> usize {
+        self.0.lock().unwrap().operations.len()
     }
-    fn done(&self) -> usize {
-        self.0.lock().unwrap().1.len()
+    fn operations(&self) -> Vec<Operation> {
+        self.0.lock().unwrap().operations.clone()
     }
 }
 
-fn apply(bytes: &mut Vec<u8>, op: &Op) {
-    match op {
-        Op::Write(at, data) => {
+fn apply(bytes: &mut Vec<u8>, operation: &Operation) {
+    match operation {
+        Operation::Write(at, data) => {
             let at = *at as usize;
             // A write that outlives the growth of the file before it.
             bytes.resize(bytes.len().max(at + data.len()), 0);
             bytes[at..at + data.len()].copy_from_slice(data);
         }
-        Op::Size(size) => bytes.resize(*size as usize, 0),
-        Op::Sync => {}
+        Operation::Size(size) => bytes.resize(*size as usize, 0),
+        Operation::Sync => {}
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for SimulatedDisk {
     fn len(&self) -> Result<u64, BackendIoError> {
-        Ok(self.0.lock().unwrap().0.len() as u64)
+        Ok(self.0.lock().unwrap().bytes.len() as u64)
     }
-    fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), BackendIoError> {
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> Result<(), BackendIoError> {
         let at = offset as usize;
         let disk = self.0.lock().unwrap();
-        match disk.0.get(at..at + out.len()) {
-            Some(bytes) => out.copy_from_slice(bytes),
+        match disk.bytes.get(at..at + buffer.len()) {
+            Some(bytes) => buffer.copy_from_slice(bytes),
             None => return Err(std::io::ErrorKind::UnexpectedEof.into()),
         }
         Ok(())
     }
     fn set_len(&self, len: u64) -> Result<(), BackendIoError> {
-        self.op(Op::Size(len))
+        self.perform(Operation::Size(len))
     }
     fn sync_data(&self) -> Result<(), BackendIoError> {
-        self.op(Op::Sync)
+        self.perform(Operation::Sync)
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), BackendIoError> {
-        self.op(Op::Write(offset, data.to_vec()))
+        self.perform(Operation::Write(offset, data.to_vec()))
     }
 }
 
-impl Disk {
-    fn op(&self, op: Op) -> Result<(), BackendIoError> {
+impl SimulatedDisk {
+    fn perform(&self, operation: Operation) -> Result<(), BackendIoError> {
         let mut disk = self.0.lock().unwrap();
-        apply(&mut disk.0, &op);
-        disk.1.push(op);
+        apply(&mut disk.bytes, &operation);
+        disk.operations.push(operation);
         Ok(())
     }
 }
 
-fn who() -> Identity {
+fn identity() -> Identity {
     Identity {
         role: "edge".into(),
         name: "edge-0".into(),
@@ -82,123 +94,154 @@
     }
 }
 
-/// A run of batches: the operations of the disk, and after how many of them each batch was acknowledged as what.
-type Ran = (Vec<Op>, Vec<(usize, BTreeMap<RecordKey, Vec<u8>>)>);
+/// The acknowledgement of a batch.
+struct Acknowledgement {
+    /// Number of disk operations before it.
+    operations: usize,
+    /// All records with that batch applied.
+    records: BTreeMap<RecordKey, Vec<u8>>,
+}
+
+/// A run of batches on a simulated disk.
+struct RecordedRun {
+    operations: Vec<Operation>,
+    acknowledgements: Vec<Acknowledgement>,
+}
 
-fn run(rng: &mut impl Rng) -> Ran {
-    let disk = Disk::default();
-    let (mut memory, _) = RecordStore::with_backend(disk.clone(), &who()).unwrap();
-    let mut acknowledged = vec![(disk.done(), BTreeMap::new())];
-    let mut truth: BTreeMap<RecordKey, Vec<u8>> = BTreeMap::new();
+fn run(rng: &mut impl Rng) -> RecordedRun {
+    let disk = SimulatedDisk::default();
+    let (mut store, _) = RecordStore::with_backend(disk.clone(), &identity()).unwrap();
+    let mut acknowledgements = vec![Acknowledgement {
+        operations: disk.operation_count(),
+        records: BTreeMap::new(),
+    }];
+    let mut expected: BTreeMap<RecordKey, Vec<u8>> = BTreeMap::new();
     for i in 0..6_u32 {
         let mut batch = Batch::default();
         for _ in 0..rng.random_range(1..12) {
             let key = rng.random_range(0..20).to_string();
             if rng.random_bool(0.25) {
                 batch.remove("object", &key);
-                truth.remove(&("object".into(), key));
+                expected.remove(&RecordKey::new("object", key));
             } else {
                 let value = vec![i as u8; rng.random_range(1..3_000)];
                 batch.put("object", &key, value.clone()).unwrap();
-                truth.insert(("object".into(), key), value);
+                expected.insert(RecordKey::new("object", key), value);
             }
         }
-        memory.write(&batch).unwrap();
-        acknowledged.push((disk.done(), truth.clone()));
+        store.write(&batch).unwrap();
+        acknowledgements.push(Acknowledgement {
+            operations: disk.operation_count(),
+            records: expected.clone(),
+        });
+    }
+    RecordedRun {
+        operations: disk.operations(),
+        acknowledgements,
     }
-    let ops = disk.0.lock().unwrap().1.clone();
-    (ops, acknowledged)
 }
 
-/// What a disk holds after a cut: all that was synced, and of what was not a part, in some order, one of it torn.
-fn after_cut(ops: &[Op], how: u32, rng: &mut impl Rng) -> Vec<u8> {
-    let synced = ops
+/// The bytes of a disk after a power loss: everything that was synced, and a part of the rest, in any order and with the
+/// last write torn. `loss` says what happens to the rest: lost, complete, random parts of it, or reordered.
+fn bytes_after_power_loss(operations: &[Operation], loss: u32, rng: &mut impl Rng) -> Vec<u8> {
+    let synced = operations
         .iter()
-        .rposition(|op| matches!(op, Op::Sync))
+        .rposition(|operation| matches!(operation, Operation::Sync))
         .map_or(0, |at| at + 1);
     let mut bytes = Vec::new();
-    ops[..synced].iter().for_each(|op| apply(&mut bytes, op));
-    let mut loose: Vec<Op> = ops[synced..].to_vec();
-    match how {
-        0 => loose.clear(),
+    for operation in &operations[..synced] {
+        apply(&mut bytes, operation);
+    }
+    let mut unsynced: Vec<Operation> = operations[synced..].to_vec();
+    match loss {
+        0 => unsynced.clear(),
         1 => {}
-        2 => loose.retain(|_| rng.random_bool(0.5)),
+        2 => unsynced.retain(|_| rng.random_bool(0.5)),
         _ => {
-            for i in (1..loose.len()).rev() {
-                loose.swap(i, rng.random_range(0..=i));
+            for i in (1..unsynced.len()).rev() {
+                unsynced.swap(i, rng.random_range(0..=i));
             }
-            loose.truncate(rng.random_range(0..=loose.len()));
+            unsynced.truncate(rng.random_range(0..=unsynced.len()));
         }
     }
-    if let Some(Op::Write(_, data)) = loose.last_mut() {
+    if let Some(Operation::Write(_, data)) = unsynced.last_mut() {
         // Sectors of 512 bytes are whole or not there.
         let sectors = data.len().div_ceil(512);
         data.truncate(rng.random_range(0..=sectors) * 512);
     }
-    // A file's size is the file system's own: it does not shrink by a cut, and grows before what lies in it.
-    loose.iter().for_each(|op| apply(&mut bytes, op));
+    // The file system keeps the size of a file: it does not shrink in a power loss, and grows before its content is written.
+    for operation in &unsynced {
+        apply(&mut bytes, operation);
+    }
     bytes
 }
 
 #[test]
-fn every_cut_brings_back_all_that_was_acknowledged_and_no_half_of_a_batch() {
-    let (mut cuts, mut rolled) = (0, 0);
+fn acknowledged_batches_are_loaded_and_no_batch_in_part_after_each_power_loss() {
+    let mut losses = 0;
+    let mut rolled_back = 0;
     for seed in 0..6 {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-        let (ops, acknowledged) = run(&mut rng);
-        let first = acknowledged[0].0;
-        for cut in first..=ops.len() {
-            for how in 0..4 {
-                let bytes = after_cut(&ops[..cut], how, &mut rng);
-                let (_, back) = match RecordStore::with_backend(Disk::of(bytes), &who()) {
-                    Ok(opened) => opened,
-                    Err(problem) => panic!("seed {seed}, cut {cut}, {how}: {problem}"),
-                };
-                let known = acknowledged
+        let run = run(&mut rng);
+        let first = run.acknowledgements[0].operations;
+        for cut in first..=run.operations.len() {
+            for loss in 0..4 {
+                let bytes = bytes_after_power_loss(&run.operations[..cut], loss, &mut rng);
+                let disk = SimulatedDisk::with_bytes(bytes);
+                let (_, loaded) = RecordStore::with_backend(disk, &identity())
+                    .unwrap_or_else(|error| panic!("seed {seed}, cut {cut}, {loss}: {error}"));
+                let last = run
+                    .acknowledgements
                     .iter()
-                    .rposition(|(done, _)| *done <= cut)
+                    .rposition(|acknowledgement| acknowledgement.operations <= cut)
                     .unwrap();
-                // The batch that was under way may have come through, but only as a whole.
-                let next = acknowledged.get(known + 1).map(|(_, truth)| truth);
-                let whole = back.records == acknowledged[known].1 || Some(&back.records) == next;
+                // The batch that was being written may be there, but only as a whole.
+                let next = run.acknowledgements.get(last + 1).map(|next| &next.records);
+                let is_next = Some(&loaded.records) == next;
                 assert!(
-                    whole,
-                    "seed {seed}, cut {cut}, {how}: what came back is no batch's end"
+                    loaded.records == run.acknowledgements[last].records || is_next,
+                    "seed {seed}, cut {cut}, {loss}: the loaded records are those of no batch"
+                );
+                assert_eq!(
+                    loaded.generation, 2,
+                    "the generation rises over a power loss"
                 );
-                assert_eq!(back.generation, 2, "the turn rises over a cut");
-                (cuts, rolled) = (cuts + 1, rolled + usize::from(Some(&back.records) != next));
+                losses += 1;
+                rolled_back += usize::from(!is_next);
             }
         }
     }
-    // Both kinds must have been seen, else the cuts are not where they should be.
+    // Both outcomes must have been seen, else the power is lost at the wrong moments.
     assert!(
-        cuts > 500 && rolled > 100 && rolled < cuts,
-        "{cuts} cuts, {rolled} rolled back"
+        losses > 500 && rolled_back > 100 && rolled_back < losses,
+        "{losses} losses of power, {rolled_back} rolled back"
     );
 }
 
 #[test]
-fn a_second_cut_while_it_comes_back_changes_nothing() {
+fn records_are_the_same_when_power_is_lost_again_while_the_store_is_opened() {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(99);
-    let (ops, acknowledged) = run(&mut rng);
-    let cut = ops.len() - 2;
-    let known = &acknowledged
+    let run = run(&mut rng);
+    let cut = run.operations.len() - 2;
+    let expected = &run
+        .acknowledgements
         .iter()
-        .rfind(|(done, _)| *done <= cut)
+        .rfind(|acknowledgement| acknowledgement.operations <= cut)
         .unwrap()
-        .1;
-    let bytes = after_cut(&ops[..cut], 0, &mut rng);
-    let disk = Disk::of(bytes.clone());
-    drop(RecordStore::with_backend(disk.clone(), &who()).unwrap());
-    let returning = disk.0.lock().unwrap().1.clone();
-    for again in 0..=returning.len() {
-        let mut all = vec![Op::Write(0, bytes.clone()), Op::Sync];
-        all.extend_from_slice(&returning[..again]);
-        let (_, back) =
-            RecordStore::with_backend(Disk::of(after_cut(&all, 3, &mut rng)), &who()).unwrap();
+        .records;
+    let bytes = bytes_after_power_loss(&run.operations[..cut], 0, &mut rng);
+    let disk = SimulatedDisk::with_bytes(bytes.clone());
+    drop(RecordStore::with_backend(disk.clone(), &identity()).unwrap());
+    let opening = disk.operations();
+    for second_cut in 0..=opening.len() {
+        let mut operations = vec![Operation::Write(0, bytes.clone()), Operation::Sync];
+        operations.extend_from_slice(&opening[..second_cut]);
+        let bytes = bytes_after_power_loss(&operations, 3, &mut rng);
+        let disk = SimulatedDisk::with_bytes(bytes);
+        let (_, loaded) = RecordStore::with_backend(disk, &identity()).unwrap();
         assert_eq!(
-            &back.records, known,
-            "after {again} operations of the first return"
+            &loaded.records, expected,
+            "after {second_cut} operations of the first opening"
         );
     }
 }
--- a/crates/persistence/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -1,4 +1,4 @@
-//! Each way in which a folder can be wrong is an error of its own that says what to do, and drops nothing.
+//! Opening a store: each defect of its folder is an error of its own that says what to do, and loses nothing.
 
 use std::fs;
 use std::os::unix::fs::FileExt;
@@ -8,7 +8,7 @@
     Batch, Identity, Outbox, PersistenceError, RecordStore, STORE_FILE, Writer, export,
 };
 
-fn who(name: &str, cluster: &str) -> Identity {
+fn identity(name: &str, cluster: &str) -> Identity {
     Identity {
         role: "edge".into(),
         name: name.into(),
@@ -16,76 +16,76 @@
     }
 }
 
-fn filled(folder: &Path, records: usize) {
-    let (mut memory, _) = RecordStore::open(folder, &who("a", "c")).unwrap();
+fn write_records(folder: &Path, records: usize) {
+    let (mut store, _) = RecordStore::open(folder, &identity("a", "c")).unwrap();
     let mut batch = Batch::default();
     for i in 0..records {
         batch
             .put("object", &format!("{i:05}"), vec![7; 500])
             .unwrap();
     }
-    memory.write(&batch).unwrap();
+    store.write(&batch).unwrap();
 }
 
-fn opened(folder: &Path) -> PersistenceError {
-    RecordStore::open(folder, &who("a", "c"))
+fn open_error(folder: &Path) -> PersistenceError {
+    RecordStore::open(folder, &identity("a", "c"))
         .map(|_| ())
         .expect_err("it must not open")
 }
 
 #[test]
-fn what_was_written_comes_back_and_the_turn_rises() {
+fn records_are_loaded_and_the_generation_rises_when_a_store_is_opened_again() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path(), 10);
-    for turn in 2..5 {
-        let (_, back) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+    write_records(folder.path(), 10);
+    for generation in 2..5 {
+        let (_, loaded) = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
         assert_eq!(
-            (back.generation, back.records_of_kind("object").count()),
-            (turn, 10)
+            (loaded.generation, loaded.records_of_kind("object").count()),
+            (generation, 10)
         );
     }
 }
 
 #[test]
-fn a_folder_of_another_name_cluster_or_version_or_in_use_is_refused() {
+fn opening_fails_when_the_store_is_of_another_name_cluster_or_version_or_in_use() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path(), 1);
-    let open = |who: &Identity| RecordStore::open(folder.path(), who).map(|_| ());
+    write_records(folder.path(), 1);
+    let open = |identity: &Identity| RecordStore::open(folder.path(), identity).map(|_| ());
     assert!(matches!(
-        open(&who("b", "c")),
+        open(&identity("b", "c")),
         Err(PersistenceError::WrongOwner { .. })
     ));
     assert!(matches!(
-        open(&who("a", "d")),
+        open(&identity("a", "d")),
         Err(PersistenceError::WrongCluster { .. })
     ));
     let planner = Identity {
         role: "planner".into(),
-        ..who("a", "c")
+        ..identity("a", "c")
     };
     assert!(matches!(
         open(&planner),
         Err(PersistenceError::WrongOwner { .. })
     ));
-    let held = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+    let open_store = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
     assert!(matches!(
-        opened(folder.path()),
+        open_error(folder.path()),
         PersistenceError::InUse { .. }
     ));
-    drop(held);
+    drop(open_store);
     // A newer program's file.
     let file = redb::Database::create(folder.path().join(STORE_FILE)).unwrap();
     let write = file.begin_write().unwrap();
-    let about = redb::TableDefinition::<&str, &str>::new("about");
+    let header = redb::TableDefinition::<&str, &str>::new("about");
     write
-        .open_table(about)
+        .open_table(header)
         .unwrap()
         .insert("format", "9")
         .unwrap();
     write.commit().unwrap();
     drop(file);
     assert!(matches!(
-        opened(folder.path()),
+        open_error(folder.path()),
         PersistenceError::NewerFormat {
             found: 9,
             known: 1,
@@ -94,36 +94,36 @@
     ));
     fs::write(folder.path().join(STORE_FILE), b"something else altogether").unwrap();
     assert!(matches!(
-        opened(folder.path()),
+        open_error(folder.path()),
         PersistenceError::NotAStore { .. }
     ));
     // A file where the folder should be.
     fs::write(folder.path().join("plain"), b"").unwrap();
     assert!(matches!(
-        opened(&folder.path().join("plain")),
+        open_error(&folder.path().join("plain")),
         PersistenceError::Folder { .. }
     ));
 }
 
 #[test]
-fn a_bad_page_and_a_cut_tail_are_told_apart_and_what_can_be_read_is_exported() {
+fn damaged_pages_and_truncation_are_told_apart_and_readable_records_are_exported() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path(), 2_000);
+    write_records(folder.path(), 2_000);
     let path = folder.path().join(STORE_FILE);
-    let whole = fs::read(&path).unwrap();
-    // Every page in turn is spoilt: it is found, or it held nothing that anyone knew.
+    let intact = fs::read(&path).unwrap();
+    // Each third page is damaged on its own: either the damage is found, or no record was on that page.
     let (mut found, mut exported) = (0, 0);
-    for page in (0..whole.len() / 4096).step_by(3) {
-        fs::write(&path, &whole).unwrap();
+    for page in (0..intact.len() / 4096).step_by(3) {
+        fs::write(&path, &intact).unwrap();
         let file = fs::File::options().write(true).open(&path).unwrap();
         file.write_all_at(&[0xa5; 64], page as u64 * 4096 + 1_000)
             .unwrap();
         drop(file);
-        match RecordStore::open(folder.path(), &who("a", "c")) {
-            Ok((_, back)) => assert_eq!(
-                back.records_of_kind("object").count(),
+        match RecordStore::open(folder.path(), &identity("a", "c")) {
+            Ok((_, loaded)) => assert_eq!(
+                loaded.records_of_kind("object").count(),
                 2_000,
-                "page {page} took records with it"
+                "records were lost with page {page}"
             ),
             Err(PersistenceError::Corrupted { .. }) => {
                 found += 1;
@@ -139,11 +139,14 @@
         "{found} found, {exported} exported"
     );
     for part in [4, 2] {
-        fs::write(&path, &whole[..whole.len() * (part - 1) / part]).unwrap();
+        fs::write(&path, &intact[..intact.len() * (part - 1) / part]).unwrap();
         assert!(
-            matches!(opened(folder.path()), PersistenceError::Truncated { .. }),
+            matches!(
+                open_error(folder.path()),
+                PersistenceError::Truncated { .. }
+            ),
             "{}",
-            opened(folder.path())
+            open_error(folder.path())
         );
     }
 }
@@ -151,12 +154,12 @@
 #[test]
 fn each_error_says_what_an_operator_can_do() {
     let file = || "/var/lib/x".into();
-    let why = || std::io::Error::other("why");
+    let io_error = || std::io::Error::other("reason");
     let (found, wanted) = ("edge a".to_owned(), "edge b".to_owned());
-    let all = [
+    let errors = [
         PersistenceError::Folder {
             folder: file(),
-            why: why(),
+            reason: io_error(),
         },
         PersistenceError::InUse { file: file() },
         PersistenceError::WrongOwner {
@@ -177,16 +180,16 @@
         PersistenceError::NotAStore { file: file() },
         PersistenceError::Truncated {
             file: file(),
-            why: "why".into(),
+            reason: "reason".into(),
         },
         PersistenceError::Corrupted {
             file: file(),
-            why: "why".into(),
+            reason: "reason".into(),
         },
         PersistenceError::DiskFull { file: file() },
         PersistenceError::Io {
             file: file(),
-            why: "why".into(),
+            reason: "reason".into(),
         },
         PersistenceError::RecordTooLarge {
             record: "object x".into(),
@@ -203,7 +206,7 @@
         "restore",
         "goes on",
     ];
-    for error in all {
+    for error in errors {
         let text = error.to_string();
         assert!(verbs.iter().any(|verb| text.contains(verb)), "{text}");
         assert!(
@@ -221,9 +224,9 @@
 }
 
 #[test]
-fn writing_over_and_over_does_not_grow_the_file_without_bound() {
+fn file_size_is_bounded_when_records_are_overwritten_again_and_again() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut memory, _) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
+    let (mut store, _) = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
     let size = || fs::metadata(folder.path().join(STORE_FILE)).unwrap().len();
     let mut sizes = vec![];
     for round in 0..120_u32 {
@@ -233,7 +236,7 @@
                 .put("object", &i.to_string(), vec![round as u8; 400])
                 .unwrap()
         });
-        memory.write(&batch).unwrap();
+        store.write(&batch).unwrap();
         sizes.push(size());
     }
     assert!(
@@ -245,28 +248,30 @@
 }
 
 #[test]
-fn words_wait_for_their_batch_and_keep_their_order() {
+fn messages_wait_for_their_batch_and_keep_their_order() {
     let folder = tempfile::tempdir().unwrap();
-    let (memory, _) = RecordStore::open(folder.path(), &who("a", "c")).unwrap();
-    let (send, heard) = std::sync::mpsc::channel();
-    let writer =
-        Writer::start(memory, move |progress| send.send(progress.synced).unwrap()).unwrap();
+    let (store, _) = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
+    let (progress_sender, progress) = std::sync::mpsc::channel();
+    let writer = Writer::start(store, move |progress| {
+        progress_sender.send(progress.synced).unwrap()
+    })
+    .unwrap();
     let mut outbox = Outbox::default();
-    let mut said = vec![];
+    let mut released = vec![];
     for i in 0..50_u32 {
         let mut batch = Batch::default();
         batch.put("object", &i.to_string(), vec![1]).unwrap();
         outbox.hold(writer.write(batch), i);
     }
     assert!(outbox.release(0).is_empty());
-    while said.len() < 50 {
-        said.extend(outbox.release(heard.recv().unwrap()));
+    while released.len() < 50 {
+        released.extend(outbox.release(progress.recv().unwrap()));
     }
-    assert_eq!(said, (0..50).collect::<Vec<_>>());
+    assert_eq!(released, (0..50).collect::<Vec<_>>());
     assert!(writer.flush(Duration::from_secs(30)));
     drop(writer);
     assert_eq!(
-        RecordStore::open(folder.path(), &who("a", "c"))
+        RecordStore::open(folder.path(), &identity("a", "c"))
             .unwrap()
             .1
             .records_of_kind("object")
--- a/crates/planner/tests/compatibility.rs
+++ b/crates/planner/tests/compatibility.rs
@@ -88,7 +88,10 @@
     let left: Vec<(String, Option<Vec<u8>>)> = attempts
         .take()
         .changes()
-        .map(|((kind, uid), value)| (format!("{kind} {uid}"), value.map(<[u8]>::to_vec)))
+        .map(|(record, value)| {
+            let name = format!("{} {}", record.kind, record.key);
+            (name, value.map(<[u8]>::to_vec))
+        })
         .collect();
     let at_second = br#"{"name":["team-a","pod-b"],"at":{"node-1":3.5}}"#.to_vec();
     let expected = vec![
