--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -14,6 +14,7 @@
 mod disk;
 mod error;
 mod export;
+mod header;
 mod loaded_records;
 mod outbox;
 mod record_store;
--- a/crates/persistence/src/record_store.rs
+++ b/crates/persistence/src/record_store.rs
@@ -1,17 +1,15 @@
-//! The store of one process: a database file that one process has open at a time. Owns the file and its header.
+//! The store of one process: a database file that one process has open at a time. Owns the file.
 
 use crate::error::from_database;
-use crate::tables::{read_header, read_records, write_header, write_records};
+use crate::header;
+use crate::tables::{read_records, write_records};
 use crate::{Batch, Identity, LoadedRecords, PersistenceError, RecordKey};
 use redb::{Builder, Database, StorageBackend};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Name of the file in the folder.
 pub const STORE_FILE: &str = "memory.redb";
-/// Format version that this program writes. It rises where an older program could not read what a newer one wrote.
-const FORMAT: u64 = 1;
 /// Size of the page cache of the database library, in bytes. It is small because records are read at the start only.
 const PAGE_CACHE_BYTES: usize = 4 << 20;
 /// Size from which a file is compacted at the start, in bytes, if it is sparse as well.
@@ -23,19 +21,10 @@
 #[derive(Debug)]
 pub struct RecordStore {
     file: PathBuf,
-    identity: Identity,
     /// `None` only after [`RecordStore::reopen`] has failed.
     database: Option<Database>,
 }
 
-/// What the header says of the starts of the process.
-struct StartHistory {
-    /// How often the store was opened.
-    generation: u64,
-    /// When it was created, in microseconds since 1970.
-    created_at: u64,
-}
-
 impl RecordStore {
     /// Opens the store in a folder, or creates it. Verifies every page, the identity and the format version. The new
     /// generation is committed when this returns.
@@ -95,14 +84,13 @@
         }
         let mut store = Self {
             file,
-            identity: identity.clone(),
             database: Some(database),
         };
-        let history = store.check_header()?;
+        let history = header::check(store.database()?, &store.file, identity)?;
         let generation = history.generation + 1;
         let records = store.read()?;
         store.compact_if_sparse(&records)?;
-        store.write_header(&[("turn", &generation.to_string())])?;
+        header::write_generation(store.database()?, &store.file, generation)?;
         let loaded = LoadedRecords {
             records,
             generation,
@@ -111,78 +99,6 @@
         Ok((store, loaded))
     }
 
-    /// Checks that the store belongs to this process and has a known format; writes the header of a new store.
-    fn check_header(&mut self) -> Result<StartHistory, PersistenceError> {
-        let header = read_header(self.database()?).map_err(|error| self.convert(error))?;
-        let owner = format!("{} {}", self.identity.role, self.identity.name);
-        let Some(format) = header.get("format") else {
-            return self.create_header(&owner);
-        };
-        let format = self.parse_header_number(format)?;
-        if format > FORMAT {
-            return Err(PersistenceError::NewerFormat {
-                file: self.file.clone(),
-                found: format,
-                known: FORMAT,
-            });
-        }
-        let text = |field: &str| header.get(field).cloned().unwrap_or_default();
-        if text("cluster") != self.identity.cluster {
-            return Err(PersistenceError::WrongCluster {
-                file: self.file.clone(),
-                found: text("cluster"),
-                wanted: self.identity.cluster.clone(),
-            });
-        }
-        if text("name") != owner {
-            return Err(PersistenceError::WrongOwner {
-                file: self.file.clone(),
-                found: text("name"),
-                wanted: owner,
-            });
-        }
-        let number = |field: &str| match header.get(field) {
-            None => Ok(0),
-            Some(text) => self.parse_header_number(text),
-        };
-        Ok(StartHistory {
-            generation: number("turn")?,
-            created_at: number("begun")?,
-        })
-    }
-
-    fn create_header(&self, owner: &str) -> Result<StartHistory, PersistenceError> {
-        if !self.read()?.is_empty() {
-            return Err(PersistenceError::NotAStore {
-                file: self.file.clone(),
-            });
-        }
-        let created_at = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_micros() as u64;
-        self.write_header(&[
-            ("format", &FORMAT.to_string()),
-            ("name", owner),
-            ("cluster", &self.identity.cluster),
-            ("begun", &created_at.to_string()),
-        ])?;
-        Ok(StartHistory {
-            generation: 0,
-            created_at,
-        })
-    }
-
-    fn parse_header_number(&self, text: &str) -> Result<u64, PersistenceError> {
-        text.parse().map_err(|_| PersistenceError::NotAStore {
-            file: self.file.clone(),
-        })
-    }
-
-    fn write_header(&self, fields: &[(&str, &str)]) -> Result<(), PersistenceError> {
-        write_header(self.database()?, fields).map_err(|error| self.convert(error))
-    }
-
     fn read(&self) -> Result<BTreeMap<RecordKey, Vec<u8>>, PersistenceError> {
         read_records(self.database()?).map_err(|error| self.convert(error))
     }
--- a/crates/persistence/src/tables.rs
+++ b/crates/persistence/src/tables.rs
@@ -12,6 +12,9 @@
 /// Fields of the header by name.
 const HEADER: TableDefinition<&str, &str> = TableDefinition::new("about");
 
+/// Fields of the header by name.
+pub(crate) type HeaderFields = BTreeMap<String, String>;
+
 /// Reads all records; none if the table was never written.
 pub(crate) fn read_records(
     database: &impl ReadableDatabase,
@@ -51,13 +54,13 @@
 }
 
 /// Reads all fields of the header; none if it was never written.
-pub(crate) fn read_header(database: &Database) -> Result<BTreeMap<String, String>, redb::Error> {
+pub(crate) fn read_header(database: &Database) -> Result<HeaderFields, redb::Error> {
     let table = match database.begin_read()?.open_table(HEADER) {
         Ok(table) => table,
-        Err(TableError::TableDoesNotExist(_)) => return Ok(BTreeMap::new()),
+        Err(TableError::TableDoesNotExist(_)) => return Ok(HeaderFields::new()),
         Err(other) => return Err(other.into()),
     };
-    let mut fields = BTreeMap::new();
+    let mut fields = HeaderFields::new();
     for entry in table.iter()? {
         let (name, value) = entry?;
         fields.insert(name.value().to_owned(), value.value().to_owned());
--- /dev/null
+++ b/crates/persistence/tests/errors.rs
@@ -0,0 +1,82 @@
+//! Messages of the errors, and the error of a record that is too large.
+
+use tidespur_persistence::{Batch, PersistenceError};
+
+fn all_errors() -> [PersistenceError; 11] {
+    let file = || "/var/lib/x".into();
+    let io_error = || std::io::Error::other("reason");
+    let (found, wanted) = ("edge a".to_owned(), "edge b".to_owned());
+    [
+        PersistenceError::Folder {
+            folder: file(),
+            reason: io_error(),
+        },
+        PersistenceError::InUse { file: file() },
+        PersistenceError::WrongOwner {
+            file: file(),
+            found: found.clone(),
+            wanted: wanted.clone(),
+        },
+        PersistenceError::WrongCluster {
+            file: file(),
+            found,
+            wanted,
+        },
+        PersistenceError::NewerFormat {
+            file: file(),
+            found: 2,
+            known: 1,
+        },
+        PersistenceError::NotAStore { file: file() },
+        PersistenceError::Truncated {
+            file: file(),
+            reason: "reason".into(),
+        },
+        PersistenceError::Corrupted {
+            file: file(),
+            reason: "reason".into(),
+        },
+        PersistenceError::DiskFull { file: file() },
+        PersistenceError::Io {
+            file: file(),
+            reason: "reason".into(),
+        },
+        PersistenceError::RecordTooLarge {
+            record: "object x".into(),
+            bytes: 9,
+        },
+    ]
+}
+
+#[test]
+fn each_error_says_what_an_operator_can_do() {
+    let verbs = [
+        "make",
+        "end that",
+        "start",
+        "name another",
+        "move it away",
+        "look at",
+        "restore",
+        "goes on",
+    ];
+    for error in all_errors() {
+        let text = error.to_string();
+        assert!(verbs.iter().any(|verb| text.contains(verb)), "{text}");
+        assert!(
+            text.contains("/var/lib/x") || text.contains("object x"),
+            "{text}"
+        );
+    }
+}
+
+#[test]
+fn batch_is_unchanged_when_a_record_is_too_large() {
+    let mut batch = Batch::default();
+    let large = batch.put(
+        "object",
+        "x",
+        vec![0; tidespur_persistence::MAX_RECORD_BYTES],
+    );
+    assert!(matches!(large, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
+}
--- a/crates/persistence/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn opening_fails_when_the_store_is_of_another_name_cluster_or_version_or_in_use() {
+fn opening_fails_when_the_store_is_of_another_name_or_cluster_or_in_use() {
     let folder = tempfile::tempdir().unwrap();
     write_records(folder.path(), 1);
     let open = |identity: &Identity| RecordStore::open(folder.path(), identity).map(|_| ());
@@ -73,7 +73,12 @@
         PersistenceError::InUse { .. }
     ));
     drop(open_store);
-    // A newer program's file.
+}
+
+#[test]
+fn opening_fails_when_a_newer_program_wrote_the_store() {
+    let folder = tempfile::tempdir().unwrap();
+    write_records(folder.path(), 1);
     let file = redb::Database::create(folder.path().join(STORE_FILE)).unwrap();
     let write = file.begin_write().unwrap();
     let header = redb::TableDefinition::<&str, &str>::new("about");
@@ -92,6 +97,11 @@
             ..
         }
     ));
+}
+
+#[test]
+fn opening_fails_when_the_file_is_no_store_or_the_folder_no_folder() {
+    let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join(STORE_FILE), b"something else altogether").unwrap();
     assert!(matches!(
         open_error(folder.path()),
@@ -151,78 +161,6 @@
     }
 }
 
-#[test]
-fn each_error_says_what_an_operator_can_do() {
-    let file = || "/var/lib/x".into();
-    let io_error = || std::io::Error::other("reason");
-    let (found, wanted) = ("edge a".to_owned(), "edge b".to_owned());
-    let errors = [
-        PersistenceError::Folder {
-            folder: file(),
-            reason: io_error(),
-        },
-        PersistenceError::InUse { file: file() },
-        PersistenceError::WrongOwner {
-            file: file(),
-            found: found.clone(),
-            wanted: wanted.clone(),
-        },
-        PersistenceError::WrongCluster {
-            file: file(),
-            found,
-            wanted,
-        },
-        PersistenceError::NewerFormat {
-            file: file(),
-            found: 2,
-            known: 1,
-        },
-        PersistenceError::NotAStore { file: file() },
-        PersistenceError::Truncated {
-            file: file(),
-            reason: "reason".into(),
-        },
-        PersistenceError::Corrupted {
-            file: file(),
-            reason: "reason".into(),
-        },
-        PersistenceError::DiskFull { file: file() },
-        PersistenceError::Io {
-            file: file(),
-            reason: "reason".into(),
-        },
-        PersistenceError::RecordTooLarge {
-            record: "object x".into(),
-            bytes: 9,
-        },
-    ];
-    let verbs = [
-        "make",
-        "end that",
-        "start",
-        "name another",
-        "move it away",
-        "look at",
-        "restore",
-        "goes on",
-    ];
-    for error in errors {
-        let text = error.to_string();
-        assert!(verbs.iter().any(|verb| text.contains(verb)), "{text}");
-        assert!(
-            text.contains("/var/lib/x") || text.contains("object x"),
-            "{text}"
-        );
-    }
-    let mut batch = Batch::default();
-    let large = batch.put(
-        "object",
-        "x",
-        vec![0; tidespur_persistence::MAX_RECORD_BYTES],
-    );
-    assert!(matches!(large, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
-}
-
 #[test]
 fn file_size_is_bounded_when_records_are_overwritten_again_and_again() {
     let folder = tempfile::tempdir().unwrap();
