--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -25,8 +25,8 @@
         let log = std::fs::read_to_string(folder.join(format!("edge-{i}.log"))).unwrap();
         let mut start = 0;
         for line in log.lines() {
-            start += u32::from(line.contains("keeps the ledger"));
-            if line.contains("holds a lease voter") {
+            start += u32::from(line.contains("voter started"));
+            if line.contains("lease acquired voter") {
                 let token = line
                     .split("token=")
                     .nth(1)
--- /dev/null
+++ b/crates/coordination-net/src/frame.rs
@@ -0,0 +1,60 @@
+//! Frames of a stream between two voters. Large messages are compressed: a voter that was away for weeks is sent one
+//! entry for each that it missed, and those that were compacted are all equal.
+
+use crate::FrameError;
+use serde::{Deserialize, Serialize};
+use tidespur_coordination::PeerMessage;
+
+/// Size from which a message is compressed, in bytes.
+const MIN_PACKED_BYTES: usize = 64 << 10;
+/// The largest message, in bytes before compression. Larger ones are neither sent nor decompressed.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Size of the length field in front of a compressed message, in bytes.
+const LENGTH_BYTES: usize = 4;
+
+/// A frame of a stream.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum Frame {
+    /// The first frame in each direction: the cluster and the name of the sender.
+    #[serde(rename = "Hi")]
+    Hello(String, String),
+    /// A message.
+    #[serde(rename = "Word")]
+    Message(PeerMessage),
+    /// A large message, encoded and compressed.
+    Packed(Vec<u8>),
+}
+
+/// Puts a message into a frame; `None` if it is larger than allowed.
+pub fn pack(message: PeerMessage) -> Option<Frame> {
+    if !matches!(message, PeerMessage::Consensus(_)) {
+        return Some(Frame::Message(message));
+    }
+    let bytes = postcard::to_stdvec(&message).ok()?;
+    match bytes.len() {
+        0..MIN_PACKED_BYTES => Some(Frame::Message(message)),
+        MIN_PACKED_BYTES..=MAX_MESSAGE_BYTES => {
+            Some(Frame::Packed(lz4_flex::compress_prepend_size(&bytes)))
+        }
+        _ => None,
+    }
+}
+
+/// Reads the message of a [`Frame::Packed`].
+///
+/// # Errors
+/// If the bytes are too short, state a larger size than allowed, or can't be decompressed or decoded.
+pub fn unpack(bytes: &[u8]) -> Result<PeerMessage, FrameError> {
+    let (length, _) = bytes
+        .split_first_chunk::<LENGTH_BYTES>()
+        .ok_or(FrameError::NoLength)?;
+    let length = u32::from_le_bytes(*length) as usize;
+    if length > MAX_MESSAGE_BYTES {
+        return Err(FrameError::TooLarge {
+            bytes: length,
+            max: MAX_MESSAGE_BYTES,
+        });
+    }
+    let message = lz4_flex::decompress_size_prepended(bytes)?;
+    Ok(postcard::from_bytes(&message)?)
+}
--- /dev/null
+++ b/crates/coordination-net/src/handle.rs
@@ -0,0 +1,137 @@
+//! The handle on a running voter, which owns its tasks. Used by the edge.
+
+use crate::event_loop::{Event, EventLoop};
+use crate::peer_streams::PeerStreams;
+use crate::readiness::{NotReady, Ready, readiness};
+use crate::{FLEET_LEASE, StartError, report};
+use async_channel::Sender;
+use parking_lot::Mutex;
+use serde_json::Value;
+use smol::net::TcpListener;
+use std::collections::BTreeSet;
+use std::hash::{BuildHasher, Hasher, RandomState};
+use std::sync::Arc;
+use tidespur_config::{Config, CoordinationSection};
+use tidespur_coordination::{Input, Settings, Voter};
+use tidespur_net::{clock, routes::Routes};
+use tidespur_persistence::{Disk, LoadedRecords};
+
+/// Events that wait for the event loop.
+const MAX_QUEUED_EVENTS: usize = 4_096;
+
+/// A running voter. Its tasks are cancelled when this is dropped.
+pub struct VoterHandle {
+    voter: Arc<Mutex<Voter>>,
+    events: Sender<Event>,
+    _tasks: Vec<smol::Task<()>>,
+}
+
+impl VoterHandle {
+    /// Starts the voter that the settings name like this process; `None` if they name no voters, or only others.
+    ///
+    /// # Errors
+    /// What keeps it from starting, and what an operator can do.
+    pub async fn start(
+        config: &Config,
+        name: &str,
+        disk: Option<Arc<Disk>>,
+        loaded: Option<&LoadedRecords>,
+        routes: Routes,
+    ) -> Result<Option<Self>, StartError> {
+        let Some(block) = &config.coordination else {
+            return Ok(None);
+        };
+        let Some(address) = block.voters.get(name) else {
+            return Ok(None);
+        };
+        let (Some(disk), Some(loaded)) = (disk, loaded) else {
+            return Err(StartError::NoStore);
+        };
+        let settings = voter_settings(block, name, loaded);
+        let voter = Voter::new(settings, loaded, clock::now())?;
+        let voter = Arc::new(Mutex::new(voter));
+        let listener = listen(address).await?;
+        let (events, received) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let streams = Arc::new(PeerStreams {
+            cluster: config.cluster().to_owned(),
+            own_name: name.to_owned(),
+            voters: block.voters.clone(),
+            events: events.clone(),
+            routes,
+        });
+        let mut tasks = streams.spawn(listener);
+        let event_loop = EventLoop::new(name.to_owned(), voter.clone(), disk);
+        tasks.push(smol::spawn(event_loop.run(received)));
+        tracing::info!(
+            voter = name,
+            address,
+            voters = block.voters.len(),
+            "voter started"
+        );
+        let handle = Self {
+            voter,
+            events,
+            _tasks: tasks,
+        };
+        handle.send(Input::AcquireLease(FLEET_LEASE.into()));
+        Ok(Some(handle))
+    }
+
+    /// The fencing token, if this process holds the lease now. To be called at the moment of the act.
+    pub fn valid_token(&self, lease: &str) -> Option<u64> {
+        self.voter.lock().valid_token(clock::now(), lease)
+    }
+
+    /// The keys of the stored values that begin with `prefix`, without it.
+    pub fn keys_with_prefix(&self, prefix: &str) -> BTreeSet<String> {
+        let voter = self.voter.lock();
+        let keys = voter.state().values.keys();
+        keys.filter_map(|key| key.strip_prefix(prefix).map(str::to_owned))
+            .collect()
+    }
+
+    /// Sends an input to the voter. It is lost if the queue of the event loop is full; the caller repeats it until it
+    /// has its effect.
+    pub fn send(&self, input: Input) {
+        let _ = self.events.try_send(Event::Input(input));
+    }
+
+    /// Whether the voter takes part in the consensus and knows a leader.
+    ///
+    /// # Errors
+    /// What it waits for, and what an operator can do.
+    pub fn readiness(&self) -> Result<Ready, NotReady> {
+        readiness(&self.voter.lock())
+    }
+
+    /// The voter's state as JSON, for operators.
+    pub fn report(&self) -> Value {
+        report(&self.voter.lock(), clock::now())
+    }
+}
+
+fn voter_settings(block: &CoordinationSection, name: &str, loaded: &LoadedRecords) -> Settings {
+    Settings {
+        voters: block.voters.keys().cloned().collect(),
+        name: name.to_owned(),
+        incarnation: loaded.incarnation(),
+        start_nonce: draw_nonce(),
+        lease_term: block.lease_term,
+        max_clock_drift: block.max_clock_drift,
+    }
+}
+
+async fn listen(address: &str) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|reason| StartError::Listen {
+            address: address.to_owned(),
+            reason,
+        })
+}
+
+/// Draws a number that differs between the starts of a process.
+fn draw_nonce() -> u64 {
+    // The keys of `RandomState` derive from the operating system's random numbers.
+    RandomState::new().build_hasher().finish()
+}
--- a/crates/coordination-net/tests/compatibility.rs
+++ b/crates/coordination-net/tests/compatibility.rs
@@ -4,7 +4,7 @@
 use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
 use std::path::PathBuf;
 use tidespur_coordination::{
-    Entry, Input, Known, LogPosition, Output, PeerMessage, Settings, Voter,
+    Entry, Input, KnownPosition, LogPosition, Output, PeerMessage, Settings, Voter,
 };
 use tidespur_coordination_net::{FLEET_LEASE, Frame, pack, report, unpack};
 use tidespur_fixtures::{Codec, assert_compatible, assert_lines, fixture_path, from_hex, to_hex};
@@ -18,21 +18,21 @@
 /// A new variant fails to compile here until it has a name; add a sample of it to [`frames`] as well.
 fn frame_name(frame: &Frame) -> &'static str {
     match frame {
-        Frame::Hi(..) => "hi",
-        Frame::Word(_) => "word",
+        Frame::Hello(..) => "hi",
+        Frame::Message(_) => "word",
         Frame::Packed(_) => "packed",
     }
 }
 
 fn frames() -> Vec<Frame> {
     vec![
-        Frame::Hi("altmuehlfeld".into(), "edge-1".into()),
-        Frame::Word(PeerMessage::Heartbeat),
+        Frame::Hello("altmuehlfeld".into(), "edge-1".into()),
+        Frame::Message(PeerMessage::Heartbeat),
         Frame::Packed(vec![0, 127, 128, 255]),
     ]
 }
 
-/// With the head of a frame: its length and the version of the link.
+/// With the header of a frame: its length and the version of the protocol.
 fn encode(frame: &Frame) -> String {
     to_hex(&tidespur_planner_protocol::encode(frame).unwrap())
 }
@@ -59,8 +59,8 @@
     );
 }
 
-/// Longer than the bound from which words are packed.
-fn long_word() -> PeerMessage {
+/// Larger than the size from which messages are packed.
+fn long_message() -> PeerMessage {
     let msg = PaxosMsg::ProposalForward(vec![Entry::Noop; 70_000]);
     PeerMessage::Consensus(Box::new(Message::SequencePaxos(PaxosMessage {
         from: 1,
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn words_keep_their_bytes_when_packed_and_unpacked() {
-    let encode = |word: &PeerMessage| encode(&pack(word.clone()).unwrap());
+fn messages_keep_their_bytes_when_packed_and_unpacked() {
+    let encode = |message: &PeerMessage| encode(&pack(message.clone()).unwrap());
     let decode = |text: &str| match decode(text) {
         Frame::Packed(bytes) => unpack(&bytes).unwrap(),
-        Frame::Word(word) => word,
-        Frame::Hi(..) => panic!("no word"),
+        Frame::Message(message) => message,
+        Frame::Hello(..) => panic!("no message"),
     };
-    let samples = [("long", long_word()), ("short", PeerMessage::Heartbeat)];
+    let samples = [("long", long_message()), ("short", PeerMessage::Heartbeat)];
     assert_compatible(
         &fixture("packed-words.txt"),
         &samples,
@@ -91,9 +91,9 @@
 fn voter(voters: &[&str]) -> Voter {
     let settings = Settings {
         voters: voters.iter().map(|voter| (*voter).to_owned()).collect(),
-        own: voters[0].into(),
+        name: voters[0].into(),
         incarnation: 1,
-        start: 1,
+        start_nonce: 1,
         lease_term: 3.0,
         max_clock_drift: 0.01,
     };
@@ -109,77 +109,77 @@
     .unwrap()
 }
 
-/// Steps a voter, with a disk that is safe at once.
-fn step(ledger: &mut Voter, now: f64, inputs: Vec<Input>) {
+/// Steps a voter whose disk syncs at once.
+fn step(voter: &mut Voter, now: f64, inputs: Vec<Input>) {
     let mut outputs = Vec::new();
-    ledger.step(now, inputs, &mut outputs);
+    voter.step(now, inputs, &mut outputs);
     let written = outputs.iter().filter_map(|output| match output {
         Output::Persist(batch, _) => Some(Input::BatchSynced(*batch)),
         _ => None,
     });
-    ledger.step(now, written.collect::<Vec<_>>(), &mut Vec::new());
+    voter.step(now, written.collect::<Vec<_>>(), &mut Vec::new());
 }
 
-/// The only voter, which holds the fleet's lease and remembers something under it.
+/// A single voter, which holds the lease of the fleet and has stored a value.
 fn voting() -> Voter {
-    let mut ledger = voter(&["edge-1"]);
+    let mut voter = voter(&["edge-1"]);
     step(
-        &mut ledger,
+        &mut voter,
         0.0,
         vec![Input::AcquireLease(FLEET_LEASE.into())],
     );
-    let note = Input::Put {
+    let put = Input::Put {
         lease: FLEET_LEASE.into(),
         key: "settings".into(),
         value: vec![1],
     };
-    step(&mut ledger, 0.5, vec![note]);
-    ledger
+    step(&mut voter, 0.5, vec![put]);
+    voter
 }
 
-/// One of three that has heard nothing but a position that falls behind an earlier one.
-fn asking() -> Voter {
-    let mut ledger = voter(&["edge-1", "edge-2", "edge-3"]);
-    let here = |turn| {
+/// One of three that has received only positions of a peer, the second behind the first.
+fn verifying() -> Voter {
+    let mut voter = voter(&["edge-1", "edge-2", "edge-3"]);
+    let position = |generation| {
         Input::MessageReceived(
             "edge-2".into(),
             PeerMessage::Position(LogPosition {
-                turn,
+                generation,
                 ..LogPosition::default()
             }),
         )
     };
-    step(&mut ledger, 0.0, vec![here(5), here(4)]);
-    ledger
+    step(&mut voter, 0.0, vec![position(5), position(4)]);
+    voter
 }
 
-/// One of three that another knows as further than it is.
-fn barred() -> Voter {
-    let mut ledger = voter(&["edge-1", "edge-2", "edge-3"]);
-    let known = Known {
-        mark: Some(LogPosition::default()),
-        fits: false,
-        floor: None,
-        life: 0,
+/// One of three of which another knows a further position.
+fn quarantined() -> Voter {
+    let mut voter = voter(&["edge-1", "edge-2", "edge-3"]);
+    let known = KnownPosition {
+        position: Some(LogPosition::default()),
+        may_vote: false,
+        min_promise: None,
+        incarnation: 0,
     };
     step(
-        &mut ledger,
+        &mut voter,
         0.0,
         vec![Input::MessageReceived(
             "edge-2".into(),
             PeerMessage::KnownPosition(known),
         )],
     );
-    ledger
+    voter
 }
 
 #[test]
 fn report_keeps_its_json_when_a_voter_is_in_each_state() {
     let lines = [
         ("voting", voting()),
-        ("asking", asking()),
-        ("barred", barred()),
+        ("asking", verifying()),
+        ("barred", quarantined()),
     ]
-    .map(|(name, ledger)| (name.to_owned(), report(&ledger, 0.5).to_string()));
+    .map(|(name, voter)| (name.to_owned(), report(&voter, 0.5).to_string()));
     assert_lines(&fixture("debug-ledger.txt"), &lines);
 }
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -1,85 +1,94 @@
-//! What the log holds.
+//! Entries of the replicated log.
 
 use crate::ReplicatedState;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// A process that holds a lease: its name and which start of it.
+/// A process that holds a lease: its name and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The voter's name.
     pub name: String,
-    /// Its incarnation: a process that was started again holds nothing of what the one before it held.
+    /// Incarnation of the process: a restarted process holds none of the leases of the previous one.
     pub incarnation: u64,
 }
 
-/// One entry. Each is checked where it is applied, by what the log says up to there: an entry that comes too late
-/// changes nothing, at all voters alike.
+/// An entry of the log. Each is checked when it is applied, against the state of the log up to there: an entry that
+/// comes too late changes nothing, at all voters alike.
 #[allow(
     clippy::large_enum_variant,
     reason = "entries are few and live in one place"
 )]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// One that was folded into a later `Whole`.
+    /// An entry that was compacted into a later `Snapshot`.
     #[serde(rename = "Nothing")]
     Noop,
-    /// What all entries up to this one come to. Each voter folds its own log, of what is decided: it says the same.
+    /// The state after all entries up to this one. Each voter compacts its own log, and only decided entries, so that
+    /// all snapshots of an index are equal.
     #[serde(rename = "Whole")]
     Snapshot(Box<ReplicatedState>),
-    /// A lease is taken, if it is still as the taker has seen it.
+    /// Acquires a lease, if nobody has acquired or renewed it since the process that wants it observed it.
     #[serde(rename = "Take")]
     Acquire {
         /// Name of the lease.
         lease: String,
-        /// Who takes it.
+        /// The process that acquires it.
         holder: Holder,
-        /// The last token that the taker knows,
-        after: u64,
-        /// and the holder's last asking: one that it has not seen yet makes its waiting worth nothing.
-        heard: u64,
-        /// Number of this asking of its process.
-        ask: u64,
+        /// The last fencing token that the process has observed; 0 for a new lease.
+        #[serde(rename = "after")]
+        observed_token: u64,
+        /// The holder's last request that the process has observed. If the holder has renewed the lease since, the
+        /// process has waited too short.
+        #[serde(rename = "heard")]
+        observed_request: u64,
+        /// Number of this request, unique within its process.
+        #[serde(rename = "ask")]
+        request: u64,
     },
-    /// The holder of this token goes on.
+    /// Renews a lease, if this token still holds it.
     Renew {
         /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// The holder's fencing token.
         token: u64,
-        /// Number of this asking of its process: a holder must know which of its askings was heard.
-        ask: u64,
+        /// Number of this request, unique within its process: a holder must know which of its requests was applied.
+        #[serde(rename = "ask")]
+        request: u64,
     },
-    /// The holder of this token gives it back.
+    /// Releases a lease, if this token still holds it.
     #[serde(rename = "Give")]
     Release {
         /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// The holder's fencing token.
         token: u64,
     },
-    /// Something to remember, under a lease: it counts only while its token is the last one. Empty: to forget.
+    /// Stores a value, if this token still holds the lease. An empty value removes the key.
     #[serde(rename = "Note")]
     Put {
         /// Name of the lease.
         lease: String,
-        /// Its token.
+        /// The holder's fencing token.
         token: u64,
-        /// What it is remembered under.
+        /// Key of the value.
         key: String,
-        /// What.
+        /// The value.
         value: Vec<u8>,
     },
-    /// An operator's word: this voter, with the memory that it began then, may vote again.
+    /// An operator readmits a quarantined voter with the store that it has now.
     Readmit {
         /// The voter's name.
         voter: String,
-        /// When its memory was begun,
-        begun: u64,
-        /// and how often that was opened.
-        turn: u64,
-        /// It may have promised rounds up to this one, and promises them anew.
-        floor: Option<Ballot>,
+        /// When its store was created, in microseconds since 1970.
+        #[serde(rename = "begun")]
+        store_created_at: u64,
+        /// Generation of its store.
+        #[serde(rename = "turn")]
+        generation: u64,
+        /// The highest ballot that the voter may have promised; it promises it again.
+        #[serde(rename = "floor")]
+        min_promise: Option<Ballot>,
     },
 }
 
--- a/crates/coordination/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -1,15 +1,17 @@
-//! For whoever carries out what a lease's holder wants: the highest token that was seen, and no lower one after it.
+//! Fencing: whoever carries out what a lease holder decides remembers the highest token that it has seen and rejects
+//! lower ones. Used by planners.
 //!
-//! Guards against the holder that stood still between asking whether it may act and acting, against a word that comes
-//! late, and against two that both believe to hold. Should guard as well where clocks run apart further than the bound.
-//! Harm: none known; a holder that is refused by name has lost its lease already.
+//! It prevents damage by a holder that was suspended between the check of its lease and its act, by messages that
+//! arrive late, and by two processes that both believe to hold a lease because their clocks drift more than is allowed.
+//! A holder that is rejected has lost its lease already.
 
 use std::collections::BTreeMap;
 use tidespur_persistence::{Batch, LoadedRecords};
 
-const FENCE: &str = "fence";
+/// Kind of the records with the highest token of each lease.
+const RECORD_KIND: &str = "fence";
 
-/// An act with a token that is not the newest any more.
+/// A message carried a token that is lower than one that was seen before.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the lease {lease:?} has gone on to token {newest}, this act carries {token}: whoever sent it holds the lease no more and has to ask for it again"
@@ -17,13 +19,13 @@
 pub struct StaleToken {
     /// Name of the lease.
     pub lease: String,
-    /// Token of the act.
+    /// Token of the message.
     pub token: u64,
-    /// The highest token seen here.
+    /// The highest token that was seen.
     pub newest: u64,
 }
 
-/// The highest token by lease.
+/// The highest token that was seen of each lease.
 #[derive(Debug, Default)]
 pub struct Fence {
     highest: BTreeMap<String, u64>,
@@ -31,22 +33,28 @@
 }
 
 impl Fence {
-    /// The fence as an earlier process left it.
-    pub fn load(memory: &LoadedRecords) -> Self {
-        let read = |bytes: &[u8]| std::str::from_utf8(bytes).ok()?.parse().ok();
-        let highest = memory
-            .records_of_kind(FENCE)
-            .filter_map(|(lease, bytes)| Some((lease.to_owned(), read(bytes)?)));
+    /// The fence as an earlier process stored it. Records that can't be read count as absent.
+    pub fn load(loaded: &LoadedRecords) -> Self {
+        let mut highest = BTreeMap::new();
+        for (lease, bytes) in loaded.records_of_kind(RECORD_KIND) {
+            let token = std::str::from_utf8(bytes)
+                .ok()
+                .and_then(|text| text.parse().ok());
+            if let Some(token) = token {
+                highest.insert(lease.to_owned(), token);
+            }
+        }
         Self {
-            highest: highest.collect(),
+            highest,
             batch: Batch::default(),
         }
     }
 
-    /// Lets an act pass, or refuses it by name. What passes may be carried out once the next batch is safe.
+    /// Admits a message with this token or rejects it. What it asks for may be carried out once the next batch is on
+    /// the disk.
     ///
     /// # Errors
-    /// [`StaleToken`].
+    /// [`StaleToken`] if a higher token was seen.
     pub fn admit(&mut self, lease: &str, token: u64) -> Result<(), StaleToken> {
         let newest = self.highest.get(lease).copied().unwrap_or(0);
         if token < newest {
@@ -58,13 +66,16 @@
         }
         if token > newest {
             self.highest.insert(lease.to_owned(), token);
-            // A name and a number, far below the bound of a record.
-            drop(self.batch.put(FENCE, lease, token.to_string().into_bytes()));
+            // A name and a number are far smaller than the limit of a record, so this can't fail.
+            drop(
+                self.batch
+                    .put(RECORD_KIND, lease, token.to_string().into_bytes()),
+            );
         }
         Ok(())
     }
 
-    /// What must be safe before an act that passed is carried out.
+    /// Removes and returns the changes that must be on the disk before an admitted message is carried out.
     pub fn take_batch(&mut self) -> Batch {
         std::mem::take(&mut self.batch)
     }
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -1,183 +1,245 @@
-//! Leases as this process holds or wants them, on its own clock.
+//! Leases that this process holds or wants, on its own clock. Owned by the voter.
 //!
-//! A holder counts its term from before it asked. Whoever wants the lease counts from when it saw the last renewal,
-//! which is later, and waits the term and twice the drift more: by then the holder has stopped, whatever either clock
-//! does within the bound. Nobody knows how old the last renewal is that it finds after its own start, so it waits whole.
+//! A holder counts the term of a lease from before it sent the request. A process that wants the lease counts from when
+//! it observed the last renewal, which is later, and waits for the term and twice the clock drift. By then the holder
+//! has stopped, whatever either clock does within the allowed drift. A process does not know how old the renewal is
+//! that it finds after its start, so it waits for a full term.
 
 use crate::{Entry, Holder, Lease, ReplicatedState, Seconds, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A renewal is asked for when this share of the term has passed.
-const RENEW_AT: f64 = 0.35;
-/// An entry that was asked for and not seen is asked for again after this share of the term.
-const AGAIN: f64 = 0.2;
+/// A lease is renewed when this fraction of its term has passed.
+const RENEWAL_FRACTION: f64 = 0.35;
+/// A request that was not applied is repeated after this fraction of the term.
+const RETRY_FRACTION: f64 = 0.2;
+/// Unanswered requests that are remembered of one lease; beyond it the oldest are forgotten.
+const MAX_UNANSWERED_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug)]
-struct Mine {
+struct HeldLease {
     token: u64,
-    /// Acting is right until then.
-    until: Seconds,
+    /// The holder may act before this time only.
+    valid_until: Seconds,
 }
 
-/// Askings that were not heard yet, by number, and when each was made; the oldest go first beyond a bound.
-type Asked = BTreeMap<u64, Seconds>;
+/// A lease as it was last observed in the log.
+#[derive(Clone, Copy, Debug)]
+struct ObservedLease {
+    token: u64,
+    last_request: u64,
+    /// When token and request were first observed.
+    since: Seconds,
+}
+
+/// When each request was made that was not seen in the log yet, by its number.
+type UnansweredRequests = BTreeMap<u64, Seconds>;
+
+/// A lease that this process has acquired.
+#[derive(Debug)]
+pub(crate) struct AcquiredLease {
+    pub(crate) name: String,
+    pub(crate) token: u64,
+}
 
-/// Askings of one lease that may be out.
-const ASKED_MOST: usize = 16;
+/// What new entries of the log have changed for this process.
+#[derive(Debug, Default)]
+pub(crate) struct LeaseChanges {
+    pub(crate) acquired: Vec<AcquiredLease>,
+    /// Names of the leases that are not held any more.
+    pub(crate) lost: Vec<String>,
+}
 
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     wanted: BTreeSet<String>,
-    mine: BTreeMap<String, Mine>,
-    asked: BTreeMap<String, Asked>,
-    asks: u64,
-    /// Token and last asking of each lease as last seen, and when that was.
-    seen: BTreeMap<String, (u64, u64, Seconds)>,
+    held_leases: BTreeMap<String, HeldLease>,
+    unanswered: BTreeMap<String, UnansweredRequests>,
+    last_request: u64,
+    observed: BTreeMap<String, ObservedLease>,
 }
 
 impl Leases {
-    pub(crate) fn want(&mut self, lease: String) {
+    /// Acquires the lease as soon as possible, and renews it from then on.
+    pub(crate) fn acquire(&mut self, lease: String) {
         self.wanted.insert(lease);
     }
 
-    /// It is not wanted any more; what gives it back.
-    pub(crate) fn give_back(&mut self, lease: &str) -> Option<Entry> {
+    /// Stops renewing the lease; returns the entry that releases it, if it is held.
+    pub(crate) fn release(&mut self, lease: &str) -> Option<Entry> {
         self.wanted.remove(lease);
-        self.asked.remove(lease);
-        let mine = self.mine.remove(lease)?;
+        self.unanswered.remove(lease);
+        let held = self.held_leases.remove(lease)?;
         Some(Entry::Release {
             lease: lease.to_owned(),
-            token: mine.token,
+            token: held.token,
         })
     }
 
-    pub(crate) fn may_act(&self, now: Seconds, lease: &str) -> Option<u64> {
-        self.mine
-            .get(lease)
-            .filter(|mine| now < mine.until)
-            .map(|mine| mine.token)
+    /// The fencing token, if the lease is held and valid at `now`.
+    pub(crate) fn valid_token(&self, now: Seconds, lease: &str) -> Option<u64> {
+        let held = self.held_leases.get(lease)?;
+        (now < held.valid_until).then_some(held.token)
     }
 
-    fn see(&mut self, now: Seconds, name: &str, lease: &Lease) {
-        let seen = self
-            .seen
-            .get(name)
-            .map(|(token, heard, _)| (*token, *heard));
-        if seen != Some((lease.token, lease.heard)) {
-            self.seen
-                .insert(name.to_owned(), (lease.token, lease.heard, now));
+    fn observe(&mut self, now: Seconds, name: &str, lease: &Lease) {
+        let is_unchanged = self.observed.get(name).is_some_and(|observed| {
+            observed.token == lease.token && observed.last_request == lease.last_request
+        });
+        if is_unchanged {
+            return;
         }
+        let observed = ObservedLease {
+            token: lease.token,
+            last_request: lease.last_request,
+            since: now,
+        };
+        self.observed.insert(name.to_owned(), observed);
     }
 
-    /// The log has gone on: takes in what it says now; what is held newly, and what no more.
-    pub(crate) fn read(
+    /// Takes in the state after new entries were applied.
+    pub(crate) fn update(
         &mut self,
         now: Seconds,
         state: &ReplicatedState,
-        set: &Settings,
-    ) -> (Vec<(String, u64)>, Vec<String>) {
-        let own = Holder {
-            name: set.own.clone(),
-            incarnation: set.incarnation,
-        };
-        let (mut held, mut lost) = (Vec::new(), Vec::new());
+        settings: &Settings,
+    ) -> LeaseChanges {
+        let own = holder(settings);
+        let mut changes = LeaseChanges::default();
         for (name, lease) in &state.leases {
-            self.see(now, name, lease);
+            self.observe(now, name, lease);
             if lease.holder.as_ref() != Some(&own) {
-                self.asked.remove(name);
-                lost.extend(self.mine.remove(name).map(|_| name.clone()));
+                self.unanswered.remove(name);
+                if self.held_leases.remove(name).is_some() {
+                    changes.lost.push(name.clone());
+                }
                 continue;
             }
-            // The term runs from when the very asking was made that was heard: a later one may not have been.
-            let asked = self
-                .asked
-                .get(name)
-                .and_then(|asked| asked.get(&lease.heard))
-                .copied();
-            let (Some(asked), true) = (asked, self.wanted.contains(name)) else {
+            if !self.wanted.contains(name) {
                 continue;
-            };
-            if let Some(all) = self.asked.get_mut(name) {
-                all.retain(|ask, _| *ask > lease.heard);
             }
-            let mine = Mine {
+            let Some(requested_at) = self.answer(name, lease.last_request) else {
+                continue;
+            };
+            let held = HeldLease {
                 token: lease.token,
-                until: asked + set.lease_term,
+                valid_until: requested_at + settings.lease_term,
             };
-            if self.mine.insert(name.clone(), mine).is_none() {
-                held.push((name.clone(), lease.token));
+            if self.held_leases.insert(name.clone(), held).is_none() {
+                changes.acquired.push(AcquiredLease {
+                    name: name.clone(),
+                    token: lease.token,
+                });
             }
         }
-        (held, lost)
+        changes
+    }
+
+    /// When the request of this number was made; it and the earlier ones are forgotten. The term runs from the request
+    /// that was applied: a later one may not have been.
+    fn answer(&mut self, name: &str, request: u64) -> Option<Seconds> {
+        let unanswered = self.unanswered.get_mut(name)?;
+        let requested_at = unanswered.get(&request).copied()?;
+        unanswered.retain(|number, _| *number > request);
+        Some(requested_at)
     }
 
-    /// What is to be asked of the log now, and which leases have run out.
-    pub(crate) fn due(
+    /// Drops the leases that have expired at `now`; returns their names.
+    pub(crate) fn expire(&mut self, now: Seconds) -> Vec<String> {
+        let mut expired = Vec::new();
+        self.held_leases.retain(|name, held| {
+            let is_valid = now < held.valid_until;
+            if !is_valid {
+                expired.push(name.clone());
+            }
+            is_valid
+        });
+        expired
+    }
+
+    /// The entries that acquire and renew leases and are due at `now`.
+    pub(crate) fn due_requests(
         &mut self,
         now: Seconds,
         state: &ReplicatedState,
-        set: &Settings,
-    ) -> (Vec<Entry>, Vec<String>) {
-        let over = |mine: &Mine| now >= mine.until;
-        let ran_out: Vec<String> = self
-            .mine
-            .iter()
-            .filter(|(_, mine)| over(mine))
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in &ran_out {
-            self.mine.remove(name);
-        }
-        let holder = || Holder {
-            name: set.own.clone(),
-            incarnation: set.incarnation,
-        };
-        let mut out = Vec::new();
+        settings: &Settings,
+    ) -> Vec<Entry> {
+        let mut entries = Vec::new();
         for name in self.wanted.clone() {
-            let last = self
-                .asked
-                .get(&name)
-                .and_then(|asked| asked.values().next_back());
-            if last.is_some_and(|at| now < at + AGAIN * set.lease_term) {
+            if self.has_recent_request(now, &name, settings) {
                 continue;
             }
             let lease = state.leases.get(&name);
             if let Some(lease) = lease {
-                self.see(now, &name, lease);
+                self.observe(now, &name, lease);
             }
-            let token = lease.map_or(0, |lease| lease.token);
-            let ask = self.asks + 1;
-            let entry = match self.mine.get(&name) {
-                Some(mine) if now < mine.until - (1.0 - RENEW_AT) * set.lease_term => continue,
-                Some(mine) => Entry::Renew {
-                    lease: name.clone(),
-                    token: mine.token,
-                    ask,
-                },
-                None => {
-                    let seen = self.seen.get(&name).map_or(now, |(.., at)| *at);
-                    let over = now >= seen + set.lease_term * (1.0 + 2.0 * set.max_clock_drift);
-                    if lease.is_some_and(|lease| lease.holder.is_some()) && !over {
-                        continue;
-                    }
-                    let heard = lease.map_or(0, |lease| lease.heard);
-                    Entry::Acquire {
-                        lease: name.clone(),
-                        holder: holder(),
-                        after: token,
-                        heard,
-                        ask,
-                    }
-                }
+            let request = self.last_request + 1;
+            let Some(entry) = self.request(now, &name, lease, request, settings) else {
+                continue;
             };
-            self.asks = ask;
-            let asked = self.asked.entry(name).or_default();
-            asked.insert(ask, now);
-            while asked.len() > ASKED_MOST {
-                asked.pop_first();
-            }
-            out.push(entry);
+            self.last_request = request;
+            self.remember_request(now, name, request);
+            entries.push(entry);
+        }
+        entries
+    }
+
+    fn has_recent_request(&self, now: Seconds, name: &str, settings: &Settings) -> bool {
+        let last = self
+            .unanswered
+            .get(name)
+            .and_then(|unanswered| unanswered.values().next_back());
+        last.is_some_and(|at| now < at + RETRY_FRACTION * settings.lease_term)
+    }
+
+    fn remember_request(&mut self, now: Seconds, name: String, request: u64) {
+        let unanswered = self.unanswered.entry(name).or_default();
+        unanswered.insert(request, now);
+        while unanswered.len() > MAX_UNANSWERED_REQUESTS {
+            unanswered.pop_first();
         }
-        (out, ran_out)
+    }
+
+    /// The entry that renews or acquires a lease, if one of the two is due.
+    fn request(
+        &self,
+        now: Seconds,
+        name: &str,
+        lease: Option<&Lease>,
+        request: u64,
+        settings: &Settings,
+    ) -> Option<Entry> {
+        if let Some(held) = self.held_leases.get(name) {
+            let renew_at = held.valid_until - (1.0 - RENEWAL_FRACTION) * settings.lease_term;
+            return (now >= renew_at).then(|| Entry::Renew {
+                lease: name.to_owned(),
+                token: held.token,
+                request,
+            });
+        }
+        let observed_at = self
+            .observed
+            .get(name)
+            .map_or(now, |observed| observed.since);
+        let longest_term = settings.lease_term * (1.0 + 2.0 * settings.max_clock_drift);
+        let is_expired = now >= observed_at + longest_term;
+        let is_held = lease.is_some_and(|lease| lease.holder.is_some());
+        if is_held && !is_expired {
+            return None;
+        }
+        Some(Entry::Acquire {
+            lease: name.to_owned(),
+            holder: holder(settings),
+            observed_token: lease.map_or(0, |lease| lease.token),
+            observed_request: lease.map_or(0, |lease| lease.last_request),
+            request,
+        })
+    }
+}
+
+/// This process as the holder of a lease.
+fn holder(settings: &Settings) -> Holder {
+    Holder {
+        name: settings.name.clone(),
+        incarnation: settings.incarnation,
     }
 }
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -1,98 +1,91 @@
-//! The log on its way to the disk: kept whole in memory, and each change of it noted for the next batch.
+//! The replicated log of one voter: kept in memory as a whole, with each change collected for the next batch.
 
-use crate::ReplicatedState;
+use crate::{LoadError, ReplicatedState};
 use omnipaxos::ballot_leader_election::Ballot;
+use parking_lot::{Mutex, MutexGuard};
 use serde::de::DeserializeOwned;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
 use tidespur_persistence::{Batch, LoadedRecords};
 
-mod kept;
+mod contents;
 mod storage;
 
-use kept::{Kept, name};
+use contents::{LogContents, entry_key};
 
-const ENTRY: &str = "ledger.entry";
-const FACT: &str = "ledger";
-const FOLDED: &str = "the log is folded in place";
+/// Kind of the records of entries; their key is the index.
+const ENTRY_KIND: &str = "ledger.entry";
+/// Kind of the records of the log's other fields; their key is the name of the field.
+const FIELD_KIND: &str = "ledger";
 
-/// The log; a clone is a handle on the same one.
+// Names of the fields; they are part of the stored format.
+const FIELD_COMPACTED: &str = "hollow";
+const FIELD_DECIDED: &str = "decided";
+const FIELD_PROMISE: &str = "promise";
+const FIELD_ACCEPTED: &str = "accepted";
+
+/// A handle on the log; clones are handles on the same log, one for the voter and one for the consensus library.
 #[derive(Clone, Debug, Default)]
-pub struct Log(Arc<Mutex<Kept>>);
+pub struct Log(Arc<Mutex<LogContents>>);
 
 impl Log {
-    /// The log as an earlier process left it.
+    /// The log as an earlier process stored it.
     ///
     /// # Errors
-    /// A record that can't be read.
-    pub fn load(memory: &LoadedRecords) -> Result<Self, String> {
-        fn read<T: DeserializeOwned>(
-            memory: &LoadedRecords,
-            key: &str,
-        ) -> Result<Option<T>, String> {
-            let found = memory.records_of_kind(FACT).find(|(name, _)| *name == key);
-            found.map(|(_, bytes)| serde_json::from_slice(bytes)).transpose().map_err(|e| {
-                format!(
-                    "the memory's record {FACT} {key:?} can't be read: {e}; restore the folder from a copy"
-                )
-            })
-        }
+    /// If a record can't be read, or entries are missing.
+    pub fn load(loaded: &LoadedRecords) -> Result<Self, LoadError> {
+        let compacted: usize = load_field(loaded, FIELD_COMPACTED)?.unwrap_or(0);
         let mut entries = Vec::new();
-        let hollow: usize = read(memory, "hollow")?.unwrap_or(0);
-        for (index, bytes) in memory.records_of_kind(ENTRY) {
-            if index != name(hollow + entries.len()) {
-                return Err(format!(
-                    "the memory's log has a gap before {index}; restore the folder from a copy"
-                ));
+        for (index, bytes) in loaded.records_of_kind(ENTRY_KIND) {
+            if index != entry_key(compacted + entries.len()) {
+                return Err(LoadError::Gap {
+                    index: index.to_owned(),
+                });
             }
-            let entry = serde_json::from_slice(bytes);
-            entries.push(
-                entry.map_err(|e| {
-                    format!("the memory's record {ENTRY} {index} can't be read: {e}")
-                })?,
-            );
+            entries.push(decode(ENTRY_KIND, index, bytes)?);
         }
-        Ok(Self(Arc::new(Mutex::new(Kept {
-            hollow,
+        Ok(Self(Arc::new(Mutex::new(LogContents {
+            compacted,
             entries,
-            decided: read(memory, "decided")?.unwrap_or(0),
-            promise: read(memory, "promise")?,
-            accepted: read(memory, "accepted")?,
+            decided: load_field(loaded, FIELD_DECIDED)?.unwrap_or(0),
+            promise: load_field(loaded, FIELD_PROMISE)?,
+            accepted: load_field(loaded, FIELD_ACCEPTED)?,
             batch: Batch::default(),
         }))))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LogContents> {
+        self.0.lock()
     }
 
-    /// What has changed since the last call. Nothing that rests on it may be said before it is safe.
+    /// Removes and returns the changes since the last call. Messages that depend on them may be sent only once they
+    /// are on the disk.
     pub fn take_batch(&self) -> Batch {
         std::mem::take(&mut self.lock().batch)
     }
 
-    /// Entries that were written, compacted ones included.
+    /// Number of entries, compacted ones included.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether nothing was ever written.
+    /// Whether it has no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The round in which it was written last, and how far it goes.
+    /// The ballot in which an entry was accepted last, and the length of the log.
     pub fn accepted(&self) -> (Option<Ballot>, usize) {
-        let kept = self.lock();
-        (kept.accepted, kept.len())
+        let contents = self.lock();
+        (contents.accepted, contents.len())
     }
 
-    /// Entries that are known as decided.
+    /// Number of entries that are known as decided.
     pub fn decided(&self) -> usize {
         self.lock().decided
     }
 
-    /// What all entries come to. For a log that only one voter keeps, and that is decided as it is written.
-    pub(crate) fn whole(&self) -> ReplicatedState {
+    /// The state after all entries. Valid for a log with a single voter only, where entries are decided once written.
+    pub(crate) fn replay(&self) -> ReplicatedState {
         let mut state = ReplicatedState::default();
         for entry in &self.lock().entries {
             state.apply(entry);
@@ -100,27 +93,51 @@
         state
     }
 
-    /// Folds the first entries, which are decided and come to `state`, into one.
-    pub(crate) fn fold(&self, upto: usize, state: &ReplicatedState) {
-        self.lock().fold(upto, state);
+    /// Compacts the first `end` entries, which are decided and result in `state`, into one snapshot.
+    pub(crate) fn compact(&self, end: usize, state: &ReplicatedState) {
+        self.lock().compact(end, state);
     }
 
-    /// Entries that are held.
-    pub(crate) fn held(&self) -> usize {
+    /// Number of entries that are stored, without those that are compacted.
+    pub(crate) fn stored_len(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// The round that was promised.
+    /// The ballot that was promised.
     pub fn promise(&self) -> Option<Ballot> {
         self.lock().promise
     }
 
-    /// Promises at least this round: a voter that is taken in again may have promised it before.
-    pub fn promise_at_least(&self, floor: Option<Ballot>) {
-        let mut kept = self.lock();
-        if floor > kept.promise {
-            kept.promise = floor;
-            kept.put(FACT, "promise", &floor);
+    /// Raises the promise to at least this ballot: a voter that is readmitted may have promised it before.
+    pub fn promise_at_least(&self, ballot: Option<Ballot>) {
+        let mut contents = self.lock();
+        if ballot > contents.promise {
+            contents.promise = ballot;
+            contents.put(FIELD_KIND, FIELD_PROMISE, &ballot);
         }
     }
 }
+
+fn load_field<T: DeserializeOwned>(
+    loaded: &LoadedRecords,
+    field: &str,
+) -> Result<Option<T>, LoadError> {
+    let mut records = loaded.records_of_kind(FIELD_KIND);
+    match records.find(|(key, _)| *key == field) {
+        Some((_, bytes)) => decode(FIELD_KIND, field, bytes).map(Some),
+        None => Ok(None),
+    }
+}
+
+/// Decodes the value of a record.
+pub(crate) fn decode<T: DeserializeOwned>(
+    kind: &'static str,
+    key: &str,
+    bytes: &[u8],
+) -> Result<T, LoadError> {
+    serde_json::from_slice(bytes).map_err(|reason| LoadError::UnreadableRecord {
+        kind,
+        key: key.to_owned(),
+        reason,
+    })
+}
--- a/crates/coordination/src/log/storage.rs
+++ b/crates/coordination/src/log/storage.rs
@@ -1,10 +1,13 @@
-//! The log as the agreement asks for it.
+//! The log as the storage of the consensus library.
 
-use super::{FACT, FOLDED, Log};
+use super::{FIELD_ACCEPTED, FIELD_DECIDED, FIELD_KIND, FIELD_PROMISE, Log};
 use crate::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 
+/// Error of the operations by which the library would compact the log.
+const COMPACTED_IN_PLACE: &str = "each voter compacts its log in place";
+
 impl Storage<Entry> for Log {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         for op in ops {
@@ -12,9 +15,9 @@
                 StorageOp::AppendEntry(entry) => self.append_entry(entry)?,
                 StorageOp::AppendEntries(entries) => self.append_entries(entries)?,
                 StorageOp::AppendOnPrefix(from, entries) => self.append_on_prefix(from, entries)?,
-                StorageOp::SetPromise(round) => self.set_promise(round)?,
+                StorageOp::SetPromise(ballot) => self.set_promise(ballot)?,
                 StorageOp::SetDecidedIndex(index) => self.set_decided_idx(index)?,
-                StorageOp::SetAcceptedRound(round) => self.set_accepted_round(round)?,
+                StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 StorageOp::SetCompactedIdx(index) => self.set_compacted_idx(index)?,
                 StorageOp::Trim(index) => self.trim(index)?,
                 StorageOp::SetStopsign(sign) => self.set_stopsign(sign)?,
@@ -30,29 +33,33 @@
     }
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        let mut kept = self.lock();
-        entries.into_iter().for_each(|entry| kept.append(entry));
+        let mut contents = self.lock();
+        for entry in entries {
+            contents.append(entry);
+        }
         Ok(())
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Entry>) -> StorageResult<()> {
-        let mut kept = self.lock();
-        kept.cut(from);
-        entries.into_iter().for_each(|entry| kept.append(entry));
+        let mut contents = self.lock();
+        contents.truncate(from);
+        for entry in entries {
+            contents.append(entry);
+        }
         Ok(())
     }
 
-    fn set_promise(&mut self, round: Ballot) -> StorageResult<()> {
-        let mut kept = self.lock();
-        kept.promise = Some(round);
-        kept.put(FACT, "promise", &round);
+    fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
+        let mut contents = self.lock();
+        contents.promise = Some(ballot);
+        contents.put(FIELD_KIND, FIELD_PROMISE, &ballot);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, index: usize) -> StorageResult<()> {
-        let mut kept = self.lock();
-        kept.decided = index;
-        kept.put(FACT, "decided", &index);
+        let mut contents = self.lock();
+        contents.decided = index;
+        contents.put(FIELD_KIND, FIELD_DECIDED, &index);
         Ok(())
     }
 
@@ -60,10 +67,10 @@
         Ok(self.lock().decided)
     }
 
-    fn set_accepted_round(&mut self, round: Ballot) -> StorageResult<()> {
-        let mut kept = self.lock();
-        kept.accepted = Some(round);
-        kept.put(FACT, "accepted", &round);
+    fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
+        let mut contents = self.lock();
+        contents.accepted = Some(ballot);
+        contents.put(FIELD_KIND, FIELD_ACCEPTED, &ballot);
         Ok(())
     }
 
@@ -80,8 +87,8 @@
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
-        let kept = self.lock();
-        Ok(kept.get(from, kept.len()))
+        let contents = self.lock();
+        Ok(contents.get(from, contents.len()))
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
@@ -89,7 +96,7 @@
     }
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
-        // The voters are the settings'; the log never changes them.
+        // The voters are named in the settings; the log never changes them.
         match sign {
             None => Ok(()),
             Some(_) => Err("the voters are named in the settings".into()),
@@ -100,13 +107,13 @@
         Ok(None)
     }
 
-    // The log is folded in place, by what is decided: nothing is trimmed, and no snapshot is sent.
+    // Each voter compacts the decided part of its log in place, so the library trims nothing and sends no snapshot.
     fn trim(&mut self, _: usize) -> StorageResult<()> {
-        Err(FOLDED.into())
+        Err(COMPACTED_IN_PLACE.into())
     }
 
     fn set_compacted_idx(&mut self, _: usize) -> StorageResult<()> {
-        Err(FOLDED.into())
+        Err(COMPACTED_IN_PLACE.into())
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
@@ -114,7 +121,10 @@
     }
 
     fn set_snapshot(&mut self, snapshot: Option<NoSnapshot>) -> StorageResult<()> {
-        snapshot.map_or(Ok(()), |_| Err(FOLDED.into()))
+        match snapshot {
+            None => Ok(()),
+            Some(_) => Err(COMPACTED_IN_PLACE.into()),
+        }
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<NoSnapshot>> {
--- a/crates/coordination/tests/compatibility.rs
+++ b/crates/coordination/tests/compatibility.rs
@@ -1,46 +1,16 @@
-//! What voters send each other stays as an earlier version wrote it, so that old and new voters agree while the fleet
-//! is upgraded.
+//! What voters store and send stays as an earlier version wrote it, so that old and new voters agree while the fleet is
+//! upgraded.
 
 mod samples;
 
-use omnipaxos::ClusterConfig;
 use omnipaxos::messages::Message;
-use omnipaxos::messages::ballot_leader_election::{
-    BLEMessage, HeartbeatMsg, HeartbeatReply, HeartbeatRequest,
-};
-use omnipaxos::messages::sequence_paxos::{
-    AcceptDecide, AcceptStopSign, AcceptSync, Accepted, Compaction, Decide, NotAccepted,
-    PaxosMessage, PaxosMsg, Prepare, PrepareReq, Promise,
-};
-use omnipaxos::storage::{NoSnapshot, SnapshotType, StopSign};
-use omnipaxos::util::{FlexibleQuorum, LogSync, SequenceNumber};
-use samples::{ballot, entries, known, mark, state, unknown};
+use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg, HeartbeatRequest};
+use samples::{assert_wire_compatible, entries, fixture, known, position, state, unknown};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
-use std::path::PathBuf;
-use tidespur_coordination::{Entry, LogPosition, PeerMessage};
-use tidespur_fixtures::{Codec, assert_compatible, fixture_path, from_hex, to_hex};
-
-fn fixture(file: &str) -> PathBuf {
-    fixture_path(env!("CARGO_MANIFEST_DIR"), file)
-}
-
-fn assert_wire_compatible<T: Debug + Serialize + DeserializeOwned>(
-    file: &str,
-    samples: &[(&str, T)],
-) {
-    let encode = |value: &T| to_hex(&postcard::to_stdvec(value).unwrap());
-    let decode = |text: &str| postcard::from_bytes(&from_hex(text)).unwrap();
-    assert_compatible(
-        &fixture(file),
-        samples,
-        &Codec {
-            encode: &encode,
-            decode: &decode,
-        },
-    );
-}
+use tidespur_coordination::{LogPosition, PeerMessage};
+use tidespur_fixtures::{Codec, assert_compatible};
 
 fn assert_json_compatible<T: Debug + Serialize + DeserializeOwned>(
     file: &str,
@@ -58,9 +28,9 @@
     );
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`words`] as well.
-fn word_name(word: &PeerMessage) -> &'static str {
-    match word {
+/// A new variant fails to compile here until it has a name; add a sample of it to [`messages`] as well.
+fn message_name(message: &PeerMessage) -> &'static str {
+    match message {
         PeerMessage::Position(_) => "here",
         PeerMessage::KnownPosition(_) => "known",
         PeerMessage::Consensus(_) => "agree",
@@ -68,10 +38,10 @@
     }
 }
 
-fn words() -> Vec<PeerMessage> {
+fn messages() -> Vec<PeerMessage> {
     let request = HeartbeatMsg::Request(HeartbeatRequest { round: 5 });
     vec![
-        PeerMessage::Position(mark()),
+        PeerMessage::Position(position()),
         PeerMessage::KnownPosition(known()),
         PeerMessage::Consensus(Box::new(Message::BLE(BLEMessage {
             from: 1,
@@ -83,10 +53,10 @@
 }
 
 #[test]
-fn words_keep_their_bytes_when_encoded_and_decoded() {
-    let samples: Vec<(&str, PeerMessage)> = words()
+fn messages_keep_their_bytes_when_encoded_and_decoded() {
+    let samples: Vec<(&str, PeerMessage)> = messages()
         .into_iter()
-        .map(|word| (word_name(&word), word))
+        .map(|message| (message_name(&message), message))
         .collect();
     assert_wire_compatible("words.txt", &samples);
     let unset = [
@@ -113,10 +83,10 @@
 }
 
 #[test]
-fn marks_keep_their_json_when_stored() {
+fn positions_keep_their_json_when_stored() {
     assert_json_compatible(
         "marks-stored.txt",
-        &[("mark", mark()), ("new", LogPosition::default())],
+        &[("mark", position()), ("new", LogPosition::default())],
     );
 }
 
@@ -124,156 +94,3 @@
 fn states_keep_their_json_when_stored() {
     assert_json_compatible("states-stored.txt", &[("state", state())]);
 }
-
-fn sequence_number() -> SequenceNumber {
-    SequenceNumber {
-        session: 1,
-        counter: 300,
-    }
-}
-
-fn stop_sign(flexible_quorum: Option<FlexibleQuorum>) -> StopSign {
-    let next_config = ClusterConfig {
-        configuration_id: 2,
-        nodes: vec![1, 2, 3],
-        flexible_quorum,
-    };
-    StopSign {
-        next_config,
-        metadata: Some(vec![1, 255]),
-    }
-}
-
-fn log_sync(decided_snapshot: Option<SnapshotType<Entry>>) -> LogSync<Entry> {
-    let suffix = entries().into_iter().map(|(_, entry)| entry).collect();
-    let quorum = FlexibleQuorum {
-        read_quorum_size: 2,
-        write_quorum_size: 2,
-    };
-    LogSync {
-        decided_snapshot,
-        suffix,
-        sync_idx: 299,
-        stopsign: Some(stop_sign(Some(quorum))),
-    }
-}
-
-fn paxos_name(message: &PaxosMsg<Entry>) -> &'static str {
-    match message {
-        PaxosMsg::PrepareReq(_) => "prepare-req",
-        PaxosMsg::Prepare(_) => "prepare",
-        PaxosMsg::Promise(_) => "promise",
-        PaxosMsg::AcceptSync(_) => "accept-sync",
-        PaxosMsg::AcceptDecide(_) => "accept-decide",
-        PaxosMsg::Accepted(_) => "accepted",
-        PaxosMsg::NotAccepted(_) => "not-accepted",
-        PaxosMsg::Decide(_) => "decide",
-        PaxosMsg::ProposalForward(_) => "proposal-forward",
-        PaxosMsg::Compaction(Compaction::Trim(_)) => "compaction trim",
-        PaxosMsg::Compaction(Compaction::Snapshot(_)) => "compaction snapshot",
-        PaxosMsg::AcceptStopSign(_) => "accept-stop-sign",
-        PaxosMsg::ForwardStopSign(_) => "forward-stop-sign",
-    }
-}
-
-fn paxos_messages() -> Vec<PaxosMsg<Entry>> {
-    let all: Vec<Entry> = entries().into_iter().map(|(_, entry)| entry).collect();
-    let (n, n_accepted, seq_num) = (ballot(8), ballot(7), sequence_number());
-    let (decided_idx, accepted_idx) = (299, 300);
-    let complete = Some(SnapshotType::Complete(NoSnapshot));
-    let delta = Some(SnapshotType::Delta(NoSnapshot));
-    vec![
-        PaxosMsg::PrepareReq(PrepareReq { n }),
-        PaxosMsg::Prepare(Prepare {
-            n,
-            decided_idx,
-            n_accepted,
-            accepted_idx,
-        }),
-        PaxosMsg::Promise(Promise {
-            n,
-            n_accepted,
-            decided_idx,
-            accepted_idx,
-            log_sync: Some(log_sync(complete)),
-        }),
-        PaxosMsg::AcceptSync(AcceptSync {
-            n,
-            seq_num,
-            decided_idx,
-            log_sync: log_sync(delta),
-        }),
-        PaxosMsg::AcceptDecide(AcceptDecide {
-            n,
-            seq_num,
-            decided_idx,
-            entries: all.clone(),
-        }),
-        PaxosMsg::Accepted(Accepted { n, accepted_idx }),
-        PaxosMsg::NotAccepted(NotAccepted { n }),
-        PaxosMsg::Decide(Decide {
-            n,
-            seq_num,
-            decided_idx,
-        }),
-        PaxosMsg::ProposalForward(all),
-        PaxosMsg::Compaction(Compaction::Trim(300)),
-        PaxosMsg::Compaction(Compaction::Snapshot(Some(300))),
-        PaxosMsg::AcceptStopSign(AcceptStopSign {
-            n,
-            seq_num,
-            ss: stop_sign(None),
-        }),
-        PaxosMsg::ForwardStopSign(stop_sign(None)),
-    ]
-}
-
-#[test]
-fn log_replication_messages_keep_their_bytes_when_encoded_and_decoded() {
-    let sample = |msg: PaxosMsg<Entry>| {
-        let name = paxos_name(&msg);
-        (
-            name,
-            PeerMessage::Consensus(Box::new(Message::SequencePaxos(PaxosMessage {
-                from: 1,
-                to: 5,
-                msg,
-            }))),
-        )
-    };
-    let samples: Vec<(&str, PeerMessage)> = paxos_messages().into_iter().map(sample).collect();
-    assert_wire_compatible("log-replication.txt", &samples);
-}
-
-fn heartbeat_name(message: &HeartbeatMsg) -> &'static str {
-    match message {
-        HeartbeatMsg::Request(_) => "request",
-        HeartbeatMsg::Reply(_) => "reply",
-    }
-}
-
-#[test]
-fn leader_election_messages_keep_their_bytes_when_encoded_and_decoded() {
-    let reply = HeartbeatReply {
-        round: 300,
-        ballot: ballot(8),
-        leader: ballot(7),
-        happy: true,
-    };
-    let messages = [
-        HeartbeatMsg::Request(HeartbeatRequest { round: 300 }),
-        HeartbeatMsg::Reply(reply),
-    ];
-    let sample = |msg: HeartbeatMsg| {
-        let name = heartbeat_name(&msg);
-        (
-            name,
-            PeerMessage::Consensus(Box::new(Message::BLE(BLEMessage {
-                from: 5,
-                to: 1,
-                msg,
-            }))),
-        )
-    };
-    assert_wire_compatible("leader-election.txt", &messages.map(sample));
-}
--- a/crates/coordination/tests/samples/mod.rs
+++ b/crates/coordination/tests/samples/mod.rs
@@ -2,10 +2,15 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use omnipaxos::ballot_leader_election::Ballot;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::path::PathBuf;
 use tidespur_coordination::{
-    Entry, Holder, Known, Lease, LogPosition, Readmission, ReplicatedState,
+    Entry, Holder, KnownPosition, Lease, LogPosition, Readmission, ReplicatedState,
 };
+use tidespur_fixtures::{Codec, assert_compatible, fixture_path, from_hex, to_hex};
 
 pub fn ballot(n: u32) -> Ballot {
     Ballot {
@@ -23,63 +28,63 @@
     }
 }
 
-pub fn mark() -> LogPosition {
+pub fn position() -> LogPosition {
     LogPosition {
-        begun: 1_764_680_400_000_000,
-        turn: 4,
-        start: u64::MAX,
-        life: 1,
+        store_created_at: 1_764_680_400_000_000,
+        generation: 4,
+        start_nonce: u64::MAX,
+        incarnation: 1,
         promise: Some(ballot(8)),
         accepted: (Some(ballot(7)), 300),
         decided: 299,
     }
 }
 
-pub fn known() -> Known {
-    Known {
-        mark: Some(mark()),
-        fits: true,
-        floor: Some(ballot(9)),
-        life: 2,
+pub fn known() -> KnownPosition {
+    KnownPosition {
+        position: Some(position()),
+        may_vote: true,
+        min_promise: Some(ballot(9)),
+        incarnation: 2,
     }
 }
 
-pub fn unknown() -> Known {
-    Known {
-        mark: None,
-        fits: false,
-        floor: None,
-        life: 0,
+pub fn unknown() -> KnownPosition {
+    KnownPosition {
+        position: None,
+        may_vote: false,
+        min_promise: None,
+        incarnation: 0,
     }
 }
 
-/// A state with a lease that is held, one that was given back, a note and a voter that was taken in again.
+/// A state with a held and a released lease, a value, and voters that were readmitted.
 pub fn state() -> ReplicatedState {
     let held = Lease {
         token: 7,
         holder: Some(holder()),
-        heard: 70_000,
+        last_request: 70_000,
     };
     let free = Lease {
         token: 2,
         holder: None,
-        heard: 1,
+        last_request: 1,
     };
-    let again = Readmission {
-        begun: 11,
-        turn: 12,
-        floor: Some(ballot(5)),
-        life: 1,
+    let readmission = Readmission {
+        store_created_at: 11,
+        generation: 12,
+        min_promise: Some(ballot(5)),
+        incarnation: 1,
     };
     let never_promised = Readmission {
-        floor: None,
-        ..again.clone()
+        min_promise: None,
+        ..readmission.clone()
     };
     ReplicatedState {
         leases: BTreeMap::from([("fleet".to_owned(), held), ("other".to_owned(), free)]),
         values: BTreeMap::from([("settings".to_owned(), b"{\"a\":1}\xff".to_vec())]),
         readmissions: BTreeMap::from([
-            ("edge-2".to_owned(), again),
+            ("edge-2".to_owned(), readmission),
             ("edge-3".to_owned(), never_promised),
         ]),
     }
@@ -107,14 +112,14 @@
         Entry::Acquire {
             lease: lease(),
             holder: holder(),
-            after: 6,
-            heard: 300,
-            ask: 301,
+            observed_token: 6,
+            observed_request: 300,
+            request: 301,
         },
         Entry::Renew {
             lease: lease(),
             token: 7,
-            ask: 302,
+            request: 302,
         },
         Entry::Release {
             lease: lease(),
@@ -128,9 +133,9 @@
         },
         Entry::Readmit {
             voter: "edge-2".into(),
-            begun: 11,
-            turn: 12,
-            floor: Some(ballot(5)),
+            store_created_at: 11,
+            generation: 12,
+            min_promise: Some(ballot(5)),
         },
     ];
     entries
@@ -138,3 +143,23 @@
         .map(|entry| (entry_name(&entry), entry))
         .collect()
 }
+
+pub fn fixture(file: &str) -> PathBuf {
+    fixture_path(env!("CARGO_MANIFEST_DIR"), file)
+}
+
+pub fn assert_wire_compatible<T: Debug + Serialize + DeserializeOwned>(
+    file: &str,
+    samples: &[(&str, T)],
+) {
+    let encode = |value: &T| to_hex(&postcard::to_stdvec(value).unwrap());
+    let decode = |text: &str| postcard::from_bytes(&from_hex(text)).unwrap();
+    assert_compatible(
+        &fixture(file),
+        samples,
+        &Codec {
+            encode: &encode,
+            decode: &decode,
+        },
+    );
+}
--- a/crates/coordination/tests/stored_data.rs
+++ b/crates/coordination/tests/stored_data.rs
@@ -1,38 +1,43 @@
-//! The data folder of a voter and the fences of those who carry acts out: what an earlier version wrote comes back
-//! whole, and this version writes the same records.
+//! The data folder of a voter and the fence of a planner: what an earlier version wrote is loaded completely, and this
+//! version writes the same records.
 
 mod samples;
 
 use omnipaxos::storage::Storage;
-use samples::{ballot, entries, known, mark};
+use samples::{ballot, entries, known, position};
 use tidespur_coordination::{
-    Entry, Fence, Input, Known, Log, LogPosition, Output, PeerMessage, Settings, Voter, VoterStatus,
+    Entry, Fence, Input, KnownPosition, Log, LogPosition, Output, PeerMessage, Settings, Voter,
+    VoterStatus,
 };
 use tidespur_fixtures::{StoredFolder, assert_stored};
 use tidespur_persistence::{Batch, Identity, LoadedRecords};
 
 const VOTERS: [&str; 5] = ["edge-1", "edge-2", "edge-3", "edge-4", "edge-5"];
-const OWN_START: u64 = 42;
+const START_NONCE: u64 = 42;
 
 fn settings() -> Settings {
     Settings {
         voters: VOTERS.map(str::to_owned).to_vec(),
-        own: VOTERS[0].into(),
+        name: VOTERS[0].into(),
         incarnation: 1,
-        start: OWN_START,
+        start_nonce: START_NONCE,
         lease_term: 3.0,
         max_clock_drift: 0.01,
     }
 }
 
-/// Two entries at the front that were folded away, and one of each kind behind them.
+/// Two compacted entries at the front, and one of each kind after them.
 fn log_entries() -> Vec<Entry> {
-    let folded = [Entry::Noop, Entry::Noop];
+    let compacted = [Entry::Noop, Entry::Noop];
     let all = entries()
         .into_iter()
         .map(|(_, entry)| entry)
         .filter(|entry| *entry != Entry::Noop);
-    folded.into_iter().chain(all).chain([Entry::Noop]).collect()
+    compacted
+        .into_iter()
+        .chain(all)
+        .chain([Entry::Noop])
+        .collect()
 }
 
 fn log_batch() -> Batch {
@@ -44,7 +49,7 @@
     log.take_batch()
 }
 
-fn recalled(batch: &Batch) -> LoadedRecords {
+fn load(batch: &Batch) -> LoadedRecords {
     let written = batch
         .changes()
         .filter_map(|(record, value)| Some((record.clone(), value?.to_vec())));
@@ -55,20 +60,23 @@
     }
 }
 
-/// How far a peer is that was never taken in again.
-fn peer_mark() -> LogPosition {
-    LogPosition { life: 0, ..mark() }
+/// The position of a peer that was never readmitted.
+fn peer_position() -> LogPosition {
+    LogPosition {
+        incarnation: 0,
+        ..position()
+    }
 }
 
-/// What the voter remembers once `edge-2` has said how far it is and `edge-3` how far it knows this one.
+/// What the voter stores once `edge-2` has announced its position and `edge-3` has replied to that of the voter.
 fn peers_batch(log: &Batch) -> Batch {
-    let mut ledger = Voter::new(settings(), &recalled(log), 0.0).unwrap();
+    let mut voter = Voter::new(settings(), &load(log), 0.0).unwrap();
     let inputs = [
-        Input::MessageReceived("edge-2".into(), PeerMessage::Position(peer_mark())),
+        Input::MessageReceived("edge-2".into(), PeerMessage::Position(peer_position())),
         Input::MessageReceived("edge-3".into(), PeerMessage::KnownPosition(known())),
     ];
     let mut outputs = Vec::new();
-    ledger.step(0.0, inputs, &mut outputs);
+    voter.step(0.0, inputs, &mut outputs);
     let mut batch = Batch::default();
     for output in outputs {
         if let Output::Persist(_, written) = output {
@@ -99,22 +107,22 @@
     assert_eq!(log.len(), log_entries().len());
     assert_eq!(log.decided(), 5);
     assert_eq!(log.accepted(), (Some(ballot(7)), log_entries().len()));
-    // Not the round that was promised first: `edge-3` told of a higher one.
+    // Not the ballot that was promised first: `edge-3` replied with a higher one.
     assert_eq!(log.promise(), Some(ballot(9)));
 }
 
 #[test]
 fn own_and_peers_positions_are_whole_when_loaded_from_an_earlier_versions_folder() {
     let stored = stored_voter();
-    let mut ledger = Voter::new(settings(), &stored.loaded, 0.0).unwrap();
-    assert_eq!(ledger.status(), &VoterStatus::Verifying(0));
+    let mut voter = Voter::new(settings(), &stored.loaded, 0.0).unwrap();
+    assert_eq!(voter.status(), &VoterStatus::Verifying(0));
 
     let mut outputs = Vec::new();
     let older = LogPosition {
-        turn: 3,
-        ..peer_mark()
+        generation: 3,
+        ..peer_position()
     };
-    ledger.step(
+    voter.step(
         0.0,
         [Input::MessageReceived(
             "edge-2".into(),
@@ -123,24 +131,24 @@
         &mut outputs,
     );
 
-    let said: Vec<(String, PeerMessage)> = outputs
+    let sent: Vec<(String, PeerMessage)> = outputs
         .into_iter()
         .filter_map(|output| match output {
-            Output::Send(voter, word) => Some((voter, word)),
+            Output::Send(to, message) => Some((to, message)),
             _ => None,
         })
         .collect();
-    let answer = Known {
-        mark: Some(peer_mark()),
-        fits: false,
-        floor: Some(ballot(9)),
-        life: 0,
+    let reply = KnownPosition {
+        position: Some(peer_position()),
+        may_vote: false,
+        min_promise: Some(ballot(9)),
+        incarnation: 0,
     };
     let own = LogPosition {
-        begun: stored.loaded.created_at,
-        turn: 2,
-        start: OWN_START,
-        life: 2,
+        store_created_at: stored.loaded.created_at,
+        generation: 2,
+        start_nonce: START_NONCE,
+        incarnation: 2,
         promise: Some(ballot(9)),
         accepted: (Some(ballot(7)), log_entries().len()),
         decided: 5,
@@ -149,9 +157,9 @@
         .iter()
         .map(|voter| ((*voter).to_owned(), PeerMessage::Position(own)))
         .collect();
-    expected.push(("edge-2".into(), PeerMessage::KnownPosition(answer)));
+    expected.push(("edge-2".into(), PeerMessage::KnownPosition(reply)));
     expected.rotate_right(1);
-    assert_eq!(format!("{said:?}"), format!("{expected:?}"));
+    assert_eq!(format!("{sent:?}"), format!("{expected:?}"));
 }
 
 #[test]
--- a/crates/edge/src/hooks/parts.rs
+++ b/crates/edge/src/hooks/parts.rs
@@ -30,7 +30,10 @@
     parts.extend(
         edge.voter
             .as_ref()
-            .map(|voter| ("ledger", voter.readiness())),
+            .map(|voter| match voter.readiness() {
+                Ok(ready) => ("ledger", Ok(ready.to_string())),
+                Err(reason) => ("ledger", Err(reason.to_string())),
+            }),
     );
     parts
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -120,7 +120,8 @@
         back.as_ref(),
         routes,
     );
-    let voter = voter.await?.map(Arc::new);
+    let voter = voter.await.map_err(|error| error.to_string())?;
+    let voter = voter.map(Arc::new);
     let facts = MemberMetadata {
         api: api_address.clone(),
         link: link_address.clone(),
