--- a/crates/edge/src/count.rs
+++ b/crates/edge/src/count.rs
@@ -69,7 +69,7 @@
                             },
                         );
                     }
-                    Output::NotifyPlanner { link, .. } => sharers.unsaid(link),
+                    Output::NotifyPlanner { link, .. } => sharers.notification_failed(link),
                 }
             }
         }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,7 +1,10 @@
-//! In which order service returns after an outage, by evidence. No I/O.
+//! The order in which service returns after an outage. No I/O.
 //!
-//! So far: how many planners share what cold nodes bear ([`PlannerCount`]). The rest of the order is to come (`docs/dark.md`).
+//! Its first part is [`PlannerCount`]: among how many planners the slow-start budget of cold nodes is divided. The
+//! others are planned, see `docs/recovery.md`. Called by the edge that holds the lease of the fleet.
 
-mod sharers;
+mod planner_count;
 
-pub use sharers::{MAX_NAME_BYTES, Observed, Output, PlannerCount};
+pub use planner_count::{MAX_NAME_BYTES, Observed, Output, PlannerCount};
+/// Seconds: a point on the caller's clock, or a length of time.
+pub use tidespur_units::Seconds;
