--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -18,7 +18,10 @@
 fn every_package_is_on_the_page_of_the_architecture() {
     for package in packages() {
         let quoted = format!("`{package}`");
-        assert!(PAGE.contains(&quoted) || PAGE.contains(&format!("`{package}::")), "{package} is missing");
+        assert!(
+            PAGE.contains(&quoted) || PAGE.contains(&format!("`{package}::")),
+            "{package} is missing"
+        );
     }
 }
 
--- a/crates/cli/tests/on_call.rs
+++ b/crates/cli/tests/on_call.rs
@@ -69,7 +69,10 @@
     for quote in quotes {
         for part in quote.split(PLACEHOLDER) {
             let part = part.trim();
-            assert!(sources.contains(part), "{part:?} of the quote {quote:?} is in no source");
+            assert!(
+                sources.contains(part),
+                "{part:?} of the quote {quote:?} is in no source"
+            );
         }
     }
 }
@@ -84,7 +87,10 @@
         // Words in capitals are placeholders of the reader's own values.
         let words = words.filter(|word| word.len() > 3 && word.chars().any(char::is_lowercase));
         for word in words.filter(|word| !NOT_OURS.contains(word)) {
-            assert!(has_word(&sources, word), "{word:?} of `{name}` is in no source");
+            assert!(
+                has_word(&sources, word),
+                "{word:?} of `{name}` is in no source"
+            );
         }
     }
 }
--- a/crates/edge/src/hooks/parts.rs
+++ b/crates/edge/src/hooks/parts.rs
@@ -27,14 +27,10 @@
         "memory",
         memory.unwrap_or_else(|| Ok("none: all ends with this process".into())),
     ));
-    parts.extend(
-        edge.voter
-            .as_ref()
-            .map(|voter| match voter.readiness() {
-                Ok(ready) => ("ledger", Ok(ready.to_string())),
-                Err(reason) => ("ledger", Err(reason.to_string())),
-            }),
-    );
+    parts.extend(edge.voter.as_ref().map(|voter| match voter.readiness() {
+        Ok(ready) => ("ledger", Ok(ready.to_string())),
+        Err(reason) => ("ledger", Err(reason.to_string())),
+    }));
     parts
 }
 
--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -65,7 +65,10 @@
 /// Says what can't be read, or worked with.
 pub fn read(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
-    let site = wire.settings.into_site().map_err(StartError::Settings)?;
+    let site = wire
+        .settings
+        .into_site()
+        .map_err(|error| StartError::Settings(error.to_string()))?;
     let known = wire
         .known
         .notices
@@ -73,7 +76,7 @@
         .map(|notice| discovery::read(&site, notice))
         .collect();
     let seed = u64::from_str_radix(&wire.seed, 16)
-        .unwrap_or_else(|_| tidespur_site_settings::words::stable_hash(&wire.seed));
+        .unwrap_or_else(|_| tidespur_site_settings::convert::stable_hash(&wire.seed));
     Ok(Config {
         name: wire.name,
         listen: wire.listen,
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -5,7 +5,7 @@
 use tidespur_policy::interface::{
     AttemptProgress, FailureCause, LoadReport, Resources, Seconds, ServiceId, Task, TaskId,
 };
-use tidespur_site_settings::{Site, words};
+use tidespur_site_settings::{Site, convert};
 
 /// An owner that says that it waits longer than this is not believed.
 const WAIT_MOST: Seconds = 3600.0;
@@ -131,7 +131,7 @@
         id: TaskId(0),
         class,
         tenant,
-        service: ServiceId(words::stable_hash(service)),
+        service: ServiceId(convert::stable_hash(service)),
         deadline,
         expected_duration: life,
         request: Resources::new(cores, memory),
@@ -165,7 +165,7 @@
         .into_iter()
         .filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)))
         .collect();
-    Some(words::load_report(values)).filter(|report| *report != LoadReport::default())
+    Some(convert::load_report(&values)).filter(|report| *report != LoadReport::default())
 }
 
 /// Why something was refused or released.
@@ -180,7 +180,7 @@
         "dismissed",
     ];
     let word = message.text(code::WORD).unwrap_or("");
-    words::failure_cause(
+    convert::failure_cause(
         WORDS
             .iter()
             .position(|w| *w == word)
@@ -197,5 +197,5 @@
         .text(code::FIGURE)
         .and_then(|figure| figure.parse().ok())
         .unwrap_or(0.0);
-    words::attempt_progress(sort, level)
+    convert::attempt_progress(sort, level)
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use tidespur_policy::interface::{Endpoint, EndpointStatus, MachineId, Resources};
-use tidespur_site_settings::{Site, words};
+use tidespur_site_settings::{Site, convert};
 
 /// One event may hold so many bytes.
 const EVENT_MOST: usize = 1 << 20;
@@ -81,7 +81,7 @@
 
 /// The id that the policy knows a machine by: the same at all schedulers.
 pub fn machine_id(name: &str) -> MachineId {
-    MachineId(words::stable_hash(name))
+    MachineId(convert::stable_hash(name))
 }
 
 /// Reads one event's data.
--- a/crates/load-shedding/src/lib.rs
+++ b/crates/load-shedding/src/lib.rs
@@ -62,7 +62,7 @@
     /// Recent share of the new work that belongs to this class.
     mix: f64,
     /// Fractions of pieces of work that were to be shed and have not added up to a whole piece yet.
-    owed: f64,
+    pending_shed: f64,
 }
 
 impl LoadShedder {
@@ -78,7 +78,7 @@
         let class = |priority_weight| ClassLoad {
             priority_weight,
             mix: 0.0,
-            owed: 0.0,
+            pending_shed: 0.0,
         };
         Self {
             latency_objective,
@@ -139,11 +139,11 @@
             return true;
         }
         let load = &mut self.classes[class];
-        load.owed += fraction;
-        if load.owed < 1.0 {
+        load.pending_shed += fraction;
+        if load.pending_shed < 1.0 {
             return true;
         }
-        load.owed -= 1.0;
+        load.pending_shed -= 1.0;
         false
     }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -10,7 +10,7 @@
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::*;
 use tidespur_site_settings::SettingsObject;
-use tidespur_site_settings::words::{attempt_progress, failure_cause, load_report, stable_hash};
+use tidespur_site_settings::convert::{attempt_progress, failure_cause, load_report, stable_hash};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -349,6 +349,7 @@
                 let made = start
                     .info
                     .into_settings()
+                    .map_err(|error| error.to_string())
                     .and_then(|set| Scheduler::new(set, start.salt).map_err(|e| e.to_string()));
                 match made {
                     Ok(scheduler) => {
@@ -432,7 +433,7 @@
                     attempt: of.copy,
                     outcome: ending_of(&of.result, of.remark)?,
                     closed: of.done_flag,
-                    report: of.report.take().map(load_report),
+                    report: of.report.take().as_ref().map(load_report),
                 }))
             })?,
             Arrival::Vanished(of) => {
@@ -447,8 +448,8 @@
                 let Some(instance) = self.instances.get_mut(&of.scheduler_id) else {
                     return Ok(None);
                 };
-                let report =
-                    (of.result == "GOOD").then(|| of.report.map(load_report).unwrap_or_default());
+                let report = (of.result == "GOOD")
+                    .then(|| of.report.as_ref().map(load_report).unwrap_or_default());
                 let event = Event::LoadPolled {
                     machine: instance.machine(&of.machine),
                     report,
--- a/crates/site-settings/tests/compatibility.rs
+++ b/crates/site-settings/tests/compatibility.rs
@@ -7,7 +7,7 @@
     AttemptProgress, FailureCause, FailureDomain, LoadReport, LoadReportSource, RetrySafety,
     Settings,
 };
-use tidespur_site_settings::{SettingsObject, Site, words};
+use tidespur_site_settings::{SettingsObject, Site, convert};
 
 const SETTINGS: &str = include_str!("fixtures/settings.json");
 
@@ -305,7 +305,7 @@
         (8, FailureCause::Unspecified),
     ];
     for (number, reason) in reasons {
-        assert_eq!(words::failure_cause(number), reason, "{number}");
+        assert_eq!(convert::failure_cause(number), reason, "{number}");
     }
 }
 
@@ -321,15 +321,15 @@
         (6, None),
     ];
     for (number, note) in notes {
-        assert_eq!(words::attempt_progress(number, 1.5), note, "{number}");
+        assert_eq!(convert::attempt_progress(number, 1.5), note, "{number}");
     }
 }
 
 #[test]
 fn load_reports_keep_their_keys() {
     let report = |figures: &[(&str, f64)]| {
-        words::load_report(
-            figures
+        convert::load_report(
+            &figures
                 .iter()
                 .map(|(name, value)| ((*name).to_owned(), *value))
                 .collect::<BTreeMap<_, _>>(),
@@ -357,6 +357,6 @@
 
 #[test]
 fn hash_of_a_name_stays_the_same_at_all_instances() {
-    assert_eq!(words::stable_hash(""), 0xcbf2_9ce4_8422_2325);
-    assert_eq!(words::stable_hash("service-1"), 0x11ec_c33b_f6dd_cb2e);
+    assert_eq!(convert::stable_hash(""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(convert::stable_hash("service-1"), 0x11ec_c33b_f6dd_cb2e);
 }
