--- a/crates/edge/src/waits.rs
+++ b/crates/edge/src/waits.rs
@@ -9,6 +9,7 @@
 use tidespur_api::{Object, meta, task::PlacementRequest};
 use tidespur_pending::{PendingRecord, PendingRecords, ReasonUpdate, Settings, StatusUpdate};
 use tidespur_store::{Precondition, Store};
+use tidespur_units::Resources;
 
 /// The desk is asked this often what nobody has taken.
 const LOOK_EVERY: f64 = 0.25;
@@ -48,7 +49,7 @@
             pod: pod.to_owned(),
             service: ask.service.clone(),
             class: ask.class.clone(),
-            requested: [ask.cores, ask.memory],
+            requested: Resources::new(ask.cores, ask.memory),
             since: now,
             updated_at: now,
             codes: vec![],
--- a/crates/pending/src/diagnosis.rs
+++ b/crates/pending/src/diagnosis.rs
@@ -1,58 +1,58 @@
-//! What keeps tasks of one shape from the nodes, at one moment.
+//! Why tasks with the same requests are rejected by the nodes, at one moment.
 
 use crate::ReasonCode;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The node that came nearest to taking it.
+/// The node that is nearest to accepting the task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NearestNode {
-    /// The node.
+    /// Name of the node.
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// What kept it out.
+    /// Why it was rejected.
     pub code: ReasonCode,
-    /// By how much: cores, memory units, seconds; 0 where it is not a matter of more or less.
+    /// What it lacks, in cores, memory units or seconds by the reason; 0 where there is no amount.
     #[serde(rename = "short")]
     pub shortfall: f64,
 }
 
-/// The spread limit that holds for the class.
+/// The spread limit of the class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpreadLimit {
     /// `node`, `rack`, `zone` or `all`.
     #[serde(rename = "place")]
     pub domain: String,
-    /// The most of one service there, for one planner.
+    /// Tasks of one service that one planner may place in one such domain.
     #[serde(rename = "most")]
     pub max_tasks: u32,
 }
 
-/// Why tasks of one shape wait. Equal tasks share one.
+/// Why tasks with the same requests are pending. Equal tasks share one diagnosis.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Diagnosis {
-    /// Nodes that were looked at.
+    /// Nodes that were examined.
     #[serde(rename = "nodes")]
     pub node_count: u32,
-    /// How many were ruled out by what.
+    /// Number of rejected nodes by reason.
     #[serde(rename = "bars")]
     pub rejections: BTreeMap<ReasonCode, u32>,
-    /// The same by zone.
+    /// Number of rejected nodes by zone and reason.
     pub zones: BTreeMap<String, BTreeMap<ReasonCode, u32>>,
-    /// What keeps it from all alike.
+    /// The reason that rules out all nodes alike.
     #[serde(rename = "block")]
     pub blocker: Option<ReasonCode>,
-    /// The node that came nearest.
+    /// The node that is nearest to accepting the task.
     pub nearest: Option<NearestNode>,
-    /// The class's limit, where one bars.
+    /// The spread limit of the class, where it rejects nodes.
     #[serde(rename = "limit")]
     pub spread_limit: Option<SpreadLimit>,
 }
 
-/// How far a node is from taking a task: whether time alone will do comes first, then room, then what only an
-/// operator or another shape can change.
-fn rank(code: ReasonCode) -> u32 {
+/// How far a node is from accepting a task; smaller is nearer. What changes by itself comes first, then lacking
+/// capacity, then what only an operator or another request can change.
+fn distance(code: ReasonCode) -> u32 {
     match code {
         ReasonCode::Line => 0,
         ReasonCode::ColdBudget => 1,
@@ -65,158 +65,143 @@
 }
 
 impl Diagnosis {
-    /// Counts a node that was ruled out.
-    pub fn add_rejection(&mut self, node: &str, zone: &str, code: ReasonCode, short: f64) {
+    /// Counts a node that was rejected. `shortfall` is what it lacks, see [`NearestNode::shortfall`].
+    pub fn add_rejection(&mut self, node: &str, zone: &str, code: ReasonCode, shortfall: f64) {
         *self.rejections.entry(code).or_default() += 1;
-        *self
-            .zones
-            .entry(zone.to_owned())
-            .or_default()
-            .entry(code)
-            .or_default() += 1;
-        let nearer = self.nearest.as_ref().is_none_or(|nearest| {
-            let order = rank(code)
-                .cmp(&rank(nearest.code))
-                .then(short.total_cmp(&nearest.shortfall));
-            order.is_lt()
-        });
-        if nearer {
+        let in_zone = self.zones.entry(zone.to_owned()).or_default();
+        *in_zone.entry(code).or_default() += 1;
+        if self.is_nearer(code, shortfall) {
             self.nearest = Some(NearestNode {
                 node: node.to_owned(),
                 zone: zone.to_owned(),
                 code,
-                shortfall: short,
+                shortfall,
             });
         }
     }
 
-    /// Nodes that nothing rules out.
+    /// Whether a node with this rejection is nearer to accepting the task than the nearest so far.
+    fn is_nearer(&self, code: ReasonCode, shortfall: f64) -> bool {
+        let Some(nearest) = &self.nearest else {
+            return true;
+        };
+        let by_code = distance(code).cmp(&distance(nearest.code));
+        by_code
+            .then(shortfall.total_cmp(&nearest.shortfall))
+            .is_lt()
+    }
+
+    /// Number of nodes that no reason rejects.
     pub fn available_nodes(&self) -> u32 {
-        self.node_count
-            .saturating_sub(self.rejections.values().sum())
+        let rejected = self.rejections.values().sum();
+        self.node_count.saturating_sub(rejected)
     }
 
-    /// What rules nodes out and how many, the one that rules out most first.
-    fn ordered(&self) -> Vec<(ReasonCode, u32)> {
-        let mut bars: Vec<(ReasonCode, u32)> = self
-            .rejections
-            .iter()
-            .map(|(code, count)| (*code, *count))
-            .collect();
-        bars.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
-        bars
+    /// Reasons and the number of nodes that each rejects, the largest number first.
+    fn rejections_by_count(&self) -> Vec<(ReasonCode, u32)> {
+        let mut rejections: Vec<(ReasonCode, u32)> = Vec::new();
+        for (&code, &count) in &self.rejections {
+            rejections.push((code, count));
+        }
+        rejections.sort_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
+        rejections
     }
 
-    /// All codes that hold now, the one that rules out most first.
+    /// All reasons that hold now, the one that rejects most nodes first.
     pub fn codes(&self) -> Vec<ReasonCode> {
-        let free =
-            (self.available_nodes() > 0 && self.blocker.is_none()).then_some(ReasonCode::Free);
-        let none = (self.node_count == 0).then_some(ReasonCode::NoList);
-        self.blocker
-            .into_iter()
-            .chain(none)
-            .chain(self.ordered().into_iter().map(|(code, _)| code))
-            .chain(free)
-            .collect()
+        let mut codes = Vec::new();
+        codes.extend(self.blocker);
+        if self.node_count == 0 {
+            codes.push(ReasonCode::NoList);
+        }
+        for (code, _) in self.rejections_by_count() {
+            codes.push(code);
+        }
+        if self.available_nodes() > 0 && self.blocker.is_none() {
+            codes.push(ReasonCode::Free);
+        }
+        codes
     }
 
-    /// Zones in which a reason rules out nodes.
+    /// Zones in which a reason rejects nodes.
     pub fn zones_of(&self, code: ReasonCode) -> impl Iterator<Item = &str> {
-        let there =
-            move |(_, bars): &(&String, &BTreeMap<ReasonCode, u32>)| bars.contains_key(&code);
-        self.zones
-            .iter()
-            .filter(there)
+        let zones = self.zones.iter();
+        zones
+            .filter(move |(_, rejections)| rejections.contains_key(&code))
             .map(|(zone, _)| zone.as_str())
     }
 
-    /// Whether it says the same, leaving out by how much a node missed: that changes all the time.
+    /// Whether both say the same, apart from the shortfall of the nearest node, which changes all the time.
     pub fn is_equivalent(&self, other: &Self) -> bool {
-        (
-            self.node_count,
-            &self.rejections,
-            &self.zones,
-            self.blocker,
-            &self.spread_limit,
-        ) == (
-            other.node_count,
-            &other.rejections,
-            &other.zones,
-            other.blocker,
-            &other.spread_limit,
-        )
+        self.node_count == other.node_count
+            && self.rejections == other.rejections
+            && self.zones == other.zones
+            && self.blocker == other.blocker
+            && self.spread_limit == other.spread_limit
     }
 
-    /// In the style of the published scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
+    /// The message, in the style of kube-scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
     pub fn message(&self) -> String {
-        if let Some(block) = self.blocker {
-            return format!("can't be sent: {}", block.description());
+        if let Some(blocker) = self.blocker {
+            return format!("can't be sent: {}", blocker.description());
         }
         if self.node_count == 0 {
             return "0/0 nodes are available: no list of nodes yet".into();
         }
-        let one = |(code, count): (ReasonCode, u32)| match (&self.spread_limit, code) {
+        let available = self.available_nodes();
+        let head = format!("{available}/{} nodes are available", self.node_count);
+        let rejections = self.rejections_by_count();
+        if rejections.is_empty() {
+            return head;
+        }
+        let mut parts = Vec::new();
+        for (code, count) in rejections {
+            parts.push(self.rejection_message(code, count));
+        }
+        format!("{head}: {}", parts.join(", "))
+    }
+
+    fn rejection_message(&self, code: ReasonCode, count: u32) -> String {
+        match (&self.spread_limit, code) {
             (Some(limit), ReasonCode::Spread) => {
-                format!(
-                    "{count} {} limit of the service ({})",
-                    limit.domain, limit.max_tasks
-                )
+                let (domain, max_tasks) = (&limit.domain, limit.max_tasks);
+                format!("{count} {domain} limit of the service ({max_tasks})")
             }
             _ => format!("{count} {}", code.description()),
-        };
-        let list: Vec<String> = self.ordered().into_iter().map(one).collect();
-        let head = format!(
-            "{}/{} nodes are available",
-            self.available_nodes(),
-            self.node_count
-        );
-        if list.is_empty() {
-            head
-        } else {
-            format!("{head}: {}", list.join(", "))
         }
     }
 
-    /// What would have to change, in words.
+    /// What would have to change, for people.
     pub fn hint(&self) -> Option<String> {
-        if let Some(block) = self.blocker {
-            return Some(format!(
-                "nothing can be sent any more: {}",
-                block.description()
-            ));
+        if let Some(blocker) = self.blocker {
+            let reason = blocker.description();
+            return Some(format!("nothing can be sent any more: {reason}"));
         }
         let nearest = self.nearest.as_ref()?;
-        let at = if nearest.zone.is_empty() {
-            String::new()
+        Some(self.hint_for(nearest))
+    }
+
+    fn hint_for(&self, nearest: &NearestNode) -> String {
+        let node = if nearest.zone.is_empty() {
+            nearest.node.clone()
         } else {
-            format!(" in {}", nearest.zone)
+            format!("{} in {}", nearest.node, nearest.zone)
         };
-        let node = &nearest.node;
-        Some(match (nearest.code, &self.spread_limit) {
-            (ReasonCode::Cores, _) => {
-                format!("{:.1} cores more free on {node}{at}", nearest.shortfall)
-            }
-            (ReasonCode::Memory, _) => {
-                format!(
-                    "{:.1} memory units more free on {node}{at}",
-                    nearest.shortfall
-                )
-            }
+        let shortfall = nearest.shortfall;
+        match (nearest.code, &self.spread_limit) {
+            (ReasonCode::Cores, _) => format!("{shortfall:.1} cores more free on {node}"),
+            (ReasonCode::Memory, _) => format!("{shortfall:.1} memory units more free on {node}"),
             (ReasonCode::Spread, Some(limit)) => {
-                format!(
-                    "one copy of the service fewer in the {} of {node}{at}",
-                    limit.domain
-                )
+                let domain = &limit.domain;
+                format!("one copy of the service fewer in the {domain} of {node}")
             }
-            (ReasonCode::SetAside, _) => {
-                format!("{node}{at} is tried again in {:.1} s", nearest.shortfall)
-            }
-            (ReasonCode::Line, _) => format!("an answer of {node}{at}"),
+            (ReasonCode::SetAside, _) => format!("{node} is tried again in {shortfall:.1} s"),
+            (ReasonCode::Line, _) => format!("an answer of {node}"),
             (ReasonCode::ColdBudget, _) => {
-                format!("{node}{at} has just come up and takes more in a moment")
+                format!("{node} has just come up and takes more in a moment")
             }
-            (ReasonCode::Draining, _) => format!("{node}{at} taken back into service"),
-            (code, _) => format!("{node}{at}: {}", code.description()),
-        })
+            (ReasonCode::Draining, _) => format!("{node} taken back into service"),
+            (code, _) => format!("{node}: {}", code.description()),
+        }
     }
 }
--- a/crates/pending/tests/waiting.rs
+++ b/crates/pending/tests/pending.rs
@@ -2,17 +2,21 @@
 
 use proptest::prelude::*;
 use std::sync::Arc;
-use tidespur_pending::*;
+use tidespur_pending::{
+    Diagnosis, PendingRecord, PendingRecords, ReasonCode, ReasonDraft, ReasonPublisher,
+    ReasonSource, ReasonUpdate, Settings, SpreadLimit,
+};
+use tidespur_units::Resources;
 
-fn diagnosis(nodes: u32, bars: &[(ReasonCode, u32)]) -> Arc<Diagnosis> {
+fn diagnosis(nodes: u32, rejections: &[(ReasonCode, u32)]) -> Arc<Diagnosis> {
     Arc::new(Diagnosis {
         node_count: nodes,
-        rejections: bars.iter().copied().collect(),
+        rejections: rejections.iter().copied().collect(),
         ..Diagnosis::default()
     })
 }
 
-fn word(uid: &str, diagnosis: &Arc<Diagnosis>) -> ReasonUpdate {
+fn update(uid: &str, diagnosis: &Arc<Diagnosis>) -> ReasonUpdate {
     ReasonUpdate {
         uid: uid.into(),
         diagnosis: diagnosis.clone(),
@@ -23,14 +27,14 @@
     }
 }
 
-fn draft(word: &ReasonUpdate) -> ReasonDraft<'_> {
+fn draft(update: &ReasonUpdate) -> ReasonDraft<'_> {
     ReasonDraft {
-        uid: &word.uid,
-        diagnosis: &word.diagnosis,
-        offered_to: word.offered_to.as_deref(),
-        node_answers: &word.node_answers,
-        sendable_for: word.sendable_for,
-        next_attempt_in: word.next_attempt_in,
+        uid: &update.uid,
+        diagnosis: &update.diagnosis,
+        offered_to: update.offered_to.as_deref(),
+        node_answers: &update.node_answers,
+        sendable_for: update.sendable_for,
+        next_attempt_in: update.next_attempt_in,
     }
 }
 
@@ -40,7 +44,7 @@
         pod: pod.into(),
         service: "default/job".into(),
         class: "termin-web".into(),
-        requested: [1.0, 2.0],
+        requested: Resources::new(1.0, 2.0),
         since: 0.0,
         updated_at: 0.0,
         codes: vec![],
@@ -51,7 +55,7 @@
     }
 }
 
-fn ledger() -> PendingRecords {
+fn records() -> PendingRecords {
     PendingRecords::new(Settings {
         max_records: 3,
         ..Settings::default()
@@ -95,16 +99,16 @@
 
 #[test]
 fn a_rack_that_fills_frees_and_fills_again_within_a_second_is_one_span_seen_twice() {
-    let mut ledger = ledger();
-    ledger.open(0.0, "u", record("p"));
+    let mut records = records();
+    records.open(0.0, "u", record("p"));
     for (at, code) in [
         (0.1, ReasonCode::Spread),
         (0.4, ReasonCode::Memory),
         (0.7, ReasonCode::Spread),
     ] {
-        ledger.apply_update(at, word("u", &diagnosis(4, &[(code, 4)])));
+        records.apply_update(at, update("u", &diagnosis(4, &[(code, 4)])));
     }
-    let record = ledger.find("default", "p").unwrap();
+    let record = records.find("default", "p").unwrap();
     assert_eq!(record.codes, [ReasonCode::Spread]);
     let spread = record
         .spans
@@ -127,25 +131,25 @@
         .unwrap();
     assert!(memory.is_over && memory.last_seen == 0.4);
     // One write at first, then not again within a second.
-    assert_eq!(ledger.due_updates(0.7).len(), 1);
-    ledger.apply_update(0.9, word("u", &diagnosis(4, &[(ReasonCode::Cores, 4)])));
-    assert_eq!(ledger.due_updates(1.0), []);
-    let write = &ledger.due_updates(1.8)[0];
+    assert_eq!(records.due_updates(0.7).len(), 1);
+    records.apply_update(0.9, update("u", &diagnosis(4, &[(ReasonCode::Cores, 4)])));
+    assert_eq!(records.due_updates(1.0), []);
+    let write = &records.due_updates(1.8)[0];
     assert_eq!((write.code, write.count), (ReasonCode::Cores, 2));
-    assert_eq!(ledger.due_updates(9.0), [], "nothing has changed");
+    assert_eq!(records.due_updates(9.0), [], "nothing has changed");
 }
 
 #[test]
 fn a_nodes_refusal_stands_beside_the_policys_choice_and_is_told_apart() {
-    let mut ledger = ledger();
-    ledger.open(0.0, "u", record("p"));
-    let mut told = word(
+    let mut records = records();
+    records.open(0.0, "u", record("p"));
+    let mut told = update(
         "u",
         &diagnosis(2, &[(ReasonCode::Memory, 1), (ReasonCode::SetAside, 1)]),
     );
     told.node_answers.push(("n1".into(), "OutOfcpu".into()));
-    ledger.apply_update(0.5, told);
-    let record = ledger.find("default", "p").unwrap();
+    records.apply_update(0.5, told);
+    let record = records.find("default", "p").unwrap();
     let source = |code: ReasonCode| {
         record
             .spans
@@ -164,11 +168,11 @@
 
 #[test]
 fn a_planner_that_is_lost_leaves_no_reason_of_its_own_behind() {
-    let mut ledger = ledger();
-    ledger.open(0.0, "u", record("p"));
-    ledger.apply_update(0.5, word("u", &diagnosis(2, &[(ReasonCode::Memory, 2)])));
-    ledger.set_edge_reason(0.8, "u", ReasonCode::NoPlanner);
-    let record = ledger.find("default", "p").unwrap();
+    let mut records = records();
+    records.open(0.0, "u", record("p"));
+    records.apply_update(0.5, update("u", &diagnosis(2, &[(ReasonCode::Memory, 2)])));
+    records.set_edge_reason(0.8, "u", ReasonCode::NoPlanner);
+    let record = records.find("default", "p").unwrap();
     assert_eq!(
         (record.codes.as_slice(), record.last_update.is_none()),
         (&[ReasonCode::NoPlanner][..], true)
@@ -178,16 +182,16 @@
 
 #[test]
 fn what_waits_no_longer_can_still_be_asked_about_and_bounds_hold() {
-    let mut ledger = ledger();
+    let mut records = records();
     for uid in ["a", "b", "c", "d"] {
-        ledger.open(0.0, uid, record(uid));
+        records.open(0.0, uid, record(uid));
     }
-    assert_eq!((ledger.len(), ledger.unrecorded_count()), (3, 1));
+    assert_eq!((records.len(), records.unrecorded_count()), (3, 1));
     let shared = diagnosis(2, &[(ReasonCode::Cores, 2)]);
     for uid in ["a", "b", "c", "d"] {
-        ledger.apply_update(0.5, word(uid, &shared));
+        records.apply_update(0.5, update(uid, &shared));
     }
-    let fleet = ledger.totals();
+    let fleet = records.totals();
     let held = &fleet[&(
         "termin-web".to_owned(),
         "default".to_owned(),
@@ -195,13 +199,13 @@
         ReasonCode::Cores,
     )];
     assert_eq!((held.tasks, held.cores, held.memory), (3, 3.0, 6.0));
-    ledger.close("a");
-    let past = ledger.find("default", "a").unwrap();
+    records.close("a");
+    let past = records.find("default", "a").unwrap();
     assert!(past.codes.is_empty() && past.spans[0].is_over);
-    assert_eq!(ledger.totals().values().next().unwrap().tasks, 2);
+    assert_eq!(records.totals().values().next().unwrap().tasks, 2);
     // A deletion while it is being explained: late words on it change nothing.
-    ledger.apply_update(0.6, word("a", &shared));
-    assert_eq!(ledger.len(), 2);
+    records.apply_update(0.6, update("a", &shared));
+    assert_eq!(records.len(), 2);
 }
 
 proptest! {
@@ -212,16 +216,16 @@
         changes in proptest::collection::vec((0usize..30, 0usize..4, any::<bool>()), 1..200),
     ) {
         let codes = [ReasonCode::Cores, ReasonCode::Memory, ReasonCode::Spread, ReasonCode::Draining];
-        let mut teller = ReasonPublisher::new(0.5, 2.0, 8);
+        let mut publisher = ReasonPublisher::new(0.5, 2.0, 8);
         let mut waits: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
         let mut reader: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
         let mut now = 0.0;
         let mut step = |now: f64, waits: &std::collections::BTreeMap<String, ReasonUpdate>| {
-            let told = teller.step(now, waits.values().map(draft));
+            let told = publisher.step(now, waits.values().map(draft));
             assert!(told.len() <= 8);
-            for word in told {
-                assert!(waits.contains_key(&word.uid));
-                reader.insert(word.uid.clone(), word);
+            for update in told {
+                assert!(waits.contains_key(&update.uid));
+                reader.insert(update.uid.clone(), update);
             }
             reader.clone()
         };
@@ -229,7 +233,7 @@
             now += 0.05;
             let uid = format!("t{task}");
             match stays {
-                true => drop(waits.insert(uid.clone(), word(&uid, &diagnosis(3, &[(codes[code], 3)])))),
+                true => drop(waits.insert(uid.clone(), update(&uid, &diagnosis(3, &[(codes[code], 3)])))),
                 false => drop(waits.remove(&uid)),
             }
             step(now, &waits);
@@ -240,8 +244,8 @@
             step(now, &waits);
         }
         let reader = step(now + 0.5, &waits);
-        for (uid, word) in &waits {
-            prop_assert!(reader.get(uid).is_some_and(|told| told.diagnosis.is_equivalent(&word.diagnosis)), "{}", uid);
+        for (uid, update) in &waits {
+            prop_assert!(reader.get(uid).is_some_and(|told| told.diagnosis.is_equivalent(&update.diagnosis)), "{}", uid);
         }
     }
 }
