--- a/crates/policy/examples/cost.rs
+++ b/crates/policy/examples/cost.rs
@@ -4,7 +4,10 @@
 
 use std::time::Instant;
 use tidespur_policy::Scheduler;
-use tidespur_policy::interface::*;
+use tidespur_policy::interface::{
+    Action, AttemptProgress, Class, Endpoint, Event, FailureDomain, MachineId, Resources,
+    RetrySafety, ServiceId, Settings, Task, TaskId,
+};
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -31,13 +34,13 @@
     }
 }
 
-fn entry(machine: u64, free: f64) -> Endpoint {
+fn endpoint(machine: u64, free: f64) -> Endpoint {
     let id = MachineId(machine.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     Endpoint {
         machine: id,
         zone: machine as usize % 3,
         unclaimed: Resources::new(free, 60.0),
-        ..common::entry(machine)
+        ..common::endpoint(machine)
     }
 }
 
@@ -69,7 +72,7 @@
         for waiting in [0, 500, 5_000] {
             // All machines are full but for the one that the decisions go to.
             let mut scheduler = Scheduler::new(settings(), 1).expect("settings are sound");
-            let list = (0..machines).map(|m| entry(m, -45.9)).collect();
+            let list = (0..machines).map(|m| endpoint(m, -45.9)).collect();
             let mut now = 1000.0;
             let mut step = |scheduler: &mut Scheduler, after: f64, events: Vec<Event>| {
                 now += after;
@@ -96,7 +99,7 @@
                     service: ServiceId(99),
                     ..task(1)
                 };
-                let free = Event::EndpointsChanged(vec![entry(n as u64, 30.0)]);
+                let free = Event::EndpointsChanged(vec![endpoint(n as u64, 30.0)]);
                 let out = step(&mut scheduler, 1e-6, vec![free, Event::TaskSubmitted(one)]);
                 assert!(
                     out.iter()
