--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -135,7 +135,7 @@
         options.shared.seed,
         incarnation,
     );
-    let member = member.await?;
+    let member = member.await.map_err(|error| error.to_string())?;
     let member = member.map(Arc::new);
     let (send, receive) = async_channel::bounded(INPUTS_MOST);
     let hooks = EdgeHooks {
@@ -213,5 +213,5 @@
     if let Some(disk) = &this.disk {
         disk.disk.finish();
     }
-    ending.into_result()
+    ending.into_result().map_err(|error| error.to_string())
 }
--- /dev/null
+++ b/crates/membership-net/src/event_loop.rs
@@ -0,0 +1,80 @@
+//! The event loop of a member: receives datagrams and inputs, steps the state machine, sends datagrams and reports
+//! events. Owns the socket.
+
+use crate::event_log::EventLog;
+use async_channel::{Receiver, Sender};
+use parking_lot::Mutex;
+use smol::net::UdpSocket;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tidespur_membership::{Input, MAX_DATAGRAM_BYTES, Membership, Output, Seconds};
+use tidespur_net::clock;
+
+/// Inputs that are taken into one step.
+const MAX_INPUTS_PER_STEP: usize = 256;
+
+pub(crate) struct EventLoop {
+    pub(crate) member: Arc<Mutex<Membership>>,
+    pub(crate) socket: UdpSocket,
+    pub(crate) inputs: Receiver<Input>,
+    /// Events for the process. If it reads none, they are dropped: the view tells all of them.
+    pub(crate) events: Sender<Output>,
+    pub(crate) log: EventLog,
+}
+
+impl EventLoop {
+    /// Runs until the member has ended: it has left the fleet, or was replaced.
+    pub(crate) async fn run(mut self) {
+        // One byte more than allowed, by which a datagram that is too large is recognized.
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        loop {
+            let wake = self.member.lock().next_wake();
+            if !wake.is_finite() {
+                return;
+            }
+            let inputs = self.receive(wake - clock::now(), &mut buffer).await;
+            let mut outputs = Vec::new();
+            self.member.lock().step(clock::now(), inputs, &mut outputs);
+            self.log.refill(clock::now());
+            for output in outputs {
+                self.handle_output(output).await;
+            }
+        }
+    }
+
+    /// Waits for an input or the timeout, then takes all datagrams that have arrived: they are handled before time goes
+    /// on.
+    async fn receive(&self, timeout: Seconds, buffer: &mut [u8]) -> Vec<Input> {
+        let datagram = async {
+            // An error concerns a datagram that was sent before: some systems report that its receiver is gone.
+            let length = self.socket.recv(buffer).await.ok()?;
+            Some(Input::DatagramReceived(buffer[..length].to_vec()))
+        };
+        let input = async { self.inputs.recv().await.ok() };
+        let first = clock::timeout(timeout, smol::future::or(datagram, input)).await;
+        let mut inputs: Vec<Input> = first.flatten().into_iter().collect();
+        while inputs.len() < MAX_INPUTS_PER_STEP {
+            let next = smol::future::poll_once(self.socket.recv(buffer)).await;
+            let Some(Ok(length)) = next else {
+                break;
+            };
+            inputs.push(Input::DatagramReceived(buffer[..length].to_vec()));
+        }
+        inputs
+    }
+
+    async fn handle_output(&mut self, output: Output) {
+        if let Output::SendDatagram(to, bytes) = output {
+            self.send(to, &bytes).await;
+            return;
+        }
+        self.log.log(&output);
+        // A full channel is not read; see the field.
+        let _ = self.events.try_send(output);
+    }
+
+    async fn send(&self, to: SocketAddr, bytes: &[u8]) {
+        // A datagram that can't be sent at once is lost, as one may be on the network.
+        let _ = smol::future::poll_once(self.socket.send_to(bytes, to)).await;
+    }
+}
--- a/crates/membership-net/tests/compatibility.rs
+++ b/crates/membership-net/tests/compatibility.rs
@@ -9,9 +9,9 @@
 
 const NOW: f64 = 100.0;
 
-/// A new variant fails to compile here; add it to [`STANDINGS`] as well.
-fn standing_name(standing: MemberStatus) -> &'static str {
-    match standing {
+/// A new variant fails to compile here; add it to [`STATUSES`] as well.
+fn status_name(status: MemberStatus) -> &'static str {
+    match status {
         MemberStatus::Alive => "live",
         MemberStatus::Suspect => "doubted",
         MemberStatus::Failed => "lost",
@@ -19,7 +19,7 @@
     }
 }
 
-const STANDINGS: [MemberStatus; 4] = [
+const STATUSES: [MemberStatus; 4] = [
     MemberStatus::Alive,
     MemberStatus::Suspect,
     MemberStatus::Failed,
@@ -43,17 +43,17 @@
     DropReason::TooManyMembers,
 ];
 
-fn id(name: &str, turn: u32) -> MemberId {
+fn id(name: &str, rejoin_count: u32) -> MemberId {
     let address = "127.0.0.1:7400".parse().unwrap();
     MemberId {
         name: name.into(),
         address,
         incarnation: 1_764_680_400_000_001,
-        rejoin_count: turn,
+        rejoin_count,
     }
 }
 
-fn facts(role: Role) -> MemberMetadata {
+fn metadata(role: Role) -> MemberMetadata {
     match role {
         Role::Edge => MemberMetadata {
             role,
@@ -70,24 +70,24 @@
     }
 }
 
-fn member(name: &str, standing: MemberStatus, facts: Option<MemberMetadata>) -> MemberState {
+fn member(name: &str, status: MemberStatus, metadata: Option<MemberMetadata>) -> MemberState {
     MemberState {
         id: id(name, 2),
-        status: standing,
+        status,
         since: 40.5,
-        metadata: facts,
+        metadata,
         metadata_received_at: 99.75,
     }
 }
 
-/// A view with one member of each standing and role, and one that has told nothing yet.
+/// A view with one member of each status and role, and one without metadata.
 fn view() -> MembershipView {
-    let of_standing = |standing| member(standing_name(standing), standing, Some(facts(Role::Edge)));
-    let mut members: Vec<MemberState> = STANDINGS.into_iter().map(of_standing).collect();
+    let with_status = |status| member(status_name(status), status, Some(metadata(Role::Edge)));
+    let mut members: Vec<MemberState> = STATUSES.into_iter().map(with_status).collect();
     members.push(member(
         "planner-1",
         MemberStatus::Alive,
-        Some(facts(Role::Planner)),
+        Some(metadata(Role::Planner)),
     ));
     members.push(member("silent", MemberStatus::Alive, None));
     MembershipView {
--- a/crates/membership-net/tests/report.rs
+++ b/crates/membership-net/tests/report.rs
@@ -1,4 +1,4 @@
-//! Keys and words of the fleet's report, which `/debug/fleet` and `tidespur fleet -o json` show.
+//! Keys and values of the fleet's report, which `/debug/fleet` and `tidespur fleet -o json` show.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -9,36 +9,36 @@
     DropReason, MemberId, MemberMetadata, MemberState, MemberStatus, MembershipView, Role,
 };
 
-fn seen(name: &str, standing: MemberStatus, role: Role) -> MemberState {
+fn member(name: &str, status: MemberStatus, role: Role) -> MemberState {
     let id = MemberId {
         name: name.into(),
         address: "127.0.0.1:7001".parse().unwrap(),
         incarnation: 17,
         rejoin_count: 2,
     };
-    let mut facts = MemberMetadata::for_role(role);
-    facts.zone = "halle-a".into();
-    facts.api = "127.0.0.1:8001".into();
-    facts.link = "127.0.0.1:8002".into();
-    facts.open_tasks = Some(5);
+    let mut metadata = MemberMetadata::for_role(role);
+    metadata.zone = "halle-a".into();
+    metadata.api = "127.0.0.1:8001".into();
+    metadata.link = "127.0.0.1:8002".into();
+    metadata.open_tasks = Some(5);
     MemberState {
         id,
-        status: standing,
+        status,
         since: 10.0,
-        metadata: Some(facts),
+        metadata: Some(metadata),
         metadata_received_at: 11.0,
     }
 }
 
 #[test]
-fn the_report_is_the_same_to_the_byte() {
-    let mut unknown = seen("edge-9", MemberStatus::Alive, Role::Edge);
+fn report_is_the_same_to_the_byte_when_members_of_each_state_are_known() {
+    let mut unknown = member("edge-9", MemberStatus::Alive, Role::Edge);
     unknown.metadata = None;
     let members = vec![
-        seen("edge-0", MemberStatus::Alive, Role::Edge),
-        seen("edge-1", MemberStatus::Suspect, Role::Edge),
-        seen("planner-0", MemberStatus::Failed, Role::Planner),
-        seen("planner-1", MemberStatus::Left, Role::Planner),
+        member("edge-0", MemberStatus::Alive, Role::Edge),
+        member("edge-1", MemberStatus::Suspect, Role::Edge),
+        member("planner-0", MemberStatus::Failed, Role::Planner),
+        member("planner-1", MemberStatus::Left, Role::Planner),
         unknown,
     ];
     let causes = [
--- /dev/null
+++ b/crates/membership/src/metadata.rs
@@ -0,0 +1,100 @@
+//! Metadata that each member publishes of itself, and its form on the wire.
+
+use crate::id::is_valid_name;
+use serde::{Deserialize, Serialize};
+
+/// Largest encoded size of the metadata of a member, in bytes.
+pub const MAX_METADATA_BYTES: usize = 400;
+
+/// Role of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum Role {
+    /// Serves the API and assigns tasks to planners.
+    Edge,
+    /// Offers tasks to nodes.
+    Planner,
+}
+
+impl Role {
+    /// The role in tables, logs and JSON.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Edge => "edge",
+            Self::Planner => "planner",
+        }
+    }
+}
+
+/// Metadata of a member.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MemberMetadata {
+    /// Its role.
+    pub role: Role,
+    /// Its zone; empty if it has none.
+    pub zone: String,
+    /// Address of the API of an edge; empty for a planner.
+    pub api: String,
+    /// Address at which an edge accepts planners; empty for a planner.
+    pub link: String,
+    /// Number of tasks without an outcome, if the member publishes it.
+    #[serde(rename = "open")]
+    pub open_tasks: Option<u32>,
+    /// Whether it is shutting down in order and accepts no more work.
+    pub leaving: bool,
+}
+
+impl MemberMetadata {
+    /// Metadata of a member of this role, with all other fields empty.
+    pub fn for_role(role: Role) -> Self {
+        Self {
+            role,
+            zone: String::new(),
+            api: String::new(),
+            link: String::new(),
+            open_tasks: None,
+            leaving: false,
+        }
+    }
+}
+
+/// Metadata of a member as it is gossiped.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MetadataUpdate {
+    /// Name of the member.
+    pub name: String,
+    /// Version of the metadata.
+    pub version: MetadataVersion,
+    /// Hash of the alive members that it sees; equal for equal views.
+    #[serde(rename = "sees")]
+    pub view_hash: u64,
+    /// The metadata.
+    #[serde(rename = "facts")]
+    pub metadata: MemberMetadata,
+}
+
+/// Version of the metadata of a member; later ones are greater.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct MetadataVersion {
+    /// Incarnation of the member's process.
+    #[serde(rename = "born")]
+    pub incarnation: u64,
+    /// Number of updates of this incarnation.
+    pub count: u32,
+}
+
+impl MetadataUpdate {
+    /// Encodes the update.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        postcard::to_stdvec(self).unwrap_or_default()
+    }
+
+    /// Decodes an update; `None` if the bytes are no valid one.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
+        let update: Self = postcard::from_bytes(bytes).ok()?;
+        update.is_valid().then_some(update)
+    }
+
+    pub(crate) fn is_valid(&self) -> bool {
+        is_valid_name(&self.name) && self.encode().len() <= MAX_METADATA_BYTES
+    }
+}
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,30 +1,28 @@
-//! What a member knows of the fleet, for those who ask.
+//! The view that a member has of the fleet, for its program and for operators.
 
-use crate::facts::MemberMetadata;
-use crate::id::MemberId;
-use crate::wire::DropReason;
+use crate::{DropReason, MemberId, MemberMetadata, Seconds};
 use std::collections::BTreeMap;
 
-/// How a member stands.
+/// Status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// It answers.
+    /// It replies to probes.
     Alive,
-    /// It did not answer somebody; it has a while to say that it lives.
+    /// It did not reply to a probe, and has some time to refute the suspicion.
     Suspect,
-    /// It was given up.
+    /// It was declared failed.
     Failed,
-    /// It ended in order.
+    /// It has left in order.
     Left,
 }
 
 impl MemberStatus {
-    /// Whether it counts as a member: one in doubt does.
+    /// Whether it counts as a member; a suspected one does.
     pub fn is_alive(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// Its word in tables and logs.
+    /// The status in tables, logs and JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "live",
@@ -35,41 +33,43 @@
     }
 }
 
-/// One member as another sees it.
+/// The state of a member as another one sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberState {
-    /// Who.
+    /// Its identity.
     pub id: MemberId,
-    /// How it stands.
+    /// Its status.
     pub status: MemberStatus,
-    /// Since when, in seconds of the asked member's clock.
-    pub since: f64,
-    /// What it tells of itself, once that has come.
+    /// When the status last changed, by the clock of the member that sees it.
+    pub since: Seconds,
+    /// Its metadata, once it was received.
     pub metadata: Option<MemberMetadata>,
-    /// When these came.
-    pub metadata_received_at: f64,
+    /// When the metadata was received.
+    pub metadata_received_at: Seconds,
 }
 
 /// The fleet as one member sees it, itself included.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
-    /// Whose view it is.
+    /// The member that has this view.
     pub own: MemberId,
-    /// All that are known, by name.
+    /// All known members, itself included, in order of their names.
     pub members: Vec<MemberState>,
-    /// Every live member was heard to see the same live members as this one.
+    /// Whether the view has converged: all alive members have published the same view as this one.
     pub settled: bool,
-    /// Datagrams dropped, by cause.
+    /// Number of dropped datagrams by reason.
     pub drops: BTreeMap<DropReason, u64>,
-    /// How often this member was given up by others and came back.
+    /// How often this member was declared failed and rejoined.
     pub rejoins: u64,
-    /// How often it stood still for longer than a member may.
+    /// How often this member was suspended for longer than a member may be.
     pub stalls: u64,
 }
 
 impl MembershipView {
-    /// Those that count as members.
+    /// The members that are alive or suspected.
     pub fn live_members(&self) -> impl Iterator<Item = &MemberState> {
-        self.members.iter().filter(|seen| seen.status.is_alive())
+        self.members
+            .iter()
+            .filter(|member| member.status.is_alive())
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,52 +1,72 @@
-//! Datagrams: who may have sent one, and what it is.
+//! Format of datagrams.
 //!
-//! Guards against other clusters, other versions, cut and senseless bytes: each is counted by its cause and dropped. It
-//! does not guard against members that lie on purpose: the network between schedulers is trusted.
+//! Datagrams of other clusters and other versions, truncated and malformed ones are dropped, and counted by the reason.
+//! There is no protection against members that lie on purpose: the network between schedulers is trusted.
 
-use crate::facts::{MetadataUpdate, MetadataVersion};
 use crate::id::MemberId;
+use crate::metadata::{MetadataUpdate, MetadataVersion};
 use serde::{Deserialize, Serialize};
 
-/// The most bytes of one datagram, so that none is cut in two on the way.
+/// Largest size of a datagram, in bytes, so that none is fragmented on the way.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// What a datagram may carry beside its envelope.
-pub(crate) const BODY_MOST: usize = MAX_DATAGRAM_BYTES - 64 - 8;
+/// Largest size of the envelope: a name of a cluster, and the other fields.
+const MAX_ENVELOPE_BYTES: usize = 64 + 8;
+/// Largest size of the body of a datagram, in bytes.
+pub(crate) const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES;
+/// First bytes of each datagram.
 const MAGIC: &[u8; 3] = b"tsf";
-/// Both sides must speak the same one.
+/// Version of the format; datagrams of another version are dropped.
 const VERSION: u8 = 1;
 
-/// What a datagram is.
+/// Body of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// For the failure detector.
+    /// A message of the failure detector, in the format of the crate `foca`.
     Swim(Vec<u8>),
-    /// Asks whoever takes datagrams there who it is.
+    /// Asks the receiver for its identity; the sender is this member.
     Hello(MemberId),
-    /// The answer.
+    /// The reply to `Hello`, with the identity of its sender.
     Welcome(MemberId),
-    /// To an older process of a name: this one has taken its place.
-    Newer(MemberId),
-    /// Versions of facts that the sender has; the answer is what is newer, and what is asked for.
+    /// Notifies an older process of a name that this one has replaced it.
+    #[serde(rename = "Newer")]
+    ReplacedBy(MemberId),
+    /// Versions of the metadata that the sender, this member, has. The reply consists of newer metadata, and of the names
+    /// whose metadata the replier lacks.
     Versions(MemberId, Vec<(String, MetadataVersion)>),
-    /// Facts; ones named in the second list are asked for.
-    Facts(MemberId, Vec<MetadataUpdate>, Vec<String>),
+    /// Metadata that the sender has, and names of members whose metadata it requests.
+    #[serde(rename = "Facts")]
+    Metadata(MemberId, Vec<MetadataUpdate>, Vec<String>),
+}
+
+impl Body {
+    /// The identity of the sender; a message of the failure detector has its own.
+    pub(crate) fn sender(&self) -> Option<&MemberId> {
+        match self {
+            Self::Swim(_) => None,
+            Self::Hello(sender)
+            | Self::Welcome(sender)
+            | Self::ReplacedBy(sender)
+            | Self::Versions(sender, _)
+            | Self::Metadata(sender, ..) => Some(sender),
+        }
+    }
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// Not ours at all, cut, or senseless.
+    /// It is no datagram of this protocol, truncated, or malformed.
     Malformed,
-    /// Of another version of the program.
+    /// It has another version of the format.
     ProtocolVersion,
-    /// Of another cluster.
+    /// It is of another cluster.
     OtherCluster,
-    /// It claims more members than there may be.
+    /// It names more members than are allowed.
     TooManyMembers,
 }
 
 impl DropReason {
-    /// The name of its counter in reports.
+    /// Name of its counter in JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "unreadable",
@@ -57,25 +77,25 @@
     }
 }
 
-/// Puts a body into a datagram.
-pub fn datagram(cluster: &str, body: &Body) -> Vec<u8> {
-    let inner = postcard::to_stdvec(body).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(inner.len() + cluster.len() + 7);
+/// Encodes a datagram.
+pub fn encode(cluster: &str, body: &Body) -> Vec<u8> {
+    let encoded = postcard::to_stdvec(body).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(encoded.len() + cluster.len() + 7);
     bytes.extend(MAGIC);
     bytes.push(VERSION);
     bytes.push(cluster.len() as u8);
     bytes.extend(cluster.as_bytes());
-    // The length tells a cut datagram from a whole one that happens to be readable.
-    bytes.extend((inner.len() as u16).to_be_bytes());
-    bytes.extend(inner);
+    // By the length a truncated datagram is told from a complete one that happens to be decodable.
+    bytes.extend((encoded.len() as u16).to_be_bytes());
+    bytes.extend(encoded);
     bytes
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 /// Why it has to be dropped.
-pub fn read(cluster: &str, bytes: &[u8]) -> Result<Body, DropReason> {
+pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Body, DropReason> {
     let rest = bytes.strip_prefix(MAGIC).ok_or(DropReason::Malformed)?;
     let (&version, rest) = rest.split_first().ok_or(DropReason::Malformed)?;
     if version != VERSION {
@@ -89,9 +109,8 @@
         return Err(DropReason::OtherCluster);
     }
     let (length, rest) = rest.split_at_checked(2).ok_or(DropReason::Malformed)?;
-    if bytes.len() > MAX_DATAGRAM_BYTES
-        || usize::from(u16::from_be_bytes([length[0], length[1]])) != rest.len()
-    {
+    let length = usize::from(u16::from_be_bytes([length[0], length[1]]));
+    if bytes.len() > MAX_DATAGRAM_BYTES || length != rest.len() {
         return Err(DropReason::Malformed);
     }
     postcard::from_bytes(rest).map_err(|_| DropReason::Malformed)
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tidespur_fixtures::{Codec, assert_compatible, fixture_path, from_hex, to_hex};
-use tidespur_membership::wire::{Body, datagram, read};
+use tidespur_membership::wire::{self, Body};
 use tidespur_membership::{MemberId, MemberMetadata, MetadataUpdate, MetadataVersion, Role};
 
 const CLUSTER: &str = "altmuehlfeld";
@@ -17,13 +17,13 @@
     fixture_path(env!("CARGO_MANIFEST_DIR"), file)
 }
 
-fn id(name: &str, address: &str, born: u64, turn: u32) -> MemberId {
+fn id(name: &str, address: &str, incarnation: u64, rejoin_count: u32) -> MemberId {
     let address: SocketAddr = address.parse().unwrap();
     MemberId {
         name: name.into(),
         address,
-        incarnation: born,
-        rejoin_count: turn,
+        incarnation,
+        rejoin_count,
     }
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-fn edge_facts() -> MemberMetadata {
+fn edge_metadata() -> MemberMetadata {
     MemberMetadata {
         role: Role::Edge,
         zone: "north-1".into(),
@@ -53,31 +53,31 @@
     }
 }
 
-fn planner_facts() -> MemberMetadata {
+fn planner_metadata() -> MemberMetadata {
     MemberMetadata {
         leaving: true,
         ..MemberMetadata::for_role(Role::Planner)
     }
 }
 
-fn edge_told() -> MetadataUpdate {
+fn edge_update() -> MetadataUpdate {
     MetadataUpdate {
         name: "edge-1".into(),
         version: MetadataVersion {
-            born: 1_764_680_400_000_001,
+            incarnation: 1_764_680_400_000_001,
             count: 7,
         },
-        sees: 0x0123_4567_89ab_cdef,
-        facts: edge_facts(),
+        view_hash: 0x0123_4567_89ab_cdef,
+        metadata: edge_metadata(),
     }
 }
 
-fn planner_told() -> MetadataUpdate {
+fn planner_update() -> MetadataUpdate {
     MetadataUpdate {
         name: "planner-2".into(),
         version: MetadataVersion::default(),
-        sees: 0,
-        facts: planner_facts(),
+        view_hash: 0,
+        metadata: planner_metadata(),
     }
 }
 
@@ -87,19 +87,25 @@
         Body::Swim(_) => "swim",
         Body::Hello(_) => "hello",
         Body::Welcome(_) => "welcome",
-        Body::Newer(_) => "newer",
+        Body::ReplacedBy(_) => "newer",
         Body::Versions(..) => "versions",
-        Body::Facts(..) => "facts",
+        Body::Metadata(..) => "facts",
     }
 }
 
 fn bodies() -> Vec<Body> {
     let versions = vec![
-        ("edge-1".to_owned(), MetadataVersion { born: 1, count: 2 }),
+        (
+            "edge-1".to_owned(),
+            MetadataVersion {
+                incarnation: 1,
+                count: 2,
+            },
+        ),
         (
             "planner-2".to_owned(),
             MetadataVersion {
-                born: u64::MAX,
+                incarnation: u64::MAX,
                 count: u32::MAX,
             },
         ),
@@ -108,17 +114,20 @@
         Body::Swim(vec![0, 1, 127, 128, 255]),
         Body::Hello(edge()),
         Body::Welcome(planner()),
-        Body::Newer(edge()),
+        Body::ReplacedBy(edge()),
         Body::Versions(edge(), versions),
-        Body::Facts(
+        Body::Metadata(
             planner(),
-            vec![edge_told(), planner_told()],
+            vec![edge_update(), planner_update()],
             vec!["edge-3".into(), "edge-4".into()],
         ),
     ]
 }
 
-fn postcard_codec_test<T: Debug + Serialize + DeserializeOwned>(file: &str, samples: &[(&str, T)]) {
+fn assert_postcard_compatible<T: Debug + Serialize + DeserializeOwned>(
+    file: &str,
+    samples: &[(&str, T)],
+) {
     let encode = |value: &T| to_hex(&postcard::to_stdvec(value).unwrap());
     let decode = |text: &str| postcard::from_bytes(&from_hex(text)).unwrap();
     assert_compatible(
@@ -137,8 +146,8 @@
         .into_iter()
         .map(|body| (body_name(&body), body))
         .collect();
-    let encode = |body: &Body| to_hex(&datagram(CLUSTER, body));
-    let decode = |text: &str| read(CLUSTER, &from_hex(text)).unwrap();
+    let encode = |body: &Body| to_hex(&wire::encode(CLUSTER, body));
+    let decode = |text: &str| wire::decode(CLUSTER, &from_hex(text)).unwrap();
     assert_compatible(
         &fixture("datagrams.txt"),
         &samples,
@@ -149,11 +158,12 @@
     );
 }
 
-/// They also travel on their own, as broadcasts within the failure detector's datagrams.
+/// It is also gossiped on its own, as broadcasts within the failure detector's datagrams.
 #[test]
-fn facts_keep_their_bytes_when_encoded_and_decoded() {
-    let samples = [edge_told(), planner_told()].map(|told| (role_name(told.facts.role), told));
-    postcard_codec_test("facts.txt", &samples);
+fn metadata_keeps_its_bytes_when_encoded_and_decoded() {
+    let samples =
+        [edge_update(), planner_update()].map(|update| (role_name(update.metadata.role), update));
+    assert_postcard_compatible("facts.txt", &samples);
 }
 
 fn message_name(message: &Message<MemberId>) -> &'static str {
@@ -215,7 +225,7 @@
         )
     };
     let samples: Vec<(&str, Header<MemberId>)> = messages().into_iter().map(sample).collect();
-    postcard_codec_test("failure-detector-headers.txt", &samples);
+    assert_postcard_compatible("failure-detector-headers.txt", &samples);
 }
 
 #[test]
@@ -227,5 +237,5 @@
     };
     let states = [foca::State::Alive, foca::State::Suspect, foca::State::Down];
     let samples = states.map(|state| (state_name(state), Member::new(edge(), 300, state)));
-    postcard_codec_test("failure-detector-members.txt", &samples);
+    assert_postcard_compatible("failure-detector-members.txt", &samples);
 }
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -94,7 +94,7 @@
         options.shared.seed,
         incarnation,
     );
-    let member = member.await?;
+    let member = member.await.map_err(|error| error.to_string())?;
     if member.is_none() && options.edges.is_empty() {
         return Err("--edge is needed where no fleet is joined".into());
     }
@@ -131,7 +131,7 @@
     if let Some(disk) = &disk {
         disk.finish();
     }
-    ending.into_result()
+    ending.into_result().map_err(|error| error.to_string())
 }
 
 /// Opens the memory of this planner, where it has one.
