--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -7,49 +7,38 @@
 /// What happened to an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// It was created.
+    /// The object was created.
     Added,
-    /// It was changed.
+    /// The object was changed.
     Modified,
-    /// It is gone.
+    /// The object was deleted.
     Deleted,
 }
 
-/// One change.
+/// One change of an object.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The version that it made.
+    /// The resourceVersion of this change.
     pub version: u64,
     /// What happened.
     pub kind: ChangeKind,
-    /// The object after it; at a deletion as it last stood, with the version of its end.
+    /// The object after the change; for a deletion its last state, with the version of the deletion.
     pub object: Arc<Object>,
-    /// The object before it.
+    /// The object before the change.
     pub previous: Option<Arc<Object>>,
 }
 
-/// The versions asked for are no longer, or not yet, known here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The requested version is older than the history.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("too old resource version: {requested} ({oldest})")]
 pub struct Expired {
-    /// What was asked for.
+    /// The requested version.
     pub requested: u64,
     /// The oldest version from which all changes are known.
     pub oldest: u64,
 }
 
-impl std::fmt::Display for Expired {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(
-            f,
-            "too old resource version: {} ({})",
-            self.requested, self.oldest
-        )
-    }
-}
-
-impl std::error::Error for Expired {}
-
-/// A place in the history of one resource.
+/// A position in the history of one resource.
 #[derive(Clone, Debug)]
 pub struct Cursor {
     resource: usize,
@@ -63,31 +52,33 @@
     pub(crate) fn resource(&self) -> usize {
         self.resource
     }
-    /// All up to this version has been read.
+    /// The version up to which all changes have been read.
     pub fn version(&self) -> u64 {
         self.version
     }
 }
 
+/// The latest changes of one resource.
 #[derive(Debug)]
 pub(crate) struct History {
     changes: VecDeque<Change>,
-    most: usize,
+    max_changes: usize,
     /// All changes above this version are in `changes`.
     complete_from: u64,
 }
 
 impl History {
-    pub(crate) fn new(most: usize, version: u64) -> Self {
+    pub(crate) fn new(max_changes: usize, version: u64) -> Self {
         Self {
             changes: VecDeque::new(),
-            most: most.max(1),
+            max_changes: max_changes.max(1),
             complete_from: version,
         }
     }
 
+    /// Appends a change; drops the oldest at the bound.
     pub(crate) fn push(&mut self, change: Change) {
-        while self.changes.len() >= self.most {
+        while self.changes.len() >= self.max_changes {
             if let Some(old) = self.changes.pop_front() {
                 self.complete_from = old.version;
             }
@@ -95,6 +86,7 @@
         self.changes.push_back(change);
     }
 
+    /// Drops all changes; only later versions can be read from then on.
     pub(crate) fn clear(&mut self) {
         if let Some(last) = self.changes.back() {
             self.complete_from = last.version;
@@ -102,6 +94,7 @@
         self.changes.clear();
     }
 
+    /// Checks that the history reaches back to this version.
     pub(crate) fn check(&self, version: u64) -> Result<(), Expired> {
         if version < self.complete_from {
             return Err(Expired {
@@ -112,28 +105,29 @@
         Ok(())
     }
 
+    /// Appends changes up to `last_version`, at most `max`, and advances the cursor.
     pub(crate) fn read(
         &self,
         cursor: &mut Cursor,
-        most: usize,
-        upto: u64,
-        out: &mut Vec<Change>,
+        max: usize,
+        last_version: u64,
+        changes: &mut Vec<Change>,
     ) -> Result<(), Expired> {
         self.check(cursor.version)?;
         let from = self
             .changes
             .partition_point(|change| change.version <= cursor.version);
-        let to = from.max(
-            self.changes
-                .partition_point(|change| change.version <= upto),
-        );
-        for change in self.changes.range(from..to).take(most) {
+        let end = self
+            .changes
+            .partition_point(|change| change.version <= last_version);
+        let end = end.max(from);
+        for change in self.changes.range(from..end).take(max) {
             cursor.version = change.version;
-            out.push(change.clone());
+            changes.push(change.clone());
         }
-        if from + most >= to {
-            // All of this resource has been read, so the cursor stands at the version that was read up to.
-            cursor.version = cursor.version.max(upto);
+        if from + max >= end {
+            // All changes of this resource have been read, so the cursor advances over versions of other resources.
+            cursor.version = cursor.version.max(last_version);
         }
         Ok(())
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,18 +1,19 @@
-//! The edge's objects: every change gets the next resourceVersion, is checked against the version that the writer
-//! has seen, and stays in a bounded history that watches read.
+//! The API objects of an edge: every change gets the next resourceVersion, is checked against the version that the
+//! writer has seen, and is kept in a bounded history that watches read.
 //!
-//! A watch is a cursor into that shared history and holds nothing of its own. However slow its reader is, it can
-//! hold no memory and slow nobody; once its place has been compacted away it is told [`Expired`].
+//! Owns all objects and their histories; used under one lock by the REST handlers and the edge's core. A watch is a
+//! [`Cursor`] into the shared history and holds no memory of its own, however slow its reader is; once its position has
+//! been compacted away it gets [`Expired`].
 
-mod follow;
+mod change_reader;
 mod history;
-mod kept;
 mod list;
 mod write;
+mod write_tracking;
 
-pub use follow::ChangeReader;
+pub use change_reader::ChangeReader;
 pub use history::{Change, ChangeKind, Cursor, Expired};
-pub use list::{ListError, Page, PageRequest};
+pub use list::{Page, PageRequest};
 
 use history::History;
 use imbl::OrdMap;
@@ -22,15 +23,15 @@
 use tidespur_api::resource::RESOURCES;
 use tidespur_api::{Object, Resource};
 
-/// Where an object stands: index of its resource, namespace, name.
+/// Identifies an object: index of its resource, namespace, name.
 pub type Key = (usize, String, String);
 
-/// Bounds of what is held.
+/// Bounds of the store.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Changes that the history of one resource keeps.
+    /// Changes in the history of one resource.
     pub max_history: usize,
-    /// Versions that a paged list may still be continued at.
+    /// Versions at which a paged list can still be continued.
     pub max_snapshots: usize,
     /// Objects of one resource.
     pub max_objects: usize,
@@ -46,16 +47,16 @@
     }
 }
 
-/// What a writer demands of the object that stands.
+/// What must hold of the present object for a write to succeed.
 #[derive(Clone, Debug, Default)]
 pub struct Precondition {
-    /// Its uid.
+    /// The uid that it must have.
     pub uid: Option<String>,
-    /// Its version; `None` writes over whatever stands.
+    /// The version that it must have; `None` accepts any.
     pub version: Option<u64>,
 }
 
-/// The store.
+/// Objects by resource, namespace and name, with the history of their changes.
 #[derive(Debug)]
 pub struct Store {
     objects: OrdMap<Key, Arc<Object>>,
@@ -65,15 +66,15 @@
     snapshots: VecDeque<(u64, OrdMap<Key, Arc<Object>>)>,
     limits: Limits,
     rng: rand_pcg::Pcg64,
-    /// What was written since it was last taken, where anyone asked for it.
-    unkept: Option<BTreeSet<Key>>,
-    /// Watches see nothing above this version.
-    shown: u64,
+    /// Objects written since they were last taken, if writes are tracked.
+    unpersisted: Option<BTreeSet<Key>>,
+    /// Watches see no change above this version.
+    visible_version: u64,
 }
 
 impl Store {
-    /// An empty store. `seed` is what uids and generated names are drawn from; `version` is where versions begin:
-    /// a store that begins anew must begin above all that it may have handed out before.
+    /// An empty store. Uids and generated names are drawn from `seed`. Versions begin above `version`: a store that
+    /// starts anew must begin above all versions that it may have handed out before.
     pub fn new(limits: Limits, seed: u64, version: u64) -> Self {
         Self {
             objects: OrdMap::new(),
@@ -83,8 +84,8 @@
             snapshots: VecDeque::new(),
             limits,
             rng: rand_pcg::Pcg64::seed_from_u64(seed),
-            unkept: None,
-            shown: u64::MAX,
+            unpersisted: None,
+            visible_version: u64::MAX,
         }
     }
 
@@ -108,7 +109,7 @@
         )
     }
 
-    /// Five characters for a generated name, of the published alphabet without vowels.
+    /// Five random characters for a generated name, from the published alphabet without vowels.
     pub fn random_suffix(&mut self) -> String {
         const LETTERS: &[u8] = b"bcdfghjklmnpqrstvwxz2456789";
         (0..5)
@@ -116,17 +117,17 @@
             .collect()
     }
 
-    /// The object, if it stands.
+    /// The object, if it exists.
     pub fn get(&self, resource: &Resource, namespace: &str, name: &str) -> Option<&Arc<Object>> {
         self.objects.get(&key(resource, namespace, name))
     }
 
-    /// How many objects of the resource stand.
+    /// Number of objects of the resource.
     pub fn count(&self, resource: &Resource) -> usize {
         self.counts[resource.index]
     }
 
-    /// All objects of a resource, of one namespace or of all (""), in order.
+    /// All objects of a resource, of one namespace or of all (""), in order of namespace and name.
     pub fn iter<'a>(
         &'a self,
         resource: &Resource,
@@ -139,33 +140,47 @@
             .map(|(_, object)| object)
     }
 
-    /// A cursor that reads what comes after `version`.
+    /// A cursor that reads the changes after `version`.
+    ///
+    /// # Errors
+    /// [`Expired`] if the history does not reach back to that version.
     pub fn watch(&self, resource: &Resource, version: u64) -> Result<Cursor, Expired> {
         self.histories[resource.index].check(version)?;
         Ok(Cursor::new(resource.index, version))
     }
 
-    /// The next change for the cursor, at most `most` looked at; it moves on.
+    /// Appends the next changes for the cursor, at most `max`, and advances it.
+    ///
+    /// # Errors
+    /// [`Expired`] if the history does not reach back to the cursor.
     pub fn poll(
         &self,
         cursor: &mut Cursor,
-        most: usize,
-        out: &mut Vec<Change>,
+        max: usize,
+        changes: &mut Vec<Change>,
     ) -> Result<(), Expired> {
-        self.histories[cursor.resource()].read(cursor, most, self.version, out)
+        self.histories[cursor.resource()].read(cursor, max, self.version, changes)
     }
 
-    /// The same, but for what may not be shown yet: see [`Store::set_visible_version`].
+    /// The same without changes that are not visible yet, see [`Store::set_visible_version`].
+    ///
+    /// # Errors
+    /// As [`Store::poll`].
     pub fn poll_visible(
         &self,
         cursor: &mut Cursor,
-        most: usize,
-        out: &mut Vec<Change>,
+        max: usize,
+        changes: &mut Vec<Change>,
     ) -> Result<(), Expired> {
-        self.histories[cursor.resource()].read(cursor, most, self.version.min(self.shown), out)
+        self.histories[cursor.resource()].read(
+            cursor,
+            max,
+            self.version.min(self.visible_version),
+            changes,
+        )
     }
 
-    /// Drops all history up to now, as a restart or an operator's compaction would.
+    /// Drops all history up to now, as a restart or a compaction does.
     pub fn compact(&mut self) {
         self.histories.iter_mut().for_each(History::clear);
         self.snapshots.clear();
--- a/crates/store/src/write.rs
+++ b/crates/store/src/write.rs
@@ -1,11 +1,25 @@
-//! Writes: each gets the next version, is checked against what its writer has seen, and is noted for what keeps it.
+//! Writes: each gets the next version, is checked against its precondition, and is tracked for persistence.
 
 use crate::{Change, ChangeKind, Key, Precondition, Store, key};
 use std::sync::Arc;
 use tidespur_api::{ApiError, Object, Resource, meta};
 
+/// Fields of `metadata` that the server sets and writers cannot change.
+const SERVER_FIELDS: [&str; 5] = [
+    "uid",
+    "creationTimestamp",
+    "resourceVersion",
+    "generation",
+    "deletionTimestamp",
+];
+/// Seconds after which a writer may retry that was rejected at the bound of objects.
+const FULL_RETRY_AFTER: u32 = 10;
+
 impl Store {
-    /// Creates an object under `metadata.name`; sets uid, version, generation and time.
+    /// Creates an object under `metadata.name`; sets uid, version, generation and creation time.
+    ///
+    /// # Errors
+    /// `AlreadyExists`, or `TooManyRequests` at the bound of objects.
     pub fn create(
         &mut self,
         resource: &Resource,
@@ -21,7 +35,7 @@
                 "{} {} stand already, which is the most that is held",
                 self.limits.max_objects, resource.plural
             );
-            return Err(ApiError::too_many_requests(text, 10));
+            return Err(ApiError::too_many_requests(text, FULL_RETRY_AFTER));
         }
         let uid = self.new_uid();
         meta::set(&mut object, "uid", uid.into());
@@ -37,29 +51,27 @@
         Ok(self.put(resource, key, object, None))
     }
 
-    /// Replaces an object. What the server sets (uid, time of creation) stays; an equal one is no change.
+    /// Replaces an object. Fields that the server sets (uid, creation time) stay; an equal object is no change.
+    ///
+    /// # Errors
+    /// `NotFound`, or `Conflict` if the precondition does not hold.
     pub fn update(
         &mut self,
         resource: &Resource,
         mut object: Object,
-        expect: &Precondition,
+        precondition: &Precondition,
     ) -> Result<Arc<Object>, ApiError> {
         let key = key(resource, meta::namespace(&object), meta::name(&object));
         let Some(old) = self.objects.get(&key).cloned() else {
             return Err(ApiError::not_found(resource.plural, &key.2));
         };
-        check_expected(resource, &old, expect)?;
-        for field in [
-            "uid",
-            "creationTimestamp",
-            "resourceVersion",
-            "generation",
-            "deletionTimestamp",
-        ] {
+        check_precondition(resource, &old, precondition)?;
+        for field in SERVER_FIELDS {
             let value = meta::value_at(&old, &["metadata", field]).clone();
-            match value.is_null() {
-                true => drop(meta::map_mut(&mut object, "metadata").remove(field)),
-                false => meta::set(&mut object, field, value),
+            if value.is_null() {
+                meta::map_mut(&mut object, "metadata").remove(field);
+            } else {
+                meta::set(&mut object, field, value);
             }
         }
         if object == *old {
@@ -74,21 +86,24 @@
         Ok(self.put(resource, key, object, Some(old)))
     }
 
-    /// Removes an object; the version of its end is in what comes back.
+    /// Deletes an object and returns its last state with the version of the deletion.
+    ///
+    /// # Errors
+    /// `NotFound`, or `Conflict` if the precondition does not hold.
     pub fn delete(
         &mut self,
         resource: &Resource,
         namespace: &str,
         name: &str,
-        expect: &Precondition,
+        precondition: &Precondition,
     ) -> Result<Arc<Object>, ApiError> {
         let key = key(resource, namespace, name);
         let Some(old) = self.objects.get(&key).cloned() else {
             return Err(ApiError::not_found(resource.plural, name));
         };
-        check_expected(resource, &old, expect)?;
+        check_precondition(resource, &old, precondition)?;
         self.objects.remove(&key);
-        self.note(&key);
+        self.track_write(&key);
         self.counts[resource.index] -= 1;
         self.version += 1;
         let mut last = (*old).clone();
@@ -108,18 +123,19 @@
         Ok(last)
     }
 
-    fn note(&mut self, key: &Key) {
-        if let Some(unkept) = &mut self.unkept {
-            unkept.insert(key.clone());
+    fn track_write(&mut self, key: &Key) {
+        if let Some(unpersisted) = &mut self.unpersisted {
+            unpersisted.insert(key.clone());
         }
     }
 
+    /// Stores the object under the next version and appends the change to the history.
     fn put(
         &mut self,
         resource: &Resource,
         key: Key,
         mut object: Object,
-        before: Option<Arc<Object>>,
+        previous: Option<Arc<Object>>,
     ) -> Arc<Object> {
         self.version += 1;
         meta::set(
@@ -128,31 +144,31 @@
             self.version.to_string().into(),
         );
         let object = Arc::new(object);
-        let kind = if before.is_some() {
+        let kind = if previous.is_some() {
             ChangeKind::Modified
         } else {
             ChangeKind::Added
         };
-        self.note(&key);
+        self.track_write(&key);
         self.objects.insert(key, object.clone());
         let change = Change {
             version: self.version,
             kind,
             object: object.clone(),
-            previous: before,
+            previous,
         };
         self.histories[resource.index].push(change);
         object
     }
 }
 
-fn check_expected(
+fn check_precondition(
     resource: &Resource,
     old: &Object,
-    expect: &Precondition,
+    precondition: &Precondition,
 ) -> Result<(), ApiError> {
     let name = meta::name(old);
-    if expect
+    if precondition
         .uid
         .as_deref()
         .is_some_and(|uid| uid != meta::uid(old))
@@ -163,7 +179,7 @@
         );
         return Err(ApiError::conflict(resource.plural, name, &why));
     }
-    if expect
+    if precondition
         .version
         .is_some_and(|version| version != meta::version(old))
     {
