--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,86 +1,126 @@
-//! Settings in HCL.
+//! Settings in HCL, for edge and planner.
 //!
-//! One file serves edge and planner, so that both mean the same by a class or a kind. [`load`] reads and checks
-//! it; [`Config::scheduler_settings`] makes of it what a planner hands to the policy.
+//! One file serves both, so that both mean the same by a class or a node type. [`load`] reads and checks it;
+//! [`Config::scheduler_settings`] makes of it what a planner starts its policy with. Owns no state; reads files only in
+//! [`load`]. Keys of the file are published and stay as they are; the fields have the terms of the field.
 
 mod check;
+mod error;
 mod locate;
 mod model;
-mod policy;
+mod scheduler_settings;
 mod sections;
 
-pub use check::ConfigError;
-pub use model::*;
-pub use sections::*;
+pub use error::ConfigError;
+pub use model::{Class, Config, FailureDomain, NodeType, RetrySafety, Tenant};
+pub use sections::{
+    CoordinationSection, CostModel, EdgeSection, JobControllerSection, MembershipSection,
+    NodesSection, PersistenceSection, PlannerSection, SafetyLimits, Voters,
+};
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-/// The settings that `tidespur up` uses where no file is named; also the documented example.
+/// The settings that `tidespur up` uses without a file; also the documented example.
 pub const DEFAULT_CONFIG: &str = include_str!("../default.hcl");
 
-/// Reads and checks a file; without one, takes the built-in settings.
+/// Reads and checks a file; without one, the built-in settings.
+///
+/// # Errors
+/// What is wrong with the file, with line and key.
 pub fn load_or_default(path: Option<&Path>) -> Result<Config, ConfigError> {
-    path.map_or_else(|| parse("built-in", DEFAULT_CONFIG), load)
+    match path {
+        Some(path) => load(path),
+        None => parse("built-in", DEFAULT_CONFIG),
+    }
 }
 
 /// Reads and checks a file.
+///
+/// # Errors
+/// What is wrong with the file, with line and key.
 pub fn load(path: &Path) -> Result<Config, ConfigError> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| ConfigError {
-        file: name.clone(),
-        line: 0,
+    let file = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
+        file: file.clone(),
+        line_number: 0,
         key: String::new(),
-        message: format!("can't be read: {e}"),
+        message: format!("can't be read: {error}"),
     })?;
-    parse(&name, &text)
+    parse(&file, &text)
 }
 
-/// Checks a text; `file` is for messages.
+/// Parses and checks settings; `file` is named in errors.
+///
+/// # Errors
+/// What is wrong with the text, with line and key.
 pub fn parse(file: &str, text: &str) -> Result<Config, ConfigError> {
-    let problem = |line: usize, key: &str, what: String| ConfigError {
-        file: file.into(),
-        line,
-        key: key.into(),
-        message: what,
-    };
-    let deserializer = hcl::de::Deserializer::from_str(text).map_err(|e| match &e {
-        hcl::Error::Parse(p) => problem(p.location().line(), "", p.to_string()),
-        other => problem(0, "", other.to_string()),
-    })?;
-    let config: Config = serde_path_to_error::deserialize(deserializer).map_err(|e| {
-        let what = e.inner().to_string();
-        let mut path: Vec<String> = e.path().iter().map(|s| s.to_string()).collect();
-        // An unknown key is named in the message alone.
-        if let Some(key) = what
-            .strip_prefix("unknown field `")
-            .and_then(|rest| rest.split('`').next())
-            && path.last().is_none_or(|last| last != key)
-        {
-            path.push(key.to_owned());
+    let config = deserialize(file, text)?;
+    config.check().map_err(|invalid| {
+        let keys: Vec<String> = invalid.key.split('.').map(str::to_owned).collect();
+        ConfigError {
+            file: file.to_owned(),
+            line_number: locate::line_of_key(text, &keys),
+            key: invalid.key,
+            message: invalid.message,
         }
-        problem(locate::line(text, &path), &path.join("."), what)
-    })?;
-    config.check().map_err(|(path, what)| {
-        let keys: Vec<String> = path.split('.').map(str::to_owned).collect();
-        problem(locate::line(text, &keys), &path, what)
     })?;
     Ok(config)
 }
 
-/// The folder beneath which processes keep what outlives them: as the command line names it, else the settings.
-pub fn data_directory(config: &Config, named: Option<&Path>) -> Option<std::path::PathBuf> {
-    let block = config
-        .persistence
-        .as_ref()
-        .map(|durable| std::path::PathBuf::from(&durable.directory));
-    named.map(Path::to_owned).or(block)
+fn deserialize(file: &str, text: &str) -> Result<Config, ConfigError> {
+    let deserializer = hcl::de::Deserializer::from_str(text).map_err(|error| {
+        let (line_number, message) = match &error {
+            hcl::Error::Parse(parse) => (parse.location().line(), parse.to_string()),
+            other => (0, other.to_string()),
+        };
+        ConfigError {
+            file: file.to_owned(),
+            line_number,
+            key: String::new(),
+            message,
+        }
+    })?;
+    serde_path_to_error::deserialize(deserializer).map_err(|error| {
+        let message = error.inner().to_string();
+        let keys = keys_of(error.path(), &message);
+        ConfigError {
+            file: file.to_owned(),
+            line_number: locate::line_of_key(text, &keys),
+            key: keys.join("."),
+            message,
+        }
+    })
+}
+
+/// The key that an error is about, with the blocks that it is in. An unknown key is named in the message alone.
+fn keys_of(path: &serde_path_to_error::Path, message: &str) -> Vec<String> {
+    let mut keys: Vec<String> = path.iter().map(ToString::to_string).collect();
+    let unknown = message
+        .strip_prefix("unknown field `")
+        .and_then(|rest| rest.split('`').next());
+    if let Some(unknown) = unknown
+        && keys.last().is_none_or(|last| last != unknown)
+    {
+        keys.push(unknown.to_owned());
+    }
+    keys
+}
+
+/// The folder beneath which processes have their stores: as the command line names it, otherwise the settings.
+pub fn data_directory(config: &Config, command_line: Option<&Path>) -> Option<PathBuf> {
+    if let Some(directory) = command_line {
+        return Some(directory.to_owned());
+    }
+    let section = config.persistence.as_ref()?;
+    Some(PathBuf::from(&section.directory))
 }
 
 impl Config {
     /// The cluster that a process belongs to.
     pub fn cluster(&self) -> &str {
-        self.membership
-            .as_ref()
-            .map_or(MembershipSection::CLUSTER, |fleet| &fleet.cluster)
+        match &self.membership {
+            Some(section) => &section.cluster,
+            None => MembershipSection::CLUSTER,
+        }
     }
 }
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,19 +1,21 @@
-//! The line of a key, for messages.
+//! Finds the line of a key in a settings file, for errors.
 
 use hcl_edit::Span;
 use hcl_edit::structure::{Body, Structure};
 
-/// Line of the deepest part of the path that stands in the text; 0 where nothing of it does.
-pub(crate) fn line(text: &str, path: &[String]) -> usize {
+/// The line, from 1, of the deepest part of the path that is in the text; 0 if none is.
+pub(crate) fn line_of_key(text: &str, path: &[String]) -> usize {
     let Ok(body) = text.parse::<Body>() else {
         return 0;
     };
-    let at = find(&body, path);
-    at.map_or(0, |at| {
-        text[..at.min(text.len())].lines().count().max(1) + usize::from(text[..at].ends_with('\n'))
-    })
+    let Some(position) = find(&body, path) else {
+        return 0;
+    };
+    let before = &text[..position.min(text.len())];
+    before.lines().count().max(1) + usize::from(before.ends_with('\n'))
 }
 
+/// The position of the deepest part of the path in the text.
 fn find(body: &Body, path: &[String]) -> Option<usize> {
     let (first, rest) = path.split_first()?;
     for structure in body.iter() {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,4 @@
-//! The settings as they stand in the file. Times are seconds, memory is in units of 1 GiB.
+//! Top level of the settings: classes, tenants and node types. Times are seconds, memory is in units of 1 GiB.
 
 use crate::{
     CoordinationSection, CostModel, EdgeSection, JobControllerSection, MembershipSection,
@@ -18,17 +18,17 @@
     /// Classes, by `priorityClassName`; the first is for Pods that name none.
     #[serde(rename = "class")]
     pub classes: IndexMap<String, Class>,
-    /// Kinds of nodes, by the label `node.kubernetes.io/instance-type`.
+    /// Node types, by the label `node.kubernetes.io/instance-type`.
     #[serde(rename = "kind")]
     pub node_types: IndexMap<String, NodeType>,
-    /// What nodes and their list tell, and what they accept.
+    /// What nodes and their list report, and what nodes accept.
     #[serde(default)]
     pub nodes: NodesSection,
-    /// Figures of the rules.
+    /// Bounds of the safety rules.
     #[serde(default)]
     #[serde(rename = "safety")]
     pub safety_limits: SafetyLimits,
-    /// What costs, for the policy.
+    /// What the policy is charged for.
     #[serde(default)]
     #[serde(rename = "prices")]
     pub costs: CostModel,
@@ -38,19 +38,19 @@
     /// The planner.
     #[serde(default)]
     pub planner: PlannerSection,
-    /// The owner's side.
+    /// How Jobs are retried.
     #[serde(default)]
     #[serde(rename = "owner")]
     pub job_controller: JobControllerSection,
-    /// The fleet's view; off without it.
+    /// Membership of the fleet; off without it.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub membership: Option<MembershipSection>,
-    /// The fleet's memory; off without it.
+    /// Replicated log and leases; off without it.
     #[serde(default)]
     #[serde(rename = "ledger")]
     pub coordination: Option<CoordinationSection>,
-    /// What outlives the processes; memory only without it.
+    /// Where state is stored; in memory only without it.
     #[serde(default)]
     #[serde(rename = "durable")]
     pub persistence: Option<PersistenceSection>,
@@ -60,30 +60,30 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its fraction of the service.
+    /// Its fraction of all tasks.
     #[serde(rename = "share")]
     pub quota_fraction: f64,
-    /// New tasks a second within the share.
+    /// New tasks a second within the quota.
     #[serde(rename = "quota_per_s")]
     pub quota_per_second: f64,
 }
 
-/// What repeats of a task do.
+/// What a second run of a task does.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum RetrySafety {
-    /// No harm.
+    /// No harm: it can be retried at will.
     #[serde(rename = "safe")]
     Idempotent,
-    /// They are dropped within a group for a while.
+    /// Retries are deduplicated by key, within a failure domain and for a while.
     #[serde(rename = "keyed")]
     IdempotencyKeyed,
-    /// Harm.
+    /// Harm: it is never retried unless no earlier attempt has run.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// A set of nodes that belong together.
+/// A set of nodes that fail together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum FailureDomain {
@@ -97,6 +97,7 @@
     Node,
 }
 
+/// Default of weights and fractions.
 fn one() -> f64 {
     1.0
 }
@@ -105,57 +106,57 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// A first start within this time earns its full worth.
+    /// A start within this time earns its full weight.
     #[serde(rename = "aim")]
     pub latency_objective: f64,
-    /// How long owners wait, where a Pod does not say.
+    /// How long owners wait, if a Pod does not say.
     pub deadline: f64,
-    /// What repeats do.
+    /// What a second run does.
     #[serde(rename = "effect")]
     pub retry_safety: RetrySafety,
-    /// `keyed`: where repeats are dropped.
+    /// Keyed classes: the failure domain that deduplicates retries.
     #[serde(rename = "group")]
     pub deduplication_domain: Option<FailureDomain>,
-    /// `keyed`: for how long.
+    /// Keyed classes: for how long.
     #[serde(rename = "window")]
     pub deduplication_window: Option<f64>,
-    /// Worth of one second of full service.
+    /// Weight of one second of full service.
     #[serde(default = "one")]
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Seconds of service that a timely start is worth.
+    /// Seconds of service that a start within the objective is worth.
     #[serde(default)]
     #[serde(rename = "start_worth")]
     pub start_weight: f64,
-    /// Share of a node's cores up to which the class is served in full.
+    /// Fraction of a node's CPU in use up to which the class is served in full.
     #[serde(default = "one")]
     #[serde(rename = "calm")]
     pub full_service_utilization: f64,
-    /// Service drops to nothing over this much more.
+    /// Service degrades to nothing over this much more utilization.
     #[serde(default = "one")]
     #[serde(rename = "fade")]
     pub degradation_range: f64,
-    /// The kind of node that it needs.
+    /// The node type that it needs.
     #[serde(rename = "kind")]
     pub node_type: Option<String>,
-    /// Higher goes first.
+    /// Higher priorities are placed first.
     #[serde(default)]
     pub priority: u32,
-    /// Where `spread_most` counts.
+    /// The failure domain of the spread limit.
     #[serde(rename = "spread")]
     pub spread_domain: Option<FailureDomain>,
-    /// The most tasks of one service in one such place, for one planner.
+    /// Tasks of one service in one such domain, for one planner.
     #[serde(default)]
     #[serde(rename = "spread_most")]
     pub max_per_spread_domain: u32,
 }
 
-/// A kind of node.
+/// A node type.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeType {
-    /// Cores.
+    /// CPU, in cores.
     pub cores: f64,
-    /// Memory units.
+    /// Memory, in memory units.
     pub memory: f64,
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -82,7 +82,7 @@
         let line = text.lines().position(|l| l.contains(to.trim())).unwrap() + 1;
         let problem = parse("site.hcl", &text).unwrap_err();
         assert_eq!(
-            (problem.line, problem.key.as_str()),
+            (problem.line_number, problem.key.as_str()),
             (line, key),
             "{problem}"
         );
@@ -97,7 +97,7 @@
 #[test]
 fn bad_syntax_names_its_line() {
     let problem = parse("site.hcl", "a = 1\nb = = 2\n").unwrap_err();
-    assert_eq!(problem.line, 2, "{problem}");
+    assert_eq!(problem.line_number, 2, "{problem}");
 }
 
 #[test]
@@ -133,7 +133,7 @@
         let problem = with(block).unwrap_err();
         let line = DEFAULT_CONFIG.lines().count() + 3;
         assert_eq!(
-            (problem.key.as_str(), problem.line),
+            (problem.key.as_str(), problem.line_number),
             (key, line),
             "{problem}"
         );
