--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -17,7 +17,7 @@
     let line = log
         .lines()
         .rev()
-        .find(|line| line.contains("shares cold nodes with all of "))?;
+        .find(|line| line.contains("shares the slow-start budget with all of "))?;
     let number = |after: &str| {
         line.split(after)
             .nth(1)?
--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -1,4 +1,4 @@
-//! What telling why work waits costs a planner: the same load with and without it, in one run.
+//! Measures what publishing pending reasons costs a planner: the same load with and without it, in one run.
 //!
 //! `cargo run --release -p tidespur-planner --example reasons`
 
@@ -6,10 +6,21 @@
 use std::time::{Duration, Instant};
 use tidespur_api::task::PlacementRequest;
 use tidespur_planner::core::{Core, Input, Output};
+use tidespur_planner::task_table::EdgeId;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
+const EDGE: EdgeId = EdgeId(1);
 const NODES: usize = 200;
+/// Simulated time of one run.
 const SECONDS: f64 = 5.0;
+/// Runs of each variant.
+const ROUNDS: usize = 3;
+
+/// One run's CPU time and number of published reasons.
+struct Measurement {
+    duration: Duration,
+    reasons: usize,
+}
 
 fn node(i: usize) -> serde_json::Value {
     json!({"metadata": {"name": format!("node-{i:03}"),
@@ -20,28 +31,29 @@
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}})
 }
 
-/// CPU time of a planner on which `waiting` tasks of `services` services wait and one comes every step.
-fn run(reasons: bool, waiting: usize, services: usize) -> (Duration, usize) {
+/// Measures a planner with this many pending tasks of this many services.
+fn run(publishes_reasons: bool, pending: usize, services: usize) -> Measurement {
     let mut config =
         tidespur_config::parse("built-in", tidespur_config::DEFAULT_CONFIG).expect("built in");
-    config.planner.publishes_pending_reasons = reasons;
+    config.planner.publishes_pending_reasons = publishes_reasons;
     let mut core = Core::new(config, 0, "halle-a", 1).expect("built in");
-    let (mut now, mut words) = (1000.0, 0);
+    let mut now = 1000.0;
+    let mut reasons = 0;
     let mut step = |core: &mut Core, now: f64, inputs: Vec<Input>| {
-        let mut out = Vec::new();
-        core.step(now, inputs, &mut out);
-        for one in out {
-            if let Output::Edge(_, ToEdge::PendingReasons(told)) = one {
-                words += told.len();
+        let mut outputs = Vec::new();
+        core.step(now, inputs, &mut outputs);
+        for output in outputs {
+            if let Output::SendToEdge(_, ToEdge::PendingReasons(updates)) = output {
+                reasons += updates.len();
             }
         }
     };
     step(
         &mut core,
         now,
-        vec![Input::ListWhole((0..NODES).map(node).collect())],
+        vec![Input::NodesListed((0..NODES).map(node).collect())],
     );
-    let ask = |i: usize| PlacementRequest {
+    let request = |i: usize| PlacementRequest {
         uid: format!("t{i}"),
         tenant: "default".into(),
         name: format!("p{i}"),
@@ -51,43 +63,50 @@
         memory: 1.0,
         ..PlacementRequest::default()
     };
-    for i in 0..waiting {
-        let go = ToPlanner::Commit {
+    for i in 0..pending {
+        let commit = ToPlanner::Commit {
             uid: format!("t{i}"),
             timeout: 1e6,
         };
         step(
             &mut core,
             now,
-            vec![Input::Edge(1, ToPlanner::Place(ask(i))), Input::Edge(1, go)],
+            vec![
+                Input::EdgeMessage(EDGE, ToPlanner::Place(request(i))),
+                Input::EdgeMessage(EDGE, commit),
+            ],
         );
     }
     let start = Instant::now();
     while now < 1000.0 + SECONDS {
         now += 0.01;
-        step(&mut core, now, vec![Input::Timer(0)]);
+        step(&mut core, now, vec![Input::TimerFired(0)]);
+    }
+    Measurement {
+        duration: start.elapsed(),
+        reasons,
     }
-    (start.elapsed(), words)
 }
 
 fn main() {
     println!("{NODES} nodes; CPU of {SECONDS} s of a planner's time, steps every 10 ms");
-    println!("waiting services without    with  ratio  words");
-    for (waiting, services) in [(50, 5), (500, 20), (5000, 50), (500, 500)] {
-        // Taken in turns, the least of three each, so that a slow moment of the machine strikes neither alone.
-        let mut least = [Duration::MAX; 2];
-        let mut words = 0;
-        for _ in 0..3 {
-            for (i, reasons) in [false, true].into_iter().enumerate() {
-                let (took, told) = run(reasons, waiting, services);
-                least[i] = least[i].min(took);
-                words = words.max(told);
-            }
+    println!("pending services without    with  ratio reasons");
+    for (pending, services) in [(50, 5), (500, 20), (5000, 50), (500, 500)] {
+        // The variants alternate and the minimum of each counts, so that a slow moment of the machine affects neither alone.
+        let mut without = Duration::MAX;
+        let mut with = Duration::MAX;
+        let mut reasons = 0;
+        for _ in 0..ROUNDS {
+            without = without.min(run(false, pending, services).duration);
+            let measurement = run(true, pending, services);
+            with = with.min(measurement.duration);
+            reasons = reasons.max(measurement.reasons);
         }
-        let ratio = least[1].as_secs_f64() / least[0].as_secs_f64();
-        let [without, with] = least.map(|d| d.as_millis());
+        let ratio = with.as_secs_f64() / without.as_secs_f64();
+        let without = without.as_millis();
+        let with = with.as_millis();
         println!(
-            "{waiting:>7} {services:>8} {without:>4} ms {with:>4} ms  {ratio:>5.3} {words:>6}"
+            "{pending:>7} {services:>8} {without:>4} ms {with:>4} ms  {ratio:>5.3} {reasons:>7}"
         );
     }
 }
--- a/crates/planner/src/attempts.rs
+++ b/crates/planner/src/attempts.rs
@@ -1,167 +1,188 @@
-//! Where what was offered may be: the one thing that a planner must know after its end. No I/O.
+//! The write-ahead log of offers: at which nodes something of a request may run, also after a restart of the planner.
+//! No I/O. Owned by [`crate::core::Core`].
 //!
-//! An attempt is written down before its bytes leave. It is forgotten once it is proved that nothing of it runs: the
-//! node's answer, the task's end there, the node's whole list without it, or the node's leaving of the register's list.
-//! That a node is not listed after a return proves nothing: it may be the last to come back.
+//! An offer is recorded before its bytes are sent. The record is removed once it is proved that nothing of the offer
+//! runs: by the node's answer, by the task's end there, by the node's list of Pods without it, or by the node's removal
+//! from the node list. That a node is missing from the list after a restart proves nothing: it may be the last to
+//! return.
 
+use crate::pod::PodName;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_persistence::{Batch, LoadedRecords};
 
-const ATTEMPT: &str = "attempt";
-/// An offer that can't be read any more at its node may still be worked on there for this long, in seconds.
-const IN_HAND: f64 = 1.0;
+/// The kind of the stored records; the key is the request's uid.
+const RECORD_KIND: &str = "attempt";
 
-/// What was offered for one request.
+/// After its deadline an offer may still be processed at the node for this long, in seconds.
+const PROCESSING_GRACE: f64 = 1.0;
+
+/// The offers of one request. The names in JSON are those of the first version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Namespace and name at nodes.
-    pub name: (String, String),
-    /// Nodes at which it may be, and until when, in seconds since 1970, an offer was good there.
-    pub at: BTreeMap<String, f64>,
+    /// Name of the Pod at nodes.
+    #[serde(rename = "name")]
+    pub pod: PodName,
+    /// The nodes at which it may run, each with the deadline of the offer in seconds since 1970.
+    #[serde(rename = "at")]
+    pub offer_deadlines: BTreeMap<String, f64>,
+}
+
+/// A stored attempt can't be read.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "the stored record {RECORD_KIND} {uid:?} can't be read: {error}; restore the data directory from a copy"
+)]
+pub struct AttemptRecordError {
+    /// Uid of the request.
+    uid: String,
+    error: serde_json::Error,
 }
 
-/// All attempts of which something may run.
+/// All requests of which something may run at a node.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Whether anything outlives the process.
-    on: bool,
-    open: BTreeMap<String, Attempt>,
-    /// Uids by node.
-    by_node: BTreeMap<String, BTreeSet<String>>,
-    /// Of an earlier process; of its own ones a planner knows by its book and its nodes.
-    recalled: BTreeSet<String>,
+    /// Whether the planner has a store. Without one nothing is recorded.
+    is_enabled: bool,
+    by_uid: BTreeMap<String, Attempt>,
+    uids_by_node: BTreeMap<String, BTreeSet<String>>,
+    /// Uids that an earlier process recorded. Its own ones a planner knows by its tasks and nodes.
+    restored: BTreeSet<String>,
     batch: Batch,
 }
 
 impl Attempts {
-    /// What an earlier process left.
+    /// Restores the attempts that earlier processes recorded.
     ///
     /// # Errors
     /// A record that can't be read.
-    pub fn recall(memory: &LoadedRecords) -> Result<Self, String> {
+    pub fn load(records: &LoadedRecords) -> Result<Self, AttemptRecordError> {
         let mut attempts = Self {
-            on: true,
+            is_enabled: true,
             ..Self::default()
         };
-        for (uid, bytes) in memory.records_of_kind(ATTEMPT) {
-            let read = serde_json::from_slice::<Attempt>(bytes);
-            let attempt = read.map_err(|e| {
-                format!(
-                    "the memory's record {ATTEMPT} {uid:?} can't be read: {e}; restore the folder from a copy"
-                )
-            })?;
-            for node in attempt.at.keys() {
-                attempts
-                    .by_node
-                    .entry(node.clone())
-                    .or_default()
-                    .insert(uid.to_owned());
+        for (uid, bytes) in records.records_of_kind(RECORD_KIND) {
+            let attempt: Attempt =
+                serde_json::from_slice(bytes).map_err(|error| AttemptRecordError {
+                    uid: uid.to_owned(),
+                    error,
+                })?;
+            for node in attempt.offer_deadlines.keys() {
+                attempts.index(uid, node);
             }
-            attempts.open.insert(uid.to_owned(), attempt);
-            attempts.recalled.insert(uid.to_owned());
+            attempts.by_uid.insert(uid.to_owned(), attempt);
+            attempts.restored.insert(uid.to_owned());
         }
         Ok(attempts)
     }
 
-    /// Requests of which something may run.
+    /// The number of requests of which something may run.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.by_uid.len()
     }
 
-    /// Whether there is none.
+    /// Whether there is no such request.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.by_uid.is_empty()
     }
 
-    /// An offer is about to leave; it is good until then.
-    pub fn sent(&mut self, uid: &str, name: (&str, &str), node: &str, until: f64) {
-        if !self.on {
+    /// Records an offer that is about to be sent; the node accepts it until `deadline`.
+    pub fn record_offer(&mut self, uid: &str, pod: PodName, node: &str, deadline: f64) {
+        if !self.is_enabled {
             return;
         }
-        let attempt = self.open.entry(uid.to_owned()).or_default();
-        attempt.name = (name.0.to_owned(), name.1.to_owned());
-        attempt.at.insert(node.to_owned(), until);
-        self.by_node
-            .entry(node.to_owned())
-            .or_default()
-            .insert(uid.to_owned());
+        let attempt = self.by_uid.entry(uid.to_owned()).or_default();
+        attempt.pod = pod;
+        attempt.offer_deadlines.insert(node.to_owned(), deadline);
+        self.index(uid, node);
         self.write(uid);
     }
 
-    /// Nothing of it runs at this node.
-    pub fn proved(&mut self, uid: &str, node: &str) {
-        let Some(attempt) = self.open.get_mut(uid) else {
+    /// Notes that nothing of a request runs at a node.
+    pub fn clear(&mut self, uid: &str, node: &str) {
+        let Some(attempt) = self.by_uid.get_mut(uid) else {
             return;
         };
-        if attempt.at.remove(node).is_none() {
+        if attempt.offer_deadlines.remove(node).is_none() {
             return;
         }
-        if let Some(uids) = self.by_node.get_mut(node) {
+        if let Some(uids) = self.uids_by_node.get_mut(node) {
             uids.remove(uid);
             if uids.is_empty() {
-                self.by_node.remove(node);
+                self.uids_by_node.remove(node);
             }
         }
         self.write(uid);
     }
 
-    /// All that a node holds, by uid and by name.
-    pub fn holds(
+    /// Clears the offers that a node does not hold, by its complete list of Pods. Offers that may still be under way
+    /// are kept.
+    pub fn reconcile(
         &mut self,
         now: f64,
         node: &str,
-        uids: &BTreeSet<&str>,
-        names: &BTreeSet<&(String, String)>,
+        held_uids: &BTreeSet<&str>,
+        held_pods: &BTreeSet<&PodName>,
     ) {
-        let here = self.by_node.get(node).into_iter().flatten();
-        let gone = here.filter(|uid| {
-            self.open.get(*uid).is_some_and(|attempt| {
-                let past = attempt
-                    .at
-                    .get(node)
-                    .is_some_and(|until| now > until + IN_HAND);
-                past && !uids.contains(uid.as_str()) && !names.contains(&attempt.name)
-            })
-        });
-        let gone: Vec<String> = gone.cloned().collect();
-        gone.iter().for_each(|uid| self.proved(uid, node));
+        for uid in self.uids_at(node) {
+            let Some(attempt) = self.by_uid.get(&uid) else {
+                continue;
+            };
+            let deadline = attempt.offer_deadlines.get(node);
+            let has_expired = deadline.is_some_and(|deadline| now > deadline + PROCESSING_GRACE);
+            let is_held = held_uids.contains(uid.as_str()) || held_pods.contains(&attempt.pod);
+            if has_expired && !is_held {
+                self.clear(&uid, node);
+            }
+        }
     }
 
-    /// The register took a node off its list: what it held went with it.
-    pub fn gone(&mut self, node: &str) {
-        let here: Vec<String> = self
-            .by_node
-            .get(node)
-            .into_iter()
-            .flatten()
-            .cloned()
-            .collect();
-        here.iter().for_each(|uid| self.proved(uid, node));
+    /// Clears all offers at a node that was removed from the node list: its Pods are gone with it.
+    pub fn clear_node(&mut self, node: &str) {
+        for uid in self.uids_at(node) {
+            self.clear(&uid, node);
+        }
     }
 
-    /// Whether something of this request may run at a node that has not been heard since this process began.
-    pub fn unsure(&self, uid: &str, heard: impl Fn(&str) -> bool) -> bool {
-        let attempt = self.open.get(uid).filter(|_| self.recalled.contains(uid));
-        attempt.is_some_and(|attempt| attempt.at.keys().any(|node| !heard(node)))
+    /// Whether something of a request, recorded by an earlier process, may run at a node that has not reported its
+    /// Pods since this process started.
+    pub fn may_run_unseen(&self, uid: &str, has_reported: impl Fn(&str) -> bool) -> bool {
+        if !self.restored.contains(uid) {
+            return false;
+        }
+        self.by_uid.get(uid).is_some_and(|attempt| {
+            let mut nodes = attempt.offer_deadlines.keys();
+            nodes.any(|node| !has_reported(node))
+        })
     }
 
-    /// What has changed since the last call.
-    pub fn take(&mut self) -> Batch {
+    /// The changes to store since the last call.
+    pub fn take_batch(&mut self) -> Batch {
         std::mem::take(&mut self.batch)
     }
 
+    fn index(&mut self, uid: &str, node: &str) {
+        let uids = self.uids_by_node.entry(node.to_owned()).or_default();
+        uids.insert(uid.to_owned());
+    }
+
+    fn uids_at(&self, node: &str) -> Vec<String> {
+        let uids = self.uids_by_node.get(node);
+        uids.into_iter().flatten().cloned().collect()
+    }
+
     fn write(&mut self, uid: &str) {
-        match self.open.get(uid) {
-            Some(attempt) if !attempt.at.is_empty() => {
-                // A few names and numbers, far below the bound of a record.
+        match self.by_uid.get(uid) {
+            Some(attempt) if !attempt.offer_deadlines.is_empty() => {
+                // A map of strings to numbers can always be serialized.
                 let bytes = serde_json::to_vec(attempt).unwrap_or_default();
-                drop(self.batch.put(ATTEMPT, uid, bytes));
+                // A few names and numbers are far below the largest size of a record, the only error there is.
+                drop(self.batch.put(RECORD_KIND, uid, bytes));
             }
             _ => {
-                self.open.remove(uid);
-                self.recalled.remove(uid);
-                self.batch.remove(ATTEMPT, uid);
+                self.by_uid.remove(uid);
+                self.restored.remove(uid);
+                self.batch.remove(RECORD_KIND, uid);
             }
         }
     }
--- a/crates/planner/src/words.rs
+++ b/crates/planner/src/convert.rs
@@ -1,8 +1,10 @@
-//! Published objects and answers in the policy's words. The one place for this direction.
+//! Conversion of API objects, nodes' answers and task endings to the policy's types. Called by [`crate::core::Core`] and
+//! by the client of nodes; the opposite direction stands where it is used.
 
 use std::hash::Hasher;
 use tidespur_api::{Object, meta, names, quantity};
 use tidespur_config::Config;
+use tidespur_planner_protocol::TerminationReason;
 use tidespur_policy::interface::{
     AttemptOutcome, Endpoint, EndpointStatus, FailureCause, LoadReport, MachineId, Resources,
     ServiceId,
@@ -14,64 +16,53 @@
     hasher.finish()
 }
 
-/// A node's number, the same at every planner.
-pub fn machine(node: &str) -> MachineId {
+/// The id of a node; the same at every planner.
+pub fn machine_id(node: &str) -> MachineId {
     MachineId(hash(node))
 }
 
-/// A service's number, the same at every planner.
-pub fn service(name: &str) -> ServiceId {
+/// The id of a service; the same at every planner.
+pub fn service_id(name: &str) -> ServiceId {
     ServiceId(hash(name))
 }
 
-/// A zone's or rack's number, the same at every planner.
-pub fn place(name: &str) -> usize {
+/// The id of a zone or rack; the same at every planner.
+pub fn domain_id(name: &str) -> usize {
     hash(name) as usize
 }
 
-/// What a Node in the register's list says.
+/// A Node of the node list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedNode {
     /// Its name.
     pub name: String,
-    /// Where it takes Pods.
+    /// `host:port` where it accepts Pods.
     pub address: String,
-    /// Its zone, for people.
+    /// Name of its zone.
     pub zone: String,
-    /// The line of the list.
-    pub entry: Endpoint,
+    /// The policy's endpoint.
+    pub endpoint: Endpoint,
 }
 
-/// Reads a Node; `None` where its kind is not in the settings or it says nowhere to send to.
-pub fn node(object: &Object, config: &Config) -> Option<Listed> {
+/// Reads a Node; `None` where its instance type is not in the settings or it has no address.
+pub fn read_node(object: &Object, config: &Config) -> Option<ListedNode> {
     let name = meta::name(object).to_owned();
-    let kind = config
+    let machine_type = config
         .node_types
         .get_index_of(meta::label(object, names::INSTANCE_TYPE)?)?;
     let number = |key| meta::annotation(object, key).and_then(|text| text.parse::<f64>().ok());
     let zone = meta::label(object, names::ZONE).unwrap_or("");
-    // Two racks of one name in two zones are two racks.
+    // Racks of the same name in different zones are different racks.
     let rack = format!("{zone}/{}", meta::label(object, names::RACK).unwrap_or(""));
     let allocatable =
         |key| quantity::parse(meta::text_at(object, &["status", "allocatable", key])).ok();
-    let unready = meta::value_at(object, &["status", "conditions"])
-        .as_array()
-        .is_some_and(|list| {
-            list.iter()
-                .any(|c| c["type"] == "Ready" && c["status"] != "True")
-        });
-    let standing = match meta::value_at(object, &["spec", "unschedulable"]).as_bool() {
-        _ if unready => EndpointStatus::Gone,
-        Some(true) => EndpointStatus::Draining,
-        _ => EndpointStatus::Ready,
-    };
     let memory = allocatable("memory").map(|bytes| bytes / names::MEMORY_UNIT);
-    let entry = Endpoint {
-        machine: machine(&name),
-        machine_type: kind,
-        cell: place(&rack),
-        zone: place(zone),
-        status: standing,
+    let endpoint = Endpoint {
+        machine: machine_id(&name),
+        machine_type,
+        cell: domain_id(&rack),
+        zone: domain_id(zone),
+        status: endpoint_status(object),
         started_at: number(names::STARTED_AT),
         unclaimed: Resources::new(
             number(names::UNCLAIMED_CPU)
@@ -81,16 +72,33 @@
         ),
     };
     let address = meta::annotation(object, names::ADDRESS)?.to_owned();
-    Some(Listed {
+    Some(ListedNode {
         name,
         address,
         zone: zone.to_owned(),
-        entry,
+        endpoint,
     })
 }
 
-/// Reads the load header.
-pub fn report(header: &str) -> Option<LoadReport> {
+fn endpoint_status(node: &Object) -> EndpointStatus {
+    let conditions = meta::value_at(node, &["status", "conditions"]).as_array();
+    let is_unready = conditions
+        .into_iter()
+        .flatten()
+        .any(|condition| condition["type"] == "Ready" && condition["status"] != "True");
+    let is_unschedulable = meta::value_at(node, &["spec", "unschedulable"]).as_bool();
+    if is_unready {
+        EndpointStatus::Gone
+    } else if is_unschedulable == Some(true) {
+        EndpointStatus::Draining
+    } else {
+        EndpointStatus::Ready
+    }
+}
+
+/// Reads a load report from the value of its header: `key=number` pairs separated by semicolons. `None` where it is
+/// malformed.
+pub fn read_load_report(header: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in header.split(';') {
         let (key, value) = pair.split_once('=')?;
@@ -100,18 +108,18 @@
             "memory" => report.free_memory = Some(value),
             "queue" => report.queued = Some(value),
             "util" => report.cpu_utilization = Some(value),
-            // A newer node may tell more.
+            // A newer node may report more.
             _ => {}
         }
     }
     Some(report)
 }
 
-/// What a node's answer to an offer says: `None` where it was accepted.
-pub fn answer(status: u16, body: &Object) -> Option<AttemptOutcome> {
+/// The outcome of an offer by the node's response; `None` where the node accepted it.
+pub fn read_offer_outcome(status: u16, body: &Object) -> Option<AttemptOutcome> {
     let cause = meta::value_at(body, &["details", "causes"])
         .get(0)
-        .map_or("", |c| meta::text_at(c, &["reason"]));
+        .map_or("", |cause| meta::text_at(cause, &["reason"]));
     Some(match (status, cause) {
         (200..=299, _) => return None,
         (429, _) => AttemptOutcome::Rejected(FailureCause::QueueFull),
@@ -122,51 +130,24 @@
     })
 }
 
-/// What a node's words for why it turned an offer away are, for people.
-pub fn refusal(status: u16, body: &Object) -> String {
+/// Longest message of a node that is kept, in characters.
+const MAX_MESSAGE_CHARS: usize = 200;
+
+/// A node's message about an offer that it did not accept, for people.
+pub fn read_message(status: u16, body: &Object) -> String {
     let message = meta::text_at(body, &["message"]);
     if message.is_empty() {
         format!("status {status}")
     } else {
-        message.chars().take(200).collect()
-    }
-}
-
-/// How a Pod at a node stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AtNode {
-    /// Accepted.
-    Waits,
-    /// It runs.
-    Runs,
-    /// It has ended.
-    Over(tidespur_planner_protocol::TerminationReason),
-}
-
-/// Reads the state of a Pod at a node.
-pub fn at_node(pod: &Object) -> AtNode {
-    use tidespur_planner_protocol::TerminationReason;
-    match (
-        meta::text_at(pod, &["status", "phase"]),
-        meta::text_at(pod, &["status", "reason"]),
-    ) {
-        ("Running", _) => AtNode::Runs,
-        ("Succeeded", _) => AtNode::Over(TerminationReason::Succeeded),
-        ("Failed", "Evicted") => AtNode::Over(TerminationReason::Evicted),
-        ("Failed", "Preempting") => AtNode::Over(TerminationReason::Preempted),
-        ("Failed", "Terminated" | "NodeShutdown") => AtNode::Over(TerminationReason::Drained),
-        ("Failed", "Deleted") => AtNode::Over(TerminationReason::Stopped),
-        ("Failed", _) => AtNode::Over(TerminationReason::Failed),
-        _ => AtNode::Waits,
+        message.chars().take(MAX_MESSAGE_CHARS).collect()
     }
 }
 
-/// An end in the policy's words.
-pub fn ending(end: tidespur_planner_protocol::TerminationReason) -> AttemptOutcome {
-    use tidespur_planner_protocol::TerminationReason;
-    match end {
+/// The outcome of an accepted attempt by the reason for its task's end.
+pub fn attempt_outcome(reason: TerminationReason) -> AttemptOutcome {
+    match reason {
         TerminationReason::Succeeded => AttemptOutcome::Finished,
-        // The program ran to its own end; that says nothing about the machine.
+        // The program ran to its end, whatever its exit code: that says nothing about the machine.
         TerminationReason::Failed => AttemptOutcome::Finished,
         TerminationReason::Evicted => AttemptOutcome::Interrupted(FailureCause::Evicted),
         TerminationReason::Preempted => AttemptOutcome::Interrupted(FailureCause::Preempted),
--- /dev/null
+++ b/crates/planner/src/core/locate.rs
@@ -0,0 +1,40 @@
+//! Answers to edges' questions where a task is.
+
+use super::{Core, LocateQuery, Step};
+use tidespur_planner_protocol::{Location, TerminationReason, ToEdge};
+
+/// How long a question waits until every node has reported, in seconds.
+pub(super) const LOCATE_TIMEOUT: f64 = 1.5;
+
+impl Core {
+    /// Answers the questions that can be answered, or whose time is over.
+    pub(super) fn answer_locate_queries(&mut self, step: &mut Step<'_>) {
+        for query in std::mem::take(&mut self.locate_queries) {
+            let location = self.locate(&query);
+            if location == Location::Unknown && step.now < query.asked_at + LOCATE_TIMEOUT {
+                self.locate_queries.push(query);
+                continue;
+            }
+            let uid = query.uid;
+            step.send(query.edge, ToEdge::Located { uid, location });
+        }
+    }
+
+    fn locate(&self, query: &LocateQuery) -> Location {
+        if !self.has_node_list {
+            return Location::Unknown;
+        }
+        let location = self.nodes.locate(&query.pod, &query.uid, query.asked_at);
+        let excludes_run = match location {
+            Location::Ended(TerminationReason::Succeeded) => false,
+            Location::NotFound | Location::Ended(_) => true,
+            Location::At(_) | Location::Unknown => false,
+        };
+        // An earlier process may have offered the task to a node that has not reported since.
+        let has_reported = |node: &str| self.nodes.has_reported(node);
+        if excludes_run && self.attempts.may_run_unseen(&query.uid, has_reported) {
+            return Location::Unknown;
+        }
+        location
+    }
+}
--- /dev/null
+++ b/crates/planner/src/edge_connections.rs
@@ -0,0 +1,161 @@
+//! Connections to edges.
+
+use crate::core::Input;
+use crate::process::{PlannerProcess, RECONNECT_BACKOFF};
+use crate::task_table::EdgeId;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use tidespur_net::{clock, frames, routes::Routes};
+use tidespur_planner_protocol::{ToEdge, ToPlanner};
+
+/// Connections to edges at once.
+const MAX_EDGE_CONNECTIONS: usize = 256;
+/// An edge must accept a connection within this, in seconds.
+const CONNECT_TIMEOUT: f64 = 1.0;
+
+/// Why a connection to an edge ended.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    #[error("the edge did not accept a connection within {CONNECT_TIMEOUT} s")]
+    ConnectTimeout,
+    #[error("{0}")]
+    Socket(#[from] std::io::Error),
+    #[error("{0}")]
+    Session(Box<dyn std::error::Error + Send + Sync>),
+}
+
+impl PlannerProcess {
+    /// Keeps a connection to an edge, and opens it again whenever it ends.
+    async fn follow_edge(&self, id: EdgeId, address: &str) {
+        loop {
+            match self.serve_edge(id, address).await {
+                Ok(()) => {
+                    tracing::info!(planner = self.name, edge = address, "connection closed");
+                }
+                Err(error) => {
+                    tracing::debug!(planner = self.name, edge = address, %error, "not connected");
+                }
+            }
+            self.edges.lock().remove(&id);
+            self.send_input(Input::EdgeDisconnected(id)).await;
+            clock::sleep(RECONNECT_BACKOFF).await;
+        }
+    }
+
+    /// Connects to an edge and exchanges messages until the connection ends.
+    async fn serve_edge(&self, id: EdgeId, address: &str) -> Result<(), ConnectionError> {
+        let routes = Routes::from_file(self.options.shared.routes.clone());
+        let connect = smol::net::TcpStream::connect(routes.resolve(address));
+        let socket = clock::timeout(CONNECT_TIMEOUT, connect)
+            .await
+            .ok_or(ConnectionError::ConnectTimeout)??;
+        socket.set_nodelay(true)?;
+        let (sender, queue) = async_channel::bounded(frames::MAX_QUEUED_MESSAGES);
+        let hello = ToEdge::Hello {
+            planner: self.name.clone(),
+            ordinal: self.options.ordinal,
+        };
+        sender
+            .try_send(hello)
+            .map_err(|error| ConnectionError::Session(error.into()))?;
+        self.edges.lock().insert(id, sender.clone());
+        let read = |message| {
+            if message == ToPlanner::Heartbeat {
+                return None;
+            }
+            self.recorder
+                .record("heard", || json!({"message": message}));
+            Some(Input::EdgeMessage(id, message))
+        };
+        let reader = frames::FrameReader::new(socket.clone());
+        let session = frames::Session {
+            queue,
+            send: sender,
+            heartbeat: ToEdge::Heartbeat,
+        };
+        let timeout = self.config.planner.edge_timeout;
+        frames::run_session(socket, reader, session, timeout, read, &self.inputs)
+            .await
+            .map_err(|error| ConnectionError::Session(error.into()))
+    }
+}
+
+/// How an edge's address became known.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Source {
+    /// Given on the command line: its connection is kept for the life of the process.
+    Static,
+    /// Found in the fleet.
+    Discovered,
+}
+
+/// A connection that is kept to an edge; dropping it closes the connection.
+struct EdgeConnection {
+    id: EdgeId,
+    source: Source,
+    _task: smol::Task<()>,
+}
+
+/// The connections to edges, by address.
+#[derive(Default)]
+pub(crate) struct EdgeConnections {
+    by_address: BTreeMap<String, EdgeConnection>,
+    next_id: u64,
+}
+
+impl EdgeConnections {
+    /// Connects to an edge of the command line.
+    pub(crate) fn open_static(&mut self, process: &Arc<PlannerProcess>, address: &str) {
+        self.open(process, address, Source::Static);
+    }
+
+    /// Connects to an edge of the fleet.
+    pub(crate) fn open_discovered(&mut self, process: &Arc<PlannerProcess>, address: &str) {
+        self.open(process, address, Source::Discovered);
+    }
+
+    fn open(&mut self, process: &Arc<PlannerProcess>, address: &str, source: Source) {
+        let is_full = self.by_address.len() >= MAX_EDGE_CONNECTIONS;
+        if self.by_address.contains_key(address) || is_full {
+            return;
+        }
+        let id = EdgeId(self.next_id);
+        self.next_id += 1;
+        let process = process.clone();
+        let dialled = address.to_owned();
+        let task = smol::spawn(async move { process.follow_edge(id, &dialled).await });
+        let connection = EdgeConnection {
+            id,
+            source,
+            _task: task,
+        };
+        self.by_address.insert(address.to_owned(), connection);
+    }
+
+    /// Stops dialling edges of the fleet whose address no member has any more. An open connection is kept until it
+    /// ends: it is better evidence than the membership view.
+    pub(crate) fn close_unknown(&mut self, process: &Arc<PlannerProcess>, known: &[&str]) {
+        let is_gone = |address: &str, connection: &EdgeConnection| {
+            connection.source == Source::Discovered
+                && !known.contains(&address)
+                && !process.edges.lock().contains_key(&connection.id)
+        };
+        let gone: Vec<String> = self
+            .by_address
+            .iter()
+            .filter(|(address, connection)| is_gone(address, connection))
+            .map(|(address, _)| address.clone())
+            .collect();
+        for address in gone {
+            let Some(connection) = self.by_address.remove(&address) else {
+                continue;
+            };
+            let id = connection.id;
+            let process = process.clone();
+            // Detached, as it only waits for a place in the queue of inputs.
+            smol::spawn(async move { process.send_input(Input::EdgeDisconnected(id)).await })
+                .detach();
+        }
+    }
+}
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -1,6 +1,7 @@
-//! `tidespur-planner`: the program that plans.
+//! `tidespur-planner`: the planner as a program of its own.
 
 use clap::Parser;
+use std::error::Error;
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -12,7 +13,7 @@
 )]
 struct Arguments {
     #[command(subcommand)]
-    front: Option<Front>,
+    command: Option<Command>,
     #[command(flatten)]
     options: Option<tidespur_planner::Options>,
     /// Lines of the log as JSON
@@ -21,30 +22,54 @@
 }
 
 #[derive(clap::Subcommand)]
-enum Front {
+enum Command {
     /// Serve the operators' platform and nothing else; RELAY_CONFIG names the configuration
     Platform,
 }
 
+/// Why the program ends.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Gateway(#[from] tidespur_gateway_net::StartError),
+    #[error(transparent)]
+    Config(#[from] tidespur_config::ConfigError),
+    #[error(transparent)]
+    Planner(#[from] tidespur_planner::RunError),
+    /// The command line names neither the options of a planner nor a subcommand.
+    #[error("--edge and --register are needed, or the subcommand `platform`")]
+    MissingOptions,
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     tidespur_net::init_logging(arguments.log_json);
-    let ran = match (arguments.front, arguments.options) {
-        (Some(Front::Platform), _) => tidespur_gateway_net::run().map_err(|e| e.to_string()),
-        (None, Some(options)) => tidespur_config::load_or_default(options.shared.config.as_deref())
-            .map_err(|e| e.to_string())
-            .and_then(|config| {
-                smol::block_on(tidespur_planner::run(config, options)).map_err(|e| e.to_string())
-            }),
-        (None, None) => {
-            Err("--edge and --register are needed, or the subcommand `platform`".into())
-        }
-    };
-    match ran {
+    match run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("tidespur-planner: {problem}");
+        Err(error) => {
+            eprintln!("tidespur-planner: {}", with_causes(&error));
             ExitCode::FAILURE
         }
     }
 }
+
+fn run(arguments: Arguments) -> Result<(), ProgramError> {
+    if let Some(Command::Platform) = arguments.command {
+        return Ok(tidespur_gateway_net::run()?);
+    }
+    let options = arguments.options.ok_or(ProgramError::MissingOptions)?;
+    let config = tidespur_config::load_or_default(options.shared.config.as_deref())?;
+    Ok(smol::block_on(tidespur_planner::run(config, options))?)
+}
+
+/// The message of an error, followed by those of its causes.
+fn with_causes(error: &dyn Error) -> String {
+    let mut message = error.to_string();
+    let mut cause = error.source();
+    while let Some(error) = cause {
+        message.push_str(": ");
+        message.push_str(&error.to_string());
+        cause = error.source();
+    }
+    message
+}
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -1,115 +1,150 @@
-//! What a planner hears from nodes: which Pods they hold, and since when they are silent.
+//! What a planner knows of nodes: the Pods that they hold, and the state of the connections to them. Owned by
+//! [`crate::core::Core`].
 
-use crate::words::AtNode;
+use crate::pod::{ObservedPod, PodName, PodPhase};
 use std::collections::BTreeMap;
 use tidespur_planner_protocol::{Location, TerminationReason};
-use tidespur_policy::interface::Endpoint;
+use tidespur_policy::interface::{Endpoint, MachineId};
 
-/// How the watch on a node stands.
+/// State of the watch on a node's Pods.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// No word yet, or none now: it may hold anything.
-    Unheard,
-    /// Its watch stands.
-    Watched,
-    /// It refuses connections: its process is dead, and what it held with it.
-    Dead,
-}
-
-/// A Pod at a node.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    /// Uid of the request that it was offered for.
-    pub uid: String,
-    /// Uid of the Pod there.
-    pub pod_uid: String,
-    /// How it stands.
-    pub at: AtNode,
+pub enum ConnectionState {
+    /// Not connected yet, or not now: the node may hold any Pods.
+    Disconnected,
+    /// The watch is open.
+    Connected,
+    /// The node refuses connections: its process has ended, and its Pods with it.
+    Refused,
 }
 
 /// One node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it takes Pods.
+    /// `host:port` where it accepts Pods.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// How the watch stands.
-    pub standing: Standing,
-    /// When it was last heard.
-    pub heard: f64,
-    /// The register lists it.
-    pub listed: bool,
-    /// What the register says of it.
-    pub entry: Option<Endpoint>,
-    /// What it holds, by namespace and name.
-    pub pods: BTreeMap<(String, String), Held>,
+    /// State of the watch on its Pods.
+    pub connection: ConnectionState,
+    /// When something of it was last received, in seconds; negative infinity before the first time.
+    pub last_received: f64,
+    /// Whether the node list has it.
+    pub is_listed: bool,
+    /// The node list's entry.
+    pub endpoint: Option<Endpoint>,
+    /// Its Pods.
+    pub pods: BTreeMap<PodName, ObservedPod>,
 }
 
 impl Node {
-    /// Whether it has said what it holds, since this process began.
-    pub fn is_known(&self) -> bool {
-        self.heard.is_finite()
+    /// Whether it has reported its Pods since this process started.
+    pub fn has_reported(&self) -> bool {
+        self.last_received.is_finite()
+    }
+
+    /// Notes that something was received from the node.
+    pub fn on_received(&mut self, now: f64) {
+        self.connection = ConnectionState::Connected;
+        self.last_received = now;
     }
 }
 
 /// All nodes, by name.
 #[derive(Debug, Default)]
-pub struct Nodes(pub BTreeMap<String, Node>);
-
-impl Nodes {
-    /// Takes in a listed node; true where its watch is to be opened (anew).
-    pub fn list(&mut self, name: &str, address: &str, zone: &str) -> bool {
-        match self.0.get_mut(name) {
-            Some(node) => {
-                let moved = node.address != address;
-                (node.listed, node.address, node.zone) =
-                    (true, address.to_owned(), zone.to_owned());
-                moved
-            }
-            None => {
-                let node = Node {
-                    address: address.to_owned(),
-                    zone: zone.to_owned(),
-                    standing: Standing::Unheard,
-                    heard: f64::NEG_INFINITY,
-                    listed: true,
-                    entry: None,
-                    pods: BTreeMap::new(),
-                };
-                self.0.insert(name.to_owned(), node);
-                true
-            }
+pub struct NodeTable {
+    nodes: BTreeMap<String, Node>,
+}
+
+impl NodeTable {
+    /// The node of this name.
+    pub fn get(&self, name: &str) -> Option<&Node> {
+        self.nodes.get(name)
+    }
+
+    /// The node of this name.
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut Node> {
+        self.nodes.get_mut(name)
+    }
+
+    /// All nodes, in the order of their names.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &Node)> {
+        self.nodes.iter().map(|(name, node)| (name.as_str(), node))
+    }
+
+    /// A Pod that a node has reported.
+    pub fn pod(&self, node: &str, pod: &PodName) -> Option<&ObservedPod> {
+        self.get(node)?.pods.get(pod)
+    }
+
+    /// Whether a node has reported its Pods since this process started.
+    pub fn has_reported(&self, node: &str) -> bool {
+        self.get(node).is_some_and(Node::has_reported)
+    }
+
+    /// Adds or updates a node of the node list; returns whether a watch has to be opened, as the node is new or has a
+    /// new address.
+    pub fn insert_listed(&mut self, name: &str, address: &str, zone: &str) -> bool {
+        if let Some(node) = self.nodes.get_mut(name) {
+            let has_moved = node.address != address;
+            node.is_listed = true;
+            node.address = address.to_owned();
+            node.zone = zone.to_owned();
+            return has_moved;
         }
+        let node = Node {
+            address: address.to_owned(),
+            zone: zone.to_owned(),
+            connection: ConnectionState::Disconnected,
+            last_received: f64::NEG_INFINITY,
+            is_listed: true,
+            endpoint: None,
+            pods: BTreeMap::new(),
+        };
+        self.nodes.insert(name.to_owned(), node);
+        true
     }
 
-    /// Where a task is that was once offered under this name. `since`: nodes heard after this are sure of theirs.
-    pub fn locate(&self, tenant: &str, name: &str, uid: &str, since: f64) -> Location {
-        let key = (tenant.to_owned(), name.to_owned());
-        let (mut ended, mut unclear) = (None, false);
-        for (node_name, node) in &self.0 {
-            match node
-                .pods
-                .get(&key)
-                .or_else(|| node.pods.values().find(|held| held.uid == uid))
-            {
-                Some(Held {
-                    at: AtNode::Over(end),
-                    ..
-                }) => ended = Some(*end),
-                Some(_) if node.standing != Standing::Dead => {
-                    return Location::At(node_name.clone());
+    /// Where a task is that was offered as this Pod. Only what nodes have reported after `since` proves that they do
+    /// not hold it.
+    pub fn locate(&self, pod: &PodName, uid: &str, since: f64) -> Location {
+        let mut ended = None;
+        let mut may_be_held = false;
+        for (name, node) in &self.nodes {
+            let has_uid = |observed: &&ObservedPod| observed.request_uid == uid;
+            let by_uid = || node.pods.values().find(has_uid);
+            match node.pods.get(pod).or_else(by_uid).map(|held| held.phase) {
+                Some(PodPhase::Terminated(reason)) => ended = Some(reason),
+                Some(_) if node.connection != ConnectionState::Refused => {
+                    return Location::At(name.clone());
                 }
                 _ => {}
             }
-            // One that has left the list and stays silent counts as gone, with what it held.
-            unclear |= node.listed && node.standing != Standing::Dead && node.heard <= since;
+            // A silent node that is not listed counts as removed, and its Pods with it.
+            may_be_held |= node.is_listed
+                && node.connection != ConnectionState::Refused
+                && node.last_received <= since;
         }
         match ended {
             Some(TerminationReason::Succeeded) => Location::Ended(TerminationReason::Succeeded),
-            _ if unclear => Location::Unknown,
-            Some(end) => Location::Ended(end),
+            _ if may_be_held => Location::Unknown,
+            Some(reason) => Location::Ended(reason),
             None => Location::NotFound,
         }
     }
 }
+
+/// The names of the policy's machines.
+#[derive(Debug, Default)]
+pub struct MachineNames(BTreeMap<MachineId, String>);
+
+impl MachineNames {
+    /// Adds the name of a machine.
+    pub fn insert(&mut self, id: MachineId, node: &str) {
+        self.0.entry(id).or_insert_with(|| node.to_owned());
+    }
+
+    /// The name of a machine.
+    pub fn get(&self, id: MachineId) -> Option<&str> {
+        self.0.get(&id).map(String::as_str)
+    }
+}
--- a/crates/planner/src/options.rs
+++ b/crates/planner/src/options.rs
@@ -1,6 +1,6 @@
-//! What the program is started with.
+//! Command-line options of the planner.
 
-/// What the program is started with.
+/// Command-line options of the planner.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
     /// Options that edge and planner have in common
--- /dev/null
+++ b/crates/planner/src/pod.rs
@@ -0,0 +1,98 @@
+//! Pods as nodes report them.
+
+use serde::{Deserialize, Serialize};
+use tidespur_api::{Object, meta, names};
+use tidespur_planner_protocol::TerminationReason;
+
+/// Namespace and name of a Pod at a node. Serialized as a pair.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(String, String)", into = "(String, String)")]
+pub struct PodName {
+    /// Its namespace.
+    pub namespace: String,
+    /// Its name in the namespace.
+    pub name: String,
+}
+
+impl PodName {
+    /// A Pod of this namespace and name.
+    pub fn new(namespace: &str, name: &str) -> Self {
+        Self {
+            namespace: namespace.to_owned(),
+            name: name.to_owned(),
+        }
+    }
+}
+
+impl From<(String, String)> for PodName {
+    fn from((namespace, name): (String, String)) -> Self {
+        Self { namespace, name }
+    }
+}
+
+impl From<PodName> for (String, String) {
+    fn from(pod: PodName) -> Self {
+        (pod.namespace, pod.name)
+    }
+}
+
+/// The phase of a Pod at a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PodPhase {
+    /// The node has accepted it, and it does not run yet.
+    Pending,
+    /// It runs.
+    Running,
+    /// It has ended.
+    Terminated(TerminationReason),
+}
+
+impl PodPhase {
+    /// Reads the phase of a Pod from its status.
+    pub fn read(pod: &Object) -> Self {
+        let phase = meta::text_at(pod, &["status", "phase"]);
+        let reason = meta::text_at(pod, &["status", "reason"]);
+        match (phase, reason) {
+            ("Running", _) => Self::Running,
+            ("Succeeded", _) => Self::Terminated(TerminationReason::Succeeded),
+            ("Failed", "Evicted") => Self::Terminated(TerminationReason::Evicted),
+            ("Failed", "Preempting") => Self::Terminated(TerminationReason::Preempted),
+            ("Failed", "Terminated" | "NodeShutdown") => {
+                Self::Terminated(TerminationReason::Drained)
+            }
+            ("Failed", "Deleted") => Self::Terminated(TerminationReason::Stopped),
+            ("Failed", _) => Self::Terminated(TerminationReason::Failed),
+            _ => Self::Pending,
+        }
+    }
+
+    /// Whether the Pod has ended.
+    pub fn is_terminated(self) -> bool {
+        matches!(self, Self::Terminated(_))
+    }
+}
+
+/// A Pod that a node has reported.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ObservedPod {
+    /// Uid of the request that the Pod was offered for.
+    pub request_uid: String,
+    /// Uid of the Pod at the node.
+    pub pod_uid: String,
+    /// Its phase.
+    pub phase: PodPhase,
+}
+
+impl ObservedPod {
+    /// Reads a Pod of a node: its name, and what is kept of it.
+    pub fn read(pod: &Object) -> (PodName, Self) {
+        let name = PodName::new(meta::namespace(pod), meta::name(pod));
+        let request_uid = meta::annotation(pod, names::EDGE_POD_UID).unwrap_or("");
+        let observed = Self {
+            request_uid: request_uid.to_owned(),
+            pod_uid: meta::uid(pod).to_owned(),
+            phase: PodPhase::read(pod),
+        };
+        (name, observed)
+    }
+}
--- a/crates/planner/tests/attempts.rs
+++ b/crates/planner/tests/attempt_log.rs
@@ -8,8 +8,12 @@
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
 use tidespur_planner::core::{Core, Input, Output};
+use tidespur_planner::pod::PodName;
+use tidespur_planner::task_table::EdgeId;
 use tidespur_planner_protocol::{Location, ToEdge, ToPlanner};
 
+const EDGE: EdgeId = EdgeId(1);
+
 const UID: &str = "6d0f-1";
 
 fn after(batches: &[Batch]) -> LoadedRecords {
@@ -27,7 +31,7 @@
 }
 
 fn remembering() -> Attempts {
-    Attempts::recall(&LoadedRecords::default()).unwrap()
+    Attempts::load(&LoadedRecords::default()).unwrap()
 }
 
 fn node(name: &str) -> Value {
@@ -39,13 +43,16 @@
 /// A planner that comes back with these attempts, in a register that lists these nodes.
 fn planner(attempts: Attempts, listed: &[&str]) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
-    let mut core = core.recalling(attempts, Fence::default());
+    let mut core = core.with_restored_state(attempts, Fence::default());
     let list = listed.iter().map(|name| node(name)).collect();
-    core.step(0.0, vec![Input::ListWhole(list)], &mut vec![]);
+    core.step(0.0, vec![Input::NodesListed(list)], &mut vec![]);
     for name in listed {
         core.step(
             0.1,
-            vec![Input::NodeHolds((*name).to_owned(), vec![])],
+            vec![Input::PodsListed {
+                node: (*name).to_owned(),
+                pods: vec![],
+            }],
             &mut vec![],
         );
     }
@@ -57,7 +64,7 @@
     for tenth in 1..=(seconds * 10.0) as u32 {
         let heard = nodes
             .iter()
-            .map(|node| Input::NodeHeard((*node).to_owned()))
+            .map(|node| Input::NodeAlive((*node).to_owned()))
             .collect();
         core.step(from + f64::from(tenth) / 10.0, heard, out);
     }
@@ -70,10 +77,10 @@
         name: "n".into(),
     };
     let mut out = Vec::new();
-    core.step(now, vec![Input::Edge(1, ask)], &mut out);
+    core.step(now, vec![Input::EdgeMessage(EDGE, ask)], &mut out);
     pass(core, now, 2.0, nodes, &mut out);
     let found = out.into_iter().find_map(|output| match output {
-        Output::Edge(
+        Output::SendToEdge(
             _,
             ToEdge::Located {
                 location: found, ..
@@ -87,8 +94,8 @@
 /// Offered to `b` by a process that is no more.
 fn offered() -> LoadedRecords {
     let mut attempts = remembering();
-    attempts.sent(UID, ("default", "n"), "b", 5.0);
-    after(&[attempts.take()])
+    attempts.record_offer(UID, PodName::new("default", "n"), "b", 5.0);
+    after(&[attempts.take_batch()])
 }
 
 #[test]
@@ -98,22 +105,29 @@
         locate(&mut planner(remembering(), &["a"]), 0.5, &["a"]),
         Location::NotFound
     );
-    let mut core = planner(Attempts::recall(&offered()).unwrap(), &["a"]);
+    let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
     assert_eq!(locate(&mut core, 0.5, &["a"]), Location::Unknown);
     // The node comes back last, without it.
     pass(&mut core, 2.5, 5.0, &["a"], &mut vec![]);
-    core.step(7.6, vec![Input::ListChange(node("b"), false)], &mut vec![]);
-    core.step(7.7, vec![Input::NodeHolds("b".into(), vec![])], &mut vec![]);
+    core.step(7.6, vec![Input::NodeUpdated(node("b"))], &mut vec![]);
+    core.step(
+        7.7,
+        vec![Input::PodsListed {
+            node: "b".into(),
+            pods: vec![],
+        }],
+        &mut vec![],
+    );
     assert_eq!(locate(&mut core, 7.8, &["a", "b"]), Location::NotFound);
 }
 
 #[test]
 fn a_node_that_the_register_takes_off_its_list_takes_its_attempts_with_it() {
-    let mut core = planner(Attempts::recall(&offered()).unwrap(), &["a"]);
-    core.step(0.3, vec![Input::ListChange(node("b"), false)], &mut vec![]);
-    core.step(0.4, vec![Input::ListChange(node("b"), true)], &mut vec![]);
+    let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
+    core.step(0.3, vec![Input::NodeUpdated(node("b"))], &mut vec![]);
+    core.step(0.4, vec![Input::NodeDeleted(node("b"))], &mut vec![]);
     assert!(
-        !core.remember().is_empty(),
+        !core.take_batch().is_empty(),
         "what is forgotten is forgotten on the disk too"
     );
     assert_eq!(locate(&mut core, 0.5, &["a"]), Location::NotFound);
@@ -123,28 +137,28 @@
 fn what_is_proved_is_forgotten_and_what_is_not_stays() {
     let mut attempts = remembering();
     let mut batches = Vec::new();
-    attempts.sent("a", ("t", "x"), "n1", 5.0);
-    attempts.sent("b", ("t", "y"), "n1", 5.0);
-    attempts.sent("b", ("t", "y"), "n2", 6.0);
-    batches.push(attempts.take());
-    attempts.proved("b", "n2");
-    attempts.proved("b", "n2");
+    attempts.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
+    attempts.record_offer("b", PodName::new("t", "y"), "n1", 5.0);
+    attempts.record_offer("b", PodName::new("t", "y"), "n2", 6.0);
+    batches.push(attempts.take_batch());
+    attempts.clear("b", "n2");
+    attempts.clear("b", "n2");
     // An offer that is still good may be on its way: the node's list proves nothing yet.
     let (none, names) = (BTreeSet::new(), BTreeSet::new());
-    attempts.holds(5.5, "n1", &none, &names);
-    batches.push(attempts.take());
-    assert_eq!(Attempts::recall(&after(&batches)).unwrap().len(), 2);
-    attempts.holds(6.5, "n1", &BTreeSet::from(["a"]), &names);
-    batches.push(attempts.take());
-    let back = Attempts::recall(&after(&batches)).unwrap();
+    attempts.reconcile(5.5, "n1", &none, &names);
+    batches.push(attempts.take_batch());
+    assert_eq!(Attempts::load(&after(&batches)).unwrap().len(), 2);
+    attempts.reconcile(6.5, "n1", &BTreeSet::from(["a"]), &names);
+    batches.push(attempts.take_batch());
+    let back = Attempts::load(&after(&batches)).unwrap();
     assert_eq!(back.len(), 1);
     assert!(
-        back.unsure("a", |_| false)
-            && !back.unsure("a", |node| node == "n1")
-            && !back.unsure("b", |_| false)
+        back.may_run_unseen("a", |_| false)
+            && !back.may_run_unseen("a", |node| node == "n1")
+            && !back.may_run_unseen("b", |_| false)
     );
     // A process without a memory notes nothing.
     let mut off = Attempts::default();
-    off.sent("a", ("t", "x"), "n1", 5.0);
-    assert!(off.is_empty() && off.take().is_empty());
+    off.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
+    assert!(off.is_empty() && off.take_batch().is_empty());
 }
--- a/crates/planner/tests/compatibility.rs
+++ b/crates/planner/tests/compatibility.rs
@@ -6,26 +6,27 @@
 use tidespur_fixtures::{StoredFolder, assert_stored};
 use tidespur_persistence::{Batch, Identity, LoadedRecords};
 use tidespur_planner::attempts::{Attempt, Attempts};
+use tidespur_planner::pod::PodName;
 
 const ONE_NODE: &str = "6d0f0000-0001";
 const TWO_NODES: &str = "6d0f0000-0002";
-const PROVED: &str = "6d0f0000-0003";
+const CLEARED: &str = "6d0f0000-0003";
 
 fn written() -> Batch {
-    let mut attempts = Attempts::recall(&LoadedRecords::default()).unwrap();
-    attempts.sent(
+    let mut attempts = Attempts::load(&LoadedRecords::default()).unwrap();
+    attempts.record_offer(
         ONE_NODE,
-        ("default", "job-abcde"),
+        PodName::new("default", "job-abcde"),
         "node-0",
         1_000_000_000.25,
     );
-    attempts.sent(TWO_NODES, ("team-a", "pod-b"), "node-0", 2.0);
-    attempts.sent(TWO_NODES, ("team-a", "pod-b"), "node-1", 3.5);
-    attempts.sent(PROVED, ("default", "pod-c"), "node-1", 4.0);
-    attempts.proved(PROVED, "node-1");
+    attempts.record_offer(TWO_NODES, PodName::new("team-a", "pod-b"), "node-0", 2.0);
+    attempts.record_offer(TWO_NODES, PodName::new("team-a", "pod-b"), "node-1", 3.5);
+    attempts.record_offer(CLEARED, PodName::new("default", "pod-c"), "node-1", 4.0);
+    attempts.clear(CLEARED, "node-1");
     let mut fence = Fence::default();
     fence.admit("fleet", 70_000).unwrap();
-    let mut batch = attempts.take();
+    let mut batch = attempts.take_batch();
     batch.extend(fence.take_batch());
     batch
 }
@@ -39,11 +40,13 @@
     assert_stored(env!("CARGO_MANIFEST_DIR"), "planner", &owner, &written())
 }
 
-fn attempt(namespace: &str, name: &str, at: &[(&str, f64)]) -> Attempt {
-    let at = at.iter().map(|(node, until)| ((*node).to_owned(), *until));
+fn attempt(namespace: &str, name: &str, deadlines: &[(&str, f64)]) -> Attempt {
+    let deadlines = deadlines
+        .iter()
+        .map(|(node, deadline)| ((*node).to_owned(), *deadline));
     Attempt {
-        name: (namespace.into(), name.into()),
-        at: at.collect(),
+        pod: PodName::new(namespace, name),
+        offer_deadlines: deadlines.collect(),
     }
 }
 
@@ -74,19 +77,19 @@
 fn attempts_and_fence_are_whole_when_loaded_from_an_earlier_versions_folder() {
     let stored = stored();
 
-    let mut attempts = Attempts::recall(&stored.loaded).unwrap();
+    let mut attempts = Attempts::load(&stored.loaded).unwrap();
     let mut fence = Fence::load(&stored.loaded);
 
     assert_eq!(attempts.len(), 2);
-    assert!(attempts.unsure(ONE_NODE, |node| node != "node-0"));
-    assert!(!attempts.unsure(ONE_NODE, |node| node == "node-0"));
-    assert!(attempts.unsure(TWO_NODES, |node| node == "node-0"));
-    assert!(attempts.unsure(TWO_NODES, |node| node == "node-1"));
-    assert!(!attempts.unsure(PROVED, |_| false));
+    assert!(attempts.may_run_unseen(ONE_NODE, |node| node != "node-0"));
+    assert!(!attempts.may_run_unseen(ONE_NODE, |node| node == "node-0"));
+    assert!(attempts.may_run_unseen(TWO_NODES, |node| node == "node-0"));
+    assert!(attempts.may_run_unseen(TWO_NODES, |node| node == "node-1"));
+    assert!(!attempts.may_run_unseen(CLEARED, |_| false));
     assert_eq!(fence.admit("fleet", 69_999).unwrap_err().newest, 70_000);
-    attempts.gone("node-0");
+    attempts.clear_node("node-0");
     let left: Vec<(String, Option<Vec<u8>>)> = attempts
-        .take()
+        .take_batch()
         .changes()
         .map(|((kind, uid), value)| (format!("{kind} {uid}"), value.map(<[u8]>::to_vec)))
         .collect();
--- a/crates/planner/tests/core.rs
+++ b/crates/planner/tests/core_task_lifecycle.rs
@@ -3,10 +3,13 @@
 use serde_json::{Value, json};
 use tidespur_api::task::PlacementRequest;
 use tidespur_config::{Config, DEFAULT_CONFIG, parse};
-use tidespur_planner::core::{Answer, Core, Input, Output};
+use tidespur_planner::core::{Core, Input, Offer, OfferAnswer, Output};
+use tidespur_planner::task_table::EdgeId;
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, FailureCause};
 
+const EDGE: EdgeId = EdgeId(1);
+
 fn config() -> Config {
     parse("built-in", DEFAULT_CONFIG).unwrap()
 }
@@ -52,14 +55,17 @@
             now: 100.0,
         };
         let out = world.step(vec![Input::Tick]);
-        assert!(out.contains(&Output::Subscribe));
-        world.step(vec![Input::ListWhole(
+        assert!(out.contains(&Output::WatchNodeList));
+        world.step(vec![Input::NodesListed(
             nodes.iter().map(|n| node(n)).collect(),
         )]);
         world.step(
             nodes
                 .iter()
-                .map(|n| Input::NodeHolds((*n).to_owned(), vec![]))
+                .map(|n| Input::PodsListed {
+                    node: (*n).to_owned(),
+                    pods: vec![],
+                })
                 .collect(),
         );
         world
@@ -72,11 +78,17 @@
     }
 
     fn place(&mut self, uid: &str, class: &str) -> Vec<Output> {
-        let mut out = self.step(vec![Input::Edge(1, ToPlanner::Place(ask(uid, class)))]);
-        if out.contains(&Output::Edge(1, ToEdge::Acknowledged { uid: uid.into() })) {
+        let mut out = self.step(vec![Input::EdgeMessage(
+            EDGE,
+            ToPlanner::Place(ask(uid, class)),
+        )]);
+        if out.contains(&Output::SendToEdge(
+            EDGE,
+            ToEdge::Acknowledged { uid: uid.into() },
+        )) {
             let within = ask(uid, class).timeout.unwrap();
-            out = self.step(vec![Input::Edge(
-                1,
+            out = self.step(vec![Input::EdgeMessage(
+                EDGE,
                 ToPlanner::Commit {
                     uid: uid.into(),
                     timeout: within,
@@ -91,7 +103,11 @@
         let end = self.now + most;
         while self.now < end {
             self.now += 0.05;
-            if let Some(found) = self.step(vec![Input::Timer(0)]).iter().find_map(&holds) {
+            if let Some(found) = self
+                .step(vec![Input::TimerFired(0)])
+                .iter()
+                .find_map(&holds)
+            {
                 return Some(found);
             }
         }
@@ -105,12 +121,12 @@
 
 fn as_offer(out: &Output) -> Option<(tidespur_policy::interface::TaskId, u32, String)> {
     match out {
-        Output::Offer {
+        Output::Offer(Offer {
             task,
             attempt,
             node,
             ..
-        } => Some((*task, *attempt, node.clone())),
+        }) => Some((*task, *attempt, node.clone())),
         _ => None,
     }
 }
@@ -118,7 +134,7 @@
 fn told(out: &[Output]) -> Vec<ToEdge> {
     out.iter()
         .filter_map(|o| {
-            if let Output::Edge(_, message) = o {
+            if let Output::SendToEdge(_, message) = o {
                 Some(message.clone())
             } else {
                 None
@@ -131,10 +147,10 @@
 fn a_task_is_placed_runs_and_ends() {
     let mut world = World::new(&["n1", "n2"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    let out = world.step(vec![Input::Answered {
+    let out = world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
     }]);
     assert_eq!(
         told(&out),
@@ -143,17 +159,15 @@
             node: at.clone()
         }]
     );
-    let out = world.step(vec![Input::NodePod(
-        at.clone(),
-        pod("u", "pod-u", "Running", ""),
-        false,
-    )]);
+    let out = world.step(vec![Input::PodUpdated {
+        node: at.clone(),
+        pod: pod("u", "pod-u", "Running", ""),
+    }]);
     assert_eq!(told(&out), [ToEdge::Started { uid: "u".into() }]);
-    let out = world.step(vec![Input::NodePod(
-        at.clone(),
-        pod("u", "pod-u", "Succeeded", ""),
-        false,
-    )]);
+    let out = world.step(vec![Input::PodUpdated {
+        node: at.clone(),
+        pod: pod("u", "pod-u", "Succeeded", ""),
+    }]);
     assert_eq!(
         told(&out),
         [ToEdge::Ended {
@@ -161,18 +175,17 @@
             reason: TerminationReason::Succeeded
         }]
     );
-    assert_eq!(world.core.tasks(), 0);
+    assert_eq!(world.core.task_count(), 0);
 }
 
 #[test]
 fn a_lost_answer_is_known_by_the_nodes_watch_and_its_time_out_means_nothing_then() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "slot-abgleich")).unwrap();
-    let out = world.step(vec![Input::NodePod(
-        at.clone(),
-        pod("u", "pod-u", "Pending", ""),
-        false,
-    )]);
+    let out = world.step(vec![Input::PodUpdated {
+        node: at.clone(),
+        pod: pod("u", "pod-u", "Pending", ""),
+    }]);
     assert_eq!(
         told(&out),
         [ToEdge::Placed {
@@ -180,9 +193,13 @@
             node: at
         }]
     );
-    let late = Answer::Ended(AttemptOutcome::TimedOut, "no answer in time".into(), None);
+    let late = OfferAnswer::NotAccepted {
+        outcome: AttemptOutcome::TimedOut,
+        message: "no answer in time".into(),
+        report: None,
+    };
     assert_eq!(
-        told(&world.step(vec![Input::Answered {
+        told(&world.step(vec![Input::OfferAnswered {
             task,
             attempt,
             answer: late
@@ -195,20 +212,20 @@
 fn an_unsafe_task_that_may_have_run_fails_and_is_not_sent_again() {
     let mut world = World::new(&["n1", "n2"]);
     let (task, attempt, _) = offer(&world.place("u", "slot-abgleich")).unwrap();
-    let broken = Answer::Ended(
-        AttemptOutcome::Interrupted(FailureCause::Unspecified),
-        "reset".into(),
-        None,
-    );
-    let out = world.step(vec![Input::Answered {
+    let broken = OfferAnswer::NotAccepted {
+        outcome: AttemptOutcome::Interrupted(FailureCause::Unspecified),
+        message: "reset".into(),
+        report: None,
+    };
+    let out = world.step(vec![Input::OfferAnswered {
         task,
         attempt,
         answer: broken,
     }]);
     assert_eq!(offer(&out), None);
     let later = world.until(3.0, |o| match o {
-        Output::Edge(_, message) => Some(message.clone()),
-        Output::Offer { .. } => panic!("sent again"),
+        Output::SendToEdge(_, message) => Some(message.clone()),
+        Output::Offer(_) => panic!("sent again"),
         _ => None,
     });
     let said = told(&out).pop().or(later);
@@ -219,25 +236,28 @@
 fn a_copy_of_a_safe_task_that_turns_up_elsewhere_is_deleted() {
     let mut world = World::new(&["n1", "n2", "n3"]);
     let (task, attempt, first) = offer(&world.place("u", "termin-web")).unwrap();
-    let late = Answer::Ended(AttemptOutcome::TimedOut, "no answer in time".into(), None);
-    let out = world.step(vec![Input::Answered {
+    let late = OfferAnswer::NotAccepted {
+        outcome: AttemptOutcome::TimedOut,
+        message: "no answer in time".into(),
+        report: None,
+    };
+    let out = world.step(vec![Input::OfferAnswered {
         task,
         attempt,
         answer: late,
     }]);
     let (_, attempt, second) = offer(&out).or_else(|| world.until(1.0, as_offer)).unwrap();
     if first != second {
-        world.step(vec![Input::Answered {
+        world.step(vec![Input::OfferAnswered {
             task,
             attempt,
-            answer: Answer::Accepted(None),
+            answer: OfferAnswer::Accepted(None),
         }]);
-        let out = world.step(vec![Input::NodePod(
-            first.clone(),
-            pod("u", "pod-u", "Pending", ""),
-            false,
-        )]);
-        let deleted = |o: &Output| matches!(o, Output::Delete { address, .. } if *address == format!("{first}:1"));
+        let out = world.step(vec![Input::PodUpdated {
+            node: first.clone(),
+            pod: pod("u", "pod-u", "Pending", ""),
+        }]);
+        let deleted = |o: &Output| matches!(o, Output::DeletePod { address, .. } if *address == format!("{first}:1"));
         assert!(out.iter().any(deleted), "{out:?}");
     }
 }
@@ -246,21 +266,20 @@
 fn what_a_dead_node_held_is_lost_and_what_a_silent_one_holds_is_not() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered {
+    world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
+    }]);
+    world.step(vec![Input::PodUpdated {
+        node: at.clone(),
+        pod: pod("u", "pod-u", "Running", ""),
     }]);
-    world.step(vec![Input::NodePod(
-        at.clone(),
-        pod("u", "pod-u", "Running", ""),
-        false,
-    )]);
     assert_eq!(
-        told(&world.step(vec![Input::NodeDown(at.clone(), false)])),
+        told(&world.step(vec![Input::NodeWatchLost(at.clone())])),
         []
     );
-    let out = world.step(vec![Input::NodeDown(at, true)]);
+    let out = world.step(vec![Input::NodeConnectionRefused(at)]);
     assert_eq!(
         told(&out),
         [ToEdge::Ended {
@@ -274,12 +293,15 @@
 fn a_node_that_comes_back_empty_has_lost_its_tasks() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered {
+    world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
+    }]);
+    let out = world.step(vec![Input::PodsListed {
+        node: at,
+        pods: vec![],
     }]);
-    let out = world.step(vec![Input::NodeHolds(at, vec![])]);
     assert_eq!(
         told(&out),
         [ToEdge::Ended {
@@ -293,22 +315,18 @@
 fn a_list_that_flaps_does_not_end_what_is_heard_to_run() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, at) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Answered {
+    world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
     }]);
-    world.step(vec![Input::NodePod(
-        at.clone(),
-        pod("u", "pod-u", "Running", ""),
-        false,
-    )]);
-    assert_eq!(
-        told(&world.step(vec![Input::ListChange(node(&at), true)])),
-        []
-    );
+    world.step(vec![Input::PodUpdated {
+        node: at.clone(),
+        pod: pod("u", "pod-u", "Running", ""),
+    }]);
+    assert_eq!(told(&world.step(vec![Input::NodeDeleted(node(&at))])), []);
     world.now += 10.0;
-    let out = world.step(vec![Input::ListChange(node(&at), true)]);
+    let out = world.step(vec![Input::NodeDeleted(node(&at))]);
     assert_eq!(
         told(&out),
         [ToEdge::Ended {
@@ -324,10 +342,10 @@
     let mut world = World::new(&["n1"]);
     let mut drains = node("n1");
     drains["spec"] = json!({"unschedulable": true});
-    world.step(vec![Input::ListChange(drains, false)]);
+    world.step(vec![Input::NodeUpdated(drains)]);
     assert_eq!(offer(&world.place("u", "termin-web")), None);
     let said = world.until(3.0, |o| {
-        matches!(o, Output::Edge(_, ToEdge::Rejected { .. })).then_some(())
+        matches!(o, Output::SendToEdge(_, ToEdge::Rejected { .. })).then_some(())
     });
     assert!(said.is_some());
 }
@@ -336,14 +354,17 @@
 fn a_task_that_is_not_wanted_while_its_offer_is_out_is_deleted_once_accepted() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, _) = offer(&world.place("u", "termin-web")).unwrap();
-    world.step(vec![Input::Edge(1, ToPlanner::Cancel { uid: "u".into() })]);
-    let out = world.step(vec![Input::Answered {
+    world.step(vec![Input::EdgeMessage(
+        EDGE,
+        ToPlanner::Cancel { uid: "u".into() },
+    )]);
+    let out = world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
     }]);
     assert!(
-        out.iter().any(|o| matches!(o, Output::Delete { .. })),
+        out.iter().any(|o| matches!(o, Output::DeletePod { .. })),
         "{out:?}"
     );
     assert_eq!(told(&out), [], "its owner is not told of what it gave up");
@@ -353,30 +374,34 @@
 fn an_edge_that_is_lost_leaves_nothing_to_send_and_lets_run_what_runs() {
     let mut world = World::new(&["n1"]);
     let (task, attempt, _) = offer(&world.place("a", "termin-web")).unwrap();
-    world.step(vec![Input::Answered {
+    world.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: Answer::Accepted(None),
+        answer: OfferAnswer::Accepted(None),
     }]);
     let (task, attempt, _) = offer(&world.place("b", "termin-web")).unwrap();
-    let out = world.step(vec![Input::EdgeLost(1)]);
-    assert!(!out.iter().any(|o| matches!(o, Output::Delete { .. })));
-    let late = Answer::Ended(AttemptOutcome::TimedOut, String::new(), None);
-    let out = world.step(vec![Input::Answered {
+    let out = world.step(vec![Input::EdgeDisconnected(EDGE)]);
+    assert!(!out.iter().any(|o| matches!(o, Output::DeletePod { .. })));
+    let late = OfferAnswer::NotAccepted {
+        outcome: AttemptOutcome::TimedOut,
+        message: String::new(),
+        report: None,
+    };
+    let out = world.step(vec![Input::OfferAnswered {
         task,
         attempt,
         answer: late,
     }]);
     assert_eq!(offer(&out), None);
-    assert_eq!(world.core.tasks(), 1, "the one that runs");
+    assert_eq!(world.core.task_count(), 1, "the one that runs");
 }
 
 #[test]
 fn where_a_task_is_takes_a_word_from_every_node_after_the_question() {
     let mut world = World::new(&["n1", "n2"]);
     let locate = |uid: &str| {
-        Input::Edge(
-            1,
+        Input::EdgeMessage(
+            EDGE,
             ToPlanner::Locate {
                 uid: uid.into(),
                 tenant: "default".into(),
@@ -391,8 +416,8 @@
         "both were last heard before"
     );
     world.now += 0.1;
-    assert_eq!(told(&world.step(vec![Input::NodeHeard("n1".into())])), []);
-    let out = world.step(vec![Input::NodeDown("n2".into(), true)]);
+    assert_eq!(told(&world.step(vec![Input::NodeAlive("n1".into())])), []);
+    let out = world.step(vec![Input::NodeConnectionRefused("n2".into())]);
     assert_eq!(
         told(&out),
         [ToEdge::Located {
@@ -400,11 +425,10 @@
             location: Location::NotFound
         }]
     );
-    world.step(vec![Input::NodePod(
-        "n1".into(),
-        pod("v", "pod-v", "Running", ""),
-        false,
-    )]);
+    world.step(vec![Input::PodUpdated {
+        node: "n1".into(),
+        pod: pod("v", "pod-v", "Running", ""),
+    }]);
     let out = world.step(vec![locate("v")]);
     assert_eq!(
         told(&out),
@@ -413,7 +437,7 @@
             location: Location::At("n1".into())
         }]
     );
-    world.step(vec![Input::NodeDown("n1".into(), false), locate("w")]);
+    world.step(vec![Input::NodeWatchLost("n1".into()), locate("w")]);
     world.now += 1.0;
     assert_eq!(told(&world.step(vec![Input::Tick])), []);
     world.now += 1.0;
@@ -437,30 +461,34 @@
 }
 
 fn offers(out: &[Output]) -> usize {
-    out.iter()
-        .filter(|o| matches!(o, Output::Offer { .. }))
-        .count()
+    out.iter().filter(|o| matches!(o, Output::Offer(_))).count()
 }
 
 #[test]
 fn nothing_is_offered_before_the_edge_says_go() {
     let mut world = World::new(&["a", "b"]);
-    let out = world.step(vec![Input::Edge(
-        1,
+    let out = world.step(vec![Input::EdgeMessage(
+        EDGE,
         ToPlanner::Place(ask("t", "termin-web")),
     )]);
     assert_eq!(
         out,
-        [Output::Edge(1, ToEdge::Acknowledged { uid: "t".into() })]
+        [Output::SendToEdge(
+            EDGE,
+            ToEdge::Acknowledged { uid: "t".into() }
+        )]
     );
     assert_eq!(
-        world.until(1.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
+        world.until(1.0, |o| matches!(o, Output::Offer(_)).then_some(())),
         None
     );
     // Taken back: a Go that crossed it finds nothing.
-    world.step(vec![Input::Edge(1, ToPlanner::Cancel { uid: "t".into() })]);
-    let out = world.step(vec![Input::Edge(
-        1,
+    world.step(vec![Input::EdgeMessage(
+        EDGE,
+        ToPlanner::Cancel { uid: "t".into() },
+    )]);
+    let out = world.step(vec![Input::EdgeMessage(
+        EDGE,
         ToPlanner::Commit {
             uid: "t".into(),
             timeout: 2.0,
@@ -480,21 +508,35 @@
     );
     // Not so long that an edge gives it up: it goes on.
     world.now += 1.0;
-    assert!(!world.step(vec![Input::Tick]).contains(&Output::Cut));
+    assert!(
+        !world
+            .step(vec![Input::Tick])
+            .contains(&Output::DisconnectEdges)
+    );
     world.now += 1.6;
-    let node = Input::ListWhole(vec![node("a")]);
-    let late = Input::Edge(1, ToPlanner::Place(ask("late", "slot-abgleich")));
-    let out = world.step(vec![node, late, Input::NodeHolds("a".into(), vec![])]);
-    assert!(out.contains(&Output::Cut) && offers(&out) == 0, "{out:?}");
+    let node = Input::NodesListed(vec![node("a")]);
+    let late = Input::EdgeMessage(EDGE, ToPlanner::Place(ask("late", "slot-abgleich")));
+    let out = world.step(vec![
+        node,
+        late,
+        Input::PodsListed {
+            node: "a".into(),
+            pods: vec![],
+        },
+    ]);
+    assert!(
+        out.contains(&Output::DisconnectEdges) && offers(&out) == 0,
+        "{out:?}"
+    );
     assert_eq!(
-        world.until(3.0, |o| matches!(o, Output::Offer { .. }).then_some(())),
+        world.until(3.0, |o| matches!(o, Output::Offer(_)).then_some(())),
         None
     );
 }
 
 fn waits(out: &[Output]) -> Vec<tidespur_pending::ReasonUpdate> {
     let words = out.iter().filter_map(|o| match o {
-        Output::Edge(1, ToEdge::PendingReasons(words)) => Some(words.clone()),
+        Output::SendToEdge(EDGE, ToEdge::PendingReasons(words)) => Some(words.clone()),
         _ => None,
     });
     words.flatten().collect()
@@ -509,15 +551,15 @@
         ..ask(uid, "termin-web")
     };
     for uid in ["x", "y"] {
-        world.step(vec![Input::Edge(
-            1,
+        world.step(vec![Input::EdgeMessage(
+            EDGE,
             ToPlanner::Place(PlacementRequest {
                 service: "default/s".into(),
                 ..large(uid)
             }),
         )]);
-        world.step(vec![Input::Edge(
-            1,
+        world.step(vec![Input::EdgeMessage(
+            EDGE,
             ToPlanner::Commit {
                 uid: uid.into(),
                 timeout: 30.0,
@@ -553,7 +595,7 @@
     );
     let mut drains = node("a");
     drains["spec"] = json!({"unschedulable": true});
-    world.step(vec![Input::ListChange(drains, false)]);
+    world.step(vec![Input::NodeUpdated(drains)]);
     world.now += 0.3;
     let words = waits(&world.step(vec![Input::Tick]));
     assert_eq!(
@@ -564,10 +606,10 @@
         [[ReasonCode::Draining]; 2]
     );
     // An edge that was lost and is back knows nothing: it is told of its new tasks as if for the first time.
-    world.step(vec![Input::EdgeLost(1)]);
-    world.step(vec![Input::Edge(1, ToPlanner::Place(large("z")))]);
-    world.step(vec![Input::Edge(
-        1,
+    world.step(vec![Input::EdgeDisconnected(EDGE)]);
+    world.step(vec![Input::EdgeMessage(EDGE, ToPlanner::Place(large("z")))]);
+    world.step(vec![Input::EdgeMessage(
+        EDGE,
         ToPlanner::Commit {
             uid: "z".into(),
             timeout: 30.0,
@@ -601,20 +643,20 @@
     for n in 0..80 {
         world.now += 0.1;
         let sent = world.now - 1.0 - 0.1 * f64::from(n);
-        world.step(vec![Input::Sent(sent)]);
+        world.step(vec![Input::LagProbe(sent)]);
     }
     assert!(turned_away(&mut world, 1) > 20);
     // What it took before is never turned away, however often it is asked for.
     for _ in 0..40 {
-        let again = world.step(vec![Input::Edge(
-            1,
+        let again = world.step(vec![Input::EdgeMessage(
+            EDGE,
             ToPlanner::Place(ask("0-0", "termin-web")),
         )]);
         assert_eq!(told(&again), [ToEdge::Acknowledged { uid: "0-0".into() }]);
     }
     for _ in 0..120 {
         world.now += 0.1;
-        world.step(vec![Input::Sent(world.now)]);
+        world.step(vec![Input::LagProbe(world.now)]);
     }
     assert_eq!(turned_away(&mut world, 2), 0);
 }
--- a/crates/planner/tests/sharers.rs
+++ b/crates/planner/tests/planner_count.rs
@@ -7,10 +7,13 @@
 use tidespur_coordination::Fence;
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner::attempts::Attempts;
-use tidespur_planner::core::{Answer, Core, Input, Output};
+use tidespur_planner::core::{Core, Input, Offer, OfferAnswer, Output};
+use tidespur_planner::task_table::EdgeId;
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_policy::interface::AttemptOutcome;
 
+const EDGE: EdgeId = EdgeId(1);
+
 fn after(batch: &Batch) -> LoadedRecords {
     let mut back = LoadedRecords {
         generation: 1,
@@ -26,7 +29,7 @@
 /// A planner that comes back with this memory.
 fn planner(memory: &LoadedRecords) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
-    core.recalling(Attempts::recall(memory).unwrap(), Fence::load(memory))
+    core.with_restored_state(Attempts::load(memory).unwrap(), Fence::load(memory))
 }
 
 fn hears(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
@@ -36,14 +39,14 @@
         planners,
     };
     let mut out = Vec::new();
-    core.step(1.0, vec![Input::Edge(1, word)], &mut out);
-    out.retain(|output| matches!(output, Output::Share(_) | Output::Edge(..)));
+    core.step(1.0, vec![Input::EdgeMessage(EDGE, word)], &mut out);
+    out.retain(|output| matches!(output, Output::SetPlannerCount(_) | Output::SendToEdge(..)));
     out
 }
 
 fn stale(token: u64, newest: u64) -> [Output; 1] {
-    [Output::Edge(
-        1,
+    [Output::SendToEdge(
+        EDGE,
         ToEdge::StaleToken {
             lease: "fleet".into(),
             token,
@@ -55,17 +58,20 @@
 #[test]
 fn an_older_token_is_refused_by_name_also_after_a_return() {
     let mut core = planner(&LoadedRecords::default());
-    assert_eq!(hears(&mut core, "fleet", 3, 2), [Output::Share(2)]);
-    let memory = after(&core.remember());
+    assert_eq!(
+        hears(&mut core, "fleet", 3, 2),
+        [Output::SetPlannerCount(2)]
+    );
+    let memory = after(&core.take_batch());
     assert_eq!(hears(&mut core, "fleet", 2, 1), stale(2, 3));
     assert_eq!(
         hears(&mut core, "fleet", 3, 4),
-        [Output::Share(4)],
+        [Output::SetPlannerCount(4)],
         "the same holder goes on"
     );
     assert_eq!(
         hears(&mut core, "another", 1, 4),
-        [Output::Share(4)],
+        [Output::SetPlannerCount(4)],
         "each lease has tokens of its own"
     );
     let mut back = planner(&memory);
@@ -74,7 +80,10 @@
         stale(2, 3),
         "the fence outlives the process"
     );
-    assert_eq!(hears(&mut back, "fleet", 4, 1), [Output::Share(1)]);
+    assert_eq!(
+        hears(&mut back, "fleet", 4, 1),
+        [Output::SetPlannerCount(1)]
+    );
 }
 
 /// Offers to one cold node in three seconds, of a planner that shares with so many; each is over at once.
@@ -84,10 +93,13 @@
         "annotations": {"node.tidespur.dev/address": "a:1", "node.tidespur.dev/up-since": "999"}},
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}});
     let mut inputs = vec![
-        Input::ListWhole(vec![cold]),
-        Input::NodeHolds("a".into(), vec![]),
+        Input::NodesListed(vec![cold]),
+        Input::PodsListed {
+            node: "a".into(),
+            pods: vec![],
+        },
     ];
-    core.share(planners);
+    core.set_planner_count(planners);
     let (mut now, mut offers, mut next) = (1_000.0, 0, 0);
     while now < 1_003.0 {
         let uid = format!("t-{next}");
@@ -102,15 +114,22 @@
             memory: 0.1,
             ..PlacementRequest::default()
         };
-        inputs.push(Input::Edge(1, ToPlanner::Place(ask)));
-        inputs.push(Input::Edge(1, ToPlanner::Commit { uid, timeout: 5.0 }));
+        inputs.push(Input::EdgeMessage(EDGE, ToPlanner::Place(ask)));
+        inputs.push(Input::EdgeMessage(
+            EDGE,
+            ToPlanner::Commit { uid, timeout: 5.0 },
+        ));
         let mut out = Vec::new();
         core.step(now, std::mem::take(&mut inputs), &mut out);
         for output in out {
-            if let Output::Offer { task, attempt, .. } = output {
+            if let Output::Offer(Offer { task, attempt, .. }) = output {
                 offers += 1;
-                let answer = Answer::Ended(AttemptOutcome::NeverSent, String::new(), None);
-                inputs.push(Input::Answered {
+                let answer = OfferAnswer::NotAccepted {
+                    outcome: AttemptOutcome::NeverSent,
+                    message: String::new(),
+                    report: None,
+                };
+                inputs.push(Input::OfferAnswered {
                     task,
                     attempt,
                     answer,
