--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -146,7 +146,7 @@
         /// The progress.
         progress: AttemptProgress,
     },
-    /// An attempt has ended, which is told once.
+    /// An attempt has ended. Each attempt has one such event.
     AttemptEnded {
         /// The request.
         task: TaskId,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -50,7 +50,7 @@
 use slow_start::SlowStartBudget;
 use task_record::TaskTable;
 
-/// Decides for one scheduler. It knows what its events told it, nothing else.
+/// Places tasks on machines. It knows only what its events contain.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
--- a/crates/policy/src/scheduler/machine_health.rs
+++ b/crates/policy/src/scheduler/machine_health.rs
@@ -28,7 +28,7 @@
 /// The smallest arrival rate that is divided by, in tasks per second.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
 
-/// The attempt that ended, as the record of its task told before.
+/// The attempt that ended, by the record of its task before that.
 pub(super) struct EndedAttempt {
     pub(super) state: TaskState,
     pub(super) machine: MachineId,
--- a/crates/policy/src/scheduler/machine_state.rs
+++ b/crates/policy/src/scheduler/machine_state.rs
@@ -17,8 +17,10 @@
 /// Where tasks request less than this fraction of a machine, the ratio of use to requests is too uncertain.
 const MIN_REQUESTED_FRACTION: f64 = 0.1;
 
-/// The smallest and the largest ratio of use to requests that is believed.
+/// The smallest ratio of use to requests that is recorded for a machine.
 const MIN_USAGE_RATIO: f64 = 0.1;
+
+/// The largest ratio of use to requests that is recorded for a machine.
 const MAX_USAGE_RATIO: f64 = 2.0;
 
 /// All machines, in order of their ids.
@@ -39,7 +41,7 @@
     pub(super) starts_alone: bool,
 }
 
-/// Amounts that a report tells; `None` for a resource that it does not tell of.
+/// Amounts as reported; `None` for a resource that the report leaves out.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PartialResources {
     pub(super) cpu: Option<f64>,
@@ -47,7 +49,7 @@
 }
 
 impl PartialResources {
-    /// The result of `function` for each resource that is told, with the amount of `other`.
+    /// The result of `function` for each resource that is reported, with the amount of `other`.
     pub(super) fn zip_with(self, other: Resources, function: impl Fn(f64, f64) -> f64) -> Self {
         Self {
             cpu: self.cpu.map(|amount| function(amount, other.cpu)),
--- a/crates/policy/src/scheduler/preferred_machines.rs
+++ b/crates/policy/src/scheduler/preferred_machines.rs
@@ -13,8 +13,10 @@
 /// The probability falls by this factor with each machine after the preferred ones.
 pub(super) const CACHED_PROBABILITY_DECAY: f64 = 0.7;
 
-/// The smallest hash and the fewest cores that are reckoned with, so that ranks stay finite.
+/// The smallest uniform hash whose logarithm is taken, so that ranks stay finite.
 const MIN_HASH: f64 = 1e-12;
+
+/// The fewest cores that are divided by, so that ranks stay finite.
 const MIN_CORES: f64 = 1e-6;
 
 impl Scheduler {
--- a/crates/policy/src/scheduler/slow_start.rs
+++ b/crates/policy/src/scheduler/slow_start.rs
@@ -72,8 +72,8 @@
     /// Whether one more offer to this machine, which is in slow start, keeps within the budget.
     ///
     /// Where more schedulers share the machine than chance may add to what it can take, they take turns in groups,
-    /// at each machine other ones. An overload window sees two turns at most, thus no more offers than two groups
-    /// have members.
+    /// and the order of the groups differs from machine to machine. An overload window overlaps two turns at most, so a
+    /// machine gets no more offers in it than two groups have members.
     pub(super) fn allows_offer(
         &self,
         now: Seconds,
