--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the long-running programs (edge, planner, and the voter's loop) share: command-line options, opening their
-//! store, receiving inputs in batches, measuring loop lag, and shutdown. Decides nothing.
+//! What the long-running programs share: command-line options, opening their store, receiving inputs in batches,
+//! measuring loop lag, and shutdown. Called by the edge, the planner and the voter's event loop; owns no state and
+//! decides nothing.
 
 mod batch;
 mod lag;
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,4 +1,4 @@
-//! Command-line options that edge and planner have in common.
+//! Command-line options that edge and planner have in common. The comments of the fields are their help texts.
 
 use std::path::PathBuf;
 use tidespur_membership_net::JoinOptions;
