--- a/crates/membership-net/src/shutdown.rs
+++ b/crates/membership-net/src/shutdown.rs
@@ -50,6 +50,6 @@
     if signals.next().await.is_some() {
         is_leaving.store(true, Ordering::Relaxed);
         // The channel is closed only if the event loop has ended already.
-        let _ = inputs.send(Input::Leave).await;
+        let _ = inputs.send(Input::LeaveFleet).await;
     }
 }
--- a/crates/membership-net/tests/compatibility.rs
+++ b/crates/membership-net/tests/compatibility.rs
@@ -61,10 +61,10 @@
             api: "10.0.0.1:6443".into(),
             link: "10.0.0.1:6500".into(),
             open_tasks: Some(12),
-            leaving: false,
+            is_leaving: false,
         },
         Role::Planner => MemberMetadata {
-            leaving: true,
+            is_leaving: true,
             ..MemberMetadata::for_role(role)
         },
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -192,8 +192,8 @@
                 }
                 false
             }
-            Input::Leave => {
-                self.leave(now, outputs);
+            Input::LeaveFleet => {
+                self.leave_fleet(now, outputs);
                 false
             }
         }
--- a/crates/membership/src/membership/discovery.rs
+++ b/crates/membership/src/membership/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding other members by the seed addresses, and leaving the fleet.
+//! Finding other members by the seed addresses, and the own departure.
 
 use super::Membership;
 use crate::wire::Body;
@@ -46,8 +46,8 @@
     }
 
     /// Leaves the fleet in order.
-    pub(super) fn leave(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
-        self.metadata.leaving = true;
+    pub(super) fn leave_fleet(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
+        self.metadata.is_leaving = true;
         self.publish_metadata();
         // The metadata is gossiped first, so that the others know that this member has not failed.
         self.run_detector(now, outputs, |detector, effects| detector.gossip(effects));
--- a/crates/membership/src/membership/member_states.rs
+++ b/crates/membership/src/membership/member_states.rs
@@ -98,7 +98,7 @@
         let state = self.hooks.lock();
         state.metadata.get(&id.name).is_some_and(|received| {
             received.update.version.incarnation == id.incarnation
-                && received.update.metadata.leaving
+                && received.update.metadata.is_leaving
         })
     }
 
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -11,7 +11,7 @@
     /// Gossip this metadata of this member from now on.
     UpdateMetadata(MemberMetadata),
     /// Leave the fleet in order.
-    Leave,
+    LeaveFleet,
 }
 
 /// An output of a member: an effect to carry out, or an event.
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -40,7 +40,8 @@
     #[serde(rename = "open")]
     pub open_tasks: Option<u32>,
     /// Whether it is shutting down in order and accepts no more work.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub is_leaving: bool,
 }
 
 impl MemberMetadata {
@@ -52,7 +53,7 @@
             api: String::new(),
             link: String::new(),
             open_tasks: None,
-            leaving: false,
+            is_leaving: false,
         }
     }
 }
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -49,13 +49,13 @@
         api: "10.0.0.1:6443".into(),
         link: "10.0.0.1:6500".into(),
         open_tasks: Some(70_000),
-        leaving: false,
+        is_leaving: false,
     }
 }
 
 fn planner_metadata() -> MemberMetadata {
     MemberMetadata {
-        leaving: true,
+        is_leaving: true,
         ..MemberMetadata::for_role(Role::Planner)
     }
 }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -67,7 +67,7 @@
     ];
     run(&mut members, 0.0, 3.0);
     let mut outputs = Vec::new();
-    members[1].step(3.0, [Input::Leave], &mut outputs);
+    members[1].step(3.0, [Input::LeaveFleet], &mut outputs);
     let mut events = Vec::new();
     members[0].step(
         3.0,
--- a/crates/planner/src/membership.rs
+++ b/crates/planner/src/membership.rs
@@ -34,7 +34,7 @@
     members
         .filter_map(|member| member.metadata.as_ref())
         .filter(|metadata| metadata.role == Role::Edge)
-        .filter(|metadata| !metadata.link.is_empty() && !metadata.leaving)
+        .filter(|metadata| !metadata.link.is_empty() && !metadata.is_leaving)
         .map(|metadata| metadata.link.as_str())
         .collect()
 }
--- a/crates/testbed/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -220,7 +220,7 @@
             &Fault::Join { who } => self.start(who),
             &Fault::Leave { who } => {
                 self.members[who].wanted = false;
-                self.step(who, vec![Input::Leave]);
+                self.step(who, vec![Input::LeaveFleet]);
                 self.members[who].fleet = None;
             }
         }
