--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -3,7 +3,7 @@
 use crate::StartError;
 use serde::Deserialize;
 use std::path::PathBuf;
-use tidespur_gateway::discovery::{self, Delivery, WireEvent};
+use tidespur_gateway::discovery::{self, WatchEvent, WireEvent};
 use tidespur_site_settings::{SettingsObject, Site};
 
 #[derive(Deserialize)]
@@ -44,7 +44,7 @@
     /// Address of the notice board.
     pub board: String,
     /// Its events up to now.
-    pub known: Vec<Delivery>,
+    pub known: Vec<WatchEvent>,
     /// What the policy and the gateway are told.
     pub site: Site,
 }
@@ -73,7 +73,7 @@
         .known
         .notices
         .into_iter()
-        .map(|notice| discovery::read(&site, notice))
+        .map(|notice| discovery::convert_event(&site, notice))
         .collect();
     let seed = u64::from_str_radix(&wire.seed, 16)
         .unwrap_or_else(|_| tidespur_site_settings::convert::stable_hash(&wire.seed));
--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use tidespur_gateway::discovery::Events;
+use tidespur_gateway::discovery::EventStreamDecoder;
 use tidespur_net::{Client, clock};
 
 /// A comment comes each second: silence for this long is an end.
@@ -78,7 +78,7 @@
         Ok(lines) => return format!("status {}", lines.status),
         Err(problem) => return problem.to_string(),
     };
-    let mut events = Events::default();
+    let mut events = EventStreamDecoder::default();
     loop {
         let left = left();
         if left <= 0.0 {
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -17,9 +17,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use tidespur_gateway::input_queue::{InputQueue, Sequence};
-use tidespur_gateway::message::{Decoder, Id, Message};
+use tidespur_gateway::message::{Decoder, Message, RequestId};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId};
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, PeerCheck, UpstreamId};
 use tidespur_net::clock;
 use upstream::Upstream;
 
@@ -89,7 +89,13 @@
             name: config.name,
             over: Cell::new(None),
         });
-        this.step(config.known.into_iter().map(Input::Delivered).collect());
+        this.step(
+            config
+                .known
+                .into_iter()
+                .map(Input::EndpointsDelivered)
+                .collect(),
+        );
         let listen = config.listen;
         let address: SocketAddr = listen.parse().map_err(|_| StartError::Address(listen))?;
         this.listener
@@ -122,7 +128,7 @@
             let now = clock::now();
             if now >= self.gateway.borrow().next_wake() {
                 // An answer that has come must not be overtaken by the end of its attempt's time.
-                let mut inputs = self.queue.borrow_mut().take_first();
+                let mut inputs = self.queue.borrow_mut().take_completions();
                 inputs.push(Input::Tick);
                 self.step(inputs);
             }
@@ -139,14 +145,14 @@
     fn put(&self, input: Input) -> Sequence {
         // Where it was told already, once is enough.
         let _ = self.came.0.try_send(());
-        self.queue.borrow_mut().put(input)
+        self.queue.borrow_mut().push(input)
     }
 
     /// Takes in what came, in the order of [`InputQueue`].
     async fn turns(self: Rc<Self>) {
         while self.came.1.recv().await.is_ok() {
             while !self.queue.borrow().is_empty() {
-                let inputs = self.queue.borrow_mut().take();
+                let inputs = self.queue.borrow_mut().take_batch();
                 self.step(inputs);
                 futures_lite::future::yield_now().await;
             }
@@ -166,8 +172,10 @@
             let before = self.gateway.borrow().next_wake();
             for input in &inputs {
                 match input {
-                    Input::DownstreamSaid(..) | Input::UpstreamSaid(..) => tracing::trace!(?input),
-                    Input::Tick | Input::Looked(..) | Input::UpstreamLooked(_) => {}
+                    Input::DownstreamMessage(..) | Input::UpstreamMessage(..) => {
+                        tracing::trace!(?input)
+                    }
+                    Input::Tick | Input::DownstreamChecked(..) | Input::UpstreamChecked(_) => {}
                     _ => tracing::debug!(scheduler = self.name, ?input),
                 }
             }
@@ -194,23 +202,25 @@
 
     fn carry_out(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
         match output {
-            Output::Downstream(client, bytes) => inputs.extend(self.write_client(client, &bytes)),
+            Output::WriteDownstream(client, bytes) => {
+                inputs.extend(self.write_client(client, &bytes))
+            }
             Output::CloseDownstream(client) => self.close_client(client),
-            Output::Look(client) => {
+            Output::CheckDownstream(client) => {
                 let seen = self.look(client);
-                self.after_all(inputs, Input::Looked(client, seen));
+                self.after_all(inputs, Input::DownstreamChecked(client, seen));
             }
-            Output::Upstream(PoolAction::Look(upstream)) => {
+            Output::Upstream(PoolAction::CheckPeer(upstream)) => {
                 self.look_upstream(upstream);
-                self.after_all(inputs, Input::UpstreamLooked(upstream));
+                self.after_all(inputs, Input::UpstreamChecked(upstream));
             }
             Output::Upstream(action) => inputs.extend(self.on_upstream(action)),
             Output::Log(line) => tracing::info!(scheduler = self.name, "{line}"),
             Output::StopListening => {
                 self.stop_listening();
-                self.after_all(inputs, Input::Unlistened);
+                self.after_all(inputs, Input::ListeningStopped);
             }
-            Output::End(within) => {
+            Output::Exit(within) => {
                 self.over.set(Some(within));
                 self.wake.add_permits(1);
             }
@@ -219,7 +229,7 @@
 
     /// Answers an output, after all that came until now and goes first.
     fn after_all(&self, inputs: &mut Vec<Input>, answer: Input) {
-        inputs.extend(self.queue.borrow_mut().take_first());
+        inputs.extend(self.queue.borrow_mut().take_completions());
         inputs.push(answer);
     }
 
@@ -234,7 +244,7 @@
         decoder.feed(&self.buffer.borrow()[..read]);
         let mut inputs = Vec::new();
         loop {
-            match decoder.message() {
+            match decoder.next_message() {
                 Ok(Some(message)) => inputs.push(said(message)),
                 Ok(None) => return inputs,
                 Err(problem) => {
--- a/crates/gateway-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -18,18 +18,19 @@
         loop {
             let due = clock::now() + MARK;
             clock::sleep(MARK).await;
-            self.put(Input::Lag(clock::now() - due));
+            self.put(Input::LagMeasured(clock::now() - due));
         }
     }
 
     /// Follows the discovery stream where it is now.
     pub(super) fn follow(self: &Rc<Self>) {
         let (this, that) = (self.clone(), self.clone());
-        let delivered = move || this.gateway.borrow().delivered();
+        let delivered = move || this.gateway.borrow().last_revision();
         let take = move |data: &str| {
-            let event = tidespur_gateway::discovery::event(that.gateway.borrow().site(), data);
+            let event =
+                tidespur_gateway::discovery::parse_event(that.gateway.borrow().site(), data);
             match event {
-                Ok(event) => that.step(vec![Input::Delivered(event)]),
+                Ok(event) => that.step(vec![Input::EndpointsDelivered(event)]),
                 Err(problem) => tracing::warn!(scheduler = that.name, %problem),
             }
         };
@@ -41,7 +42,7 @@
             match signal {
                 Ok(Signal::Term) => {
                     tracing::info!(scheduler = self.name, "told to end");
-                    self.step(vec![Input::Leave]);
+                    self.step(vec![Input::Shutdown]);
                 }
                 Ok(Signal::Hup) => {
                     tracing::info!(
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -54,7 +54,7 @@
                     let sequence = self.accepted(stream, from);
                     // A flood of connections is accepted at once, one after the other: those closed for it, and
                     // all others, must have their turn in between.
-                    while !self.queue.borrow().passed(sequence) {
+                    while !self.queue.borrow().is_step_past(sequence) {
                         futures_lite::future::yield_now().await;
                     }
                 }
@@ -120,7 +120,11 @@
             }
             if let Took::Bytes(_) = self.take_bytes(client, &connection) {
                 // Until what it said was taken, no more is read: a flood waits in its own socket. A look reads on.
-                while !self.queue.borrow().taken(client, connection.said.get()) {
+                while !self
+                    .queue
+                    .borrow()
+                    .is_drained(client, connection.said.get())
+                {
                     futures_lite::future::yield_now().await;
                 }
             }
@@ -133,16 +137,16 @@
             Ok(None) => return Took::Nothing,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
-                self.put(Input::DownstreamGone(client));
+                self.put(Input::DownstreamPeerClosed(client));
                 self.put(Input::DownstreamClosed(client));
                 return Took::End;
             }
             Ok(Some(read)) => read,
         };
         let mut decoder = connection.decoder.borrow_mut();
-        let said = |message| Input::DownstreamSaid(client, message);
+        let said = |message| Input::DownstreamMessage(client, message);
         let inputs = self.decode(&mut decoder, read, said, Input::DownstreamMalformed(client));
-        let half = match (decoder.unfinished(), inputs.is_empty()) {
+        let half = match (decoder.has_partial_message(), inputs.is_empty()) {
             (false, _) => None,
             (true, true) => connection.half_since.get().or_else(|| Some(clock::now())),
             (true, false) => Some(clock::now()),
@@ -161,15 +165,15 @@
     }
 
     /// Reads what a client has said by now.
-    pub(super) fn look(&self, client: DownstreamId) -> Seen {
+    pub(super) fn look(&self, client: DownstreamId) -> PeerCheck {
         let connection = self.downstreams.borrow().get(&client).cloned();
         let mut read = 0;
         while let Some(connection) = connection
             .as_ref()
             .filter(|connection| !connection.ended.get())
         {
-            if read >= LOOK_MOST || self.queue.borrow().waits(client) >= WAITING_MOST {
-                return Seen::Part;
+            if read >= LOOK_MOST || self.queue.borrow().waiting_requests(client) >= WAITING_MOST {
+                return PeerCheck::MoreUnread;
             }
             match self.take_bytes(client, connection) {
                 Took::Bytes(n) => read += n,
@@ -177,10 +181,10 @@
             }
         }
         let half = connection.is_some_and(|connection| connection.half_since.get().is_some());
-        match self.queue.borrow().waits(client) {
-            0 if half => Seen::Half,
-            0 => Seen::All,
-            _ => Seen::Read,
+        match self.queue.borrow().waiting_requests(client) {
+            0 if half => PeerCheck::PartialMessage,
+            0 => PeerCheck::Idle,
+            _ => PeerCheck::Queued,
         }
     }
 
@@ -197,7 +201,7 @@
         }
         // What it said before is still read, to its end.
         connection.socket.close();
-        Some(Input::DownstreamGone(client))
+        Some(Input::DownstreamPeerClosed(client))
     }
 
     /// Its end has been told.
--- a/crates/gateway-net/src/run/upstream.rs
+++ b/crates/gateway-net/src/run/upstream.rs
@@ -26,19 +26,19 @@
             PoolAction::Write(upstream, bytes) => {
                 // One that has ended unseen by the gateway takes nothing either.
                 let Some(socket) = self.open(upstream) else {
-                    return Some(Input::UpstreamUnwritten(upstream, None));
+                    return Some(Input::UpstreamWriteFailed(upstream, None));
                 };
                 let wrote = socket.write(&bytes);
                 self.wrote(upstream, None, socket, wrote)
             }
             PoolAction::Offer(upstream, id, bytes) => {
                 let Some(socket) = self.open(upstream) else {
-                    return Some(Input::UpstreamUnwritten(upstream, Some(id)));
+                    return Some(Input::UpstreamWriteFailed(upstream, Some(id)));
                 };
                 let wrote = socket.offer(&bytes);
                 if wrote.0 == Wrote::Full {
                     let _ = self.wrote(upstream, Some(id), socket, wrote);
-                    return Some(Input::UpstreamFull(upstream, id, bytes));
+                    return Some(Input::UpstreamBlocked(upstream, id, bytes));
                 }
                 self.wrote(upstream, Some(id), socket, wrote)
             }
@@ -51,7 +51,7 @@
                 None
             }
             // The gateway keeps these to itself.
-            PoolAction::Due(..) | PoolAction::Look(_) => None,
+            PoolAction::OfferReady(..) | PoolAction::CheckPeer(_) => None,
         }
     }
 
@@ -59,7 +59,7 @@
     fn wrote(
         self: &Rc<Self>,
         upstream: UpstreamId,
-        offer: Option<Id>,
+        offer: Option<RequestId>,
         socket: Rc<Socket>,
         (wrote, drain): (Wrote, bool),
     ) -> Option<Input> {
@@ -72,10 +72,10 @@
             });
         }
         match (wrote, offer) {
-            (Wrote::Part, Some(id)) => Some(Input::UpstreamPart(upstream, id)),
+            (Wrote::Part, Some(id)) => Some(Input::UpstreamPartiallyWritten(upstream, id)),
             (Wrote::Taken | Wrote::Full | Wrote::Part, _) => None,
             // The machine may have written something before it ended the connection: it is read on.
-            (Wrote::Nothing, offer) => Some(Input::UpstreamUnwritten(upstream, offer)),
+            (Wrote::Nothing, offer) => Some(Input::UpstreamWriteFailed(upstream, offer)),
             (Wrote::Broken, _) => self
                 .upstream_over(upstream)
                 .then_some(Input::UpstreamEnded(upstream)),
@@ -126,9 +126,9 @@
             Err(problem) => {
                 let refused = problem.kind() == std::io::ErrorKind::ConnectionRefused;
                 self.put(if refused {
-                    Input::UpstreamRefused(upstream)
+                    Input::UpstreamConnectRefused(upstream)
                 } else {
-                    Input::UpstreamFailed(upstream)
+                    Input::UpstreamConnectFailed(upstream)
                 });
                 return;
             }
@@ -164,7 +164,7 @@
             }
             Ok(Some(read)) => read,
         };
-        let said = |message| Input::UpstreamSaid(upstream, message);
+        let said = |message| Input::UpstreamMessage(upstream, message);
         let mut decoder = connection.decoder.borrow_mut();
         for input in self.decode(&mut decoder, read, said, Input::UpstreamMalformed(upstream)) {
             connection
--- a/crates/gateway-net/tests/compatibility.rs
+++ b/crates/gateway-net/tests/compatibility.rs
@@ -17,7 +17,11 @@
         panic!("one known event")
     };
     assert_eq!(
-        (event.number, event.whole, event.listed.len()),
+        (
+            event.revision,
+            event.is_complete_list,
+            event.endpoints.len()
+        ),
         (7, true, 3)
     );
 }
--- a/crates/gateway/src/counts.rs
+++ b/crates/gateway/src/counts.rs
@@ -4,19 +4,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Set-ups taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Set-ups of tasks that a machine holds already.
-    pub in_place: u64,
+    pub adopted: u64,
     /// Set-ups that can't be used, and messages that mean nothing.
-    pub useless: u64,
+    pub malformed: u64,
     /// Answers passed on.
     pub placed: u64,
     /// Refusals.
-    pub refused: u64,
+    pub rejected: u64,
     /// Of these, set-ups turned away as the loop was behind.
     pub shed: u64,
     /// The most that the loop was behind so far, in milliseconds.
-    pub lag_most: u64,
+    pub max_lag_ms: u64,
     /// Failures.
     pub failed: u64,
     /// Set-ups that their owners gave up, or whose connection ended.
@@ -28,13 +28,13 @@
     /// Offers that never left.
     pub unsent: u64,
     /// Offers whose connection ended.
-    pub broken: u64,
+    pub interrupted: u64,
     /// Offers that machines turned away.
-    pub full: u64,
+    pub rejected_by_machine: u64,
     /// Offers answered by an error.
     pub errors: u64,
     /// Messages of machines that belong to nothing here.
-    pub strays: u64,
+    pub unmatched: u64,
     /// Standing tasks that came to an end.
     pub ended: u64,
     /// Standing tasks lost with their machine.
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use tidespur_site_settings::{Site, convert};
 
 /// One event may hold so many bytes.
-const EVENT_MOST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Why what the discovery stream told can't be used. The list stays as it was, and the stream is asked again.
 #[derive(Debug, thiserror::Error)]
@@ -17,17 +17,17 @@
     Malformed(#[from] serde_json::Error),
     /// Bytes that are no text.
     #[error("the discovery stream is no text: {0}; look at who listens at its address")]
-    NoText(#[from] std::str::Utf8Error),
+    NotUtf8(#[from] std::str::Utf8Error),
     /// An event that does not end.
     #[error("the discovery stream tells an event without end; look at the notice board")]
-    Endless,
+    TooLong,
 }
 
 /// A line of the list, with the address that only sockets need.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// What the policy is told.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// The machine's name on the platform.
     pub name: String,
     /// Where it listens.
@@ -36,13 +36,13 @@
 
 /// One numbered event.
 #[derive(Clone, Debug)]
-pub struct Delivery {
+pub struct WatchEvent {
     /// Its number.
-    pub number: u64,
+    pub revision: u64,
     /// It holds the whole list.
-    pub whole: bool,
+    pub is_complete_list: bool,
     /// What it tells.
-    pub listed: Vec<Listed>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// An event as it is told.
@@ -88,12 +88,12 @@
 ///
 /// # Errors
 /// Says what can't be read; such an event counts as none.
-pub fn event(site: &Site, data: &str) -> Result<Delivery, DiscoveryError> {
-    Ok(read(site, serde_json::from_str(data)?))
+pub fn parse_event(site: &Site, data: &str) -> Result<WatchEvent, DiscoveryError> {
+    Ok(convert_event(site, serde_json::from_str(data)?))
 }
 
 /// Puts names to numbers and states to standings.
-pub fn read(site: &Site, wire: WireEvent) -> Delivery {
+pub fn convert_event(site: &Site, wire: WireEvent) -> WatchEvent {
     let pool = wire.pool.unwrap_or(WirePool {
         reset: false,
         instances: Vec::new(),
@@ -118,26 +118,26 @@
             started_at: (started > 0.0).then_some(started),
             unclaimed: Resources::new(free_cores, free_memory),
         };
-        Listed {
-            entry,
+        ListedEndpoint {
+            endpoint: entry,
             name: wire.instance_id,
             address: wire.host_port,
         }
     });
-    Delivery {
-        number: wire.rev,
-        whole: pool.reset,
-        listed: listed.collect(),
+    WatchEvent {
+        revision: wire.rev,
+        is_complete_list: pool.reset,
+        endpoints: listed.collect(),
     }
 }
 
 /// Puts server-sent events together from lines. An event without its blank line at the end is none.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventStreamDecoder {
     data: String,
 }
 
-impl Events {
+impl EventStreamDecoder {
     /// Takes one line, without its end; gives out the data of an event that it ends.
     ///
     /// # Errors
@@ -154,8 +154,8 @@
                 self.data.push('\n');
             }
             self.data.push_str(data.strip_prefix(' ').unwrap_or(data));
-            if self.data.len() > EVENT_MOST {
-                return Err(DiscoveryError::Endless);
+            if self.data.len() > MAX_EVENT_BYTES {
+                return Err(DiscoveryError::TooLong);
             }
         }
         // Numbers stand in the data too; comments and other fields mean nothing.
--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -6,22 +6,22 @@
 use tidespur_policy::interface::Seconds;
 
 /// One that has said nothing of use for this long is closed. The platform allows 3 s.
-const SILENT_FOR: Seconds = 2.0;
+const SILENT_CLIENT_TIMEOUT: Seconds = 2.0;
 /// So many messages of no use, beyond those that are forgiven each second, and it is closed.
-const USELESS_MOST: f64 = 32.0;
-const FORGIVEN: f64 = 10.0;
+const MAX_PENALTY: f64 = 32.0;
+const PENALTY_DECAY_PER_SECOND: f64 = 10.0;
 /// A test, or a message that means nothing, counts as this much of one of no use.
-const FREE: f64 = 0.1;
+const FREE_MESSAGE_PENALTY: f64 = 0.1;
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum CloseReason {
     /// There are more than may be.
-    Surplus,
+    OverCapacity,
     /// It has said nothing of use for too long.
     Silent,
     /// The program ends.
-    End,
+    Shutdown,
 }
 
 #[derive(Debug)]
@@ -30,27 +30,27 @@
     opened_at: Seconds,
     used_at: Seconds,
     /// It has sent a set-up that could be used.
-    proved: bool,
+    has_valid_set_up: bool,
     /// A task of its has stood: it is an owner's.
-    owner: bool,
+    is_owner: bool,
     /// Set-ups without an answer, and tasks of its that stand.
-    open: usize,
-    standing: usize,
+    pending: usize,
+    placed: usize,
     /// Messages of no use that are not forgiven yet, and when that was counted.
-    useless: (f64, Seconds),
+    penalty: (f64, Seconds),
     /// Releases that it was sent and has not said it heard.
-    unheard: u32,
+    unacknowledged_releases: u32,
     /// Nobody listens there any more; what it said before may still come.
-    gone: bool,
+    peer_closed: bool,
     /// It is closed for this once it is sure that it says nothing.
-    closing: Option<Closing>,
+    close_reason: Option<CloseReason>,
 }
 
 /// All connections that came in.
 #[derive(Debug)]
 pub struct Downstreams {
     downstreams: BTreeMap<DownstreamId, Downstream>,
-    most: usize,
+    max_connections: usize,
 }
 
 impl Downstreams {
@@ -58,7 +58,7 @@
     pub fn new(most: usize) -> Self {
         Self {
             downstreams: BTreeMap::new(),
-            most: most.max(1),
+            max_connections: most.max(1),
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Whether it is still there.
-    pub fn has(&self, id: DownstreamId) -> bool {
+    pub fn contains(&self, id: DownstreamId) -> bool {
         self.downstreams.contains_key(&id)
     }
 
@@ -78,33 +78,34 @@
             from,
             opened_at: now,
             used_at: now,
-            proved: false,
-            owner: false,
-            open: 0,
-            standing: 0,
-            useless: (0.0, now),
-            unheard: 0,
-            gone: false,
-            closing: None,
+            has_valid_set_up: false,
+            is_owner: false,
+            pending: 0,
+            placed: 0,
+            penalty: (0.0, now),
+            unacknowledged_releases: 0,
+            peer_closed: false,
+            close_reason: None,
         };
         self.downstreams.insert(id, made);
     }
 
     /// Where there are more than may be, the one to be closed if it says nothing: the oldest of those that never sent
     /// anything of use, else the one idle longest, else the youngest.
-    pub fn surplus(&mut self, now: Seconds) -> Option<DownstreamId> {
+    pub fn mark_surplus(&mut self, now: Seconds) -> Option<DownstreamId> {
         if self
             .downstreams
             .values()
-            .filter(|client| client.closing.is_none())
+            .filter(|client| client.close_reason.is_none())
             .count()
-            <= self.most
+            <= self.max_connections
         {
             return None;
         }
-        let rank = |client: &Downstream| (client.proved, client.standing > 0);
-        let may =
-            |client: &&Downstream| client.open == 0 && client.closing.is_none() && !client.gone;
+        let rank = |client: &Downstream| (client.has_valid_set_up, client.placed > 0);
+        let may = |client: &&Downstream| {
+            client.pending == 0 && client.close_reason.is_none() && !client.peer_closed
+        };
         let idle = self
             .downstreams
             .iter()
@@ -120,138 +121,149 @@
             .rev()
             .find(|(_, client)| may(client));
         let id = first.or(youngest).map(|(&id, _)| id)?;
-        self.closes(id, Closing::Surplus);
+        self.begin_close(id, CloseReason::OverCapacity);
         Some(id)
     }
 
     /// It is to be closed if it says nothing.
-    pub fn closes(&mut self, id: DownstreamId, why: Closing) {
+    pub fn begin_close(&mut self, id: DownstreamId, why: CloseReason) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.closing = Some(why);
+            client.close_reason = Some(why);
         }
     }
 
     /// Why it is to be closed, if it is.
-    pub fn closing(&self, id: DownstreamId) -> Option<Closing> {
-        self.downstreams.get(&id).and_then(|client| client.closing)
+    pub fn close_reason(&self, id: DownstreamId) -> Option<CloseReason> {
+        self.downstreams
+            .get(&id)
+            .and_then(|client| client.close_reason)
     }
 
     /// It says something: it is not closed now.
-    pub fn stays(&mut self, now: Seconds, id: DownstreamId) {
+    pub fn keep_open(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            (client.closing, client.used_at) = (None, now);
+            (client.close_reason, client.used_at) = (None, now);
         }
     }
 
     /// Nobody listens there any more; what it said before may still come.
-    pub fn gone(&mut self, id: DownstreamId) {
+    pub fn peer_closed(&mut self, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.gone = true;
+            client.peer_closed = true;
         }
     }
 
     /// Whether somebody listens there.
-    pub fn is_there(&self, id: DownstreamId) -> bool {
-        self.downstreams.get(&id).is_some_and(|client| !client.gone)
+    pub fn is_reachable(&self, id: DownstreamId) -> bool {
+        self.downstreams
+            .get(&id)
+            .is_some_and(|client| !client.peer_closed)
     }
 
     /// All there are.
-    pub fn all(&self) -> Vec<DownstreamId> {
+    pub fn ids(&self) -> Vec<DownstreamId> {
         self.downstreams.keys().copied().collect()
     }
 
     /// It is gone.
-    pub fn closed(&mut self, id: DownstreamId) {
+    pub fn remove(&mut self, id: DownstreamId) {
         self.downstreams.remove(&id);
     }
 
     /// It sent a set-up that can be used.
-    pub fn proves(&mut self, now: Seconds, id: DownstreamId) {
+    pub fn record_valid_set_up(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            (client.proved, client.used_at) = (true, now);
+            (client.has_valid_set_up, client.used_at) = (true, now);
         }
     }
 
     /// It sent something of no use; `true`: too often.
-    pub fn useless(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        self.counts_against(now, id, 1.0)
+    pub fn record_malformed(&mut self, now: Seconds, id: DownstreamId) -> bool {
+        self.add_penalty(now, id, 1.0)
     }
 
     /// It sent something that is free; `true`: far too often.
-    pub fn free(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        self.counts_against(now, id, FREE)
+    pub fn record_free_message(&mut self, now: Seconds, id: DownstreamId) -> bool {
+        self.add_penalty(now, id, FREE_MESSAGE_PENALTY)
     }
 
-    fn counts_against(&mut self, now: Seconds, id: DownstreamId, much: f64) -> bool {
+    fn add_penalty(&mut self, now: Seconds, id: DownstreamId, much: f64) -> bool {
         self.downstreams.get_mut(&id).is_some_and(|client| {
-            let (useless, at) = client.useless;
-            client.useless = ((useless - FORGIVEN * (now - at)).max(0.0) + much, now);
-            client.useless.0 > USELESS_MOST
+            let (useless, at) = client.penalty;
+            client.penalty = (
+                (useless - PENALTY_DECAY_PER_SECOND * (now - at)).max(0.0) + much,
+                now,
+            );
+            client.penalty.0 > MAX_PENALTY
         })
     }
 
     /// It is sent a release, and may say that it heard it.
-    pub fn released(&mut self, id: DownstreamId) {
+    pub fn release_sent(&mut self, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.unheard = client.unheard.saturating_add(1);
+            client.unacknowledged_releases = client.unacknowledged_releases.saturating_add(1);
         }
     }
 
     /// It says that it heard a release; `true`: none was sent, and that too often.
-    pub fn heard(&mut self, now: Seconds, id: DownstreamId) -> bool {
+    pub fn release_acknowledged(&mut self, now: Seconds, id: DownstreamId) -> bool {
         match self
             .downstreams
             .get_mut(&id)
-            .filter(|client| client.unheard > 0)
+            .filter(|client| client.unacknowledged_releases > 0)
         {
             Some(client) => {
-                client.unheard -= 1;
+                client.unacknowledged_releases -= 1;
                 false
             }
-            None => self.useless(now, id),
+            None => self.record_malformed(now, id),
         }
     }
 
     /// Its set-ups without an answer.
-    pub fn open(&self, id: DownstreamId) -> usize {
-        self.downstreams.get(&id).map_or(0, |client| client.open)
+    pub fn pending_count(&self, id: DownstreamId) -> usize {
+        self.downstreams.get(&id).map_or(0, |client| client.pending)
     }
 
     /// A set-up was opened (`true`) or is over.
-    pub fn count_open(&mut self, now: Seconds, id: DownstreamId, more: bool) {
+    pub fn count_pending(&mut self, now: Seconds, id: DownstreamId, more: bool) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.open = if more {
-                client.open + 1
+            client.pending = if more {
+                client.pending + 1
             } else {
-                client.open.saturating_sub(1)
+                client.pending.saturating_sub(1)
             };
             client.used_at = now;
         }
     }
 
     /// A task of its stands (`true`) or is over.
-    pub fn count_standing(&mut self, id: DownstreamId, more: bool) {
+    pub fn count_placed(&mut self, id: DownstreamId, more: bool) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.standing = if more {
-                client.standing + 1
+            client.placed = if more {
+                client.placed + 1
             } else {
-                client.standing.saturating_sub(1)
+                client.placed.saturating_sub(1)
             };
-            client.owner |= more;
+            client.is_owner |= more;
         }
     }
 
     /// A connection that leads to the owner that came by `id` from `from`: that one, else one from the same
     /// address, else any other of an owner. A connection of which no task ever stood is not taken: whoever
     /// asks for what can't be had may come from the same address.
-    pub fn way(&self, id: Option<DownstreamId>, from: Option<IpAddr>) -> Option<DownstreamId> {
-        if let Some(id) = id.filter(|id| self.is_there(*id)) {
+    pub fn route_to_owner(
+        &self,
+        id: Option<DownstreamId>,
+        from: Option<IpAddr>,
+    ) -> Option<DownstreamId> {
+        if let Some(id) = id.filter(|id| self.is_reachable(*id)) {
             return Some(id);
         }
         let owners = || {
             self.downstreams
                 .iter()
-                .filter(|(_, client)| client.owner && !client.gone)
+                .filter(|(_, client)| client.is_owner && !client.peer_closed)
         };
         let near = owners().filter(|(_, client)| Some(client.from) == from);
         let newest = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
@@ -268,12 +280,12 @@
     }
 
     /// Those that have said nothing of use for too long: to be closed if that is so.
-    pub fn silent(&mut self, now: Seconds) -> Vec<DownstreamId> {
+    pub fn mark_silent(&mut self, now: Seconds) -> Vec<DownstreamId> {
         let silent = |client: &Downstream| {
-            !client.proved
-                && client.closing.is_none()
-                && client.open == 0
-                && now - client.opened_at > SILENT_FOR
+            !client.has_valid_set_up
+                && client.close_reason.is_none()
+                && client.pending == 0
+                && now - client.opened_at > SILENT_CLIENT_TIMEOUT
         };
         let over: Vec<DownstreamId> = self
             .downstreams
@@ -282,7 +294,7 @@
             .map(|(&id, _)| id)
             .collect();
         for id in &over {
-            self.closes(*id, Closing::Silent);
+            self.begin_close(*id, CloseReason::Silent);
         }
         over
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,18 +8,18 @@
 mod requests;
 mod shutdown;
 
-pub use io::{Input, Limits, Output, Seen};
+pub use io::{Input, Limits, Output, PeerCheck};
 
-use clients::{Claim, Due};
-use shutdown::Leaving;
+use clients::{IdConflict, ReadyOffers};
+use shutdown::GracefulShutdown;
 
 use crate::counts::Counts;
-use crate::discovery::Delivery;
+use crate::discovery::WatchEvent;
 use crate::downstream::Downstreams;
-use crate::message::{Id, Kind, Message, cause, code};
-use crate::pool::{End, News, Pool, PoolAction, Times};
-use crate::table::{Attempt, Request, RequestTable, Stage, micros};
-use crate::{DownstreamId, UpstreamId, ask, discovery};
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::pool::{ConnectionEnd, ConnectionTimeouts, Pool, PoolAction, PoolEvent};
+use crate::request_table::{Attempt, Request, RequestState, RequestTable, micros};
+use crate::{DownstreamId, UpstreamId, discovery, task_request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 use tidespur_load_shedding::LoadShedder;
@@ -31,40 +31,40 @@
 use tidespur_site_settings::Site;
 
 /// Set-ups without an answer on one connection; more are refused at once.
-const OPEN_MOST: usize = 256;
+const MAX_PENDING_PER_CLIENT: usize = 256;
 /// Set-ups without an answer in all.
-const OPEN_MOST_ALL: usize = 8_192;
+const MAX_PENDING: usize = 8_192;
 /// Requests and tasks that stand, in all: more are not taken over. Guards against clients that name tasks without end.
 /// Harm: whoever has more is told that they failed.
-const REQUESTS_MOST: usize = 32_768;
+const MAX_REQUESTS: usize = 32_768;
 /// Releases that wait for a way to their owner.
-const OWED_MOST: usize = 4_096;
+const MAX_PENDING_RELEASES: usize = 4_096;
 /// Time goes on at least this often.
-const TICK: Seconds = 0.1;
+const TICK_INTERVAL: Seconds = 0.1;
 
 /// A step this long after the one before: the loop stood still, as with a tick alone it comes sooner.
-const STALL: Seconds = 2.0 * TICK;
+const LOOP_STALL_TIMEOUT: Seconds = 2.0 * TICK_INTERVAL;
 
 /// The gateway of one scheduler.
 pub struct Gateway {
     site: Site,
     policy: Scheduler,
-    table: RequestTable,
+    requests: RequestTable,
     pool: Pool,
     downstreams: Downstreams,
     /// Machines that are listed, or of which something is still here: name, and when it last started.
-    known: BTreeMap<MachineId, (String, Option<Seconds>)>,
-    delivered: u64,
+    machines: BTreeMap<MachineId, (String, Option<Seconds>)>,
+    last_revision: u64,
     events: Vec<Event>,
     timers: BTreeSet<(u64, u64)>,
-    owed: VecDeque<(Option<IpAddr>, Vec<u8>)>,
+    pending_releases: VecDeque<(Option<IpAddr>, Vec<u8>)>,
     /// Set-ups that leave once their clients are known to be there still, and who is looked at for it.
-    due: Due,
+    ready_offers: ReadyOffers,
     /// Set-ups under the numbers of others' requests, until the others' connections have been looked at.
-    claims: Vec<Claim>,
-    leaving: Option<Leaving>,
-    ticked: Seconds,
-    stepped: Seconds,
+    id_conflicts: Vec<IdConflict>,
+    shutdown: Option<GracefulShutdown>,
+    last_tick: Seconds,
+    last_step: Seconds,
     shedder: LoadShedder,
     counts: Counts,
 }
@@ -82,25 +82,25 @@
                 .iter()
                 .map(|class| (class.latency_objective, class.priority_weight)),
         );
-        let times = Times {
-            connect_within: site.connect_timeout,
+        let times = ConnectionTimeouts {
+            connect: site.connect_timeout,
             idle: site.connection_idle,
         };
         Ok(Self {
             policy,
-            table: RequestTable::default(),
+            requests: RequestTable::default(),
             pool: Pool::new(limits.upstreams, times),
             downstreams: Downstreams::new(limits.downstreams),
-            known: BTreeMap::new(),
-            delivered: 0,
+            machines: BTreeMap::new(),
+            last_revision: 0,
             events: Vec::new(),
             timers: BTreeSet::new(),
-            owed: VecDeque::new(),
-            due: Due::default(),
-            claims: Vec::new(),
-            leaving: None,
-            ticked: 0.0,
-            stepped: 0.0,
+            pending_releases: VecDeque::new(),
+            ready_offers: ReadyOffers::default(),
+            id_conflicts: Vec::new(),
+            shutdown: None,
+            last_tick: 0.0,
+            last_step: 0.0,
             shedder,
             counts: Counts::default(),
             site,
@@ -108,8 +108,8 @@
     }
 
     /// Number of the last event of the notice board that was taken in.
-    pub fn delivered(&self) -> u64 {
-        self.delivered
+    pub fn last_revision(&self) -> u64 {
+        self.last_revision
     }
 
     /// The settings that it works by.
@@ -119,7 +119,10 @@
 
     /// Machines, and connections to them, that were looked at so far: the work of choosing.
     pub fn looked(&self) -> [u64; 2] {
-        [self.policy.machines_examined(), self.pool.looked()]
+        [
+            self.policy.machines_examined(),
+            self.pool.connections_examined(),
+        ]
     }
 
     /// What was done so far.
@@ -131,11 +134,11 @@
     pub fn sizes(&self) -> [usize; 5] {
         let clients = self.downstreams.count();
         [
-            self.table.count(),
-            self.table.waiting(),
+            self.requests.count(),
+            self.requests.pending_count(),
             clients,
             self.pool.count(),
-            self.pool.peers(),
+            self.pool.peer_count(),
         ]
     }
 
@@ -146,14 +149,14 @@
             .first()
             .map_or(f64::INFINITY, |&(at, _)| at as f64 / 1e6);
         let late = self
-            .table
-            .next_late()
+            .requests
+            .next_attempt_deadline()
             .map_or(f64::INFINITY, |at| at as f64 / 1e6);
         timer
             .min(late)
-            .min(self.ticked + TICK)
-            .min(self.due.again_at)
-            .min(self.leaves_at())
+            .min(self.last_tick + TICK_INTERVAL)
+            .min(self.ready_offers.recheck_at)
+            .min(self.next_shutdown_deadline())
     }
 
     /// Takes in what came at `now`, and tells what is to be done.
@@ -163,14 +166,14 @@
         inputs: impl IntoIterator<Item = Input>,
         out: &mut Vec<Output>,
     ) {
-        if now - self.stepped > STALL {
-            self.pool.stalled(now);
+        if now - self.last_step > LOOP_STALL_TIMEOUT {
+            self.pool.loop_stalled(now);
         }
-        self.stepped = now;
+        self.last_step = now;
         for input in inputs {
-            self.take(now, input, out);
+            self.handle_input(now, input, out);
         }
-        self.pass(now, out);
+        self.handle_timers(now, out);
         // An offer that can't leave is an event at once; the policy's attempts bound how often.
         while !self.events.is_empty() {
             let mut actions = Vec::new();
@@ -182,49 +185,59 @@
         }
     }
 
-    fn take(&mut self, now: Seconds, input: Input, out: &mut Vec<Output>) {
+    fn handle_input(&mut self, now: Seconds, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::DownstreamOpened(client, from) => {
                 self.downstreams.opened(now, client, from);
                 self.close_surplus(now, out);
             }
-            Input::DownstreamSaid(client, message) if self.downstreams.has(client) => {
-                self.client_said(now, client, message, out);
+            Input::DownstreamMessage(client, message) if self.downstreams.contains(client) => {
+                self.downstream_message(now, client, message, out);
             }
-            Input::DownstreamSaid(..) => {}
+            Input::DownstreamMessage(..) => {}
             Input::DownstreamMalformed(client) => {
-                self.counts.useless += 1;
+                self.counts.malformed += 1;
                 self.close_client(now, client, out);
             }
             Input::DownstreamClosed(client) => {
-                self.downstreams.closed(client);
-                self.forget_client(now, client, out);
+                self.downstreams.remove(client);
+                self.cancel_client_requests(now, client, out);
+            }
+            Input::DownstreamPeerClosed(client) => self.downstream_peer_closed(now, client, out),
+            Input::DownstreamChecked(client, seen) => {
+                self.downstream_checked(now, client, seen, out)
             }
-            Input::DownstreamGone(client) => self.client_gone(now, client, out),
-            Input::Looked(client, seen) => self.looked_at(now, client, seen, out),
             Input::UpstreamOpened(line) => {
-                self.on_pool(out, |pool, acts| pool.opened(now, line, acts))
+                self.with_pool(out, |pool, acts| pool.opened(now, line, acts))
+            }
+            Input::UpstreamConnectRefused(line) => {
+                self.upstream_ended(now, line, ConnectionEnd::Refused, out)
             }
-            Input::UpstreamRefused(line) => self.line_ended(now, line, End::Refused, out),
-            Input::UpstreamEnded(line) | Input::UpstreamFailed(line) => {
-                self.line_ended(now, line, End::Other, out);
+            Input::UpstreamEnded(line) | Input::UpstreamConnectFailed(line) => {
+                self.upstream_ended(now, line, ConnectionEnd::Other, out);
             }
-            Input::UpstreamUnwritten(line, offer) => {
-                self.line_ended(now, line, End::Unwritten(offer), out);
+            Input::UpstreamWriteFailed(line, offer) => {
+                self.upstream_ended(now, line, ConnectionEnd::WriteFailed(offer), out);
+            }
+            Input::UpstreamBlocked(line, offer, bytes) => {
+                self.pool.write_blocked(line, offer, bytes)
+            }
+            Input::UpstreamPartiallyWritten(line, offer) => {
+                self.pool.partially_written(line, offer)
             }
-            Input::UpstreamFull(line, offer, bytes) => self.pool.full(line, offer, bytes),
-            Input::UpstreamPart(line, offer) => self.pool.part(line, offer),
             Input::UpstreamDrained(line) => {
-                self.on_pool(out, |pool, acts| pool.drained(line, acts))
+                self.with_pool(out, |pool, acts| pool.write_drained(line, acts))
+            }
+            Input::UpstreamChecked(line) => self.upstream_checked(now, line, out),
+            Input::UpstreamMalformed(line) => self.upstream_malformed(now, line, out),
+            Input::UpstreamMessage(line, message) => {
+                self.upstream_message(now, line, &message, out)
             }
-            Input::UpstreamLooked(line) => self.upstream_looked_at(now, line, out),
-            Input::UpstreamMalformed(line) => self.malformed(now, line, out),
-            Input::UpstreamSaid(line, message) => self.line_said(now, line, &message, out),
-            Input::Delivered(event) => self.delivered_event(now, event, out),
-            Input::Leave => self.leave(now),
-            Input::Unlistened => self.unlistened(out),
-            Input::Lag(late) => {
-                self.counts.lag_most = self.counts.lag_most.max((late * 1e3) as u64);
+            Input::EndpointsDelivered(event) => self.endpoints_delivered(now, event, out),
+            Input::Shutdown => self.begin_shutdown(now),
+            Input::ListeningStopped => self.listening_stopped(out),
+            Input::LagMeasured(late) => {
+                self.counts.max_lag_ms = self.counts.max_lag_ms.max((late * 1e3) as u64);
                 self.shedder.observe_lag(now, late);
             }
             Input::Tick => {}
@@ -232,29 +245,29 @@
     }
 
     /// What is due by now.
-    fn pass(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    fn handle_timers(&mut self, now: Seconds, out: &mut Vec<Output>) {
         while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= micros(now)) {
             self.timers.remove(&(at, token));
             self.events.push(Event::TimerFired(token));
         }
-        self.overdue(now, out);
-        self.look_again(now, out);
-        self.leave_on(now, out);
-        if now - self.ticked < TICK {
+        self.check_overdue_attempts(now, out);
+        self.recheck_busy_clients(now, out);
+        self.advance_shutdown(now, out);
+        if now - self.last_tick < TICK_INTERVAL {
             return;
         }
-        self.ticked = now;
+        self.last_tick = now;
         let mut news = Vec::new();
-        self.on_pool(out, |pool, acts| pool.tick(now, acts, &mut news));
-        self.hear(now, news, out);
-        for client in self.downstreams.silent(now) {
-            out.push(Output::Look(client));
+        self.with_pool(out, |pool, acts| pool.tick(now, acts, &mut news));
+        self.handle_pool_events(now, news, out);
+        for client in self.downstreams.mark_silent(now) {
+            out.push(Output::CheckDownstream(client));
         }
         // Machines come and go without end: what is kept of one goes with its last connection.
         let pool = &self.pool;
-        self.known.retain(|machine, _| pool.knows(*machine));
-        self.pay(out);
-        self.close_on(out);
+        self.machines.retain(|machine, _| pool.knows(*machine));
+        self.send_pending_releases(out);
+        self.recheck_closing_clients(out);
     }
 }
 
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -9,26 +9,26 @@
                 task,
                 machine,
                 timeout: wait,
-            } => self.send(now, task, machine, wait, out),
+            } => self.send_offer(now, task, machine, wait, out),
             Action::Reject { task, .. } => {
-                self.counts.refused += 1;
-                self.finish(now, task, cause::FULL, out);
+                self.counts.rejected += 1;
+                self.reject_request(now, task, cause::FULL, out);
             }
             Action::Fail(task) => {
                 self.counts.failed += 1;
-                self.finish(now, task, cause::FAILED, out);
+                self.reject_request(now, task, cause::FAILED, out);
             }
             Action::Migrate(task) => {
-                let Some(id) = self.table.id(task) else {
+                let Some(id) = self.requests.id_of_task(task) else {
                     return;
                 };
                 if self
-                    .table
+                    .requests
                     .get(id)
-                    .is_some_and(|r| matches!(r.stage, Stage::Standing { .. }))
+                    .is_some_and(|r| matches!(r.state, RequestState::Placed { .. }))
                 {
-                    self.reply(id, Message::new(Kind::Move, id).bytes(), out);
-                    self.end_at_machine(now, id, out);
+                    self.reply(id, Message::new(MessageKind::Move, id).encode(), out);
+                    self.release_at_machine(now, id, out);
                 }
             }
             // The board is followed all the time: there is nothing to ask for.
@@ -46,20 +46,27 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: Seconds, task: TaskId, word: u8, out: &mut Vec<Output>) {
-        let Some(id) = self.table.id(task) else {
+    pub(super) fn reject_request(
+        &mut self,
+        now: Seconds,
+        task: TaskId,
+        word: u8,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(id) = self.requests.id_of_task(task) else {
             return;
         };
-        let Some((client, Stage::Open { .. })) = self.table.get(id).map(|r| (r.client, r.stage))
+        let Some((client, RequestState::Pending { .. })) =
+            self.requests.get(id).map(|r| (r.client, r.state))
         else {
             return;
         };
-        self.reply(id, Message::release(id, word).bytes(), out);
-        self.downstreams.count_open(now, client, false);
-        self.table.remove(id);
+        self.reply(id, Message::release(id, word).encode(), out);
+        self.downstreams.count_pending(now, client, false);
+        self.requests.remove(id);
     }
 
-    pub(super) fn send(
+    pub(super) fn send_offer(
         &mut self,
         now: Seconds,
         task: TaskId,
@@ -67,19 +74,19 @@
         wait: Seconds,
         out: &mut Vec<Output>,
     ) {
-        let Some(id) = self.table.id(task) else {
+        let Some(id) = self.requests.id_of_task(task) else {
             return;
         };
-        let number = self.table.sends(id);
-        let Some(request) = self.table.get(id) else {
+        let number = self.requests.count_attempt(id);
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Stage::Open { may_have_run, .. } = request.stage else {
+        let RequestState::Pending { may_have_run, .. } = request.state else {
             return;
         };
         let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
-        let mut set_up = Message::new(Kind::SetUp, id);
-        for (code, value) in &request.passed {
+        let mut set_up = Message::new(MessageKind::SetUp, id);
+        for (code, value) in &request.forwarded {
             set_up = set_up.with(
                 *code,
                 if *code == code::WAIT {
@@ -90,18 +97,18 @@
             );
         }
         self.counts.offers += 1;
-        match self.on_pool(out, |pool, acts| {
-            pool.offer(now, machine, id, set_up.bytes(), acts)
+        match self.with_pool(out, |pool, acts| {
+            pool.offer(now, machine, id, set_up.encode(), acts)
         }) {
             Some(line) => {
                 let attempt = Some(Attempt {
                     number,
-                    line,
-                    until: now + wait,
+                    upstream: line,
+                    deadline: now + wait,
                 });
-                self.table.put(
+                self.requests.set_state(
                     id,
-                    Stage::Open {
+                    RequestState::Pending {
                         attempt,
                         may_have_run,
                     },
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -4,51 +4,54 @@
 
 impl Gateway {
     /// Sends bytes to the owner of a request, by whatever way leads there.
-    pub(super) fn reply(&mut self, id: Id, bytes: Vec<u8>, out: &mut Vec<Output>) {
-        let Some(request) = self.table.get(id) else {
+    pub(super) fn reply(&mut self, id: RequestId, bytes: Vec<u8>, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        match self.downstreams.way(Some(request.client), request.from) {
+        match self
+            .downstreams
+            .route_to_owner(Some(request.client), request.from)
+        {
             Some(client) => {
-                self.downstreams.released(client);
-                out.push(Output::Downstream(client, bytes));
+                self.downstreams.release_sent(client);
+                out.push(Output::WriteDownstream(client, bytes));
             }
             None => {
-                if self.owed.len() >= OWED_MOST {
-                    self.owed.pop_front();
+                if self.pending_releases.len() >= MAX_PENDING_RELEASES {
+                    self.pending_releases.pop_front();
                 }
-                self.owed.push_back((request.from, bytes));
+                self.pending_releases.push_back((request.from, bytes));
             }
         }
     }
 
     /// What had no way to its owner goes out once there is one.
-    pub(super) fn pay(&mut self, out: &mut Vec<Output>) {
-        while let Some((from, _)) = self.owed.front() {
-            let Some(client) = self.downstreams.way(None, *from) else {
+    pub(super) fn send_pending_releases(&mut self, out: &mut Vec<Output>) {
+        while let Some((from, _)) = self.pending_releases.front() {
+            let Some(client) = self.downstreams.route_to_owner(None, *from) else {
                 return;
             };
-            let Some((_, bytes)) = self.owed.pop_front() else {
+            let Some((_, bytes)) = self.pending_releases.pop_front() else {
                 return;
             };
-            self.downstreams.released(client);
-            out.push(Output::Downstream(client, bytes));
+            self.downstreams.release_sent(client);
+            out.push(Output::WriteDownstream(client, bytes));
         }
     }
 
     /// A request whose owner waits is over: nothing is owed, and what is out for it is cancelled at its machine.
-    pub(super) fn cancel_request(&mut self, now: Seconds, id: Id, out: &mut Vec<Output>) {
-        let Some(request) = self.table.remove(id) else {
+    pub(super) fn cancel_request(&mut self, now: Seconds, id: RequestId, out: &mut Vec<Output>) {
+        let Some(request) = self.requests.remove(id) else {
             return;
         };
-        let (task, Stage::Open { attempt, .. }) = (request.task, request.stage) else {
+        let (task, RequestState::Pending { attempt, .. }) = (request.task, request.state) else {
             return;
         };
-        self.downstreams.count_open(now, request.client, false);
+        self.downstreams.count_pending(now, request.client, false);
         self.events.push(Event::TaskCancelled(task));
         if let Some(attempt) = attempt {
-            self.on_pool(out, |pool, acts| {
-                pool.cancel(now, attempt.line, id, false, acts)
+            self.with_pool(out, |pool, acts| {
+                pool.cancel(now, attempt.upstream, id, false, acts)
             });
             self.events.push(event((
                 task,
@@ -62,48 +65,53 @@
 
     /// Attempts whose time is over: an answer may lie unread, so their connections are looked at first. Guards against
     /// a loop that lags and takes an attempt for failed that was answered in time. Costs one read.
-    pub(super) fn overdue(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        let of = |id| match self.table.get(id).map(|request| request.stage) {
-            Some(Stage::Open {
+    pub(super) fn check_overdue_attempts(&mut self, now: Seconds, out: &mut Vec<Output>) {
+        let of = |id| match self.requests.get(id).map(|request| request.state) {
+            Some(RequestState::Pending {
                 attempt: Some(attempt),
                 ..
-            }) => Some(attempt.line),
+            }) => Some(attempt.upstream),
             _ => None,
         };
-        let lines: BTreeSet<UpstreamId> = self.table.late(now).into_iter().filter_map(of).collect();
+        let lines: BTreeSet<UpstreamId> = self
+            .requests
+            .overdue_attempts(now)
+            .into_iter()
+            .filter_map(of)
+            .collect();
         out.extend(
             lines
                 .into_iter()
-                .map(|line| Output::Upstream(PoolAction::Look(line))),
+                .map(|line| Output::Upstream(PoolAction::CheckPeer(line))),
         );
     }
 
     /// What a machine had said on a connection was taken in: what is over now is over.
-    pub(super) fn upstream_looked_at(
+    pub(super) fn upstream_checked(
         &mut self,
         now: Seconds,
         line: UpstreamId,
         out: &mut Vec<Output>,
     ) {
-        for id in self.table.late(now) {
-            if self.table.is_out(id, line) {
-                self.timed_out(now, id, out);
+        for id in self.requests.overdue_attempts(now) {
+            if self.requests.is_attempt_on(id, line) {
+                self.attempt_timed_out(now, id, out);
             }
         }
     }
 
     /// The time of an attempt is over: it is cancelled.
-    fn timed_out(&mut self, now: Seconds, id: Id, out: &mut Vec<Output>) {
-        let Some(Stage::Open {
+    fn attempt_timed_out(&mut self, now: Seconds, id: RequestId, out: &mut Vec<Output>) {
+        let Some(RequestState::Pending {
             attempt: Some(attempt),
             ..
-        }) = self.table.get(id).map(|r| r.stage)
+        }) = self.requests.get(id).map(|r| r.state)
         else {
             return;
         };
         self.counts.timed_out += 1;
-        let never_left = self.on_pool(out, |pool, acts| {
-            pool.cancel(now, attempt.line, id, true, acts)
+        let never_left = self.with_pool(out, |pool, acts| {
+            pool.cancel(now, attempt.upstream, id, true, acts)
         });
         // It waited for its own client or for a machine that takes no bytes: it has not run.
         self.attempt_ended(
@@ -120,17 +128,17 @@
     /// The attempt that is out has ended without an answer that the task stands.
     pub(super) fn attempt_ended(
         &mut self,
-        id: Id,
+        id: RequestId,
         ending: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
-        let Some(request) = self.table.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Stage::Open {
+        let RequestState::Pending {
             attempt: Some(attempt),
             may_have_run,
-        } = request.stage
+        } = request.state
         else {
             return;
         };
@@ -139,13 +147,13 @@
             ending,
             AttemptOutcome::Rejected(_) | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
-        self.pool.settled(attempt.line, id);
+        self.pool.settle_offer(attempt.upstream, id);
         if !(may_have_run || ran) {
-            self.table.has_not_run(id);
+            self.requests.clear_first_attempt(id);
         }
-        self.table.put(
+        self.requests.set_state(
             id,
-            Stage::Open {
+            RequestState::Pending {
                 attempt: None,
                 may_have_run: may_have_run || ran,
             },
@@ -155,34 +163,39 @@
     }
 
     /// A standing task is ended from here: its machine is told.
-    pub(super) fn end_at_machine(&mut self, now: Seconds, id: Id, out: &mut Vec<Output>) {
-        let Some(Stage::Standing {
+    pub(super) fn release_at_machine(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(RequestState::Placed {
             machine, attempt, ..
-        }) = self.table.get(id).map(|r| r.stage)
+        }) = self.requests.get(id).map(|r| r.state)
         else {
             return;
         };
-        let ended = Message::release(id, cause::ENDED).bytes();
-        self.on_pool(out, |pool, acts| pool.tell(now, machine, ended, acts));
-        self.end(now, id, attempt, AttemptOutcome::Cancelled, None);
+        let ended = Message::release(id, cause::ENDED).encode();
+        self.with_pool(out, |pool, acts| pool.notify(now, machine, ended, acts));
+        self.finish_placed(now, id, attempt, AttemptOutcome::Cancelled, None);
     }
 
     /// A standing task has ended.
-    pub(super) fn end(
+    pub(super) fn finish_placed(
         &mut self,
         now: Seconds,
-        id: Id,
+        id: RequestId,
         attempt: u32,
         ending: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
-        let Some(request) = self.table.remove(id) else {
+        let Some(request) = self.requests.remove(id) else {
             return;
         };
-        if let Stage::Standing { machine, .. } = request.stage {
-            self.pool.hold(now, machine, false);
+        if let RequestState::Placed { machine, .. } = request.state {
+            self.pool.count_placed(now, machine, false);
         }
-        self.downstreams.count_standing(request.client, false);
+        self.downstreams.count_placed(request.client, false);
         self.counts.ended += 1;
         self.events
             .push(event((request.task, attempt, ending, true, report)));
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -6,103 +6,117 @@
 //! one read an attempt. Harm: a client that says more than a look reads has its attempts wait until it was read.
 
 use super::*;
-use crate::downstream::Closing;
+use crate::downstream::CloseReason;
 
 /// After a look that did not come to an end, the next one.
-const LOOK_AGAIN: Seconds = 0.02;
+const RECHECK_INTERVAL: Seconds = 0.02;
 
 /// Set-ups that could leave, by the client that they wait for.
 #[derive(Debug)]
-pub(super) struct Due {
-    of: BTreeMap<DownstreamId, Vec<(UpstreamId, Id)>>,
+pub(super) struct ReadyOffers {
+    by_client: BTreeMap<DownstreamId, Vec<(UpstreamId, RequestId)>>,
     /// Clients that said more than was read at once, and when they are looked at again.
     busy: BTreeSet<DownstreamId>,
-    pub(super) again_at: Seconds,
+    pub(super) recheck_at: Seconds,
 }
 
 /// A set-up under the number of a request that another connection holds.
 #[derive(Debug)]
-pub(super) struct Claim {
-    pub(super) known: DownstreamId,
-    pub(super) client: DownstreamId,
+pub(super) struct IdConflict {
+    pub(super) holder: DownstreamId,
+    pub(super) claimant: DownstreamId,
     pub(super) message: Message,
 }
 
-impl Default for Due {
+impl Default for ReadyOffers {
     fn default() -> Self {
         Self {
-            of: BTreeMap::new(),
+            by_client: BTreeMap::new(),
             busy: BTreeSet::new(),
-            again_at: f64::INFINITY,
+            recheck_at: f64::INFINITY,
         }
     }
 }
 
 impl Gateway {
     /// A set-up could leave: its client is looked at first, once for all of its set-ups in a step.
-    pub(super) fn due(&mut self, upstream: UpstreamId, id: Id, out: &mut Vec<Output>) {
-        let Some(client) = self.table.get(id).map(|request| request.client) else {
+    pub(super) fn offer_ready(
+        &mut self,
+        upstream: UpstreamId,
+        id: RequestId,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(client) = self.requests.get(id).map(|request| request.client) else {
             return;
         };
-        let due = self.due.of.entry(client).or_default();
+        let due = self.ready_offers.by_client.entry(client).or_default();
         if due.is_empty() {
-            out.push(Output::Look(client));
+            out.push(Output::CheckDownstream(client));
         }
         due.push((upstream, id));
     }
 
     /// A look at a client is done: what ends its requests was taken in before.
-    pub(super) fn looked_at(
+    pub(super) fn downstream_checked(
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        seen: Seen,
+        seen: PeerCheck,
         out: &mut Vec<Output>,
     ) {
-        self.claimed(now, client, out);
-        if let Some(why) = self.downstreams.closing(client) {
+        self.resolve_id_conflicts(now, client, out);
+        if let Some(why) = self.downstreams.close_reason(client) {
             // Who takes long for a message, and is not in the way, may go on with it.
-            let idle = seen == Seen::All || seen == Seen::Half && why != Closing::Silent;
-            if idle && self.downstreams.open(client) == 0 {
+            let idle = seen == PeerCheck::Idle
+                || seen == PeerCheck::PartialMessage && why != CloseReason::Silent;
+            if idle && self.downstreams.pending_count(client) == 0 {
                 self.close_client(now, client, out);
             } else {
-                self.downstreams.stays(now, client);
+                self.downstreams.keep_open(now, client);
                 self.close_surplus(now, out);
             }
         }
-        if seen == Seen::Part {
+        if seen == PeerCheck::MoreUnread {
             // What was cancelled meanwhile is forgotten, however long this goes on.
-            let table = &self.table;
-            if let Some(due) = self.due.of.get_mut(&client) {
-                due.retain(|&(upstream, id)| table.is_out(id, upstream));
+            let table = &self.requests;
+            if let Some(due) = self.ready_offers.by_client.get_mut(&client) {
+                due.retain(|&(upstream, id)| table.is_attempt_on(id, upstream));
             }
-            self.due.busy.insert(client);
-            self.due.again_at = self.due.again_at.min(now + LOOK_AGAIN);
+            self.ready_offers.busy.insert(client);
+            self.ready_offers.recheck_at = self.ready_offers.recheck_at.min(now + RECHECK_INTERVAL);
             return;
         }
         // Those that were cancelled meanwhile are not in the pool any more.
-        for (upstream, id) in self.due.of.remove(&client).unwrap_or_default() {
+        for (upstream, id) in self
+            .ready_offers
+            .by_client
+            .remove(&client)
+            .unwrap_or_default()
+        {
             if self.is_past_window(now, id) {
-                self.on_pool(out, |pool, acts| {
+                self.with_pool(out, |pool, acts| {
                     pool.cancel(now, upstream, id, false, acts)
                 });
                 self.attempt_ended(id, AttemptOutcome::NeverSent, None);
-            } else if self.on_pool(out, |pool, acts| pool.leaves(upstream, id, acts)) {
-                self.table.begins(now, id);
+            } else if self.with_pool(out, |pool, acts| pool.send_ready_offer(upstream, id, acts)) {
+                self.requests.record_first_attempt(now, id);
             }
         }
     }
 
     /// Whether a repeat would begin after the window in which it has no second effect: it was decided in time, and
     /// then waited for its connection.
-    fn is_past_window(&self, now: Seconds, id: Id) -> bool {
+    fn is_past_window(&self, now: Seconds, id: RequestId) -> bool {
         let Some((
             request,
-            Stage::Open {
+            RequestState::Pending {
                 attempt: Some(_),
                 may_have_run: true,
             },
-        )) = self.table.get(id).map(|request| (request, request.stage))
+        )) = self
+            .requests
+            .get(id)
+            .map(|request| (request, request.state))
         else {
             return false;
         };
@@ -116,35 +130,41 @@
             Some(RetrySafety::IdempotencyKeyed { window, .. }) => window,
             _ => return false,
         };
-        request.began.is_some_and(|began| now > began + window)
+        request
+            .first_attempt_at
+            .is_some_and(|began| now > began + window)
     }
 
     /// Time goes on: clients that said more than was read at once are looked at again.
-    pub(super) fn look_again(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        if now >= self.due.again_at {
-            self.due.again_at = f64::INFINITY;
+    pub(super) fn recheck_busy_clients(&mut self, now: Seconds, out: &mut Vec<Output>) {
+        if now >= self.ready_offers.recheck_at {
+            self.ready_offers.recheck_at = f64::INFINITY;
             out.extend(
-                std::mem::take(&mut self.due.busy)
+                std::mem::take(&mut self.ready_offers.busy)
                     .into_iter()
-                    .map(Output::Look),
+                    .map(Output::CheckDownstream),
             );
         }
     }
 
     /// Where there are more connections than may be, one that says nothing is closed.
     pub(super) fn close_surplus(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        out.extend(self.downstreams.surplus(now).map(Output::Look));
+        out.extend(
+            self.downstreams
+                .mark_surplus(now)
+                .map(Output::CheckDownstream),
+        );
     }
 
     /// Nobody listens there any more: what was open on it is cancelled at once, whatever else it said before.
-    pub(super) fn client_gone(
+    pub(super) fn downstream_peer_closed(
         &mut self,
         now: Seconds,
         client: DownstreamId,
         out: &mut Vec<Output>,
     ) {
-        self.downstreams.gone(client);
-        self.forget_client(now, client, out);
+        self.downstreams.peer_closed(client);
+        self.cancel_client_requests(now, client, out);
     }
 
     pub(super) fn close_client(
@@ -153,21 +173,21 @@
         client: DownstreamId,
         out: &mut Vec<Output>,
     ) {
-        self.downstreams.closed(client);
-        self.forget_client(now, client, out);
+        self.downstreams.remove(client);
+        self.cancel_client_requests(now, client, out);
         self.counts.closed += 1;
         out.push(Output::CloseDownstream(client));
     }
 
     /// A connection is no more: what was open on it is cancelled, what stands is reached by another way.
-    pub(super) fn forget_client(
+    pub(super) fn cancel_client_requests(
         &mut self,
         now: Seconds,
         client: DownstreamId,
         out: &mut Vec<Output>,
     ) {
-        self.due.of.remove(&client);
-        for id in self.table.of_client(client) {
+        self.ready_offers.by_client.remove(&client);
+        for id in self.requests.pending_of_client(client) {
             self.counts.cancelled += 1;
             self.cancel_request(now, id, out);
         }
@@ -175,46 +195,51 @@
 
     /// A set-up names what another connection holds already. Whether that one is still there decides, and its close may
     /// not have been read.
-    pub(super) fn claim(&mut self, claim: Claim, out: &mut Vec<Output>) {
-        out.push(Output::Look(claim.known));
-        self.claims.push(claim);
+    pub(super) fn defer_id_conflict(&mut self, claim: IdConflict, out: &mut Vec<Output>) {
+        out.push(Output::CheckDownstream(claim.holder));
+        self.id_conflicts.push(claim);
     }
 
     /// A connection was looked at: what was claimed of it is decided.
-    fn claimed(&mut self, now: Seconds, looked_at: DownstreamId, out: &mut Vec<Output>) {
-        let (decided, rest) = std::mem::take(&mut self.claims)
+    fn resolve_id_conflicts(
+        &mut self,
+        now: Seconds,
+        looked_at: DownstreamId,
+        out: &mut Vec<Output>,
+    ) {
+        let (decided, rest) = std::mem::take(&mut self.id_conflicts)
             .into_iter()
-            .partition(|claim| claim.known == looked_at);
-        self.claims = rest;
-        let decided: Vec<Claim> = decided;
-        for Claim {
-            known,
-            client,
+            .partition(|claim| claim.holder == looked_at);
+        self.id_conflicts = rest;
+        let decided: Vec<IdConflict> = decided;
+        for IdConflict {
+            holder: known,
+            claimant: client,
             message,
         } in decided
         {
             let id = message.id;
-            let there = self.downstreams.is_there(known);
+            let there = self.downstreams.is_reachable(known);
             match self
-                .table
+                .requests
                 .get(id)
-                .map(|request| (request.client, request.stage))
+                .map(|request| (request.client, request.state))
             {
                 // It was cancelled with its connection.
-                None => self.set_up(now, client, message, out),
+                None => self.handle_set_up(now, client, message, out),
                 // Who names what stands is believed to be its owner only where the one who is known has gone: else
                 // anybody with an id could draw its end to himself.
-                Some((by, Stage::Standing { .. })) if ask::is_handed(&message) => {
+                Some((by, RequestState::Placed { .. })) if task_request::is_handover(&message) => {
                     if by == known && !there {
-                        self.downstreams.proves(now, client);
-                        self.downstreams.count_standing(client, true);
-                        self.table
-                            .reached_by(id, client, self.downstreams.from(client));
+                        self.downstreams.record_valid_set_up(now, client);
+                        self.downstreams.count_placed(client, true);
+                        self.requests
+                            .rebind_client(id, client, self.downstreams.from(client));
                     }
                 }
                 // Two requests of one number: neither answer could be told from the other.
                 Some(_) => {
-                    self.counts.useless += 1;
+                    self.counts.malformed += 1;
                     self.close_client(now, client, out);
                 }
             }
--- a/crates/gateway/src/gateway/io.rs
+++ b/crates/gateway/src/gateway/io.rs
@@ -1,7 +1,7 @@
 //! What comes to a gateway, what it wants done, and what it may use.
 
-use crate::discovery::Delivery;
-use crate::message::{Id, Message};
+use crate::discovery::WatchEvent;
+use crate::message::{Message, RequestId};
 use crate::pool::PoolAction;
 use crate::{DownstreamId, UpstreamId};
 use std::net::IpAddr;
@@ -35,15 +35,15 @@
 
 /// What a look at a client's connection found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum PeerCheck {
     /// Nothing is unread, and all that was read has been taken in.
-    All,
+    Idle,
     /// The same, but for a message that is begun and not whole.
-    Half,
+    PartialMessage,
     /// Nothing is unread; some of it waits to be taken in.
-    Read,
+    Queued,
     /// It says more than was read at once.
-    Part,
+    MoreUnread,
 }
 
 /// What came.
@@ -52,46 +52,46 @@
     /// A client connected.
     DownstreamOpened(DownstreamId, IpAddr),
     /// It sent a message.
-    DownstreamSaid(DownstreamId, Message),
+    DownstreamMessage(DownstreamId, Message),
     /// It sent what can't be read.
     DownstreamMalformed(DownstreamId),
     /// It has closed, half-closed or reset its connection, or takes no more bytes. What it said before may still
     /// come, and then [`Input::DownstreamClosed`].
-    DownstreamGone(DownstreamId),
+    DownstreamPeerClosed(DownstreamId),
     /// Its connection ended, and all that it said has come.
     DownstreamClosed(DownstreamId),
-    /// Answers [`Output::Look`], after what ends its requests.
-    Looked(DownstreamId, Seen),
+    /// Answers [`Output::CheckDownstream`], after what ends its requests.
+    DownstreamChecked(DownstreamId, PeerCheck),
     /// A connection to a machine is made.
     UpstreamOpened(UpstreamId),
     /// Nobody listens there.
-    UpstreamRefused(UpstreamId),
+    UpstreamConnectRefused(UpstreamId),
     /// It could not be made, for another reason.
-    UpstreamFailed(UpstreamId),
+    UpstreamConnectFailed(UpstreamId),
     /// The machine sent a message.
-    UpstreamSaid(UpstreamId, Message),
+    UpstreamMessage(UpstreamId, Message),
     /// It sent what can't be read.
     UpstreamMalformed(UpstreamId),
-    /// Answers [`PoolAction::Look`], after what the machine has said.
-    UpstreamLooked(UpstreamId),
+    /// Answers [`PoolAction::CheckPeer`], after what the machine has said.
+    UpstreamChecked(UpstreamId),
     /// The connection ended.
     UpstreamEnded(UpstreamId),
     /// The same, and no byte left of what was to be written last: this set-up, or something else.
-    UpstreamUnwritten(UpstreamId, Option<Id>),
+    UpstreamWriteFailed(UpstreamId, Option<RequestId>),
     /// The machine takes no bytes now, and none of this set-up left: here it is back.
-    UpstreamFull(UpstreamId, Id, Vec<u8>),
+    UpstreamBlocked(UpstreamId, RequestId, Vec<u8>),
     /// The machine takes no bytes now, and only a part of this set-up left.
-    UpstreamPart(UpstreamId, Id),
+    UpstreamPartiallyWritten(UpstreamId, RequestId),
     /// All that waited for the machine has left.
     UpstreamDrained(UpstreamId),
     /// The discovery stream delivered an event.
-    Delivered(Delivery),
+    EndpointsDelivered(WatchEvent),
     /// The program is to end.
-    Leave,
+    Shutdown,
     /// Answers [`Output::StopListening`], after all that had connected.
-    Unlistened,
+    ListeningStopped,
     /// Something that was due so many seconds ago is taken in only now: the loop lags.
-    Lag(Seconds),
+    LagMeasured(Seconds),
     /// Time goes on.
     Tick,
 }
@@ -100,17 +100,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write to a client.
-    Downstream(DownstreamId, Vec<u8>),
+    WriteDownstream(DownstreamId, Vec<u8>),
     /// Write what waits for a client, then no more; read until it closes too, for a bounded time.
     CloseDownstream(DownstreamId),
-    /// Read what a client has said by now; [`Input::Looked`] answers.
-    Look(DownstreamId),
+    /// Read what a client has said by now; [`Input::DownstreamChecked`] answers.
+    CheckDownstream(DownstreamId),
     /// Something about a connection to a machine.
     Upstream(PoolAction),
     /// A line of the log.
     Log(String),
-    /// Accept who has connected, and then no more; [`Input::Unlistened`] answers.
+    /// Accept who has connected, and then no more; [`Input::ListeningStopped`] answers.
     StopListening,
     /// Nothing is owed any more: end once what was written has left, within so many seconds.
-    End(Seconds),
+    Exit(Seconds),
 }
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -4,7 +4,7 @@
 
 impl Gateway {
     /// Has something done with the connections to machines, and what it leads to carried out.
-    pub(super) fn on_pool<T>(
+    pub(super) fn with_pool<T>(
         &mut self,
         out: &mut Vec<Output>,
         act: impl FnOnce(&mut Pool, &mut Vec<PoolAction>) -> T,
@@ -13,89 +13,90 @@
         let done = act(&mut self.pool, &mut acts);
         for act in acts {
             match act {
-                PoolAction::Due(upstream, id) => self.due(upstream, id, out),
+                PoolAction::OfferReady(upstream, id) => self.offer_ready(upstream, id, out),
                 act => out.push(Output::Upstream(act)),
             }
         }
         done
     }
 
-    pub(super) fn line_ended(
+    pub(super) fn upstream_ended(
         &mut self,
         now: Seconds,
         line: UpstreamId,
-        end: End,
+        end: ConnectionEnd,
         out: &mut Vec<Output>,
     ) {
         let mut news = Vec::new();
         self.pool.ended(now, line, end, &mut news);
-        self.hear(now, news, out);
+        self.handle_pool_events(now, news, out);
     }
 
-    pub(super) fn line_said(
+    pub(super) fn upstream_message(
         &mut self,
         now: Seconds,
         line: UpstreamId,
         message: &Message,
         out: &mut Vec<Output>,
     ) {
-        self.pool.heard(now, line);
+        self.pool.message_received(now, line);
         let Some(from) = self.pool.machine(line) else {
             return;
         };
         let id = message.id;
         let known = self
-            .table
+            .requests
             .get(id)
-            .map(|request| (request.task, request.client, request.stage));
+            .map(|request| (request.task, request.client, request.state));
         match (message.kind, known) {
             (
-                Kind::Answer,
+                MessageKind::Answer,
                 Some((
                     task,
                     client,
-                    Stage::Open {
+                    RequestState::Pending {
                         attempt: Some(attempt),
                         ..
                     },
                 )),
-            ) if attempt.line == line => {
+            ) if attempt.upstream == line => {
                 let Some(description) = message.get(code::DESCRIPTION) else {
-                    return self.malformed(now, line, out);
+                    return self.upstream_malformed(now, line, out);
                 };
-                let answer = Message::new(Kind::Answer, id).with(code::DESCRIPTION, description);
+                let answer =
+                    Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, description);
                 self.counts.placed += 1;
-                self.pool.settled(line, id);
+                self.pool.settle_offer(line, id);
                 let since = now;
-                self.table.put(
+                self.requests.set_state(
                     id,
-                    Stage::Standing {
+                    RequestState::Placed {
                         machine: from,
                         attempt: attempt.number,
                         since,
                     },
                 );
-                self.pool.hold(now, from, true);
-                self.downstreams.count_open(now, client, false);
-                self.downstreams.count_standing(client, true);
+                self.pool.count_placed(now, from, true);
+                self.downstreams.count_pending(now, client, false);
+                self.downstreams.count_placed(client, true);
                 self.events.push(Event::AttemptConfirmed {
                     task,
                     attempt: attempt.number,
                 });
-                self.reply(id, answer.bytes(), out);
+                self.reply(id, answer.encode(), out);
             }
             (
-                Kind::Release,
+                MessageKind::Release,
                 Some((
                     _,
                     _,
-                    Stage::Open {
+                    RequestState::Pending {
                         attempt: Some(attempt),
                         ..
                     },
                 )),
-            ) if attempt.line == line => {
-                let why = ask::why(message);
+            ) if attempt.upstream == line => {
+                let why = task_request::failure_cause(message);
                 let ending = match message.cause() {
                     Some(cause::FULL) => AttemptOutcome::Rejected(why),
                     Some(cause::ERROR) => AttemptOutcome::Failed,
@@ -103,92 +104,104 @@
                     _ => AttemptOutcome::Interrupted(why),
                 };
                 match ending {
-                    AttemptOutcome::Rejected(_) => self.counts.full += 1,
+                    AttemptOutcome::Rejected(_) => self.counts.rejected_by_machine += 1,
                     AttemptOutcome::Failed => self.counts.errors += 1,
-                    _ => self.counts.broken += 1,
+                    _ => self.counts.interrupted += 1,
                 }
-                self.attempt_ended(id, ending, ask::report(message));
+                self.attempt_ended(id, ending, task_request::load_report(message));
             }
             (
-                Kind::Release,
+                MessageKind::Release,
                 Some((
                     _,
                     _,
-                    Stage::Standing {
+                    RequestState::Placed {
                         machine, attempt, ..
                     },
                 )),
             ) if machine == from => {
                 out.push(Output::Upstream(PoolAction::Write(
                     line,
-                    Message::new(Kind::Heard, id).bytes(),
+                    Message::new(MessageKind::Heard, id).encode(),
                 )));
                 let word = message.cause().unwrap_or(cause::FAILED);
                 let ending = match word {
                     cause::NORMAL => AttemptOutcome::Finished,
                     cause::ENDED => AttemptOutcome::Cancelled,
-                    _ => AttemptOutcome::Interrupted(ask::why(message)),
+                    _ => AttemptOutcome::Interrupted(task_request::failure_cause(message)),
                 };
                 if word != cause::ENDED {
-                    self.reply(id, Message::release(id, word).bytes(), out);
+                    self.reply(id, Message::release(id, word).encode(), out);
                 }
-                self.end(now, id, attempt, ending, ask::report(message));
+                self.finish_placed(now, id, attempt, ending, task_request::load_report(message));
             }
-            (Kind::Release, None) => {
-                self.counts.strays += 1;
-                self.table
-                    .ended_elsewhere(now, id, message.cause().unwrap_or(cause::FAILED));
+            (MessageKind::Release, None) => {
+                self.counts.unmatched += 1;
+                self.requests
+                    .record_unknown_end(now, id, message.cause().unwrap_or(cause::FAILED));
                 out.push(Output::Upstream(PoolAction::Write(
                     line,
-                    Message::new(Kind::Heard, id).bytes(),
+                    Message::new(MessageKind::Heard, id).encode(),
                 )));
             }
-            (Kind::Note, Some((task, _, Stage::Standing { machine, .. }))) if machine == from => {
-                if let Some(note) = ask::note(message) {
+            (MessageKind::Note, Some((task, _, RequestState::Placed { machine, .. })))
+                if machine == from =>
+            {
+                if let Some(note) = task_request::attempt_progress(message) {
                     self.events.push(Event::AttemptProgressed {
                         task,
                         progress: note,
                     });
                 }
             }
-            (Kind::Test, _) => {
-                let tested = Message::new(Kind::Tested, id).with(code::CAUSE, &[1]);
-                out.push(Output::Upstream(PoolAction::Write(line, tested.bytes())));
+            (MessageKind::Test, _) => {
+                let tested = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
+                out.push(Output::Upstream(PoolAction::Write(line, tested.encode())));
             }
-            (Kind::Tested | Kind::Progress | Kind::Heard, _) => {}
+            (MessageKind::Tested | MessageKind::Progress | MessageKind::Heard, _) => {}
             // A second copy, an answer under another's id, or one that comes after it was cancelled or timed out.
-            _ => self.counts.strays += 1,
+            _ => self.counts.unmatched += 1,
         }
     }
 
-    pub(super) fn malformed(&mut self, now: Seconds, line: UpstreamId, out: &mut Vec<Output>) {
+    pub(super) fn upstream_malformed(
+        &mut self,
+        now: Seconds,
+        line: UpstreamId,
+        out: &mut Vec<Output>,
+    ) {
         let mut news = Vec::new();
-        self.on_pool(out, |pool, acts| pool.malformed(now, line, acts, &mut news));
-        self.hear(now, news, out);
+        self.with_pool(out, |pool, acts| pool.malformed(now, line, acts, &mut news));
+        self.handle_pool_events(now, news, out);
     }
 
-    pub(super) fn hear(&mut self, now: Seconds, news: Vec<News>, out: &mut Vec<Output>) {
+    pub(super) fn handle_pool_events(
+        &mut self,
+        now: Seconds,
+        news: Vec<PoolEvent>,
+        out: &mut Vec<Output>,
+    ) {
         for news in news {
             match news {
-                News::Unsent(id) => {
+                PoolEvent::ConnectFailed(id) => {
                     self.counts.unsent += 1;
                     self.attempt_ended(id, AttemptOutcome::ConnectFailed, None);
                 }
-                News::Broken(id) => {
-                    self.counts.broken += 1;
+                PoolEvent::Interrupted(id) => {
+                    self.counts.interrupted += 1;
                     self.attempt_ended(
                         id,
                         AttemptOutcome::Interrupted(FailureCause::Unspecified),
                         None,
                     );
                 }
-                News::Withdrawn(id) => {
+                PoolEvent::NeverSent(id) => {
                     self.counts.unsent += 1;
                     self.attempt_ended(id, AttemptOutcome::NeverSent, None);
                 }
-                News::Failed(machine) => {
+                PoolEvent::MachineFailed(machine) => {
                     let name = self
-                        .known
+                        .machines
                         .get(&machine)
                         .map_or("", |(name, _)| name.as_str());
                     out.push(Output::Log(format!("machine {name} has failed")));
@@ -206,8 +219,9 @@
         before: Seconds,
         out: &mut Vec<Output>,
     ) {
-        for id in self.table.at_machine(machine) {
-            let Some(Stage::Standing { attempt, since, .. }) = self.table.get(id).map(|r| r.stage)
+        for id in self.requests.placed_at_machine(machine) {
+            let Some(RequestState::Placed { attempt, since, .. }) =
+                self.requests.get(id).map(|r| r.state)
             else {
                 continue;
             };
@@ -215,8 +229,8 @@
                 continue;
             }
             self.counts.lost += 1;
-            self.reply(id, Message::release(id, cause::FAILED).bytes(), out);
-            self.end(
+            self.reply(id, Message::release(id, cause::FAILED).encode(), out);
+            self.finish_placed(
                 now,
                 id,
                 attempt,
@@ -226,55 +240,56 @@
         }
     }
 
-    pub(super) fn delivered_event(
+    pub(super) fn endpoints_delivered(
         &mut self,
         now: Seconds,
-        notice: Delivery,
+        notice: WatchEvent,
         out: &mut Vec<Output>,
     ) {
         // Events may be written twice, and two boards may tell the same ones.
-        if notice.number <= self.delivered && self.delivered > 0 {
+        if notice.revision <= self.last_revision && self.last_revision > 0 {
             return;
         }
-        self.delivered = notice.number;
+        self.last_revision = notice.revision;
         let mut news = Vec::new();
         let (mut entries, mut leaving) = (Vec::new(), Vec::new());
-        if notice.whole {
+        if notice.is_complete_list {
             let listed = notice
-                .listed
+                .endpoints
                 .iter()
-                .map(|listed| listed.entry.machine)
+                .map(|listed| listed.endpoint.machine)
                 .collect();
-            leaving.extend(self.pool.only(&listed));
+            leaving.extend(self.pool.mark_unlisted_gone(&listed));
         }
-        for listed in notice.listed {
+        for listed in notice.endpoints {
             let (machine, gone) = (
-                listed.entry.machine,
-                listed.entry.status == EndpointStatus::Gone,
+                listed.endpoint.machine,
+                listed.endpoint.status == EndpointStatus::Gone,
             );
-            if listed.entry.status != EndpointStatus::Ready {
+            if listed.endpoint.status != EndpointStatus::Ready {
                 leaving.push(machine);
             }
-            self.pool.listed(now, machine, &listed.address, gone);
+            self.pool
+                .endpoint_listed(now, machine, &listed.address, gone);
             let before = self
-                .known
-                .insert(machine, (listed.name, listed.entry.started_at));
-            if let (Some((_, before)), Some(up)) = (before, listed.entry.started_at)
+                .machines
+                .insert(machine, (listed.name, listed.endpoint.started_at));
+            if let (Some((_, before)), Some(up)) = (before, listed.endpoint.started_at)
                 && before.is_none_or(|before| up > before)
             {
                 // It has started anew: what stood there before is over.
                 self.machine_failed(now, machine, up, out);
             }
-            entries.push(listed.entry);
+            entries.push(listed.endpoint);
         }
-        self.pool.taken_over(&mut news);
+        self.pool.fail_replaced_machines(&mut news);
         for machine in leaving {
-            self.on_pool(out, |pool, acts| {
-                pool.withdraw(now, machine, acts, &mut news)
+            self.with_pool(out, |pool, acts| {
+                pool.withdraw_unsent(now, machine, acts, &mut news)
             });
         }
-        self.hear(now, news, out);
-        self.events.push(if notice.whole {
+        self.handle_pool_events(now, news, out);
+        self.events.push(if notice.is_complete_list {
             Event::EndpointsListed(entries)
         } else {
             Event::EndpointsChanged(entries)
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Gateway {
-    pub(super) fn client_said(
+    pub(super) fn downstream_message(
         &mut self,
         now: Seconds,
         client: DownstreamId,
@@ -12,48 +12,50 @@
     ) {
         let id = message.id;
         let too_often = match message.kind {
-            Kind::SetUp => return self.set_up(now, client, message, out),
-            Kind::Test => {
-                let tested = Message::new(Kind::Tested, id).with(code::CAUSE, &[1]);
-                out.push(Output::Downstream(client, tested.bytes()));
-                self.downstreams.free(now, client)
+            MessageKind::SetUp => return self.handle_set_up(now, client, message, out),
+            MessageKind::Test => {
+                let tested = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
+                out.push(Output::WriteDownstream(client, tested.encode()));
+                self.downstreams.record_free_message(now, client)
             }
-            Kind::Release => match self
-                .table
+            MessageKind::Release => match self
+                .requests
                 .get(id)
-                .map(|request| (request.client, request.stage))
+                .map(|request| (request.client, request.state))
             {
-                Some((by, Stage::Open { .. })) if by == client => {
+                Some((by, RequestState::Pending { .. })) if by == client => {
                     self.counts.cancelled += 1;
                     self.cancel_request(now, id, out);
                     false
                 }
                 // Another's set-up that waits is not touched.
-                Some((_, Stage::Open { .. })) => self.downstreams.useless(now, client),
-                Some((_, Stage::Standing { .. })) => {
-                    out.push(Output::Downstream(
+                Some((_, RequestState::Pending { .. })) => {
+                    self.downstreams.record_malformed(now, client)
+                }
+                Some((_, RequestState::Placed { .. })) => {
+                    out.push(Output::WriteDownstream(
                         client,
-                        Message::new(Kind::Heard, id).bytes(),
+                        Message::new(MessageKind::Heard, id).encode(),
                     ));
-                    self.end_at_machine(now, id, out);
+                    self.release_at_machine(now, id, out);
                     false
                 }
-                None => self.downstreams.useless(now, client),
+                None => self.downstreams.record_malformed(now, client),
             },
-            Kind::Heard => self.downstreams.heard(now, client),
-            Kind::Progress => self.downstreams.free(now, client),
-            Kind::Answer | Kind::Tested | Kind::Note | Kind::Move => {
-                self.downstreams.useless(now, client)
+            MessageKind::Heard => self.downstreams.release_acknowledged(now, client),
+            MessageKind::Progress => self.downstreams.record_free_message(now, client),
+            MessageKind::Answer | MessageKind::Tested | MessageKind::Note | MessageKind::Move => {
+                self.downstreams.record_malformed(now, client)
             }
         };
         if too_often {
-            self.counts.useless += 1;
+            self.counts.malformed += 1;
             self.close_client(now, client, out);
         }
     }
 
     /// A set-up came: it is taken, handed over, turned away, or looked into.
-    pub(super) fn set_up(
+    pub(super) fn handle_set_up(
         &mut self,
         now: Seconds,
         client: DownstreamId,
@@ -61,39 +63,39 @@
         out: &mut Vec<Output>,
     ) {
         let id = message.id;
-        if id == Id::default() {
+        if id == RequestId::default() {
             // No id at all: an answer to it could be anybody's.
-            self.counts.useless += 1;
+            self.counts.malformed += 1;
             self.close_client(now, client, out);
             return;
         }
-        if let Some(known) = self.table.get(id).map(|request| request.client) {
+        if let Some(known) = self.requests.get(id).map(|request| request.client) {
             let own = known == client;
             if !own {
-                self.claim(
-                    Claim {
-                        known,
-                        client,
+                self.defer_id_conflict(
+                    IdConflict {
+                        holder: known,
+                        claimant: client,
                         message,
                     },
                     out,
                 );
-            } else if !ask::is_handed(&message) {
+            } else if !task_request::is_handover(&message) {
                 // Two requests of one number: neither answer could be told from the other.
-                self.counts.useless += 1;
+                self.counts.malformed += 1;
                 self.close_client(now, client, out);
             }
             return;
         }
-        let mut ask = match ask::read(&self.site, now, &message) {
+        let mut ask = match task_request::parse(&self.site, now, &message) {
             Ok(ask) => ask,
-            Err(problem) => return self.turn_away(now, client, id, problem, out),
+            Err(problem) => return self.reject_malformed(now, client, id, problem, out),
         };
         let from = self.downstreams.from(client);
-        let task = self.table.number();
+        let task = self.requests.new_task_id();
         ask.task.id = task;
-        let passed = ask::passed(message);
-        let stage = Stage::Open {
+        let passed = task_request::forwarded_parameters(message);
+        let stage = RequestState::Pending {
             attempt: None,
             may_have_run: false,
         };
@@ -102,45 +104,45 @@
             task,
             client,
             from,
-            stage,
+            state: stage,
             class_index,
-            passed,
-            sends: 0,
-            began: None,
+            forwarded: passed,
+            attempts: 0,
+            first_attempt_at: None,
         };
-        if let Some(at) = &ask.at {
+        if let Some(at) = &ask.placed_at {
             let machine = discovery::machine_id(at);
             // The list may tell of the machine only later; until it counts as failed, it is waited for.
-            let ended = self.table.has_ended(id);
-            let room = self.table.count() < REQUESTS_MOST;
-            if ended.is_some() || !room || !self.pool.expect(now, machine) {
+            let ended = self.requests.unknown_end_cause(id);
+            let room = self.requests.count() < MAX_REQUESTS;
+            if ended.is_some() || !room || !self.pool.expect_machine(now, machine) {
                 let cause = ended
                     .filter(|&cause| cause != cause::ENDED)
                     .unwrap_or(cause::FAILED);
-                out.push(Output::Downstream(
+                out.push(Output::WriteDownstream(
                     client,
-                    Message::release(id, cause).bytes(),
+                    Message::release(id, cause).encode(),
                 ));
                 return;
             }
-            self.known
+            self.machines
                 .entry(machine)
                 .or_insert_with(|| (at.clone(), None));
-            self.counts.in_place += 1;
-            self.downstreams.proves(now, client);
-            request.stage = Stage::Standing {
+            self.counts.adopted += 1;
+            self.downstreams.record_valid_set_up(now, client);
+            request.state = RequestState::Placed {
                 machine,
                 attempt: 0,
                 since: now,
             };
-            request.sends = 1;
-            self.table.add(id, request);
-            self.pool.hold(now, machine, true);
-            self.downstreams.count_standing(client, true);
+            request.attempts = 1;
+            self.requests.add(id, request);
+            self.pool.count_placed(now, machine, true);
+            self.downstreams.count_placed(client, true);
             self.events.push(Event::TaskAdopted(ask.task, machine));
             return;
         }
-        if !self.downstreams.is_there(client) {
+        if !self.downstreams.is_reachable(client) {
             // Nobody waits for the answer.
             self.counts.cancelled += 1;
             return;
@@ -148,46 +150,46 @@
         let shed = !self.shedder.admit(ask.task.class);
         self.counts.shed += u64::from(shed);
         if shed
-            || self.ends()
-            || self.downstreams.open(client) >= OPEN_MOST
-            || self.table.waiting() >= OPEN_MOST_ALL
+            || self.is_shutting_down()
+            || self.downstreams.pending_count(client) >= MAX_PENDING_PER_CLIENT
+            || self.requests.pending_count() >= MAX_PENDING
         {
             // It never reached the policy: asking again does no harm.
-            self.counts.refused += 1;
-            self.downstreams.proves(now, client);
-            out.push(Output::Downstream(
+            self.counts.rejected += 1;
+            self.downstreams.record_valid_set_up(now, client);
+            out.push(Output::WriteDownstream(
                 client,
-                Message::release(id, cause::CONGESTED).bytes(),
+                Message::release(id, cause::CONGESTED).encode(),
             ));
             return;
         }
-        self.counts.taken += 1;
-        self.downstreams.proves(now, client);
-        self.downstreams.count_open(now, client, true);
-        self.table.add(id, request);
+        self.counts.accepted += 1;
+        self.downstreams.record_valid_set_up(now, client);
+        self.downstreams.count_pending(now, client, true);
+        self.requests.add(id, request);
         self.events.push(Event::TaskSubmitted(ask.task));
     }
 
     /// A set-up that can't be used is told so at once.
-    pub(super) fn turn_away(
+    pub(super) fn reject_malformed(
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        id: Id,
-        problem: ask::AskError,
+        id: RequestId,
+        problem: task_request::TaskRequestError,
         out: &mut Vec<Output>,
     ) {
-        self.counts.useless += 1;
-        if self.counts.useless < 20 {
+        self.counts.malformed += 1;
+        if self.counts.malformed < 20 {
             out.push(Output::Log(format!(
                 "request {id} can't be used: {problem}"
             )));
         }
-        out.push(Output::Downstream(
+        out.push(Output::WriteDownstream(
             client,
-            Message::release(id, cause::CONTENT).bytes(),
+            Message::release(id, cause::CONTENT).encode(),
         ));
-        if self.downstreams.useless(now, client) {
+        if self.downstreams.record_malformed(now, client) {
             self.close_client(now, client, out);
         }
     }
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -6,102 +6,108 @@
 //! connection, and the reset may destroy an answer on its way.
 
 use super::*;
-use crate::downstream::Closing;
+use crate::downstream::CloseReason;
 
 /// After the word to end, requests go on coming for so long (the platform's page).
-const LEAVE_AFTER: Seconds = 0.7;
+const LATE_REQUEST_TIMEOUT: Seconds = 0.7;
 /// The platform kills no sooner than the longest deadline of the settings, or this where it is longer, and
-/// `LEAVE_AFTER` more after the word (the same page).
-const DEADLINE_MOST: Seconds = 3.0;
-/// Of that time beyond `LEAVE_AFTER`, what is open may take this share. Until then the ends of what stands are passed
+/// `LATE_REQUEST_TIMEOUT` more after the word (the same page).
+const MAX_SHUTDOWN_DEADLINE: Seconds = 3.0;
+/// Of that time beyond `LATE_REQUEST_TIMEOUT`, what is open may take this share. Until then the ends of what stands are passed
 /// on too; then what is open is answered.
-const ANSWERED_BY: f64 = 0.8;
+const ANSWERED_FRACTION: f64 = 0.8;
 /// By this share the connections are closed, and by the last one what was written has left.
-const CLOSED_BY: f64 = 0.9;
-const FLUSHED_BY: f64 = 0.97;
+const CLOSED_FRACTION: f64 = 0.9;
+const FLUSHED_FRACTION: f64 = 0.97;
 
 /// The word to end was given.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Leaving {
-    at: Seconds,
-    stage: Stages,
+pub(super) struct GracefulShutdown {
+    requested_at: Seconds,
+    phase: ShutdownPhase,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stages {
+enum ShutdownPhase {
     /// Requests are taken as before.
-    Serves,
+    Serving,
     /// Nothing is open: who has connected is accepted, then nobody more.
-    Unlistens,
+    StoppingListener,
     /// Each connection is closed once it says nothing.
-    Closes,
-    Ended,
+    ClosingClients,
+    Finished,
 }
 
 impl Gateway {
-    pub(super) fn leave(&mut self, now: Seconds) {
-        self.leaving.get_or_insert(Leaving {
-            at: now,
-            stage: Stages::Serves,
+    pub(super) fn begin_shutdown(&mut self, now: Seconds) {
+        self.shutdown.get_or_insert(GracefulShutdown {
+            requested_at: now,
+            phase: ShutdownPhase::Serving,
         });
     }
 
     /// Whether what is asked now is refused at once, as the program ends.
-    pub(super) fn ends(&self) -> bool {
-        self.leaving
-            .is_some_and(|leaving| leaving.stage != Stages::Serves)
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutdown
+            .is_some_and(|leaving| leaving.phase != ShutdownPhase::Serving)
     }
 
     /// Nobody connects any more.
-    pub(super) fn unlistened(&mut self, out: &mut Vec<Output>) {
-        if let Some(leaving) = &mut self.leaving {
-            leaving.stage = Stages::Closes;
+    pub(super) fn listening_stopped(&mut self, out: &mut Vec<Output>) {
+        if let Some(leaving) = &mut self.shutdown {
+            leaving.phase = ShutdownPhase::ClosingClients;
         }
-        self.close_all(out);
+        self.check_all_clients(out);
     }
 
     /// Looks at all clients: those that say nothing are closed.
-    fn close_all(&mut self, out: &mut Vec<Output>) {
-        for client in self.downstreams.all() {
-            if self.downstreams.closing(client).is_none() {
-                self.downstreams.closes(client, Closing::End);
-                out.push(Output::Look(client));
+    fn check_all_clients(&mut self, out: &mut Vec<Output>) {
+        for client in self.downstreams.ids() {
+            if self.downstreams.close_reason(client).is_none() {
+                self.downstreams.begin_close(client, CloseReason::Shutdown);
+                out.push(Output::CheckDownstream(client));
             }
         }
     }
 
     /// After the word to end: how far that is.
-    pub(super) fn leave_on(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        let Some(Leaving { at, stage }) = self
-            .leaving
-            .filter(|leaving| now > leaving.at + LEAVE_AFTER)
+    pub(super) fn advance_shutdown(&mut self, now: Seconds, out: &mut Vec<Output>) {
+        let Some(GracefulShutdown {
+            requested_at: at,
+            phase: stage,
+        }) = self
+            .shutdown
+            .filter(|leaving| now > leaving.requested_at + LATE_REQUEST_TIMEOUT)
         else {
             return;
         };
-        let [answered, closed, flushed] =
-            [ANSWERED_BY, CLOSED_BY, FLUSHED_BY].map(|share| self.ends_by(at, share));
+        let [answered, closed, flushed] = [ANSWERED_FRACTION, CLOSED_FRACTION, FLUSHED_FRACTION]
+            .map(|share| self.shutdown_deadline(at, share));
         match stage {
-            Stages::Serves if now >= answered || self.table.count() == 0 => {
-                self.answer_all(now, out);
-                self.leaving = Some(Leaving {
-                    at,
-                    stage: Stages::Unlistens,
+            ShutdownPhase::Serving if now >= answered || self.requests.count() == 0 => {
+                self.answer_pending_requests(now, out);
+                self.shutdown = Some(GracefulShutdown {
+                    requested_at: at,
+                    phase: ShutdownPhase::StoppingListener,
                 });
                 out.push(Output::StopListening);
             }
-            Stages::Closes if now >= closed || self.downstreams.count() == 0 => {
-                self.leaving = Some(Leaving {
-                    at,
-                    stage: Stages::Ended,
+            ShutdownPhase::ClosingClients if now >= closed || self.downstreams.count() == 0 => {
+                self.shutdown = Some(GracefulShutdown {
+                    requested_at: at,
+                    phase: ShutdownPhase::Finished,
                 });
-                out.push(Output::End((flushed - now).max(0.0)));
+                out.push(Output::Exit((flushed - now).max(0.0)));
             }
-            Stages::Serves | Stages::Unlistens | Stages::Closes | Stages::Ended => {}
+            ShutdownPhase::Serving
+            | ShutdownPhase::StoppingListener
+            | ShutdownPhase::ClosingClients
+            | ShutdownPhase::Finished => {}
         }
     }
 
     /// When this share of the time that the platform gives is over.
-    fn ends_by(&self, at: Seconds, share: f64) -> Seconds {
+    fn shutdown_deadline(&self, at: Seconds, share: f64) -> Seconds {
         let longest = self
             .site
             .settings
@@ -109,41 +115,41 @@
             .iter()
             .map(|class| class.deadline)
             .fold(0.0, f64::max);
-        at + LEAVE_AFTER + share * longest.min(DEADLINE_MOST)
+        at + LATE_REQUEST_TIMEOUT + share * longest.min(MAX_SHUTDOWN_DEADLINE)
     }
 
     /// When the next of it is due at the latest.
-    pub(super) fn leaves_at(&self) -> Seconds {
-        match self.leaving {
-            Some(Leaving {
-                at,
-                stage: Stages::Serves,
-            }) => self.ends_by(at, ANSWERED_BY),
-            Some(Leaving {
-                at,
-                stage: Stages::Closes,
-            }) => self.ends_by(at, CLOSED_BY),
+    pub(super) fn next_shutdown_deadline(&self) -> Seconds {
+        match self.shutdown {
+            Some(GracefulShutdown {
+                requested_at: at,
+                phase: ShutdownPhase::Serving,
+            }) => self.shutdown_deadline(at, ANSWERED_FRACTION),
+            Some(GracefulShutdown {
+                requested_at: at,
+                phase: ShutdownPhase::ClosingClients,
+            }) => self.shutdown_deadline(at, CLOSED_FRACTION),
             _ => f64::INFINITY,
         }
     }
 
     /// Time goes on: who said something when it was to be closed is looked at again.
-    pub(super) fn close_on(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn recheck_closing_clients(&mut self, out: &mut Vec<Output>) {
         if self
-            .leaving
-            .is_some_and(|leaving| leaving.stage == Stages::Closes)
+            .shutdown
+            .is_some_and(|leaving| leaving.phase == ShutdownPhase::ClosingClients)
         {
-            self.close_all(out);
+            self.check_all_clients(out);
         }
     }
 
-    fn answer_all(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        for id in self.table.open() {
-            let Some(Stage::Open {
+    fn answer_pending_requests(&mut self, now: Seconds, out: &mut Vec<Output>) {
+        for id in self.requests.pending() {
+            let Some(RequestState::Pending {
                 attempt,
                 may_have_run,
                 ..
-            }) = self.table.get(id).map(|r| r.stage)
+            }) = self.requests.get(id).map(|r| r.state)
             else {
                 continue;
             };
@@ -154,7 +160,7 @@
             } else {
                 cause::FAILED
             };
-            self.reply(id, Message::release(id, word).bytes(), out);
+            self.reply(id, Message::release(id, word).encode(), out);
             self.cancel_request(now, id, out);
         }
     }
--- a/crates/gateway/src/input_queue.rs
+++ b/crates/gateway/src/input_queue.rs
@@ -7,14 +7,14 @@
 //! must not wait behind other requests while an attempt begins. A cancel never overtakes its own set-up: while that
 //! one waits the cancel waits with it, and both are handed out side by side.
 
-use crate::message::{Id, Kind, Message};
+use crate::message::{Message, MessageKind, RequestId};
 use crate::{DownstreamId, Input};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Requests that one step takes in; the rest waits for the next. Bounds how long what is owed waits.
-const REQUESTS_AT_ONCE: usize = 64;
+const MAX_REQUESTS_PER_STEP: usize = 64;
 /// Of one connection so many of them before the next has its turn.
-const IN_A_ROW: usize = 8;
+const MAX_REQUESTS_PER_TURN: usize = 8;
 
 /// The place of an input in the order in which they came.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,11 +22,11 @@
 
 /// What one connection asks for, in its own order.
 #[derive(Debug, Default)]
-struct Waiting {
+struct ClientBacklog {
     inputs: VecDeque<Input>,
-    set_ups: BTreeSet<Id>,
+    set_ups: BTreeSet<RequestId>,
     /// Cancels of set-ups that wait here.
-    cancels: BTreeMap<Id, Message>,
+    cancels: BTreeMap<RequestId, Message>,
 }
 
 /// Inputs that wait.
@@ -34,25 +34,25 @@
 pub struct InputQueue {
     /// Words of machines and of the discovery stream, and what ends requests.
     completions: Vec<Input>,
-    requests: BTreeMap<DownstreamId, Waiting>,
+    requests: BTreeMap<DownstreamId, ClientBacklog>,
     /// Connections in the order of their turns; each with something that waits stands here once.
     turns: VecDeque<DownstreamId>,
-    rounds: u64,
+    steps: u64,
     /// The last step took in no requests though some wait.
-    passed_over: bool,
+    skipped_requests: bool,
 }
 
 impl InputQueue {
-    /// Puts in what came. [`InputQueue::taken`] tells when it was taken.
-    pub fn put(&mut self, input: Input) -> Sequence {
+    /// Puts in what came. [`InputQueue::is_drained`] tells when it was taken.
+    pub fn push(&mut self, input: Input) -> Sequence {
         let client = match &input {
-            Input::DownstreamSaid(client, _)
+            Input::DownstreamMessage(client, _)
             | Input::DownstreamMalformed(client)
             | Input::DownstreamClosed(client) => *client,
             _ => return self.put_first(input),
         };
-        if let Input::DownstreamSaid(_, message) = &input
-            && message.kind == Kind::Release
+        if let Input::DownstreamMessage(_, message) = &input
+            && message.kind == MessageKind::Release
         {
             match self
                 .requests
@@ -62,38 +62,38 @@
                 Some(waiting) => drop(waiting.cancels.insert(message.id, message.clone())),
                 None => return self.put_first(input),
             }
-            return Sequence(self.rounds);
+            return Sequence(self.steps);
         }
         let waiting = self.requests.entry(client).or_default();
         if waiting.inputs.is_empty() {
             self.turns.push_back(client);
         }
-        if let Input::DownstreamSaid(_, message) = &input
-            && message.kind == Kind::SetUp
+        if let Input::DownstreamMessage(_, message) = &input
+            && message.kind == MessageKind::SetUp
         {
             waiting.set_ups.insert(message.id);
         }
         waiting.inputs.push_back(input);
-        Sequence(self.rounds)
+        Sequence(self.steps)
     }
 
     fn put_first(&mut self, input: Input) -> Sequence {
         self.completions.push(input);
-        Sequence(self.rounds)
+        Sequence(self.steps)
     }
 
     /// Whether all that this connection put in until then was taken: it may be read on.
-    pub fn taken(&self, client: DownstreamId, until: Sequence) -> bool {
-        self.passed(until) && !self.requests.contains_key(&client)
+    pub fn is_drained(&self, client: DownstreamId, until: Sequence) -> bool {
+        self.is_step_past(until) && !self.requests.contains_key(&client)
     }
 
     /// Whether what went first then was taken.
-    pub fn passed(&self, until: Sequence) -> bool {
-        self.rounds > until.0
+    pub fn is_step_past(&self, until: Sequence) -> bool {
+        self.steps > until.0
     }
 
     /// Requests of this connection that wait.
-    pub fn waits(&self, client: DownstreamId) -> usize {
+    pub fn waiting_requests(&self, client: DownstreamId) -> usize {
         self.requests
             .get(&client)
             .map_or(0, |waiting| waiting.inputs.len())
@@ -105,30 +105,33 @@
     }
 
     /// All that goes first.
-    pub fn take_first(&mut self) -> Vec<Input> {
-        self.rounds += 1;
+    pub fn take_completions(&mut self) -> Vec<Input> {
+        self.steps += 1;
         std::mem::take(&mut self.completions)
     }
 
     /// What the next step takes in: all that goes first, and if nothing does, or requests were passed over for it the
     /// last time, the next requests, by turns.
-    pub fn take(&mut self) -> Vec<Input> {
-        let mut taken = self.take_first();
-        self.passed_over = !taken.is_empty() && !self.requests.is_empty() && !self.passed_over;
-        if self.passed_over {
+    pub fn take_batch(&mut self) -> Vec<Input> {
+        let mut taken = self.take_completions();
+        self.skipped_requests =
+            !taken.is_empty() && !self.requests.is_empty() && !self.skipped_requests;
+        if self.skipped_requests {
             return taken;
         }
-        let most = taken.len() + REQUESTS_AT_ONCE;
+        let most = taken.len() + MAX_REQUESTS_PER_STEP;
         while taken.len() < most
             && let Some(client) = self.turns.pop_front()
         {
             let Some(waiting) = self.requests.get_mut(&client) else {
                 continue;
             };
-            let many = IN_A_ROW.min(most - taken.len()).min(waiting.inputs.len());
+            let many = MAX_REQUESTS_PER_TURN
+                .min(most - taken.len())
+                .min(waiting.inputs.len());
             for input in waiting.inputs.drain(..many) {
                 let id = match &input {
-                    Input::DownstreamSaid(_, message) if message.kind == Kind::SetUp => {
+                    Input::DownstreamMessage(_, message) if message.kind == MessageKind::SetUp => {
                         Some(message.id)
                     }
                     _ => None,
@@ -136,7 +139,7 @@
                 taken.push(input);
                 if let Some(id) = id.filter(|id| waiting.set_ups.remove(id)) {
                     let cancel = waiting.cancels.remove(&id);
-                    taken.extend(cancel.map(|message| Input::DownstreamSaid(client, message)));
+                    taken.extend(cancel.map(|message| Input::DownstreamMessage(client, message)));
                 }
             }
             if waiting.inputs.is_empty() {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,6 @@
 //! dialled and closed comes out. It keeps requests and their attempts; [`pool::Pool`] keeps the connections to
 //! machines. Neither decides which machine takes a task, how long to wait, or what is refused: the policy does.
 
-pub mod ask;
 pub mod counts;
 pub mod discovery;
 pub mod downstream;
@@ -12,9 +11,10 @@
 pub mod input_queue;
 pub mod message;
 pub mod pool;
-pub mod table;
+pub mod request_table;
+pub mod task_request;
 
-pub use gateway::{Gateway, Input, Limits, Output, Seen};
+pub use gateway::{Gateway, Input, Limits, Output, PeerCheck};
 
 /// A connection of an owner, or of anybody who came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -5,15 +5,15 @@
 pub use codes::{cause, code};
 
 /// A message may hold so many bytes after its length.
-pub const MESSAGE_MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// Type and task, which every message has.
-const HEAD: usize = 9;
+const HEADER_BYTES: usize = 9;
 
 /// A request's id on the platform: 16 hex digits there, eight bytes here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Id(pub u64);
+pub struct RequestId(pub u64);
 
-impl std::fmt::Display for Id {
+impl std::fmt::Display for RequestId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -21,7 +21,7 @@
 
 /// What a message is, by its type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A task to place, or one that a machine already holds.
     SetUp,
     /// Free; means nothing.
@@ -42,7 +42,7 @@
     Move,
 }
 
-impl Kind {
+impl MessageKind {
     const ALL: [(u8, Self); 9] = [
         (1, Self::SetUp),
         (6, Self::Progress),
@@ -74,16 +74,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// What it is.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The task that it names.
-    pub id: Id,
+    pub id: RequestId,
     /// Its parameters, in order: code and value.
     pub parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
     /// A message without parameters.
-    pub fn new(kind: Kind, id: Id) -> Self {
+    pub fn new(kind: MessageKind, id: RequestId) -> Self {
         Self {
             kind,
             id,
@@ -91,17 +91,17 @@
         }
     }
 
-    /// The same with one parameter more. A value beyond [`MESSAGE_MOST`] is cut to it, as no peer reads it.
+    /// The same with one parameter more. A value beyond [`MAX_MESSAGE_BYTES`] is cut to it, as no peer reads it.
     #[must_use]
     pub fn with(mut self, code: u8, value: &[u8]) -> Self {
         self.parameters
-            .push((code, value[..value.len().min(MESSAGE_MOST)].to_vec()));
+            .push((code, value[..value.len().min(MAX_MESSAGE_BYTES)].to_vec()));
         self
     }
 
     /// A release, or a set-up given up.
-    pub fn release(id: Id, cause: u8) -> Self {
-        Self::new(Kind::Release, id).with(code::CAUSE, &[cause])
+    pub fn release(id: RequestId, cause: u8) -> Self {
+        Self::new(MessageKind::Release, id).with(code::CAUSE, &[cause])
     }
 
     /// The first parameter of this code.
@@ -125,8 +125,8 @@
     }
 
     /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
-        let length = HEAD
+    pub fn encode(&self) -> Vec<u8> {
+        let length = HEADER_BYTES
             + self
                 .parameters
                 .iter()
@@ -148,12 +148,12 @@
 /// Why bytes are no message. Nothing after them can be read: the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// A length below the head's, or above [`MESSAGE_MOST`].
+    /// A length below the head's, or above [`MAX_MESSAGE_BYTES`].
     Length(usize),
     /// A type that is not known.
     Type(u8),
     /// Parameters that do not fill the message, of this task.
-    Parameters(Id),
+    Parameters(RequestId),
 }
 
 impl std::fmt::Display for MessageError {
@@ -161,7 +161,7 @@
         match self {
             Self::Length(n) => write!(
                 f,
-                "a message of {n} bytes, {HEAD} to {MESSAGE_MOST} are allowed"
+                "a message of {n} bytes, {HEADER_BYTES} to {MAX_MESSAGE_BYTES} are allowed"
             ),
             Self::Type(n) => write!(f, "a message of type {n}, which is not known"),
             Self::Parameters(id) => {
@@ -186,7 +186,7 @@
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.read);
         self.read = 0;
-        if self.bytes.is_empty() && self.bytes.capacity() > MESSAGE_MOST / 4 {
+        if self.bytes.is_empty() && self.bytes.capacity() > MAX_MESSAGE_BYTES / 4 {
             // Most connections hold nothing most of the time, and there are many.
             self.bytes = Vec::new();
         }
@@ -194,7 +194,7 @@
     }
 
     /// Whether an unfinished message waits for its rest.
-    pub fn unfinished(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.read < self.bytes.len()
     }
 
@@ -202,28 +202,30 @@
     ///
     /// # Errors
     /// The bytes are no message; the decoder is of no further use.
-    pub fn message(&mut self) -> Result<Option<Message>, MessageError> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let rest = &self.bytes[self.read..];
         let Some(&[high, low]) = rest.first_chunk::<2>() else {
             return Ok(None);
         };
         let length = usize::from(u16::from_be_bytes([high, low]));
-        if !(HEAD..=MESSAGE_MOST).contains(&length) {
+        if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
             return Err(MessageError::Length(length));
         }
         let kind = match rest.get(2) {
             None => return Ok(None),
-            Some(&number) => Kind::of(number).ok_or(MessageError::Type(number))?,
+            Some(&number) => MessageKind::of(number).ok_or(MessageError::Type(number))?,
         };
         let Some(body) = rest.get(2..2 + length) else {
             return Ok(None);
         };
-        let Some((head, mut rest)) = body.split_first_chunk::<HEAD>() else {
+        let Some((head, mut rest)) = body.split_first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
-        let id = Id(head[1..]
-            .iter()
-            .fold(0, |id, &byte| id << 8 | u64::from(byte)));
+        let id = RequestId(
+            head[1..]
+                .iter()
+                .fold(0, |id, &byte| id << 8 | u64::from(byte)),
+        );
         let mut message = Message::new(kind, id);
         while let Some((&[code, high, low], after)) = rest.split_first_chunk::<3>() {
             let value = after.split_at_checked(usize::from(u16::from_be_bytes([high, low])));
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -4,14 +4,14 @@
 //! anything else on it. While a machine holds a task of ours, one connection to it is kept and tested, as a
 //! machine that vanished says nothing.
 
-mod listed;
+mod capacity;
+mod endpoints;
+mod maintenance;
 mod offers;
-mod room;
-mod upkeep;
 
 use crate::UpstreamId;
-use crate::message::{Id, Kind, Message, cause, code};
-use crate::table::micros;
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::request_table::micros;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidespur_policy::interface::{MachineId, Seconds};
@@ -20,39 +20,39 @@
 /// does not come up that proves that nothing ran. Guards against machines that died or hang unseen, and, as it is
 /// never more than half of the time after which machines close idle connections, against a set-up that crosses such
 /// a close; costs a handshake.
-const FRESH: Seconds = 0.5;
+const FRESH_CONNECTION_TIMEOUT: Seconds = 0.5;
 /// What was heard by this long after the loop had stood still may have come long before, and a close behind it may lie
 /// unread: such a connection is looked at before it carries a set-up. At other times what is heard has just come, and the
 /// machine's idle time is not over; a look at each would cost a tenth of all placements under full load.
-const HEARD_LATE: Seconds = 0.05;
+const STALL_RECHECK_TIMEOUT: Seconds = 0.05;
 /// A machine that holds a task of ours and was silent for this long is tested.
-const TEST_AFTER: Seconds = 1.0;
+const HEALTH_CHECK_INTERVAL: Seconds = 1.0;
 /// A test without an answer for this long: the connection is closed.
-const TEST_FOR: Seconds = 1.5;
+const HEALTH_CHECK_TIMEOUT: Seconds = 1.5;
 /// A machine silent for this long that can't be dialled either has failed, and what stood there has ended. The
 /// platform allows 8 s from the end, which came after the last word: this leaves time for a late tick. Any sooner, and
 /// a zone that is cut off for some seconds loses all that runs there, at every scheduler. Harm: owners of what stood on
 /// a machine that vanished hear of it so much later.
-const FAILED_AFTER: Seconds = 7.4;
+const MACHINE_FAILURE_TIMEOUT: Seconds = 7.4;
 /// Where there is no room for a connection to each machine that holds a task of ours, one without is visited after this
 /// silence, and one that was kept for this long gives way to it. Guards against machines that count as failed only
 /// because nobody could call; costs a handshake a visit.
-const VISIT: Seconds = 2.0;
-const KEPT: Seconds = 1.0;
+const VISIT_INTERVAL: Seconds = 2.0;
+const REQUIRED_CONNECTION_MIN_AGE: Seconds = 1.0;
 /// So many connections may be half-closed and not ended yet while others take their room.
-const HALF_CLOSED_MOST: usize = 8;
+const MAX_HALF_CLOSED: usize = 8;
 /// Pause between dials that fail.
-const REDIAL: Seconds = 0.25;
+const DIAL_BACKOFF: Seconds = 0.25;
 /// An idle connection that is not needed is half-closed after this, or after half of the time after which the
 /// machines themselves close it.
-const IDLE: Seconds = 10.0;
+const IDLE_TIMEOUT: Seconds = 10.0;
 /// A machine has so long to end a connection that was half-closed here. What it wrote before it heard of that, such
 /// as the end of a task, is still read; a plain close would lose it.
-const HALF_CLOSED_FOR: Seconds = 2.0;
+const HALF_CLOSE_TIMEOUT: Seconds = 2.0;
 /// Messages that wait for the next connection to a machine.
-const QUEUE_MOST: usize = 1_000;
+const MAX_QUEUED_MESSAGES: usize = 1_000;
 /// Machines that the list does not tell of and at which tasks were handed over.
-const UNLISTED_MOST: usize = 1_000;
+const MAX_UNLISTED_MACHINES: usize = 1_000;
 
 /// What is to be done with connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,12 +61,12 @@
     Dial(UpstreamId, String),
     /// Write these bytes.
     Write(UpstreamId, Vec<u8>),
-    /// This set-up could leave now: [`Pool::leaves`] follows once its client is known to be there still.
-    Due(UpstreamId, Id),
+    /// This set-up could leave now: [`Pool::send_ready_offer`] follows once its client is known to be there still.
+    OfferReady(UpstreamId, RequestId),
     /// Read what a machine has said by now; `UpstreamLooked` answers, after that.
-    Look(UpstreamId),
+    CheckPeer(UpstreamId),
     /// Write this set-up; what did not leave of it is told of this one.
-    Offer(UpstreamId, Id, Vec<u8>),
+    Offer(UpstreamId, RequestId, Vec<u8>),
     /// Write no more, and go on reading until the machine ends it too; `Ended` answers.
     HalfClose(UpstreamId),
     /// Close, also while it is being dialled. Nothing answers.
@@ -75,43 +75,43 @@
 
 /// What became of set-ups and machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum PoolEvent {
     /// No byte of this set-up left.
-    Unsent(Id),
+    ConnectFailed(RequestId),
     /// The same, and that says nothing against the machine: a choice made here, or an idle connection that it closed.
-    Withdrawn(Id),
+    NeverSent(RequestId),
     /// The connection ended under this set-up: it may have run.
-    Broken(Id),
+    Interrupted(RequestId),
     /// The machine is dead, or was silent too long: what stood there is over.
-    Failed(MachineId),
+    MachineFailed(MachineId),
 }
 
 /// Times of connections that the settings tell.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct ConnectionTimeouts {
     /// One not made within this counts as none.
-    pub connect_within: Seconds,
+    pub connect: Seconds,
     /// Machines close one that is idle for this long.
     pub idle: Seconds,
 }
 
-impl Times {
-    fn fresh(&self) -> Seconds {
-        FRESH.min(self.idle / 2.0)
+impl ConnectionTimeouts {
+    fn fresh_limit(&self) -> Seconds {
+        FRESH_CONNECTION_TIMEOUT.min(self.idle / 2.0)
     }
 
-    fn spare(&self) -> Seconds {
-        IDLE.min(self.idle / 2.0)
+    fn idle_limit(&self) -> Seconds {
+        IDLE_TIMEOUT.min(self.idle / 2.0)
     }
 }
 
 /// How a connection ended, or was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ConnectionEnd {
     /// Nobody listens there.
     Refused,
     /// Not a byte left of what was written last, a set-up where one is named; the connection is read to its end.
-    Unwritten(Option<Id>),
+    WriteFailed(Option<RequestId>),
     /// Otherwise.
     Other,
 }
@@ -120,58 +120,58 @@
 struct Upstream {
     machine: MachineId,
     /// Since when it is being dialled; `None`: it is open.
-    dialled: Option<Seconds>,
+    dialling_since: Option<Seconds>,
     /// Set-ups without an answer: one, or more where there was no room for another connection.
-    offers: Vec<Id>,
+    pending_offers: Vec<RequestId>,
     /// Set-ups that have not left: until it is open and takes bytes, and it is sure that their clients are still there;
     /// kept one by one, so that what is cancelled never leaves.
-    waiting: Vec<(Id, Vec<u8>)>,
+    unsent_offers: Vec<(RequestId, Vec<u8>)>,
     /// The machine takes no bytes now; with a set-up of which only a part has left.
     blocked: bool,
-    part: Option<Id>,
+    partially_written: Option<RequestId>,
     heard_at: Seconds,
     used_at: Seconds,
-    tested_at: Option<Seconds>,
+    health_check_sent_at: Option<Seconds>,
     /// When it came up.
     opened_at: Seconds,
     /// How it stands among the idle ones, if it does.
-    rests: Option<(Rest, u64)>,
+    idle_entry: Option<(IdleClass, u64)>,
 }
 
 /// What an idle connection is there for, in the order in which they give way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Rest {
+enum IdleClass {
     /// Nothing: by its last use.
     Spare,
     /// The one sound connection to a machine that holds a task of ours: by when it came up.
-    Kept,
+    Required,
 }
 
 impl Upstream {
-    fn idle(&self) -> bool {
-        self.dialled.is_none() && self.offers.is_empty()
+    fn is_idle(&self) -> bool {
+        self.dialling_since.is_none() && self.pending_offers.is_empty()
     }
 
     /// Open, and nothing stands against it.
-    fn sound(&self) -> bool {
-        self.dialled.is_none() && self.tested_at.is_none()
+    fn is_healthy(&self) -> bool {
+        self.dialling_since.is_none() && self.health_check_sent_at.is_none()
     }
 }
 
 #[derive(Debug, Default)]
 struct Peer {
     address: String,
-    gone: bool,
+    is_gone: bool,
     /// Connections to it that are not half-closed.
     upstreams: BTreeSet<UpstreamId>,
     /// Tasks of ours that stand there.
-    holds: usize,
+    placed_tasks: usize,
     heard_at: Seconds,
     /// Dials that failed in a row, those that were refused, and when the next may go.
-    fails: u32,
-    refused: u32,
-    redial_at: Seconds,
-    queue: VecDeque<Vec<u8>>,
+    consecutive_failures: u32,
+    consecutive_refusals: u32,
+    next_dial_at: Seconds,
+    queued_messages: VecDeque<Vec<u8>>,
 }
 
 /// All connections to machines.
@@ -180,39 +180,39 @@
     peers: BTreeMap<MachineId, Peer>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Idle connections in the order in which they give way: found without a walk over all.
-    idle: BTreeSet<(Rest, u64, UpstreamId)>,
+    idle: BTreeSet<(IdleClass, u64, UpstreamId)>,
     /// Connections that were looked at so far.
-    looked: Cell<u64>,
+    connections_examined: Cell<u64>,
     /// Half-closed, and not ended by the machine yet: whose, and since when.
     half_closed: BTreeMap<UpstreamId, (MachineId, Seconds)>,
     next: u64,
     /// When the loop last went on after it had stood still: what was heard then may have come long before.
     stalled_at: Seconds,
     /// Connections that may be there at once.
-    most: usize,
-    times: Times,
+    max_connections: usize,
+    timeouts: ConnectionTimeouts,
 }
 
 impl Pool {
     /// No connections yet; at most `most` at once.
-    pub fn new(most: usize, times: Times) -> Self {
+    pub fn new(most: usize, times: ConnectionTimeouts) -> Self {
         let (peers, upstreams, half_closed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (idle, most, stalled_at) = (BTreeSet::new(), most.max(2), f64::NEG_INFINITY);
         Self {
             peers,
             upstreams,
             idle,
-            looked: Cell::new(0),
+            connections_examined: Cell::new(0),
             half_closed,
             next: 0,
             stalled_at,
-            most,
-            times,
+            max_connections: most,
+            timeouts: times,
         }
     }
 
     /// The loop has stood still until now.
-    pub fn stalled(&mut self, now: Seconds) {
+    pub fn loop_stalled(&mut self, now: Seconds) {
         self.stalled_at = now;
     }
 
@@ -231,20 +231,21 @@
     }
 
     /// The connections to a machine that are not half-closed, those that are being dialled too.
-    fn to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
+    fn upstreams_to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
         let lines = self
             .peers
             .get(&machine)
             .into_iter()
             .flat_map(|peer| &peer.upstreams);
         lines.filter_map(|&id| {
-            self.looked.set(self.looked.get() + 1);
+            self.connections_examined
+                .set(self.connections_examined.get() + 1);
             Some((id, self.upstreams.get(&id)?))
         })
     }
 
     /// Connections that were looked at so far, to find one.
-    pub fn looked(&self) -> u64 {
-        self.looked.get()
+    pub fn connections_examined(&self) -> u64 {
+        self.connections_examined.get()
     }
 }
--- a/crates/gateway/src/pool/room.rs
+++ b/crates/gateway/src/pool/capacity.rs
@@ -4,27 +4,27 @@
 
 impl Pool {
     /// Whether a connection has to give way before another can be dialled.
-    pub(super) fn short(&self) -> bool {
-        self.upstreams.len() + HALF_CLOSED_MOST.min(self.most / 4) >= self.most
+    pub(super) fn is_at_capacity(&self) -> bool {
+        self.upstreams.len() + MAX_HALF_CLOSED.min(self.max_connections / 4) >= self.max_connections
     }
 
     /// Makes room for one more connection; one that is kept gives way if it came up by `kept`.
-    pub(super) fn make_room(
+    pub(super) fn make_capacity(
         &mut self,
         now: Seconds,
         kept: Seconds,
         out: &mut Vec<PoolAction>,
     ) -> bool {
-        if self.short() {
-            let gives = |&&(rest, at, _): &&(Rest, u64, UpstreamId)| {
-                rest == Rest::Spare || at <= micros(kept)
+        if self.is_at_capacity() {
+            let gives = |&&(rest, at, _): &&(IdleClass, u64, UpstreamId)| {
+                rest == IdleClass::Spare || at <= micros(kept)
             };
             let Some(&(.., id)) = self.idle.first().filter(gives) else {
-                return self.count() < self.most;
+                return self.count() < self.max_connections;
             };
             self.half_close(now, id, out);
         }
-        while self.count() >= self.most {
+        while self.count() >= self.max_connections {
             // The one that was half-closed first: an end on its way there has had most time.
             let first = self
                 .half_closed
@@ -50,7 +50,7 @@
             .get(&machine)
             .map(|peer| peer.address.clone())
             .filter(|a| !a.is_empty())?;
-        if !self.make_room(now, kept, out) {
+        if !self.make_capacity(now, kept, out) {
             return None;
         }
         self.next += 1;
@@ -58,16 +58,16 @@
         out.push(PoolAction::Dial(line, address));
         let made = Upstream {
             machine,
-            dialled: Some(now),
-            offers: Vec::new(),
-            waiting: Vec::new(),
+            dialling_since: Some(now),
+            pending_offers: Vec::new(),
+            unsent_offers: Vec::new(),
             blocked: false,
-            part: None,
+            partially_written: None,
             heard_at: now,
             used_at: now,
-            tested_at: None,
+            health_check_sent_at: None,
             opened_at: now,
-            rests: None,
+            idle_entry: None,
         };
         self.upstreams.insert(line, made);
         self.peers.get_mut(&machine)?.upstreams.insert(line);
@@ -77,7 +77,7 @@
     /// Ends a connection that is not needed any more, without losing what is on its way here.
     pub(super) fn half_close(&mut self, now: Seconds, id: UpstreamId, out: &mut Vec<PoolAction>) {
         let Some(line) = self.remove(id) else { return };
-        if line.dialled.is_some() {
+        if line.dialling_since.is_some() {
             return out.push(PoolAction::Close(id));
         }
         self.half_closed.insert(id, (line.machine, now));
@@ -87,22 +87,22 @@
     /// Takes a connection out.
     pub(super) fn remove(&mut self, id: UpstreamId) -> Option<Upstream> {
         let line = self.upstreams.remove(&id)?;
-        line.rests
+        line.idle_entry
             .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
         if let Some(peer) = self.peers.get_mut(&line.machine) {
             peer.upstreams.remove(&id);
         }
-        self.reckon(line.machine);
+        self.update_idle_index(line.machine);
         Some(line)
     }
 
     /// Finds out anew how the connections to a machine rest. Follows whatever may have changed that.
-    pub(super) fn reckon(&mut self, machine: MachineId) {
+    pub(super) fn update_idle_index(&mut self, machine: MachineId) {
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
         let sound = |upstreams: &BTreeMap<UpstreamId, Upstream>, id| {
-            upstreams.get(id).is_some_and(Upstream::sound)
+            upstreams.get(id).is_some_and(Upstream::is_healthy)
         };
         let all = peer
             .upstreams
@@ -113,17 +113,17 @@
             let Some(line) = self.upstreams.get_mut(&id) else {
                 continue;
             };
-            let needed = peer.holds > 0 && all - usize::from(line.sound()) == 0;
+            let needed = peer.placed_tasks > 0 && all - usize::from(line.is_healthy()) == 0;
             let rests = match needed {
-                _ if !line.idle() => None,
-                false => Some((Rest::Spare, micros(line.used_at))),
-                true => Some((Rest::Kept, micros(line.opened_at))),
+                _ if !line.is_idle() => None,
+                false => Some((IdleClass::Spare, micros(line.used_at))),
+                true => Some((IdleClass::Required, micros(line.opened_at))),
             };
-            if rests != line.rests {
-                line.rests
+            if rests != line.idle_entry {
+                line.idle_entry
                     .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
                 self.idle.extend(rests.map(|(rest, at)| (rest, at, id)));
-                line.rests = rests;
+                line.idle_entry = rests;
             }
         }
     }
--- a/crates/gateway/src/pool/listed.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Pool {
-    /// The list tells of a machine. Once all that is told at a time was told, [`Pool::taken_over`] follows.
-    pub fn listed(&mut self, now: Seconds, machine: MachineId, address: &str, gone: bool) {
+    /// The list tells of a machine. Once all that is told at a time was told, [`Pool::fail_replaced_machines`] follows.
+    pub fn endpoint_listed(&mut self, now: Seconds, machine: MachineId, address: &str, gone: bool) {
         let peer = self.peers.entry(machine).or_insert_with(|| Peer {
             heard_at: now,
             ..Peer::default()
@@ -14,12 +14,12 @@
         if !address.is_empty() && !forgotten {
             peer.address = address.to_owned();
         }
-        peer.gone = gone;
+        peer.is_gone = gone;
     }
 
     /// A machine that has gone and at whose address another listens now is no more.
-    pub fn taken_over(&mut self, news: &mut Vec<News>) {
-        let (gone, here): (Vec<_>, Vec<_>) = self.peers.iter().partition(|(_, peer)| peer.gone);
+    pub fn fail_replaced_machines(&mut self, news: &mut Vec<PoolEvent>) {
+        let (gone, here): (Vec<_>, Vec<_>) = self.peers.iter().partition(|(_, peer)| peer.is_gone);
         let here: BTreeSet<&str> = here
             .into_iter()
             .map(|(_, peer)| peer.address.as_str())
@@ -34,41 +34,45 @@
         for id in over {
             if let Some(peer) = self.peers.get_mut(&id) {
                 peer.address.clear();
-                if peer.holds > 0 {
-                    news.push(News::Failed(id));
+                if peer.placed_tasks > 0 {
+                    news.push(PoolEvent::MachineFailed(id));
                 }
             }
         }
     }
 
     /// The whole list was told: who is not in it has gone. Tells who that is.
-    pub fn only(&mut self, listed: &BTreeSet<MachineId>) -> Vec<MachineId> {
+    pub fn mark_unlisted_gone(&mut self, listed: &BTreeSet<MachineId>) -> Vec<MachineId> {
         let away = self
             .peers
             .iter_mut()
-            .filter(|(machine, peer)| !listed.contains(machine) && !peer.gone);
+            .filter(|(machine, peer)| !listed.contains(machine) && !peer.is_gone);
         away.map(|(&machine, peer)| {
-            peer.gone = true;
+            peer.is_gone = true;
             machine
         })
         .collect()
     }
 
     /// Tasks of ours that stand at a machine came or went.
-    pub fn hold(&mut self, now: Seconds, machine: MachineId, more: bool) {
+    pub fn count_placed(&mut self, now: Seconds, machine: MachineId, more: bool) {
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
         };
         if more {
-            if peer.holds == 0 {
-                (peer.heard_at, peer.fails, peer.refused) = (now, 0, 0);
+            if peer.placed_tasks == 0 {
+                (
+                    peer.heard_at,
+                    peer.consecutive_failures,
+                    peer.consecutive_refusals,
+                ) = (now, 0, 0);
             }
-            peer.holds += 1;
+            peer.placed_tasks += 1;
         } else {
-            peer.holds = peer.holds.saturating_sub(1);
+            peer.placed_tasks = peer.placed_tasks.saturating_sub(1);
         }
-        if peer.holds <= 1 {
-            self.reckon(machine);
+        if peer.placed_tasks <= 1 {
+            self.update_idle_index(machine);
         }
     }
 
@@ -78,7 +82,7 @@
     }
 
     /// A task was handed over that stands at a machine which the list may tell of only later; `false`: too many such.
-    pub fn expect(&mut self, now: Seconds, machine: MachineId) -> bool {
+    pub fn expect_machine(&mut self, now: Seconds, machine: MachineId) -> bool {
         if self.peers.contains_key(&machine) {
             return true;
         }
@@ -87,7 +91,7 @@
             .values()
             .filter(|peer| peer.address.is_empty())
             .count()
-            >= UNLISTED_MOST
+            >= MAX_UNLISTED_MACHINES
         {
             return false;
         }
@@ -102,7 +106,7 @@
     }
 
     /// Machines that are known.
-    pub fn peers(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 }
--- a/crates/gateway/src/pool/upkeep.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -8,79 +8,95 @@
         let Some(line) = self.upstreams.get_mut(&id) else {
             return out.push(PoolAction::Close(id));
         };
-        (line.dialled, line.heard_at, line.opened_at) = (None, now, now);
+        (line.dialling_since, line.heard_at, line.opened_at) = (None, now, now);
         out.extend(
-            line.waiting
+            line.unsent_offers
                 .iter()
-                .map(|(offer, _)| PoolAction::Due(id, *offer)),
+                .map(|(offer, _)| PoolAction::OfferReady(id, *offer)),
         );
         let machine = line.machine;
         if let Some(peer) = self.peers.get_mut(&machine) {
-            (peer.fails, peer.refused, peer.heard_at) = (0, 0, now);
-            while let Some(bytes) = peer.queue.pop_front() {
+            (
+                peer.consecutive_failures,
+                peer.consecutive_refusals,
+                peer.heard_at,
+            ) = (0, 0, now);
+            while let Some(bytes) = peer.queued_messages.pop_front() {
                 out.push(PoolAction::Write(id, bytes));
             }
         }
-        self.reckon(machine);
+        self.update_idle_index(machine);
     }
 
     /// Something whole was read.
-    pub fn heard(&mut self, now: Seconds, id: UpstreamId) {
+    pub fn message_received(&mut self, now: Seconds, id: UpstreamId) {
         let Some(line) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let (machine, tested) = (line.machine, line.tested_at.take());
+        let (machine, tested) = (line.machine, line.health_check_sent_at.take());
         line.heard_at = now;
         if let Some(peer) = self.peers.get_mut(&machine) {
             peer.heard_at = now;
         }
         if tested.is_some() {
-            self.reckon(machine);
+            self.update_idle_index(machine);
         }
     }
 
     /// A connection ended, or could not be made.
-    pub fn ended(&mut self, now: Seconds, id: UpstreamId, end: End, news: &mut Vec<News>) {
+    pub fn ended(
+        &mut self,
+        now: Seconds,
+        id: UpstreamId,
+        end: ConnectionEnd,
+        news: &mut Vec<PoolEvent>,
+    ) {
         let unwritten = match end {
-            End::Unwritten(offer) => Some(offer),
-            End::Refused | End::Other => None,
+            ConnectionEnd::WriteFailed(offer) => Some(offer),
+            ConnectionEnd::Refused | ConnectionEnd::Other => None,
         };
         if unwritten.is_none() {
             self.half_closed.remove(&id);
         }
         let Some(line) = self.remove(id) else { return };
-        let dialling = line.dialled.is_some();
+        let dialling = line.dialling_since.is_some();
         if unwritten.is_some() {
             // What the machine wrote before it ended the connection may still be there to read.
             self.half_closed.insert(id, (line.machine, now));
         }
         // Only the set-up that could not be written is known not to have left: others on the line had.
-        let waited: BTreeSet<Id> = line.waiting.iter().map(|(offer, _)| *offer).collect();
-        let never_left = |offer: Id| waited.contains(&offer) || unwritten == Some(Some(offer));
+        let waited: BTreeSet<RequestId> =
+            line.unsent_offers.iter().map(|(offer, _)| *offer).collect();
+        let never_left =
+            |offer: RequestId| waited.contains(&offer) || unwritten == Some(Some(offer));
         // That an open connection ended is no proof against its machine, which closes idle ones. Whether it can still be
         // reached the next dial tells.
-        let told = |offer: Id| match never_left(offer) {
-            true if dialling => News::Unsent(offer),
-            true => News::Withdrawn(offer),
-            false => News::Broken(offer),
+        let told = |offer: RequestId| match never_left(offer) {
+            true if dialling => PoolEvent::ConnectFailed(offer),
+            true => PoolEvent::NeverSent(offer),
+            false => PoolEvent::Interrupted(offer),
+        };
+        news.extend(line.pending_offers.into_iter().map(told));
+        let heard = |other: &Upstream| {
+            other.dialling_since.is_none() && now - other.heard_at < HEALTH_CHECK_INTERVAL
         };
-        news.extend(line.offers.into_iter().map(told));
-        let heard = |other: &Upstream| other.dialled.is_none() && now - other.heard_at < TEST_AFTER;
-        let alive = self.to(line.machine).any(|(_, other)| heard(other));
+        let alive = self
+            .upstreams_to(line.machine)
+            .any(|(_, other)| heard(other));
         let Some(peer) = self.peers.get_mut(&line.machine) else {
             return;
         };
         if dialling {
-            peer.fails += 1;
-            peer.refused = if end == End::Refused {
-                peer.refused + 1
+            peer.consecutive_failures += 1;
+            peer.consecutive_refusals = if end == ConnectionEnd::Refused {
+                peer.consecutive_refusals + 1
             } else {
                 0
             };
-            peer.redial_at = now + REDIAL;
+            peer.next_dial_at = now + DIAL_BACKOFF;
             // A machine may refuse because it has too many connections: then it is heard on another.
-            if peer.refused >= 2 && !alive && peer.holds > 0 {
-                news.push(News::Failed(line.machine));
+            if peer.consecutive_refusals >= 2 && !alive && peer.placed_tasks > 0 {
+                news.push(PoolEvent::MachineFailed(line.machine));
             }
         }
     }
@@ -91,29 +107,30 @@
         now: Seconds,
         id: UpstreamId,
         out: &mut Vec<PoolAction>,
-        news: &mut Vec<News>,
+        news: &mut Vec<PoolEvent>,
     ) {
         if self.upstreams.contains_key(&id) || self.half_closed.contains_key(&id) {
             out.push(PoolAction::Close(id));
-            self.ended(now, id, End::Other, news);
+            self.ended(now, id, ConnectionEnd::Other, news);
         }
     }
 
     /// Time goes on: dials that take too long, tests, silence, idle connections.
-    pub fn tick(&mut self, now: Seconds, out: &mut Vec<PoolAction>, news: &mut Vec<News>) {
+    pub fn tick(&mut self, now: Seconds, out: &mut Vec<PoolAction>, news: &mut Vec<PoolEvent>) {
         let slow = self.upstreams.iter().filter(|(_, l)| {
-            l.dialled
-                .is_some_and(|at| now - at > self.times.connect_within)
+            l.dialling_since
+                .is_some_and(|at| now - at > self.timeouts.connect)
+        });
+        let silent = self.upstreams.iter().filter(|(_, l)| {
+            l.health_check_sent_at
+                .is_some_and(|at| now - at > HEALTH_CHECK_TIMEOUT)
         });
-        let silent = self
-            .upstreams
-            .iter()
-            .filter(|(_, l)| l.tested_at.is_some_and(|at| now - at > TEST_FOR));
         let over: Vec<UpstreamId> = slow.chain(silent).map(|(&id, _)| id).collect();
         for id in over {
             self.malformed(now, id, out, news);
         }
-        let idle = |line: &Upstream| line.idle() && now - line.used_at > self.times.spare();
+        let idle =
+            |line: &Upstream| line.is_idle() && now - line.used_at > self.timeouts.idle_limit();
         let idle: Vec<UpstreamId> = self
             .upstreams
             .iter()
@@ -125,7 +142,7 @@
             if self
                 .upstreams
                 .get(&id)
-                .is_some_and(|line| matches!(line.rests, Some((Rest::Spare, _))))
+                .is_some_and(|line| matches!(line.idle_entry, Some((IdleClass::Spare, _))))
             {
                 self.half_close(now, id, out);
             }
@@ -133,13 +150,13 @@
         let slow = self
             .half_closed
             .iter()
-            .filter(|(_, (_, at))| now - at > HALF_CLOSED_FOR);
+            .filter(|(_, (_, at))| now - at > HALF_CLOSE_TIMEOUT);
         let slow: Vec<UpstreamId> = slow.map(|(&id, _)| id).collect();
         for id in slow {
             self.half_closed.remove(&id);
             out.push(PoolAction::Close(id));
         }
-        let wanted = |peer: &Peer| peer.holds > 0 || !peer.queue.is_empty();
+        let wanted = |peer: &Peer| peer.placed_tasks > 0 || !peer.queued_messages.is_empty();
         let wanted = self.peers.iter().filter(|(_, peer)| wanted(peer));
         let mut wanted: Vec<(Seconds, MachineId)> = wanted
             .map(|(&machine, peer)| (peer.heard_at, machine))
@@ -147,57 +164,72 @@
         // Who was heard longest ago comes first: where there is no room for all, the last would never be called.
         wanted.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, machine) in wanted {
-            self.keep(now, machine, out, news);
+            self.probe_peer(now, machine, out, news);
         }
-        let listed = |peer: &Peer| !peer.gone && !peer.address.is_empty();
+        let listed = |peer: &Peer| !peer.is_gone && !peer.address.is_empty();
         self.peers
-            .retain(|_, peer| listed(peer) || peer.holds > 0 || !peer.upstreams.is_empty());
+            .retain(|_, peer| listed(peer) || peer.placed_tasks > 0 || !peer.upstreams.is_empty());
     }
 
     /// Keeps one connection to a machine that holds a task of ours, and finds out whether it lives.
-    fn keep(
+    fn probe_peer(
         &mut self,
         now: Seconds,
         machine: MachineId,
         out: &mut Vec<PoolAction>,
-        news: &mut Vec<News>,
+        news: &mut Vec<PoolEvent>,
     ) {
-        let dialling = self.to(machine).any(|(_, line)| line.dialled.is_some());
+        let dialling = self
+            .upstreams_to(machine)
+            .any(|(_, line)| line.dialling_since.is_some());
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
-        if peer.holds > 0 && now - peer.heard_at > FAILED_AFTER && peer.fails >= 2 {
-            news.push(News::Failed(machine));
+        if peer.placed_tasks > 0
+            && now - peer.heard_at > MACHINE_FAILURE_TIMEOUT
+            && peer.consecutive_failures >= 2
+        {
+            news.push(PoolEvent::MachineFailed(machine));
             return;
         }
-        let (silent_for, redial_at, told) =
-            (now - peer.heard_at, peer.redial_at, peer.queue.is_empty());
-        let open = || self.to(machine).filter(|(_, line)| line.dialled.is_none());
-        let tested = open().any(|(_, line)| line.tested_at.is_some());
+        let (silent_for, redial_at, told) = (
+            now - peer.heard_at,
+            peer.next_dial_at,
+            peer.queued_messages.is_empty(),
+        );
+        let open = || {
+            self.upstreams_to(machine)
+                .filter(|(_, line)| line.dialling_since.is_none())
+        };
+        let tested = open().any(|(_, line)| line.health_check_sent_at.is_some());
         let newest = open()
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(id, _)| id);
         // Where there is no room for all, those without a connection take turns.
-        let waits = self.short() && silent_for < VISIT && told;
-        let suspect = newest.is_none() && !waits || silent_for > TEST_AFTER + TEST_FOR;
-        let silent = newest.filter(|_| !tested && silent_for > TEST_AFTER);
+        let waits = self.is_at_capacity() && silent_for < VISIT_INTERVAL && told;
+        let suspect =
+            newest.is_none() && !waits || silent_for > HEALTH_CHECK_INTERVAL + HEALTH_CHECK_TIMEOUT;
+        let silent = newest.filter(|_| !tested && silent_for > HEALTH_CHECK_INTERVAL);
         if let Some((id, line)) = silent.and_then(|id| Some((id, self.upstreams.get_mut(&id)?))) {
-            line.tested_at = Some(now);
-            let test = Message::new(Kind::Test, Id(0)).with(code::CAUSE, &[0]);
-            out.push(PoolAction::Write(id, test.bytes()));
-            self.reckon(machine);
+            line.health_check_sent_at = Some(now);
+            let test = Message::new(MessageKind::Test, RequestId(0)).with(code::CAUSE, &[0]);
+            out.push(PoolAction::Write(id, test.encode()));
+            self.update_idle_index(machine);
         }
         if suspect
             && !dialling
             && now >= redial_at
-            && self.dial(now, now - KEPT, machine, out).is_none()
+            && self
+                .dial(now, now - REQUIRED_CONNECTION_MIN_AGE, machine, out)
+                .is_none()
             && let Some(peer) = self
                 .peers
                 .get_mut(&machine)
                 .filter(|peer| peer.address.is_empty())
         {
             // Nobody knows where it could be heard. That there is no room is not its fault, and proves nothing.
-            (peer.fails, peer.redial_at) = (peer.fails + 1, now + REDIAL);
+            (peer.consecutive_failures, peer.next_dial_at) =
+                (peer.consecutive_failures + 1, now + DIAL_BACKOFF);
         }
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -1,14 +1,14 @@
 //! Requests: which id is which task, what is out for it, where it stands, and whether its owner has its answer.
 
-use crate::message::Id;
+use crate::message::RequestId;
 use crate::{DownstreamId, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 use tidespur_policy::interface::{MachineId, Seconds, TaskId};
 
 /// Ends of tasks that are not ours are kept in mind for so long, and so many of them.
-const ENDED_FOR: Seconds = 30.0;
-const ENDED_MOST: usize = 4_096;
+const UNKNOWN_END_TIMEOUT: Seconds = 30.0;
+const MAX_UNKNOWN_ENDS: usize = 4_096;
 
 /// The attempt that is out.
 #[derive(Clone, Copy, Debug)]
@@ -16,23 +16,23 @@
     /// Its number.
     pub number: u32,
     /// The connection that carries it.
-    pub line: UpstreamId,
+    pub upstream: UpstreamId,
     /// When it times out.
-    pub until: Seconds,
+    pub deadline: Seconds,
 }
 
 /// Where a request is.
 #[derive(Clone, Copy, Debug)]
-pub enum Stage {
+pub enum RequestState {
     /// Its owner waits.
-    Open {
+    Pending {
         /// The attempt that is out.
         attempt: Option<Attempt>,
         /// An earlier attempt may have run.
         may_have_run: bool,
     },
     /// The task stands.
-    Standing {
+    Placed {
         /// At this machine,
         machine: MachineId,
         /// by this attempt,
@@ -52,27 +52,27 @@
     /// The address it came from.
     pub from: Option<IpAddr>,
     /// Where it is.
-    pub stage: Stage,
+    pub state: RequestState,
     /// The class's index in the settings.
     pub class_index: usize,
     /// What a machine is sent, but for the wait: code and value, in the owner's order.
-    pub passed: Vec<(u8, Vec<u8>)>,
+    pub forwarded: Vec<(u8, Vec<u8>)>,
     /// Attempts made.
-    pub sends: u32,
+    pub attempts: u32,
     /// When the first attempt that may have run began.
-    pub began: Option<Seconds>,
+    pub first_attempt_at: Option<Seconds>,
 }
 
 /// All requests.
 #[derive(Debug, Default)]
 pub struct RequestTable {
-    requests: BTreeMap<Id, Request>,
-    ids: BTreeMap<TaskId, Id>,
+    requests: BTreeMap<RequestId, Request>,
+    ids: BTreeMap<TaskId, RequestId>,
     /// Open requests of a connection, tasks that stand at a machine.
-    of_client: BTreeSet<(DownstreamId, Id)>,
-    at_machine: BTreeSet<(MachineId, Id)>,
-    untils: BTreeSet<(u64, Id)>,
-    ended: VecDeque<(Seconds, Id, u8)>,
+    pending_by_client: BTreeSet<(DownstreamId, RequestId)>,
+    placed_by_machine: BTreeSet<(MachineId, RequestId)>,
+    attempt_deadlines: BTreeSet<(u64, RequestId)>,
+    unknown_ends: VecDeque<(Seconds, RequestId, u8)>,
     next: u64,
 }
 
@@ -88,151 +88,161 @@
     }
 
     /// Those whose owner waits.
-    pub fn open(&self) -> Vec<Id> {
-        self.of_client.iter().map(|&(_, id)| id).collect()
+    pub fn pending(&self) -> Vec<RequestId> {
+        self.pending_by_client.iter().map(|&(_, id)| id).collect()
     }
 
     /// The number of those whose owner waits.
-    pub fn waiting(&self) -> usize {
-        self.of_client.len()
+    pub fn pending_count(&self) -> usize {
+        self.pending_by_client.len()
     }
 
     /// A number for a new task.
-    pub fn number(&mut self) -> TaskId {
+    pub fn new_task_id(&mut self) -> TaskId {
         self.next += 1;
         TaskId(self.next)
     }
 
     /// The request of this id.
-    pub fn get(&self, id: Id) -> Option<&Request> {
+    pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
     /// The id of a task.
-    pub fn id(&self, task: TaskId) -> Option<Id> {
+    pub fn id_of_task(&self, task: TaskId) -> Option<RequestId> {
         self.ids.get(&task).copied()
     }
 
     /// Takes in a request.
-    pub fn add(&mut self, id: Id, request: Request) {
+    pub fn add(&mut self, id: RequestId, request: Request) {
         self.ids.insert(request.task, id);
-        self.index(id, request.client, request.stage, true);
+        self.index(id, request.client, request.state, true);
         self.requests.insert(id, request);
     }
 
-    fn index(&mut self, id: Id, client: DownstreamId, stage: Stage, add: bool) {
+    fn index(&mut self, id: RequestId, client: DownstreamId, stage: RequestState, add: bool) {
         match stage {
-            Stage::Open { attempt, .. } => {
-                let until = attempt.map(|attempt| (micros(attempt.until), id));
+            RequestState::Pending { attempt, .. } => {
+                let until = attempt.map(|attempt| (micros(attempt.deadline), id));
                 if add {
-                    self.of_client.insert((client, id));
-                    self.untils.extend(until);
+                    self.pending_by_client.insert((client, id));
+                    self.attempt_deadlines.extend(until);
                 } else {
-                    self.of_client.remove(&(client, id));
-                    until.map(|until| self.untils.remove(&until));
+                    self.pending_by_client.remove(&(client, id));
+                    until.map(|until| self.attempt_deadlines.remove(&until));
                 }
             }
-            Stage::Standing { machine, .. } if add => drop(self.at_machine.insert((machine, id))),
-            Stage::Standing { machine, .. } => drop(self.at_machine.remove(&(machine, id))),
+            RequestState::Placed { machine, .. } if add => {
+                drop(self.placed_by_machine.insert((machine, id)))
+            }
+            RequestState::Placed { machine, .. } => {
+                drop(self.placed_by_machine.remove(&(machine, id)))
+            }
         }
     }
 
     /// Brings a request to another stage.
-    pub fn put(&mut self, id: Id, stage: Stage) {
+    pub fn set_state(&mut self, id: RequestId, stage: RequestState) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let (client, old) = (request.client, std::mem::replace(&mut request.stage, stage));
+        let (client, old) = (request.client, std::mem::replace(&mut request.state, stage));
         self.index(id, client, old, false);
         self.index(id, client, stage, true);
     }
 
     /// Counts an attempt; tells its number.
-    pub fn sends(&mut self, id: Id) -> u32 {
+    pub fn count_attempt(&mut self, id: RequestId) -> u32 {
         self.requests.get_mut(&id).map_or(0, |request| {
-            request.sends += 1;
-            request.sends - 1
+            request.attempts += 1;
+            request.attempts - 1
         })
     }
 
     /// Whether the attempt that is out for a request is on this connection.
-    pub fn is_out(&self, id: Id, line: UpstreamId) -> bool {
-        let stage = self.requests.get(&id).map(|request| request.stage);
-        matches!(stage, Some(Stage::Open { attempt: Some(attempt), .. }) if attempt.line == line)
+    pub fn is_attempt_on(&self, id: RequestId, line: UpstreamId) -> bool {
+        let stage = self.requests.get(&id).map(|request| request.state);
+        matches!(stage, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == line)
     }
 
     /// An attempt begins; the first one counts, until it is known not to have run.
-    pub fn begins(&mut self, now: Seconds, id: Id) {
+    pub fn record_first_attempt(&mut self, now: Seconds, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.began.get_or_insert(now);
+            request.first_attempt_at.get_or_insert(now);
         }
     }
 
     /// No attempt has run.
-    pub fn has_not_run(&mut self, id: Id) {
+    pub fn clear_first_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.began = None;
+            request.first_attempt_at = None;
         }
     }
 
     /// The owner of a task that stands came back by another connection.
-    pub fn reached_by(&mut self, id: Id, client: DownstreamId, from: Option<IpAddr>) {
+    pub fn rebind_client(&mut self, id: RequestId, client: DownstreamId, from: Option<IpAddr>) {
         if let Some(request) = self.requests.get_mut(&id)
-            && matches!(request.stage, Stage::Standing { .. })
+            && matches!(request.state, RequestState::Placed { .. })
         {
             (request.client, request.from) = (client, from.or(request.from));
         }
     }
 
     /// Forgets a request.
-    pub fn remove(&mut self, id: Id) -> Option<Request> {
+    pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.ids.remove(&request.task);
-        self.index(id, request.client, request.stage, false);
+        self.index(id, request.client, request.state, false);
         Some(request)
     }
 
     /// Open requests of a connection.
-    pub fn of_client(&self, client: DownstreamId) -> Vec<Id> {
-        let range = (client, Id(0))..=(client, Id(u64::MAX));
-        self.of_client.range(range).map(|&(_, id)| id).collect()
+    pub fn pending_of_client(&self, client: DownstreamId) -> Vec<RequestId> {
+        let range = (client, RequestId(0))..=(client, RequestId(u64::MAX));
+        self.pending_by_client
+            .range(range)
+            .map(|&(_, id)| id)
+            .collect()
     }
 
     /// Tasks that stand at a machine.
-    pub fn at_machine(&self, machine: MachineId) -> Vec<Id> {
-        let range = (machine, Id(0))..=(machine, Id(u64::MAX));
-        self.at_machine.range(range).map(|&(_, id)| id).collect()
+    pub fn placed_at_machine(&self, machine: MachineId) -> Vec<RequestId> {
+        let range = (machine, RequestId(0))..=(machine, RequestId(u64::MAX));
+        self.placed_by_machine
+            .range(range)
+            .map(|&(_, id)| id)
+            .collect()
     }
 
     /// Attempts whose time is over.
-    pub fn late(&self, now: Seconds) -> Vec<Id> {
-        self.untils
-            .range(..=(micros(now), Id(u64::MAX)))
+    pub fn overdue_attempts(&self, now: Seconds) -> Vec<RequestId> {
+        self.attempt_deadlines
+            .range(..=(micros(now), RequestId(u64::MAX)))
             .map(|&(_, id)| id)
             .collect()
     }
 
     /// When the next attempt's time is over.
-    pub fn next_late(&self) -> Option<u64> {
-        self.untils.first().map(|&(at, _)| at)
+    pub fn next_attempt_deadline(&self) -> Option<u64> {
+        self.attempt_deadlines.first().map(|&(at, _)| at)
     }
 
     /// A machine told the end of a task that is not known here: it may be handed over only now.
-    pub fn ended_elsewhere(&mut self, now: Seconds, id: Id, cause: u8) {
+    pub fn record_unknown_end(&mut self, now: Seconds, id: RequestId, cause: u8) {
         while self
-            .ended
+            .unknown_ends
             .front()
-            .is_some_and(|&(at, ..)| now - at > ENDED_FOR)
-            || self.ended.len() >= ENDED_MOST
+            .is_some_and(|&(at, ..)| now - at > UNKNOWN_END_TIMEOUT)
+            || self.unknown_ends.len() >= MAX_UNKNOWN_ENDS
         {
-            self.ended.pop_front();
+            self.unknown_ends.pop_front();
         }
-        self.ended.push_back((now, id, cause));
+        self.unknown_ends.push_back((now, id, cause));
     }
 
     /// The cause with which a machine told the end of this task, where it did before the task was handed over.
-    pub fn has_ended(&self, id: Id) -> Option<u8> {
-        self.ended
+    pub fn unknown_end_cause(&self, id: RequestId) -> Option<u8> {
+        self.unknown_ends
             .iter()
             .rev()
             .find(|&&(_, ended, _)| ended == id)
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/task_request.rs
@@ -8,42 +8,42 @@
 use tidespur_site_settings::{Site, convert};
 
 /// An owner that says that it waits longer than this is not believed.
-const WAIT_MOST: Seconds = 3600.0;
+const MAX_OWNER_WAIT: Seconds = 3600.0;
 /// Nor is a task that is to run longer than this.
-const LIFE_MOST: Seconds = 1e7;
+const MAX_EXPECTED_DURATION: Seconds = 1e7;
 
 /// Why a set-up can't be used. Its owner is told so by cause 100; the log names the field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum TaskRequestError {
     /// A field is not there.
     #[error("{0} is missing or no text; whoever sent it speaks another edition of the protocol")]
     Missing(&'static str),
     /// A class that the settings do not have.
     #[error("a class that is not known; compare the owner's classes with the settings")]
-    Class,
+    UnknownClass,
     /// A tenant that the settings do not have.
     #[error("a tenant that is not known; compare the owner's tenants with the settings")]
-    Tenant,
+    UnknownTenant,
     /// A field holds no number, or no finite one.
     #[error("{0}: no finite number; look at the owner's program")]
-    Number(&'static str),
+    NotANumber(&'static str),
     /// A number that nothing here can serve.
     #[error(
         "{0}: out of range; no machine of the settings admits so much, or no owner waits so long"
     )]
-    Range(&'static str),
+    OutOfRange(&'static str),
     /// A name without a letter.
     #[error("an empty name; look at the owner's program")]
-    Empty,
+    EmptyName,
 }
 
 /// What a set-up asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TaskRequest {
     /// What the policy is told; its id is the caller's to give.
     pub task: Task,
     /// The machine that holds the task already.
-    pub at: Option<String>,
+    pub placed_at: Option<String>,
 }
 
 fn fields(text: &str) -> BTreeMap<&str, &str> {
@@ -53,25 +53,29 @@
         .collect()
 }
 
-fn number(what: &'static str, text: &str) -> Result<f64, AskError> {
+fn number(what: &'static str, text: &str) -> Result<f64, TaskRequestError> {
     text.parse()
         .ok()
         .filter(|number: &f64| number.is_finite())
-        .ok_or(AskError::Number(what))
+        .ok_or(TaskRequestError::NotANumber(what))
 }
 
 /// Reads a set-up that came at `now`.
 ///
 /// # Errors
 /// Names the field that can't be used.
-pub fn read(site: &Site, now: Seconds, message: &Message) -> Result<Ask, AskError> {
-    let text = |code, what| message.text(code).ok_or(AskError::Missing(what));
+pub fn parse(
+    site: &Site,
+    now: Seconds,
+    message: &Message,
+) -> Result<TaskRequest, TaskRequestError> {
+    let text = |code, what| message.text(code).ok_or(TaskRequestError::Missing(what));
     let class = text(code::CLASS, "the class")?;
     let class = site
         .classes
         .iter()
         .position(|name| name == class)
-        .ok_or(AskError::Class)?;
+        .ok_or(TaskRequestError::UnknownClass)?;
     let tenant = match (site.tenants.is_empty(), text(code::TENANT, "the tenant")) {
         (true, _) => 0,
         (false, tenant) => {
@@ -79,11 +83,15 @@
             site.tenants
                 .iter()
                 .position(|name| name == tenant)
-                .ok_or(AskError::Tenant)?
+                .ok_or(TaskRequestError::UnknownTenant)?
         }
     };
     let asks = fields(text(code::ASKS, "what the task asks for")?);
-    let field = |name: &'static str| asks.get(name).copied().ok_or(AskError::Missing(name));
+    let field = |name: &'static str| {
+        asks.get(name)
+            .copied()
+            .ok_or(TaskRequestError::Missing(name))
+    };
     let most = |of: fn(&tidespur_policy::interface::MachineType) -> f64, admit: f64| {
         site.settings
             .machine_types
@@ -96,24 +104,26 @@
     let memory = number("memory", field("memory")?)?;
     // No machine admits more, however empty: waiting would not help.
     if !(cores > 0.0 && cores <= most(|kind| kind.capacity.cpu, site.settings.overcommit.cpu)) {
-        return Err(AskError::Range("cores"));
+        return Err(TaskRequestError::OutOfRange("cores"));
     }
     if !(memory >= 0.0
         && memory <= most(|kind| kind.capacity.memory, site.settings.overcommit.memory))
     {
-        return Err(AskError::Range("memory"));
+        return Err(TaskRequestError::OutOfRange("memory"));
     }
     let service = field("service")?;
     if service.is_empty() || text(code::NAME, "the task's name")?.is_empty() {
-        return Err(AskError::Empty);
+        return Err(TaskRequestError::EmptyName);
     }
     let life = match message.text(code::HINT) {
-        None if message.get(code::HINT).is_some() => return Err(AskError::Missing("the hint")),
+        None if message.get(code::HINT).is_some() => {
+            return Err(TaskRequestError::Missing("the hint"));
+        }
         None => None,
         Some(hint) => Some(number("the hint", hint)? / 1000.0),
     };
-    if life.is_some_and(|life| !(0.0..=LIFE_MOST).contains(&life)) {
-        return Err(AskError::Range("the hint"));
+    if life.is_some_and(|life| !(0.0..=MAX_EXPECTED_DURATION).contains(&life)) {
+        return Err(TaskRequestError::OutOfRange("the hint"));
     }
     let at = asks.get("at").map(|at| (*at).to_owned());
     let deadline = match (text(code::WAIT, "the wait"), &at) {
@@ -121,8 +131,8 @@
         (Err(problem), None) => return Err(problem),
         (Ok(wait), None) => {
             let wait = number("the wait", wait)? / 1000.0;
-            if !(wait > 0.0 && wait <= WAIT_MOST) {
-                return Err(AskError::Range("the wait"));
+            if !(wait > 0.0 && wait <= MAX_OWNER_WAIT) {
+                return Err(TaskRequestError::OutOfRange("the wait"));
             }
             now + wait
         }
@@ -137,12 +147,15 @@
         request: Resources::new(cores, memory),
         is_resubmission: message.text(code::RETRY) == Some("1"),
     };
-    Ok(Ask { task, at })
+    Ok(TaskRequest {
+        task,
+        placed_at: at,
+    })
 }
 
 /// What of a set-up goes on to a machine, in its order: all that is not for schedulers alone, as platforms send more
 /// than one deployment's settings show (a tenant, the key of work that may be repeated). The wait is written anew.
-pub fn passed(message: Message) -> Vec<(u8, Vec<u8>)> {
+pub fn forwarded_parameters(message: Message) -> Vec<(u8, Vec<u8>)> {
     let own = [code::RETRY, code::HINT, code::ASKS];
     message
         .parameters
@@ -152,14 +165,14 @@
 }
 
 /// Whether a set-up names the machine that holds its task already.
-pub fn is_handed(message: &Message) -> bool {
+pub fn is_handover(message: &Message) -> bool {
     message
         .text(code::ASKS)
         .is_some_and(|asks| fields(asks).contains_key("at"))
 }
 
 /// The load that came along, if any of it can be read.
-pub fn report(message: &Message) -> Option<LoadReport> {
+pub fn load_report(message: &Message) -> Option<LoadReport> {
     let values = fields(message.text(code::LOAD)?);
     let values = values
         .into_iter()
@@ -169,7 +182,7 @@
 }
 
 /// Why something was refused or released.
-pub fn why(message: &Message) -> FailureCause {
+pub fn failure_cause(message: &Message) -> FailureCause {
     const WORDS: [&str; 7] = [
         "lack_cpu",
         "lack_ram",
@@ -189,7 +202,7 @@
 }
 
 /// What a note tells; `None` for one that is not known.
-pub fn note(message: &Message) -> Option<AttemptProgress> {
+pub fn attempt_progress(message: &Message) -> Option<AttemptProgress> {
     const WORDS: [&str; 5] = ["running", "use_cpu", "use_ram", "health", "ram_high"];
     let word = message.text(code::WORD)?;
     let sort = WORDS.iter().position(|w| *w == word)? as u32 + 1;
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::{DownstreamId, Input, Output};
 
 #[test]
@@ -43,7 +43,10 @@
         p.client_says(OWNER, message.clone());
         let told = p.told(OWNER);
         assert_eq!(told.len(), 1, "{message:?}");
-        assert_eq!((told[0].id, told[0].cause()), (Id(5), Some(cause::CONTENT)));
+        assert_eq!(
+            (told[0].id, told[0].cause()),
+            (RequestId(5), Some(cause::CONTENT))
+        );
         assert!(p.dials().is_empty(), "{message:?}");
     }
 }
@@ -82,7 +85,7 @@
     // Messages that mean nothing, without end.
     let mut p = Played::new(1);
     for _ in 0..1000 {
-        p.client_says(OTHER, Message::new(Kind::Progress, Id(1)));
+        p.client_says(OTHER, Message::new(MessageKind::Progress, RequestId(1)));
         if !p.closed_clients().is_empty() {
             return;
         }
@@ -110,7 +113,9 @@
     p.step(Input::DownstreamClosed(OWNER));
     p.machine_says(line, release(5, cause::FAILED));
     assert!(
-        p.out.iter().all(|o| !matches!(o, Output::Downstream(..))),
+        p.out
+            .iter()
+            .all(|o| !matches!(o, Output::WriteDownstream(..))),
         "no way to it yet"
     );
     p.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
@@ -166,12 +171,12 @@
     for id in 1..200 {
         p.machine_says(line, release(id, cause::NORMAL));
         assert_eq!(p.told(OWNER).len(), 1, "{id}");
-        p.client_says(OWNER, Message::new(Kind::Heard, Id(id)));
+        p.client_says(OWNER, Message::new(MessageKind::Heard, RequestId(id)));
         assert!(p.closed_clients().is_empty(), "{id}");
     }
     // Where nothing was released, it means nothing, and is not listened to without end.
     let closed = (0..100).any(|_| {
-        p.client_says(OWNER, Message::new(Kind::Heard, Id(1)));
+        p.client_says(OWNER, Message::new(MessageKind::Heard, RequestId(1)));
         !p.closed_clients().is_empty()
     });
     assert!(closed);
--- a/crates/gateway/tests/common/hears.rs
+++ b/crates/gateway/tests/common/hears.rs
@@ -14,7 +14,7 @@
         };
         self.turned_away[usize::from(id.0.is_multiple_of(3))] +=
             usize::from(message.cause() == Some(cause::CONGESTED));
-        if message.kind == Kind::Answer {
+        if message.kind == MessageKind::Answer {
             self.answered += 1;
         } else {
             // Whoever is turned away comes again, after pauses that double.
@@ -28,20 +28,22 @@
         };
         let id = message.id;
         let reply = match message.kind {
-            Kind::SetUp if self.full => release(id.0, cause::FULL).with(code::WORD, b"lack_cpu"),
-            Kind::SetUp => {
+            MessageKind::SetUp if self.full => {
+                release(id.0, cause::FULL).with(code::WORD, b"lack_cpu")
+            }
+            MessageKind::SetUp => {
                 self.standing.insert(id, m);
                 answer(id.0)
             }
-            Kind::Test => Message::new(Kind::Tested, id).with(code::CAUSE, &[1]),
+            MessageKind::Test => Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]),
             _ => return,
         };
-        self.after(RTT, What::Input(Input::UpstreamSaid(line, reply)));
+        self.after(RTT, What::Input(Input::UpstreamMessage(line, reply)));
     }
 
     pub(super) fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Downstream(_, bytes) => read(&bytes)
+            Output::WriteDownstream(_, bytes) => read(&bytes)
                 .iter()
                 .for_each(|message| self.owner_hears(message)),
             Output::Upstream(PoolAction::Dial(line, at)) => {
@@ -52,7 +54,7 @@
                     .unwrap()
                     - 1;
                 if self.dead.contains(&m) {
-                    return self.after(RTT, What::Input(Input::UpstreamRefused(line)));
+                    return self.after(RTT, What::Input(Input::UpstreamConnectRefused(line)));
                 }
                 self.lines.insert(line, m);
                 self.after(RTT, What::Input(Input::UpstreamOpened(line)));
@@ -68,9 +70,9 @@
                 self.after(RTT, What::Input(Input::UpstreamEnded(line)))
             }
             Output::Upstream(PoolAction::Close(line)) => drop(self.lines.remove(&line)),
-            Output::CloseDownstream(_) | Output::Log(_) | Output::End(_) => {}
-            Output::Upstream(PoolAction::Due(..) | PoolAction::Look(_))
-            | Output::Look(_)
+            Output::CloseDownstream(_) | Output::Log(_) | Output::Exit(_) => {}
+            Output::Upstream(PoolAction::OfferReady(..) | PoolAction::CheckPeer(_))
+            | Output::CheckDownstream(_)
             | Output::StopListening => {
                 unreachable!("answered in the step")
             }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,9 +2,11 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::{IpAddr, Ipv4Addr};
-use tidespur_gateway::message::{Decoder, Id, Kind, Message, code};
+use tidespur_gateway::message::{Decoder, Message, MessageKind, RequestId, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
+use tidespur_gateway::{
+    DownstreamId, Gateway, Input, Limits, Output, PeerCheck, UpstreamId, discovery,
+};
 use tidespur_site_settings::{SettingsObject, Site};
 
 pub const OWNER: DownstreamId = DownstreamId(1);
@@ -48,11 +50,11 @@
     let text = format!(
         r#"{{"rev":{number},"pool":{{"generation":{number},"reset":{whole},"instances":[{entries}]}}}}"#
     );
-    Input::Delivered(discovery::event(&site(), &text).unwrap())
+    Input::EndpointsDelivered(discovery::parse_event(&site(), &text).unwrap())
 }
 
 pub fn set_up(id: u64, class: &str) -> Message {
-    Message::new(Kind::SetUp, Id(id))
+    Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, class.as_bytes())
         .with(code::WAIT, b"6000")
         .with(code::NAME, format!("{id:016x}").as_bytes())
@@ -63,18 +65,18 @@
 
 pub fn handed(id: u64, machine: &str) -> Message {
     let asks = format!("cores:1;memory:2;service:00000000b4d65521;at:{machine}");
-    Message::new(Kind::SetUp, Id(id))
+    Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, b"web")
         .with(code::NAME, format!("{id:016x}").as_bytes())
         .with(code::ASKS, asks.as_bytes())
 }
 
 pub fn answer(id: u64) -> Message {
-    Message::new(Kind::Answer, Id(id)).with(code::DESCRIPTION, b"machine's \x01 own")
+    Message::new(MessageKind::Answer, RequestId(id)).with(code::DESCRIPTION, b"machine's \x01 own")
 }
 
 pub fn release(id: u64, cause: u8) -> Message {
-    Message::release(Id(id), cause)
+    Message::release(RequestId(id), cause)
 }
 
 /// A gateway, and what it wants done.
@@ -168,13 +170,15 @@
             self.gateway
                 .step(self.now, std::mem::take(&mut inputs), &mut out);
             for output in out {
-                if let Output::Upstream(PoolAction::Look(line)) = output {
-                    inputs.push(Input::UpstreamLooked(line));
-                } else if let Output::Look(client) = output {
+                if let Output::Upstream(PoolAction::CheckPeer(line)) = output {
+                    inputs.push(Input::UpstreamChecked(line));
+                } else if let Output::CheckDownstream(client) = output {
                     inputs.extend(unread(client));
-                    inputs.push(Input::Looked(client, Seen::All));
+                    inputs.push(Input::DownstreamChecked(client, PeerCheck::Idle));
                 } else {
-                    inputs.extend((output == Output::StopListening).then_some(Input::Unlistened));
+                    inputs.extend(
+                        (output == Output::StopListening).then_some(Input::ListeningStopped),
+                    );
                     self.out.push(output);
                 }
             }
@@ -193,7 +197,7 @@
             let dials: Vec<UpstreamId> = self.dials().iter().map(|dial| dial.0).collect();
             all.append(&mut self.out);
             for line in dials.into_iter().filter(|_| refused == Some(true)) {
-                self.step(Input::UpstreamRefused(line));
+                self.step(Input::UpstreamConnectRefused(line));
                 all.append(&mut self.out);
             }
         }
@@ -201,11 +205,11 @@
     }
 
     pub fn client_says(&mut self, client: DownstreamId, message: Message) -> &[Output] {
-        self.step(Input::DownstreamSaid(client, message))
+        self.step(Input::DownstreamMessage(client, message))
     }
 
     pub fn machine_says(&mut self, line: UpstreamId, message: Message) -> &[Output] {
-        self.step(Input::UpstreamSaid(line, message))
+        self.step(Input::UpstreamMessage(line, message))
     }
 
     /// Connections that are to be dialled: which, and where to.
@@ -220,7 +224,7 @@
     /// Messages to a client.
     pub fn told(&self, client: DownstreamId) -> Vec<Message> {
         let told = |output: &Output| match output {
-            Output::Downstream(to, bytes) if *to == client => Some(read(bytes)),
+            Output::WriteDownstream(to, bytes) if *to == client => Some(read(bytes)),
             _ => None,
         };
         self.out.iter().filter_map(told).flatten().collect()
@@ -267,7 +271,7 @@
     pub fn standing(&mut self, id: u64, class: &str) -> (UpstreamId, String) {
         let (line, address) = self.offered(set_up(id, class));
         self.machine_says(line, answer(id));
-        assert_eq!(self.told(OWNER)[0].kind, Kind::Answer);
+        assert_eq!(self.told(OWNER)[0].kind, MessageKind::Answer);
         (line, address)
     }
 }
@@ -275,5 +279,5 @@
 pub fn read(bytes: &[u8]) -> Vec<Message> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    std::iter::from_fn(|| decoder.message().expect("our own bytes are messages")).collect()
+    std::iter::from_fn(|| decoder.next_message().expect("our own bytes are messages")).collect()
 }
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -7,9 +7,11 @@
 use super::common::*;
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_gateway::input_queue::InputQueue;
-use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, Seen, UpstreamId, discovery};
+use tidespur_gateway::{
+    DownstreamId, Gateway, Input, Limits, Output, PeerCheck, UpstreamId, discovery,
+};
 use tidespur_site_settings::SettingsObject;
 
 pub const MACHINES: usize = 400;
@@ -48,9 +50,9 @@
     pub dead: BTreeSet<usize>,
     pub full: bool,
     /// Where each task stands, and since when it is over.
-    pub standing: BTreeMap<Id, usize>,
-    pub over: BTreeMap<Id, f64>,
-    pub asked: BTreeMap<Id, (f64, u32)>,
+    pub standing: BTreeMap<RequestId, usize>,
+    pub over: BTreeMap<RequestId, f64>,
+    pub asked: BTreeMap<RequestId, (f64, u32)>,
     pub answered: usize,
     /// Set-ups that the loop turned away as it was behind: of the class worth less, and of the one worth more.
     pub turned_away: [usize; 2],
@@ -73,7 +75,7 @@
         r#"{{"rev":{number},"pool":{{"reset":true,"instances":[{}]}}}}"#,
         entries.join(",")
     );
-    Input::Delivered(discovery::event(&site(), &text).unwrap())
+    Input::EndpointsDelivered(discovery::parse_event(&site(), &text).unwrap())
 }
 
 /// Before the loss there is room in the zone that is lost and none elsewhere.
@@ -134,7 +136,7 @@
     }
 
     fn ask(&mut self, often: u32) {
-        let id = Id(self.next + 1_000);
+        let id = RequestId(self.next + 1_000);
         self.next += 1;
         self.asked.insert(id, (self.now, often));
         let class = if id.0.is_multiple_of(3) {
@@ -145,7 +147,7 @@
         let mut message = set_up(id.0, class);
         message.parameters.retain(|(c, _)| *c != code::HINT);
         let owner = DownstreamId(1 + id.0 % OWNERS);
-        self.put(Input::DownstreamSaid(
+        self.put(Input::DownstreamMessage(
             owner,
             message.with(code::HINT, b"60000"),
         ));
@@ -156,7 +158,7 @@
             self.came.last_key_value().map_or(0, |(n, _)| n + 1),
             self.now,
         );
-        self.turn.put(input);
+        self.turn.push(input);
     }
 
     pub fn happens(&mut self, what: What) {
@@ -209,15 +211,15 @@
                 // As the loop's own timer would tell: what came first is taken in only now.
                 let late = self.now - came;
                 self.behind.push((self.now, late));
-                inputs.push(Input::Lag(late));
-                let taken = self.turn.take();
+                inputs.push(Input::LagMeasured(late));
+                let taken = self.turn.take_batch();
                 for _ in 0..taken.len() {
                     self.came.pop_first();
                 }
                 inputs.extend(taken);
             } else if due <= self.now {
                 self.behind.push((self.now, 0.0));
-                inputs.extend([Input::Lag(0.0), Input::Tick]);
+                inputs.extend([Input::LagMeasured(0.0), Input::Tick]);
             } else {
                 let next = self
                     .events
@@ -237,18 +239,18 @@
                 self.now += MESSAGE * read as f64 + looks;
                 for output in out {
                     self.now += MESSAGE;
-                    if let Output::Upstream(PoolAction::Look(line)) = output {
+                    if let Output::Upstream(PoolAction::CheckPeer(line)) = output {
                         // What has come by now is read.
                         self.come();
-                        let first = self.turn.take_first();
+                        let first = self.turn.take_completions();
                         for _ in &first {
                             self.came.pop_first();
                         }
                         inputs.extend(first);
-                        inputs.push(Input::UpstreamLooked(line));
-                    } else if let Output::Look(client) = output {
+                        inputs.push(Input::UpstreamChecked(line));
+                    } else if let Output::CheckDownstream(client) = output {
                         // What owners said is in the queue at once here: nothing is unread.
-                        inputs.push(Input::Looked(client, Seen::Read));
+                        inputs.push(Input::DownstreamChecked(client, PeerCheck::Queued));
                     } else {
                         self.carry_out(output);
                     }
