--- a/crates/gateway/tests/compatibility.rs
+++ b/crates/gateway/tests/compatibility.rs
@@ -7,18 +7,18 @@
 
 use common::{OWNER, Played, answer, release, set_up, site};
 use fixtures::{Sample, assert_compatible, assert_encoded, from_hex, to_hex};
-use tidespur_gateway::message::{Decoder, Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Decoder, Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{Input, Output, ask, discovery};
+use tidespur_gateway::{Input, Output, discovery, task_request};
 use tidespur_policy::interface::{
     AttemptProgress, EndpointStatus, FailureCause, LoadReport, ServiceId,
 };
 
-const ID: Id = Id(0x0123_4567_89ab_cdef);
+const ID: RequestId = RequestId(0x0123_4567_89ab_cdef);
 
 /// A set-up with every parameter that an owner can send.
-fn full_set_up(id: Id) -> Message {
-    Message::new(Kind::SetUp, id)
+fn full_set_up(id: RequestId) -> Message {
+    Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, b"slot")
         .with(code::WAIT, b"6000")
         .with(code::TENANT, b"tenant-1")
@@ -30,30 +30,30 @@
 }
 
 fn word(word: &str) -> Message {
-    Message::new(Kind::Note, ID).with(code::WORD, word.as_bytes())
+    Message::new(MessageKind::Note, ID).with(code::WORD, word.as_bytes())
 }
 
 fn decode(text: &str) -> Message {
     let mut decoder = Decoder::default();
     decoder.feed(&from_hex(text));
     decoder
-        .message()
+        .next_message()
         .expect("a readable message")
         .expect("a complete message")
 }
 
 #[test]
 fn messages_keep_their_bytes() {
-    let kinds = samples_of_each_variant! { Kind:
-        "empty SetUp", Kind::SetUp => Kind::SetUp;
-        "empty Progress", Kind::Progress => Kind::Progress;
-        "empty Answer", Kind::Answer => Kind::Answer;
-        "empty Release", Kind::Release => Kind::Release;
-        "empty Heard", Kind::Heard => Kind::Heard;
-        "empty Test", Kind::Test => Kind::Test;
-        "empty Tested", Kind::Tested => Kind::Tested;
-        "empty Note", Kind::Note => Kind::Note;
-        "empty Move", Kind::Move => Kind::Move;
+    let kinds = samples_of_each_variant! { MessageKind:
+        "empty SetUp", MessageKind::SetUp => MessageKind::SetUp;
+        "empty Progress", MessageKind::Progress => MessageKind::Progress;
+        "empty Answer", MessageKind::Answer => MessageKind::Answer;
+        "empty Release", MessageKind::Release => MessageKind::Release;
+        "empty Heard", MessageKind::Heard => MessageKind::Heard;
+        "empty Test", MessageKind::Test => MessageKind::Test;
+        "empty Tested", MessageKind::Tested => MessageKind::Tested;
+        "empty Note", MessageKind::Note => MessageKind::Note;
+        "empty Move", MessageKind::Move => MessageKind::Move;
     };
     let mut samples: Vec<Sample<Message>> = kinds
         .into_iter()
@@ -63,7 +63,7 @@
         ("set-up of an owner", full_set_up(ID)),
         (
             "answer of a machine",
-            Message::new(Kind::Answer, ID).with(code::DESCRIPTION, b"bytes \x01"),
+            Message::new(MessageKind::Answer, ID).with(code::DESCRIPTION, b"bytes \x01"),
         ),
         ("refusal of a machine", {
             Message::release(ID, cause::FULL)
@@ -74,16 +74,19 @@
             "note of a machine",
             word("use_cpu").with(code::FIGURE, b"1.5"),
         ),
-        ("test", Message::new(Kind::Test, ID).with(code::CAUSE, &[0])),
+        (
+            "test",
+            Message::new(MessageKind::Test, ID).with(code::CAUSE, &[0]),
+        ),
         (
             "tested",
-            Message::new(Kind::Tested, ID).with(code::CAUSE, &[1]),
+            Message::new(MessageKind::Tested, ID).with(code::CAUSE, &[1]),
         ),
     ]);
     assert_compatible(
         "message.hex.txt",
         &samples,
-        |message| to_hex(&message.bytes()),
+        |message| to_hex(&message.encode()),
         decode,
     );
 }
@@ -122,7 +125,7 @@
 /// The bytes that the last step had written, each with whom they are for.
 fn written(played: &Played) -> String {
     let written = |output: &Output| match output {
-        Output::Downstream(_, bytes) => Some(format!("owner {}", to_hex(bytes))),
+        Output::WriteDownstream(_, bytes) => Some(format!("owner {}", to_hex(bytes))),
         Output::Upstream(PoolAction::Write(_, bytes) | PoolAction::Offer(_, _, bytes)) => {
             Some(format!("machine {}", to_hex(bytes)))
         }
@@ -141,25 +144,25 @@
     let mut played = Played::new(1);
     let mut transcript = Vec::new();
 
-    let (line, _) = played.offered(full_set_up(Id(5)));
+    let (line, _) = played.offered(full_set_up(RequestId(5)));
     transcript.push(("offer of a set-up", written(&played)));
     played.machine_says(line, answer(5));
     transcript.push(("answer passed on", written(&played)));
     played.client_says(
         OWNER,
-        Message::new(Kind::Test, Id(9)).with(code::CAUSE, &[0]),
+        Message::new(MessageKind::Test, RequestId(9)).with(code::CAUSE, &[0]),
     );
     transcript.push(("test of an owner", written(&played)));
     played.machine_says(
         line,
-        Message::new(Kind::Test, Id(9)).with(code::CAUSE, &[0]),
+        Message::new(MessageKind::Test, RequestId(9)).with(code::CAUSE, &[0]),
     );
     transcript.push(("test of a machine", written(&played)));
     played.machine_says(line, release(5, cause::NORMAL));
     transcript.push(("end at the machine", written(&played)));
     played.machine_says(line, release(99, cause::NORMAL));
     transcript.push(("end of an unknown task", written(&played)));
-    played.client_says(OWNER, Message::new(Kind::SetUp, Id(10)));
+    played.client_says(OWNER, Message::new(MessageKind::SetUp, RequestId(10)));
     transcript.push(("unreadable set-up", written(&played)));
 
     let mut played = Played::new(1);
@@ -194,18 +197,18 @@
     transcript.push(("task lost with its machine", written(&played)));
 
     let mut played = Played::new(1);
-    played.step(Input::Leave);
+    played.step(Input::Shutdown);
     played.now += 0.8;
     played
         .gateway
         .step(played.now, [Input::Tick], &mut played.out);
     played
         .gateway
-        .step(played.now, [Input::Unlistened], &mut played.out);
+        .step(played.now, [Input::ListeningStopped], &mut played.out);
     played.out.clear();
     played.gateway.step(
         played.now,
-        [Input::DownstreamSaid(OWNER, set_up(12, "web"))],
+        [Input::DownstreamMessage(OWNER, set_up(12, "web"))],
         &mut played.out,
     );
     transcript.push(("set-up during shutdown", written(&played)));
@@ -221,7 +224,7 @@
 fn every_field_of_a_set_up_is_read() {
     let mut site = site();
     site.tenants = vec!["tenant-0".into(), "tenant-1".into()];
-    let read = ask::read(&site, 1000.0, &full_set_up(ID)).expect("a readable set-up");
+    let read = task_request::parse(&site, 1000.0, &full_set_up(ID)).expect("a readable set-up");
     assert_eq!(read.task.class, 1);
     assert_eq!(read.task.tenant, 1);
     assert_eq!(read.task.service, ServiceId(0x11ec_c33b_f6dd_cb2e));
@@ -230,22 +233,22 @@
     assert_eq!(read.task.request.cpu, 1.5);
     assert_eq!(read.task.request.memory, 2.25);
     assert!(read.task.is_resubmission);
-    assert_eq!(read.at, None);
-    assert!(!ask::is_handed(&full_set_up(ID)));
+    assert_eq!(read.placed_at, None);
+    assert!(!task_request::is_handover(&full_set_up(ID)));
 }
 
 #[test]
 fn set_up_names_its_machine_when_it_is_handed_over() {
     let message = common::handed(5, "machine-1");
-    assert!(ask::is_handed(&message));
-    let read = ask::read(&site(), 1000.0, &message).expect("a readable set-up");
-    assert_eq!(read.at.as_deref(), Some("machine-1"));
+    assert!(task_request::is_handover(&message));
+    let read = task_request::parse(&site(), 1000.0, &message).expect("a readable set-up");
+    assert_eq!(read.placed_at.as_deref(), Some("machine-1"));
     assert_eq!(read.task.deadline, f64::INFINITY);
 }
 
 #[test]
 fn parameters_for_schedulers_alone_are_not_passed_on() {
-    let codes: Vec<u8> = ask::passed(full_set_up(ID))
+    let codes: Vec<u8> = task_request::forwarded_parameters(full_set_up(ID))
         .into_iter()
         .map(|(code, _)| code)
         .collect();
@@ -265,7 +268,7 @@
         ("another", FailureCause::Unspecified),
     ];
     for (text, expected) in words {
-        assert_eq!(ask::why(&word(text)), expected, "{text}");
+        assert_eq!(task_request::failure_cause(&word(text)), expected, "{text}");
     }
 }
 
@@ -284,7 +287,7 @@
     ];
     for (text, expected) in words {
         assert_eq!(
-            ask::note(&word(text).with(code::FIGURE, b"1.5")),
+            task_request::attempt_progress(&word(text).with(code::FIGURE, b"1.5")),
             expected,
             "{text}"
         );
@@ -293,8 +296,11 @@
 
 #[test]
 fn every_figure_of_a_load_report_is_read() {
-    let report =
-        |text: &str| ask::report(&Message::new(Kind::Answer, ID).with(code::LOAD, text.as_bytes()));
+    let report = |text: &str| {
+        task_request::load_report(
+            &Message::new(MessageKind::Answer, ID).with(code::LOAD, text.as_bytes()),
+        )
+    };
     let expected = LoadReport {
         free_cpu: Some(1.5),
         free_memory: Some(2.5),
@@ -309,26 +315,33 @@
 #[test]
 fn every_field_of_a_discovery_event_is_read() {
     let text = include_str!("fixtures/discovery_event.json");
-    let event = discovery::event(&site(), text).expect("a readable event");
-    assert_eq!((event.number, event.whole), (7, true));
-    let [first, second, third] = event.listed.as_slice() else {
+    let event = discovery::parse_event(&site(), text).expect("a readable event");
+    assert_eq!((event.revision, event.is_complete_list), (7, true));
+    let [first, second, third] = event.endpoints.as_slice() else {
         panic!("three machines")
     };
     assert_eq!(
         (first.name.as_str(), first.address.as_str()),
         ("machine-1", "127.0.1.1:9")
     );
-    assert_eq!(first.entry.machine.0, 0x060f_8ad2_44c8_fb38);
+    assert_eq!(first.endpoint.machine.0, 0x060f_8ad2_44c8_fb38);
     assert_eq!(
-        (first.entry.machine_type, first.entry.cell, first.entry.zone),
+        (
+            first.endpoint.machine_type,
+            first.endpoint.cell,
+            first.endpoint.zone
+        ),
         (0, 3, 1)
     );
-    assert_eq!(first.entry.status, EndpointStatus::Ready);
-    assert_eq!(first.entry.started_at, Some(12.5));
+    assert_eq!(first.endpoint.status, EndpointStatus::Ready);
+    assert_eq!(first.endpoint.started_at, Some(12.5));
     assert_eq!(
-        (first.entry.unclaimed.cpu, first.entry.unclaimed.memory),
+        (
+            first.endpoint.unclaimed.cpu,
+            first.endpoint.unclaimed.memory
+        ),
         (30.5, 60.25)
     );
-    assert_eq!(second.entry.status, EndpointStatus::Draining);
-    assert_eq!(third.entry.status, EndpointStatus::Gone);
+    assert_eq!(second.endpoint.status, EndpointStatus::Draining);
+    assert_eq!(third.endpoint.status, EndpointStatus::Gone);
 }
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::collections::BTreeMap;
-use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{Input, Limits, Output, UpstreamId};
 
@@ -13,7 +13,7 @@
     let mut p = Played::new(1);
     let (line, _) = p.standing(5, "web");
     p.client_says(OWNER, set_up(6, "web"));
-    p.step(Input::UpstreamUnwritten(line, Some(Id(6))));
+    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
     p.machine_says(line, release(5, cause::NORMAL));
     assert_eq!(p.told(OWNER), [release(5, cause::NORMAL)]);
 }
@@ -23,7 +23,7 @@
     let mut p = Played::new(1);
     let (line, _) = p.standing(5, "web");
     p.client_says(OWNER, set_up(6, "slot"));
-    p.step(Input::UpstreamUnwritten(line, Some(Id(6))));
+    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
     assert_eq!(
         p.dials().len(),
         1,
@@ -45,12 +45,12 @@
         let tests: Vec<_> = p
             .written()
             .into_iter()
-            .filter(|(_, m)| m.kind == Kind::Test)
+            .filter(|(_, m)| m.kind == MessageKind::Test)
             .collect();
         for (line, _) in tests {
             p.machine_says(
                 line,
-                Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]),
+                Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]),
             );
         }
         if !finished.is_empty() {
@@ -96,8 +96,8 @@
         "the other set-up still waits on it"
     );
     p.step(Input::UpstreamOpened(line));
-    let left: Vec<Id> = p.written().iter().map(|(_, m)| m.id).collect();
-    assert_eq!(left, [Id(5)], "what was given up must not leave");
+    let left: Vec<RequestId> = p.written().iter().map(|(_, m)| m.id).collect();
+    assert_eq!(left, [RequestId(5)], "what was given up must not leave");
 }
 
 #[test]
@@ -106,13 +106,13 @@
     p.step(Input::UpstreamOpened(line));
     // It is the word that one is given up which could not be written: both set-ups have left.
     p.client_says(OWNER, release(7, cause::NORMAL));
-    p.step(Input::UpstreamUnwritten(line, None));
+    p.step(Input::UpstreamWriteFailed(line, None));
     assert_eq!(
         p.told(OWNER)
             .iter()
             .map(|m| (m.id, m.cause()))
             .collect::<Vec<_>>(),
-        [(Id(5), Some(cause::FAILED))]
+        [(RequestId(5), Some(cause::FAILED))]
     );
     assert!(
         p.dials().is_empty(),
@@ -125,8 +125,8 @@
     let mut p = Played::new(1);
     let (line, _) = p.standing(5, "web");
     p.client_says(OWNER, set_up(6, "web"));
-    p.step(Input::UpstreamUnwritten(line, Some(Id(6))));
-    p.step(Input::UpstreamUnwritten(line, None));
+    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
+    p.step(Input::UpstreamWriteFailed(line, None));
     p.wait(2.5, Some(true));
     assert!(
         p.closed_lines().contains(&line),
@@ -149,9 +149,10 @@
                 todo.extend((!cut).then_some(Input::UpstreamOpened(line)));
             }
             for (line, message) in p.written() {
-                let passes = message.kind == Kind::Test && !cut;
-                let tested = Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]);
-                todo.extend(passes.then_some(Input::UpstreamSaid(line, tested)));
+                let passes = message.kind == MessageKind::Test && !cut;
+                let tested =
+                    Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]);
+                todo.extend(passes.then_some(Input::UpstreamMessage(line, tested)));
             }
             let finished = |output: &Output| match output {
                 Output::Upstream(PoolAction::HalfClose(line)) => Some(Input::UpstreamEnded(*line)),
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use tidespur_gateway::Input;
-use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Message, MessageKind, RequestId, cause, code};
 
 #[test]
 fn a_task_is_offered_and_the_machines_description_passed_on_unchanged() {
@@ -13,7 +13,10 @@
     let (line, _) = p.dials()[0].clone();
     p.step(Input::UpstreamOpened(line));
     let (on, offer) = p.written().remove(0);
-    assert_eq!((on, offer.kind, offer.id), (line, Kind::SetUp, Id(5)));
+    assert_eq!(
+        (on, offer.kind, offer.id),
+        (line, MessageKind::SetUp, RequestId(5))
+    );
     assert_eq!(offer.get(code::DESCRIPTION), Some(&b"v=0 \x00\xff"[..]));
     assert_eq!(offer.text(code::CLASS), Some("web"));
     assert!(offer.text(code::WAIT).unwrap().parse::<u64>().unwrap() > 0);
@@ -58,7 +61,7 @@
 
 #[test]
 fn what_never_left_is_sent_elsewhere_even_if_it_must_not_run_twice() {
-    for unsent in [Input::UpstreamRefused, Input::UpstreamEnded] {
+    for unsent in [Input::UpstreamConnectRefused, Input::UpstreamEnded] {
         let mut p = Played::new(3);
         p.client_says(OWNER, set_up(5, "slot"));
         let (line, _) = p.dials()[0].clone();
@@ -67,7 +70,7 @@
     }
     let mut p = Played::new(3);
     let (line, _) = p.offered(set_up(5, "slot"));
-    p.step(Input::UpstreamUnwritten(line, Some(Id(5))));
+    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(5))));
     assert_eq!(p.dials().len(), 1);
 }
 
@@ -115,7 +118,7 @@
     assert_ne!(next, line);
     // An answer without a description is malformed too.
     p.step(Input::UpstreamOpened(next));
-    p.machine_says(next, Message::new(Kind::Answer, Id(5)));
+    p.machine_says(next, Message::new(MessageKind::Answer, RequestId(5)));
     assert!(p.told(OWNER).is_empty());
     assert!(p.closed_lines().contains(&next));
 }
@@ -137,7 +140,7 @@
 #[test]
 fn a_set_up_given_up_is_given_up_at_its_machine_and_not_answered() {
     for ends in [
-        Input::DownstreamSaid(OWNER, release(5, cause::NORMAL)),
+        Input::DownstreamMessage(OWNER, release(5, cause::NORMAL)),
         Input::DownstreamClosed(OWNER),
     ] {
         let mut p = Played::new(2);
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -3,28 +3,32 @@
 mod common;
 
 use common::*;
-use tidespur_gateway::message::{Id, Kind, cause};
-use tidespur_gateway::{DownstreamId, Input, Output, Seen};
+use tidespur_gateway::message::{MessageKind, RequestId, cause};
+use tidespur_gateway::{DownstreamId, Input, Output, PeerCheck};
 
 fn ends(p: &Played) -> bool {
-    p.out.iter().any(|output| matches!(output, Output::End(_)))
+    p.out.iter().any(|output| matches!(output, Output::Exit(_)))
 }
 
 #[test]
 fn told_to_end_it_answers_what_is_open_and_then_ends() {
     let mut p = Played::new(1);
     let (line, _) = p.offered(set_up(5, "slot"));
-    p.step(Input::Leave);
+    p.step(Input::Shutdown);
     p.client_says(OWNER, set_up(6, "web"));
     p.machine_says(line, answer(5));
-    assert_eq!(p.told(OWNER)[0].kind, Kind::Answer, "it goes on as before");
+    assert_eq!(
+        p.told(OWNER)[0].kind,
+        MessageKind::Answer,
+        "it goes on as before"
+    );
     p.step(notice(2, false, &[(1, "Terminating", 0)]));
     p.client_says(OWNER, set_up(7, "web"));
     p.wait(3.6, None);
     let answered = p
         .told(OWNER)
         .iter()
-        .filter(|m| m.kind == Kind::Release && m.id == Id(7))
+        .filter(|m| m.kind == MessageKind::Release && m.id == RequestId(7))
         .count();
     assert_eq!(answered, 1);
     assert!(ends(&p));
@@ -34,7 +38,7 @@
 fn told_to_end_it_passes_on_ends_as_long_as_it_may_and_ends_early_where_nothing_stands() {
     let mut p = Played::new(1);
     let (line, _) = p.standing(5, "web");
-    p.step(Input::Leave);
+    p.step(Input::Shutdown);
     p.wait(2.0, None);
     assert!(!ends(&p));
     p.machine_says(line, release(5, cause::FAILED));
@@ -52,7 +56,7 @@
         let info = info.replace(r#""deadlineS":8"#, &format!(r#""deadlineS":{deadline}"#));
         let mut p = Played::of(&info, 1);
         p.standing(5, "web");
-        p.step(Input::Leave);
+        p.step(Input::Shutdown);
         let began = p.now;
         while !ends(&p) {
             p.wait(0.05, None);
@@ -70,7 +74,7 @@
     let mut p = Played::new(1);
     p.standing(5, "web");
     p.client_says(OWNER, release(5, cause::NORMAL));
-    p.step(Input::Leave);
+    p.step(Input::Shutdown);
     p.now += 0.8;
     p.out.clear();
     p.gateway.step(p.now, [Input::Tick], &mut p.out);
@@ -79,24 +83,30 @@
     let new = DownstreamId(3);
     p.gateway.step(
         p.now,
-        [Input::DownstreamOpened(new, address(3)), Input::Unlistened],
+        [
+            Input::DownstreamOpened(new, address(3)),
+            Input::ListeningStopped,
+        ],
         &mut p.out,
     );
     p.gateway.step(
         p.now,
         [
-            Input::Looked(OWNER, Seen::All),
-            Input::Looked(new, Seen::Read),
+            Input::DownstreamChecked(OWNER, PeerCheck::Idle),
+            Input::DownstreamChecked(new, PeerCheck::Queued),
         ],
         &mut p.out,
     );
     assert_eq!(p.closed_clients(), [OWNER]);
-    p.gateway
-        .step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamChecked(OTHER, PeerCheck::Idle)],
+        &mut p.out,
+    );
     assert!(!ends(&p), "one is still heard");
     p.gateway.step(
         p.now,
-        [Input::DownstreamSaid(new, set_up(9, "web"))],
+        [Input::DownstreamMessage(new, set_up(9, "web"))],
         &mut p.out,
     );
     assert_eq!(p.told(new), [release(9, cause::CONGESTED)]);
@@ -110,12 +120,12 @@
     p.now += 2.2;
     p.out.clear();
     p.gateway.step(p.now, [Input::Tick], &mut p.out);
-    assert!(p.out.contains(&Output::Look(OWNER)));
+    assert!(p.out.contains(&Output::CheckDownstream(OWNER)));
     p.gateway.step(
         p.now,
         [
-            Input::Looked(OWNER, Seen::Half),
-            Input::Looked(OTHER, Seen::All),
+            Input::DownstreamChecked(OWNER, PeerCheck::PartialMessage),
+            Input::DownstreamChecked(OTHER, PeerCheck::Idle),
         ],
         &mut p.out,
     );
@@ -141,7 +151,7 @@
     let looks = p
         .out
         .iter()
-        .filter(|o| matches!(o, Output::Look(_)))
+        .filter(|o| matches!(o, Output::CheckDownstream(_)))
         .count();
     assert_eq!(looks, 2, "two more than may be");
 }
@@ -161,14 +171,20 @@
     );
     assert_eq!(
         p.out,
-        [Output::Look(OWNER)],
+        [Output::CheckDownstream(OWNER)],
         "the oldest that never said anything of use"
     );
     p.out.clear();
-    p.gateway
-        .step(p.now, [Input::Looked(OWNER, Seen::Read)], &mut p.out);
-    assert_eq!(p.out, [Output::Look(OTHER)]);
-    p.gateway
-        .step(p.now, [Input::Looked(OTHER, Seen::All)], &mut p.out);
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamChecked(OWNER, PeerCheck::Queued)],
+        &mut p.out,
+    );
+    assert_eq!(p.out, [Output::CheckDownstream(OTHER)]);
+    p.gateway.step(
+        p.now,
+        [Input::DownstreamChecked(OTHER, PeerCheck::Idle)],
+        &mut p.out,
+    );
     assert_eq!(p.closed_clients(), [OTHER]);
 }
--- a/crates/gateway/tests/standing.rs
+++ b/crates/gateway/tests/standing.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use tidespur_gateway::Input;
-use tidespur_gateway::message::{Id, Kind, Message, cause, code};
+use tidespur_gateway::message::{Message, MessageKind, RequestId, cause, code};
 
 #[test]
 fn the_end_of_a_standing_task_is_passed_on_from_any_connection_to_its_machine() {
@@ -17,7 +17,10 @@
     assert_ne!(first, second);
     p.machine_says(second, release(5, cause::NORMAL));
     assert_eq!(p.told(OWNER), [release(5, cause::NORMAL)]);
-    assert_eq!(p.written(), [(second, Message::new(Kind::Heard, Id(5)))]);
+    assert_eq!(
+        p.written(),
+        [(second, Message::new(MessageKind::Heard, RequestId(5)))]
+    );
     // Told twice, it is heard and not passed on again.
     p.machine_says(first, release(5, cause::NORMAL));
     assert!(p.told(OWNER).is_empty());
@@ -31,7 +34,7 @@
     assert!(
         p.written()
             .iter()
-            .any(|(to, m)| *to == line && m.kind == Kind::Test)
+            .any(|(to, m)| *to == line && m.kind == MessageKind::Test)
     );
     assert!(
         p.told(OWNER).is_empty(),
@@ -49,10 +52,10 @@
     for _ in 0..20 {
         p.wait(0.5, None);
         assert!(p.told(OWNER).is_empty());
-        if p.written().iter().any(|(_, m)| m.kind == Kind::Test) {
+        if p.written().iter().any(|(_, m)| m.kind == MessageKind::Test) {
             p.machine_says(
                 line,
-                Message::new(Kind::Tested, Id(0)).with(code::CAUSE, &[1]),
+                Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]),
             );
         }
     }
@@ -83,8 +86,8 @@
     assert!(p.told(OWNER).is_empty(), "it may still finish what it has");
     let text = r#"{"rev":3,"pool":{"reset":false,"instances":[{"instanceId":"new","hostPort":"127.0.1.1:9",
         "zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","startedAtMs":5}]}}"#;
-    p.step(Input::Delivered(
-        tidespur_gateway::discovery::event(&site(), text).unwrap(),
+    p.step(Input::EndpointsDelivered(
+        tidespur_gateway::discovery::parse_event(&site(), text).unwrap(),
     ));
     assert_eq!(p.told(OWNER), [release(5, cause::FAILED)]);
 }
@@ -103,8 +106,8 @@
         let (old, new) = (entry("s-1", "Gone"), entry("new", "Ready"));
         let both = if new_first { [new, old] } else { [old, new] }.join(",");
         let text = format!(r#"{{"rev":3,"pool":{{"reset":false,"instances":[{both}]}}}}"#);
-        p.step(Input::Delivered(
-            tidespur_gateway::discovery::event(&site(), &text).unwrap(),
+        p.step(Input::EndpointsDelivered(
+            tidespur_gateway::discovery::parse_event(&site(), &text).unwrap(),
         ));
         assert_eq!(
             p.told(OWNER),
@@ -164,7 +167,7 @@
 fn a_client_that_names_tasks_without_end_is_told_so_in_the_end() {
     let mut p = Played::new(200);
     let all = (1..=40_000)
-        .map(|id| Input::DownstreamSaid(OTHER, handed(id, &format!("s-{}", id % 200 + 1))));
+        .map(|id| Input::DownstreamMessage(OTHER, handed(id, &format!("s-{}", id % 200 + 1))));
     p.gateway.step(p.now, all, &mut p.out);
     assert_eq!(p.told(OTHER).len(), 40_000 - 32_768);
 }
--- a/crates/gateway/tests/withheld.rs
+++ b/crates/gateway/tests/withheld.rs
@@ -3,23 +3,23 @@
 mod common;
 
 use common::*;
-use tidespur_gateway::message::{Id, Kind, cause};
+use tidespur_gateway::message::{MessageKind, RequestId, cause};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{Input, Output, Seen, UpstreamId};
+use tidespur_gateway::{Input, Output, PeerCheck, UpstreamId};
 
 /// One input without the answers to looks; tells who is to be looked at.
 fn plain(p: &mut Played, input: Input) -> Vec<tidespur_gateway::DownstreamId> {
     p.out.clear();
     p.gateway.step(p.now, [input], &mut p.out);
     let looks = |output: &Output| match output {
-        Output::Look(client) => Some(*client),
+        Output::CheckDownstream(client) => Some(*client),
         _ => None,
     };
     p.out.iter().filter_map(looks).collect()
 }
 
 /// The set-up that is offered, with its bytes.
-fn offer(p: &Played) -> Option<(UpstreamId, Id, Vec<u8>)> {
+fn offer(p: &Played) -> Option<(UpstreamId, RequestId, Vec<u8>)> {
     p.out.iter().find_map(|output| match output {
         Output::Upstream(PoolAction::Offer(line, id, bytes)) => Some((*line, *id, bytes.clone())),
         _ => None,
@@ -37,13 +37,13 @@
 fn no_attempt_begins_before_its_client_was_looked_at() {
     let (mut p, line) = ready("web");
     assert_eq!(
-        plain(&mut p, Input::DownstreamSaid(OWNER, set_up(6, "web"))),
+        plain(&mut p, Input::DownstreamMessage(OWNER, set_up(6, "web"))),
         [OWNER]
     );
     assert_eq!(offer(&p), None);
     // What the look finds comes first.
-    plain(&mut p, Input::DownstreamGone(OWNER));
-    plain(&mut p, Input::Looked(OWNER, Seen::Read));
+    plain(&mut p, Input::DownstreamPeerClosed(OWNER));
+    plain(&mut p, Input::DownstreamChecked(OWNER, PeerCheck::Queued));
     assert_eq!(offer(&p), None);
     assert!(
         p.written().is_empty(),
@@ -51,25 +51,28 @@
     );
     // Another's leaves after its own look.
     assert_eq!(
-        plain(&mut p, Input::DownstreamSaid(OTHER, set_up(7, "web"))),
+        plain(&mut p, Input::DownstreamMessage(OTHER, set_up(7, "web"))),
         [OTHER]
     );
-    plain(&mut p, Input::Looked(OTHER, Seen::All));
-    assert_eq!(offer(&p).map(|o| (o.0, o.1)), Some((line, Id(7))));
+    plain(&mut p, Input::DownstreamChecked(OTHER, PeerCheck::Idle));
+    assert_eq!(offer(&p).map(|o| (o.0, o.1)), Some((line, RequestId(7))));
 }
 
 #[test]
 fn a_client_that_says_more_than_a_look_reads_waits_until_it_was_read() {
     let (mut p, _) = ready("web");
-    plain(&mut p, Input::DownstreamSaid(OWNER, set_up(6, "web")));
-    plain(&mut p, Input::Looked(OWNER, Seen::Part));
+    plain(&mut p, Input::DownstreamMessage(OWNER, set_up(6, "web")));
+    plain(
+        &mut p,
+        Input::DownstreamChecked(OWNER, PeerCheck::MoreUnread),
+    );
     assert_eq!(offer(&p), None);
     let again = p.gateway.next_wake();
     assert!(again - p.now < 0.05, "it is looked at again soon");
     p.now = again;
     assert_eq!(plain(&mut p, Input::Tick), [OWNER]);
-    plain(&mut p, Input::Looked(OWNER, Seen::Read));
-    assert_eq!(offer(&p).map(|o| o.1), Some(Id(6)));
+    plain(&mut p, Input::DownstreamChecked(OWNER, PeerCheck::Queued));
+    assert_eq!(offer(&p).map(|o| o.1), Some(RequestId(6)));
 }
 
 #[test]
@@ -80,13 +83,16 @@
         p.client_says(OWNER, set_up(id, "web"));
         let (on, _, bytes) = offer(&p).expect("it is offered");
         assert_eq!(on, line);
-        p.step(Input::UpstreamFull(line, Id(id), bytes));
+        p.step(Input::UpstreamBlocked(line, RequestId(id), bytes));
         if taken_back {
             p.client_says(OWNER, release(id, cause::NORMAL));
             assert!(p.written().is_empty(), "not a byte of it left");
         }
         p.step(Input::UpstreamDrained(line));
-        assert_eq!(offer(&p).map(|o| o.1), (!taken_back).then_some(Id(id)));
+        assert_eq!(
+            offer(&p).map(|o| o.1),
+            (!taken_back).then_some(RequestId(id))
+        );
         if !taken_back {
             p.machine_says(line, answer(id));
         }
@@ -97,7 +103,7 @@
 fn a_set_up_of_which_a_part_left_ends_with_its_connection() {
     let (mut p, line) = ready("web");
     p.client_says(OWNER, set_up(6, "web"));
-    p.step(Input::UpstreamPart(line, Id(6)));
+    p.step(Input::UpstreamPartiallyWritten(line, RequestId(6)));
     p.client_says(OWNER, release(6, cause::NORMAL));
     // Else its rest would leave as soon as the machine reads.
     assert!(
@@ -113,7 +119,7 @@
     let mut p = Played::new(1);
     let (line, _) = p.offered(set_up(6, "slot"));
     let (_, _, bytes) = offer(&p).expect("it is offered");
-    p.step(Input::UpstreamFull(line, Id(6), bytes));
+    p.step(Input::UpstreamBlocked(line, RequestId(6), bytes));
     p.wait(6.5, Some(true));
     let told: Vec<_> = p.told(OWNER).into_iter().map(|m| m.cause()).collect();
     assert_eq!(
@@ -167,7 +173,8 @@
     p.now += 5.0;
     plain(&mut p, Input::Tick);
     assert!(
-        p.out.contains(&Output::Upstream(PoolAction::Look(line))),
+        p.out
+            .contains(&Output::Upstream(PoolAction::CheckPeer(line))),
         "{:?}",
         p.out
     );
@@ -175,12 +182,12 @@
     p.gateway.step(
         p.now,
         [
-            Input::UpstreamSaid(line, answer(6)),
-            Input::UpstreamLooked(line),
+            Input::UpstreamMessage(line, answer(6)),
+            Input::UpstreamChecked(line),
         ],
         &mut p.out,
     );
     let told: Vec<_> = p.told(OWNER).iter().map(|m| (m.id, m.kind)).collect();
-    assert_eq!(told, [(Id(6), Kind::Answer)]);
+    assert_eq!(told, [(RequestId(6), MessageKind::Answer)]);
     assert!(p.written().is_empty(), "it is not cancelled");
 }
