--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -65,10 +65,7 @@
 /// Says what can't be read, or worked with.
 pub fn read(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
-    let site = wire
-        .settings
-        .into_site()
-        .map_err(|error| StartError::Settings(error.to_string()))?;
+    let site = wire.settings.into_site()?;
     let known = wire
         .known
         .notices
--- a/crates/gateway-net/src/error.rs
+++ b/crates/gateway-net/src/error.rs
@@ -22,9 +22,12 @@
         "the configuration can't be read: {0}; write it anew, whole, and send SIGHUP or start again"
     )]
     Malformed(#[from] serde_json::Error),
-    /// It can't be worked with.
+    /// A field of the settings object has a value that can't be used.
     #[error("{0}; correct that field of the settings")]
-    Settings(String),
+    SiteSettings(#[from] tidespur_site_settings::SiteSettingsError),
+    /// The scheduling policy rejects a setting.
+    #[error("{0}; correct that field of the settings")]
+    Gateway(#[from] tidespur_gateway::GatewayError),
     /// The address is none.
     #[error("listen: {0:?} is no address; it has to be IP:PORT")]
     Address(String),
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -70,9 +70,7 @@
     ) -> Result<Rc<Self>, StartError> {
         let limits = Limits::of(config.sockets);
         let this = Rc::new(Self {
-            gateway: RefCell::new(
-                Gateway::new(config.site, limits, config.seed).map_err(StartError::Settings)?,
-            ),
+            gateway: RefCell::new(Gateway::new(config.site, limits, config.seed)?),
             executor,
             listener: RefCell::default(),
             listening: RefCell::default(),
--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -55,10 +55,10 @@
 
 impl Downstreams {
     /// None yet; at most `most` at once.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_connections: usize) -> Self {
         Self {
             downstreams: BTreeMap::new(),
-            max_connections: most.max(1),
+            max_connections: max_connections.max(1),
         }
     }
 
@@ -187,11 +187,11 @@
         self.add_penalty(now, id, FREE_MESSAGE_PENALTY)
     }
 
-    fn add_penalty(&mut self, now: Seconds, id: DownstreamId, much: f64) -> bool {
+    fn add_penalty(&mut self, now: Seconds, id: DownstreamId, penalty: f64) -> bool {
         self.downstreams.get_mut(&id).is_some_and(|client| {
             let (useless, at) = client.penalty;
             client.penalty = (
-                (useless - PENALTY_DECAY_PER_SECOND * (now - at)).max(0.0) + much,
+                (useless - PENALTY_DECAY_PER_SECOND * (now - at)).max(0.0) + penalty,
                 now,
             );
             client.penalty.0 > MAX_PENALTY
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,20 +14,15 @@
 use shutdown::GracefulShutdown;
 
 use crate::counts::Counts;
-use crate::discovery::WatchEvent;
 use crate::downstream::Downstreams;
-use crate::message::{Message, MessageKind, RequestId, cause, code};
-use crate::pool::{ConnectionEnd, ConnectionTimeouts, Pool, PoolAction, PoolEvent};
-use crate::request_table::{Attempt, Request, RequestState, RequestTable, micros};
-use crate::{DownstreamId, UpstreamId, discovery, task_request};
+use crate::error::GatewayError;
+use crate::pool::{ConnectionEnd, ConnectionTimeouts, Pool};
+use crate::request_table::{RequestTable, micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 use tidespur_load_shedding::LoadShedder;
 use tidespur_policy::Scheduler;
-use tidespur_policy::interface::{
-    Action, AttemptOutcome, EndpointStatus, Event, FailureCause, LoadReport, MachineId,
-    RetrySafety, Seconds, TaskId,
-};
+use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, MachineId, Seconds, TaskId};
 use tidespur_site_settings::Site;
 
 /// Set-ups without an answer on one connection; more are refused at once.
@@ -70,26 +65,26 @@
 }
 
 impl Gateway {
-    /// A gateway over a policy that knows nothing yet.
+    /// Creates a gateway whose policy has seen no endpoint and no task yet.
     ///
     /// # Errors
-    /// Settings that the policy can't work with.
-    pub fn new(site: Site, limits: Limits, seed: u64) -> Result<Self, String> {
-        let policy = Scheduler::new(site.settings.clone(), seed).map_err(|e| e.to_string())?;
+    /// Fails with [`GatewayError::Settings`] if the policy rejects a setting of the site.
+    pub fn new(site: Site, limits: Limits, seed: u64) -> Result<Self, GatewayError> {
+        let policy = Scheduler::new(site.settings.clone(), seed)?;
         let shedder = LoadShedder::for_classes(
             site.settings
                 .classes
                 .iter()
                 .map(|class| (class.latency_objective, class.priority_weight)),
         );
-        let times = ConnectionTimeouts {
+        let timeouts = ConnectionTimeouts {
             connect: site.connect_timeout,
             idle: site.connection_idle,
         };
         Ok(Self {
             policy,
             requests: RequestTable::default(),
-            pool: Pool::new(limits.upstreams, times),
+            pool: Pool::new(limits.upstreams, timeouts),
             downstreams: Downstreams::new(limits.downstreams),
             machines: BTreeMap::new(),
             last_revision: 0,
@@ -164,78 +159,80 @@
         &mut self,
         now: Seconds,
         inputs: impl IntoIterator<Item = Input>,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         if now - self.last_step > LOOP_STALL_TIMEOUT {
             self.pool.loop_stalled(now);
         }
         self.last_step = now;
         for input in inputs {
-            self.handle_input(now, input, out);
+            self.handle_input(now, input, outputs);
         }
-        self.handle_timers(now, out);
+        self.handle_timers(now, outputs);
         // An offer that can't leave is an event at once; the policy's attempts bound how often.
         while !self.events.is_empty() {
             let mut actions = Vec::new();
             self.policy
                 .step(now, std::mem::take(&mut self.events), &mut actions);
             for action in actions {
-                self.carry_out(now, action, out);
+                self.carry_out(now, action, outputs);
             }
         }
     }
 
-    fn handle_input(&mut self, now: Seconds, input: Input, out: &mut Vec<Output>) {
+    fn handle_input(&mut self, now: Seconds, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::DownstreamOpened(client, from) => {
                 self.downstreams.opened(now, client, from);
-                self.close_surplus(now, out);
+                self.close_surplus(now, outputs);
             }
             Input::DownstreamMessage(client, message) if self.downstreams.contains(client) => {
-                self.downstream_message(now, client, message, out);
+                self.downstream_message(now, client, message, outputs);
             }
             Input::DownstreamMessage(..) => {}
             Input::DownstreamMalformed(client) => {
                 self.counts.malformed += 1;
-                self.close_client(now, client, out);
+                self.close_client(now, client, outputs);
             }
             Input::DownstreamClosed(client) => {
                 self.downstreams.remove(client);
-                self.cancel_client_requests(now, client, out);
+                self.cancel_client_requests(now, client, outputs);
             }
-            Input::DownstreamPeerClosed(client) => self.downstream_peer_closed(now, client, out),
-            Input::DownstreamChecked(client, seen) => {
-                self.downstream_checked(now, client, seen, out)
+            Input::DownstreamPeerClosed(client) => {
+                self.downstream_peer_closed(now, client, outputs)
             }
-            Input::UpstreamOpened(line) => {
-                self.with_pool(out, |pool, acts| pool.opened(now, line, acts))
+            Input::DownstreamChecked(client, check) => {
+                self.downstream_checked(now, client, check, outputs)
             }
-            Input::UpstreamConnectRefused(line) => {
-                self.upstream_ended(now, line, ConnectionEnd::Refused, out)
+            Input::UpstreamOpened(upstream) => {
+                self.with_pool(outputs, |pool, actions| pool.opened(now, upstream, actions))
             }
-            Input::UpstreamEnded(line) | Input::UpstreamConnectFailed(line) => {
-                self.upstream_ended(now, line, ConnectionEnd::Other, out);
+            Input::UpstreamConnectRefused(upstream) => {
+                self.upstream_ended(now, upstream, ConnectionEnd::Refused, outputs)
             }
-            Input::UpstreamWriteFailed(line, offer) => {
-                self.upstream_ended(now, line, ConnectionEnd::WriteFailed(offer), out);
+            Input::UpstreamEnded(upstream) | Input::UpstreamConnectFailed(upstream) => {
+                self.upstream_ended(now, upstream, ConnectionEnd::Other, outputs);
             }
-            Input::UpstreamBlocked(line, offer, bytes) => {
-                self.pool.write_blocked(line, offer, bytes)
+            Input::UpstreamWriteFailed(upstream, offer) => {
+                self.upstream_ended(now, upstream, ConnectionEnd::WriteFailed(offer), outputs);
             }
-            Input::UpstreamPartiallyWritten(line, offer) => {
-                self.pool.partially_written(line, offer)
+            Input::UpstreamBlocked(upstream, offer, bytes) => {
+                self.pool.write_blocked(upstream, offer, bytes)
             }
-            Input::UpstreamDrained(line) => {
-                self.with_pool(out, |pool, acts| pool.write_drained(line, acts))
+            Input::UpstreamPartiallyWritten(upstream, offer) => {
+                self.pool.partially_written(upstream, offer)
             }
-            Input::UpstreamChecked(line) => self.upstream_checked(now, line, out),
-            Input::UpstreamMalformed(line) => self.upstream_malformed(now, line, out),
-            Input::UpstreamMessage(line, message) => {
-                self.upstream_message(now, line, &message, out)
+            Input::UpstreamDrained(upstream) => self.with_pool(outputs, |pool, actions| {
+                pool.write_drained(upstream, actions)
+            }),
+            Input::UpstreamChecked(upstream) => self.upstream_checked(now, upstream, outputs),
+            Input::UpstreamMalformed(upstream) => self.upstream_malformed(now, upstream, outputs),
+            Input::UpstreamMessage(upstream, message) => {
+                self.upstream_message(now, upstream, &message, outputs)
             }
-            Input::EndpointsDelivered(event) => self.endpoints_delivered(now, event, out),
+            Input::EndpointsDelivered(event) => self.endpoints_delivered(now, event, outputs),
             Input::Shutdown => self.begin_shutdown(now),
-            Input::ListeningStopped => self.listening_stopped(out),
+            Input::ListeningStopped => self.listening_stopped(outputs),
             Input::LagMeasured(late) => {
                 self.counts.max_lag_ms = self.counts.max_lag_ms.max((late * 1e3) as u64);
                 self.shedder.observe_lag(now, late);
@@ -245,45 +242,46 @@
     }
 
     /// What is due by now.
-    fn handle_timers(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    fn handle_timers(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= micros(now)) {
             self.timers.remove(&(at, token));
             self.events.push(Event::TimerFired(token));
         }
-        self.check_overdue_attempts(now, out);
-        self.recheck_busy_clients(now, out);
-        self.advance_shutdown(now, out);
+        self.check_overdue_attempts(now, outputs);
+        self.recheck_busy_clients(now, outputs);
+        self.advance_shutdown(now, outputs);
         if now - self.last_tick < TICK_INTERVAL {
             return;
         }
         self.last_tick = now;
-        let mut news = Vec::new();
-        self.with_pool(out, |pool, acts| pool.tick(now, acts, &mut news));
-        self.handle_pool_events(now, news, out);
+        let mut pool_events = Vec::new();
+        self.with_pool(outputs, |pool, actions| {
+            pool.tick(now, actions, &mut pool_events)
+        });
+        self.handle_pool_events(now, pool_events, outputs);
         for client in self.downstreams.mark_silent(now) {
-            out.push(Output::CheckDownstream(client));
+            outputs.push(Output::CheckDownstream(client));
         }
         // Machines come and go without end: what is kept of one goes with its last connection.
         let pool = &self.pool;
         self.machines.retain(|machine, _| pool.knows(*machine));
-        self.send_pending_releases(out);
-        self.recheck_closing_clients(out);
+        self.send_pending_releases(outputs);
+        self.recheck_closing_clients(outputs);
     }
 }
 
-fn event(
-    (task, attempt, ending, closed, report): (
-        TaskId,
-        u32,
-        AttemptOutcome,
-        bool,
-        Option<LoadReport>,
-    ),
+/// The policy's event about an attempt that has ended.
+fn attempt_ended_event(
+    task: TaskId,
+    attempt: u32,
+    outcome: AttemptOutcome,
+    closed: bool,
+    report: Option<LoadReport>,
 ) -> Event {
     Event::AttemptEnded {
         task,
         attempt,
-        outcome: ending,
+        outcome,
         closed,
         report,
     }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,22 +1,26 @@
 //! Actions of the policy, carried out.
 
-use super::*;
+use super::attempt_ended_event;
+use super::{Gateway, Output};
+use crate::message::{Message, MessageKind, cause, code};
+use crate::request_table::{Attempt, RequestState, micros};
+use tidespur_policy::interface::{Action, AttemptOutcome, Event, MachineId, Seconds, TaskId};
 
 impl Gateway {
-    pub(super) fn carry_out(&mut self, now: Seconds, action: Action, out: &mut Vec<Output>) {
+    pub(super) fn carry_out(&mut self, now: Seconds, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::Offer {
                 task,
                 machine,
                 timeout: wait,
-            } => self.send_offer(now, task, machine, wait, out),
+            } => self.send_offer(now, task, machine, wait, outputs),
             Action::Reject { task, .. } => {
                 self.counts.rejected += 1;
-                self.reject_request(now, task, cause::FULL, out);
+                self.reject_request(now, task, cause::FULL, outputs);
             }
             Action::Fail(task) => {
                 self.counts.failed += 1;
-                self.reject_request(now, task, cause::FAILED, out);
+                self.reject_request(now, task, cause::FAILED, outputs);
             }
             Action::Migrate(task) => {
                 let Some(id) = self.requests.id_of_task(task) else {
@@ -27,8 +31,8 @@
                     .get(id)
                     .is_some_and(|r| matches!(r.state, RequestState::Placed { .. }))
                 {
-                    self.reply(id, Message::new(MessageKind::Move, id).encode(), out);
-                    self.release_at_machine(now, id, out);
+                    self.reply(id, Message::new(MessageKind::Move, id).encode(), outputs);
+                    self.release_at_machine(now, id, outputs);
                 }
             }
             // The board is followed all the time: there is nothing to ask for.
@@ -42,7 +46,7 @@
                 report: None,
             }),
             Action::Gossip(_) => {}
-            Action::Log(line) => out.push(Output::Log(line)),
+            Action::Log(line) => outputs.push(Output::Log(line)),
         }
     }
 
@@ -51,7 +55,7 @@
         now: Seconds,
         task: TaskId,
         word: u8,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(id) = self.requests.id_of_task(task) else {
             return;
@@ -61,7 +65,7 @@
         else {
             return;
         };
-        self.reply(id, Message::release(id, word).encode(), out);
+        self.reply(id, Message::release(id, word).encode(), outputs);
         self.downstreams.count_pending(now, client, false);
         self.requests.remove(id);
     }
@@ -72,7 +76,7 @@
         task: TaskId,
         machine: MachineId,
         wait: Seconds,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(id) = self.requests.id_of_task(task) else {
             return;
@@ -97,13 +101,13 @@
             );
         }
         self.counts.offers += 1;
-        match self.with_pool(out, |pool, acts| {
-            pool.offer(now, machine, id, set_up.encode(), acts)
+        match self.with_pool(outputs, |pool, actions| {
+            pool.offer(now, machine, id, set_up.encode(), actions)
         }) {
-            Some(line) => {
+            Some(upstream) => {
                 let attempt = Some(Attempt {
                     number,
-                    upstream: line,
+                    upstream,
                     deadline: now + wait,
                 });
                 self.requests.set_state(
@@ -116,13 +120,13 @@
             }
             None => {
                 self.counts.unsent += 1;
-                self.events.push(event((
+                self.events.push(attempt_ended_event(
                     task,
                     number,
                     AttemptOutcome::ConnectFailed,
                     false,
                     None,
-                )));
+                ));
             }
         }
     }
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -1,10 +1,17 @@
 //! Requests and attempts over time: answers to owners, cancels, time-outs, ends.
 
-use super::*;
+use super::{Gateway, Output};
+use super::{MAX_PENDING_RELEASES, attempt_ended_event};
+use crate::UpstreamId;
+use crate::message::{Message, RequestId, cause};
+use crate::pool::PoolAction;
+use crate::request_table::RequestState;
+use std::collections::BTreeSet;
+use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds};
 
 impl Gateway {
     /// Sends bytes to the owner of a request, by whatever way leads there.
-    pub(super) fn reply(&mut self, id: RequestId, bytes: Vec<u8>, out: &mut Vec<Output>) {
+    pub(super) fn reply(&mut self, id: RequestId, bytes: Vec<u8>, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -14,7 +21,7 @@
         {
             Some(client) => {
                 self.downstreams.release_sent(client);
-                out.push(Output::WriteDownstream(client, bytes));
+                outputs.push(Output::WriteDownstream(client, bytes));
             }
             None => {
                 if self.pending_releases.len() >= MAX_PENDING_RELEASES {
@@ -26,7 +33,7 @@
     }
 
     /// What had no way to its owner goes out once there is one.
-    pub(super) fn send_pending_releases(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn send_pending_releases(&mut self, outputs: &mut Vec<Output>) {
         while let Some((from, _)) = self.pending_releases.front() {
             let Some(client) = self.downstreams.route_to_owner(None, *from) else {
                 return;
@@ -35,12 +42,17 @@
                 return;
             };
             self.downstreams.release_sent(client);
-            out.push(Output::WriteDownstream(client, bytes));
+            outputs.push(Output::WriteDownstream(client, bytes));
         }
     }
 
     /// A request whose owner waits is over: nothing is owed, and what is out for it is cancelled at its machine.
-    pub(super) fn cancel_request(&mut self, now: Seconds, id: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn cancel_request(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
@@ -50,22 +62,22 @@
         self.downstreams.count_pending(now, request.client, false);
         self.events.push(Event::TaskCancelled(task));
         if let Some(attempt) = attempt {
-            self.with_pool(out, |pool, acts| {
-                pool.cancel(now, attempt.upstream, id, false, acts)
+            self.with_pool(outputs, |pool, actions| {
+                pool.cancel(now, attempt.upstream, id, false, actions)
             });
-            self.events.push(event((
+            self.events.push(attempt_ended_event(
                 task,
                 attempt.number,
                 AttemptOutcome::Cancelled,
                 true,
                 None,
-            )));
+            ));
         }
     }
 
     /// Attempts whose time is over: an answer may lie unread, so their connections are looked at first. Guards against
     /// a loop that lags and takes an attempt for failed that was answered in time. Costs one read.
-    pub(super) fn check_overdue_attempts(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    pub(super) fn check_overdue_attempts(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let of = |id| match self.requests.get(id).map(|request| request.state) {
             Some(RequestState::Pending {
                 attempt: Some(attempt),
@@ -79,10 +91,10 @@
             .into_iter()
             .filter_map(of)
             .collect();
-        out.extend(
+        outputs.extend(
             lines
                 .into_iter()
-                .map(|line| Output::Upstream(PoolAction::CheckPeer(line))),
+                .map(|upstream| Output::Upstream(PoolAction::CheckPeer(upstream))),
         );
     }
 
@@ -90,18 +102,18 @@
     pub(super) fn upstream_checked(
         &mut self,
         now: Seconds,
-        line: UpstreamId,
-        out: &mut Vec<Output>,
+        upstream: UpstreamId,
+        outputs: &mut Vec<Output>,
     ) {
         for id in self.requests.overdue_attempts(now) {
-            if self.requests.is_attempt_on(id, line) {
-                self.attempt_timed_out(now, id, out);
+            if self.requests.is_attempt_on(id, upstream) {
+                self.attempt_timed_out(now, id, outputs);
             }
         }
     }
 
     /// The time of an attempt is over: it is cancelled.
-    fn attempt_timed_out(&mut self, now: Seconds, id: RequestId, out: &mut Vec<Output>) {
+    fn attempt_timed_out(&mut self, now: Seconds, id: RequestId, outputs: &mut Vec<Output>) {
         let Some(RequestState::Pending {
             attempt: Some(attempt),
             ..
@@ -110,8 +122,8 @@
             return;
         };
         self.counts.timed_out += 1;
-        let never_left = self.with_pool(out, |pool, acts| {
-            pool.cancel(now, attempt.upstream, id, true, acts)
+        let never_left = self.with_pool(outputs, |pool, actions| {
+            pool.cancel(now, attempt.upstream, id, true, actions)
         });
         // It waited for its own client or for a machine that takes no bytes: it has not run.
         self.attempt_ended(
@@ -129,7 +141,7 @@
     pub(super) fn attempt_ended(
         &mut self,
         id: RequestId,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
         let Some(request) = self.requests.get(id) else {
@@ -144,7 +156,7 @@
         };
         let task = request.task;
         let ran = !matches!(
-            ending,
+            outcome,
             AttemptOutcome::Rejected(_) | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
         self.pool.settle_offer(attempt.upstream, id);
@@ -158,8 +170,13 @@
                 may_have_run: may_have_run || ran,
             },
         );
-        self.events
-            .push(event((task, attempt.number, ending, false, report)));
+        self.events.push(attempt_ended_event(
+            task,
+            attempt.number,
+            outcome,
+            false,
+            report,
+        ));
     }
 
     /// A standing task is ended from here: its machine is told.
@@ -167,7 +184,7 @@
         &mut self,
         now: Seconds,
         id: RequestId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(RequestState::Placed {
             machine, attempt, ..
@@ -176,7 +193,9 @@
             return;
         };
         let ended = Message::release(id, cause::ENDED).encode();
-        self.with_pool(out, |pool, acts| pool.notify(now, machine, ended, acts));
+        self.with_pool(outputs, |pool, actions| {
+            pool.notify(now, machine, ended, actions)
+        });
         self.finish_placed(now, id, attempt, AttemptOutcome::Cancelled, None);
     }
 
@@ -186,7 +205,7 @@
         now: Seconds,
         id: RequestId,
         attempt: u32,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
         let Some(request) = self.requests.remove(id) else {
@@ -197,7 +216,12 @@
         }
         self.downstreams.count_placed(request.client, false);
         self.counts.ended += 1;
-        self.events
-            .push(event((request.task, attempt, ending, true, report)));
+        self.events.push(attempt_ended_event(
+            request.task,
+            attempt,
+            outcome,
+            true,
+            report,
+        ));
     }
 }
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -5,8 +5,13 @@
 //! against a close or a cancel that waits, in the kernel or in the input queue, while its set-up is sent on. Costs
 //! one read an attempt. Harm: a client that says more than a look reads has its attempts wait until it was read.
 
-use super::*;
+use super::{Gateway, Output, PeerCheck};
 use crate::downstream::CloseReason;
+use crate::message::{Message, RequestId};
+use crate::request_table::RequestState;
+use crate::{DownstreamId, UpstreamId, task_request};
+use std::collections::{BTreeMap, BTreeSet};
+use tidespur_policy::interface::{AttemptOutcome, RetrySafety, Seconds};
 
 /// After a look that did not come to an end, the next one.
 const RECHECK_INTERVAL: Seconds = 0.02;
@@ -44,14 +49,14 @@
         &mut self,
         upstream: UpstreamId,
         id: RequestId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(client) = self.requests.get(id).map(|request| request.client) else {
             return;
         };
         let due = self.ready_offers.by_client.entry(client).or_default();
         if due.is_empty() {
-            out.push(Output::CheckDownstream(client));
+            outputs.push(Output::CheckDownstream(client));
         }
         due.push((upstream, id));
     }
@@ -61,26 +66,26 @@
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        seen: PeerCheck,
-        out: &mut Vec<Output>,
+        check: PeerCheck,
+        outputs: &mut Vec<Output>,
     ) {
-        self.resolve_id_conflicts(now, client, out);
-        if let Some(why) = self.downstreams.close_reason(client) {
+        self.resolve_id_conflicts(now, client, outputs);
+        if let Some(cause_given) = self.downstreams.close_reason(client) {
             // Who takes long for a message, and is not in the way, may go on with it.
-            let idle = seen == PeerCheck::Idle
-                || seen == PeerCheck::PartialMessage && why != CloseReason::Silent;
+            let idle = check == PeerCheck::Idle
+                || check == PeerCheck::PartialMessage && cause_given != CloseReason::Silent;
             if idle && self.downstreams.pending_count(client) == 0 {
-                self.close_client(now, client, out);
+                self.close_client(now, client, outputs);
             } else {
                 self.downstreams.keep_open(now, client);
-                self.close_surplus(now, out);
+                self.close_surplus(now, outputs);
             }
         }
-        if seen == PeerCheck::MoreUnread {
+        if check == PeerCheck::MoreUnread {
             // What was cancelled meanwhile is forgotten, however long this goes on.
-            let table = &self.requests;
+            let requests = &self.requests;
             if let Some(due) = self.ready_offers.by_client.get_mut(&client) {
-                due.retain(|&(upstream, id)| table.is_attempt_on(id, upstream));
+                due.retain(|&(upstream, id)| requests.is_attempt_on(id, upstream));
             }
             self.ready_offers.busy.insert(client);
             self.ready_offers.recheck_at = self.ready_offers.recheck_at.min(now + RECHECK_INTERVAL);
@@ -94,11 +99,13 @@
             .unwrap_or_default()
         {
             if self.is_past_window(now, id) {
-                self.with_pool(out, |pool, acts| {
-                    pool.cancel(now, upstream, id, false, acts)
+                self.with_pool(outputs, |pool, actions| {
+                    pool.cancel(now, upstream, id, false, actions)
                 });
                 self.attempt_ended(id, AttemptOutcome::NeverSent, None);
-            } else if self.with_pool(out, |pool, acts| pool.send_ready_offer(upstream, id, acts)) {
+            } else if self.with_pool(outputs, |pool, actions| {
+                pool.send_ready_offer(upstream, id, actions)
+            }) {
                 self.requests.record_first_attempt(now, id);
             }
         }
@@ -136,10 +143,10 @@
     }
 
     /// Time goes on: clients that said more than was read at once are looked at again.
-    pub(super) fn recheck_busy_clients(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    pub(super) fn recheck_busy_clients(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         if now >= self.ready_offers.recheck_at {
             self.ready_offers.recheck_at = f64::INFINITY;
-            out.extend(
+            outputs.extend(
                 std::mem::take(&mut self.ready_offers.busy)
                     .into_iter()
                     .map(Output::CheckDownstream),
@@ -148,8 +155,8 @@
     }
 
     /// Where there are more connections than may be, one that says nothing is closed.
-    pub(super) fn close_surplus(&mut self, now: Seconds, out: &mut Vec<Output>) {
-        out.extend(
+    pub(super) fn close_surplus(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
+        outputs.extend(
             self.downstreams
                 .mark_surplus(now)
                 .map(Output::CheckDownstream),
@@ -161,22 +168,22 @@
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         self.downstreams.peer_closed(client);
-        self.cancel_client_requests(now, client, out);
+        self.cancel_client_requests(now, client, outputs);
     }
 
     pub(super) fn close_client(
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         self.downstreams.remove(client);
-        self.cancel_client_requests(now, client, out);
+        self.cancel_client_requests(now, client, outputs);
         self.counts.closed += 1;
-        out.push(Output::CloseDownstream(client));
+        outputs.push(Output::CloseDownstream(client));
     }
 
     /// A connection is no more: what was open on it is cancelled, what stands is reached by another way.
@@ -184,19 +191,19 @@
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         self.ready_offers.by_client.remove(&client);
         for id in self.requests.pending_of_client(client) {
             self.counts.cancelled += 1;
-            self.cancel_request(now, id, out);
+            self.cancel_request(now, id, outputs);
         }
     }
 
     /// A set-up names what another connection holds already. Whether that one is still there decides, and its close may
     /// not have been read.
-    pub(super) fn defer_id_conflict(&mut self, claim: IdConflict, out: &mut Vec<Output>) {
-        out.push(Output::CheckDownstream(claim.holder));
+    pub(super) fn defer_id_conflict(&mut self, claim: IdConflict, outputs: &mut Vec<Output>) {
+        outputs.push(Output::CheckDownstream(claim.holder));
         self.id_conflicts.push(claim);
     }
 
@@ -205,7 +212,7 @@
         &mut self,
         now: Seconds,
         looked_at: DownstreamId,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let (decided, rest) = std::mem::take(&mut self.id_conflicts)
             .into_iter()
@@ -226,7 +233,7 @@
                 .map(|request| (request.client, request.state))
             {
                 // It was cancelled with its connection.
-                None => self.handle_set_up(now, client, message, out),
+                None => self.handle_set_up(now, client, message, outputs),
                 // Who names what stands is believed to be its owner only where the one who is known has gone: else
                 // anybody with an id could draw its end to himself.
                 Some((by, RequestState::Placed { .. })) if task_request::is_handover(&message) => {
@@ -240,7 +247,7 @@
                 // Two requests of one number: neither answer could be told from the other.
                 Some(_) => {
                     self.counts.malformed += 1;
-                    self.close_client(now, client, out);
+                    self.close_client(now, client, outputs);
                 }
             }
         }
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -1,20 +1,28 @@
 //! What machines say, and what their connections and the discovery stream tell of them.
 
-use super::*;
+use super::{Gateway, Output};
+use crate::discovery::WatchEvent;
+use crate::message::{Message, MessageKind, cause, code};
+use crate::pool::{ConnectionEnd, Pool, PoolAction, PoolEvent};
+use crate::request_table::RequestState;
+use crate::{UpstreamId, task_request};
+use tidespur_policy::interface::{
+    AttemptOutcome, EndpointStatus, Event, FailureCause, MachineId, Seconds,
+};
 
 impl Gateway {
     /// Has something done with the connections to machines, and what it leads to carried out.
     pub(super) fn with_pool<T>(
         &mut self,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
         act: impl FnOnce(&mut Pool, &mut Vec<PoolAction>) -> T,
     ) -> T {
-        let mut acts = Vec::new();
-        let done = act(&mut self.pool, &mut acts);
-        for act in acts {
+        let mut actions = Vec::new();
+        let done = act(&mut self.pool, &mut actions);
+        for act in actions {
             match act {
-                PoolAction::OfferReady(upstream, id) => self.offer_ready(upstream, id, out),
-                act => out.push(Output::Upstream(act)),
+                PoolAction::OfferReady(upstream, id) => self.offer_ready(upstream, id, outputs),
+                act => outputs.push(Output::Upstream(act)),
             }
         }
         done
@@ -23,24 +31,24 @@
     pub(super) fn upstream_ended(
         &mut self,
         now: Seconds,
-        line: UpstreamId,
+        upstream: UpstreamId,
         end: ConnectionEnd,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let mut news = Vec::new();
-        self.pool.ended(now, line, end, &mut news);
-        self.handle_pool_events(now, news, out);
+        let mut pool_events = Vec::new();
+        self.pool.ended(now, upstream, end, &mut pool_events);
+        self.handle_pool_events(now, pool_events, outputs);
     }
 
     pub(super) fn upstream_message(
         &mut self,
         now: Seconds,
-        line: UpstreamId,
+        upstream: UpstreamId,
         message: &Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        self.pool.message_received(now, line);
-        let Some(from) = self.pool.machine(line) else {
+        self.pool.message_received(now, upstream);
+        let Some(from) = self.pool.machine(upstream) else {
             return;
         };
         let id = message.id;
@@ -59,14 +67,14 @@
                         ..
                     },
                 )),
-            ) if attempt.upstream == line => {
+            ) if attempt.upstream == upstream => {
                 let Some(description) = message.get(code::DESCRIPTION) else {
-                    return self.upstream_malformed(now, line, out);
+                    return self.upstream_malformed(now, upstream, outputs);
                 };
                 let answer =
                     Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, description);
                 self.counts.placed += 1;
-                self.pool.settle_offer(line, id);
+                self.pool.settle_offer(upstream, id);
                 let since = now;
                 self.requests.set_state(
                     id,
@@ -83,7 +91,7 @@
                     task,
                     attempt: attempt.number,
                 });
-                self.reply(id, answer.encode(), out);
+                self.reply(id, answer.encode(), outputs);
             }
             (
                 MessageKind::Release,
@@ -95,20 +103,20 @@
                         ..
                     },
                 )),
-            ) if attempt.upstream == line => {
-                let why = task_request::failure_cause(message);
-                let ending = match message.cause() {
-                    Some(cause::FULL) => AttemptOutcome::Rejected(why),
+            ) if attempt.upstream == upstream => {
+                let cause_given = task_request::failure_cause(message);
+                let outcome = match message.cause() {
+                    Some(cause::FULL) => AttemptOutcome::Rejected(cause_given),
                     Some(cause::ERROR) => AttemptOutcome::Failed,
                     Some(cause::MOOT) => AttemptOutcome::NeverSent,
-                    _ => AttemptOutcome::Interrupted(why),
+                    _ => AttemptOutcome::Interrupted(cause_given),
                 };
-                match ending {
+                match outcome {
                     AttemptOutcome::Rejected(_) => self.counts.rejected_by_machine += 1,
                     AttemptOutcome::Failed => self.counts.errors += 1,
                     _ => self.counts.interrupted += 1,
                 }
-                self.attempt_ended(id, ending, task_request::load_report(message));
+                self.attempt_ended(id, outcome, task_request::load_report(message));
             }
             (
                 MessageKind::Release,
@@ -120,27 +128,33 @@
                     },
                 )),
             ) if machine == from => {
-                out.push(Output::Upstream(PoolAction::Write(
-                    line,
+                outputs.push(Output::Upstream(PoolAction::Write(
+                    upstream,
                     Message::new(MessageKind::Heard, id).encode(),
                 )));
                 let word = message.cause().unwrap_or(cause::FAILED);
-                let ending = match word {
+                let outcome = match word {
                     cause::NORMAL => AttemptOutcome::Finished,
                     cause::ENDED => AttemptOutcome::Cancelled,
                     _ => AttemptOutcome::Interrupted(task_request::failure_cause(message)),
                 };
                 if word != cause::ENDED {
-                    self.reply(id, Message::release(id, word).encode(), out);
+                    self.reply(id, Message::release(id, word).encode(), outputs);
                 }
-                self.finish_placed(now, id, attempt, ending, task_request::load_report(message));
+                self.finish_placed(
+                    now,
+                    id,
+                    attempt,
+                    outcome,
+                    task_request::load_report(message),
+                );
             }
             (MessageKind::Release, None) => {
                 self.counts.unmatched += 1;
                 self.requests
                     .record_unknown_end(now, id, message.cause().unwrap_or(cause::FAILED));
-                out.push(Output::Upstream(PoolAction::Write(
-                    line,
+                outputs.push(Output::Upstream(PoolAction::Write(
+                    upstream,
                     Message::new(MessageKind::Heard, id).encode(),
                 )));
             }
@@ -156,7 +170,10 @@
             }
             (MessageKind::Test, _) => {
                 let tested = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
-                out.push(Output::Upstream(PoolAction::Write(line, tested.encode())));
+                outputs.push(Output::Upstream(PoolAction::Write(
+                    upstream,
+                    tested.encode(),
+                )));
             }
             (MessageKind::Tested | MessageKind::Progress | MessageKind::Heard, _) => {}
             // A second copy, an answer under another's id, or one that comes after it was cancelled or timed out.
@@ -167,22 +184,24 @@
     pub(super) fn upstream_malformed(
         &mut self,
         now: Seconds,
-        line: UpstreamId,
-        out: &mut Vec<Output>,
+        upstream: UpstreamId,
+        outputs: &mut Vec<Output>,
     ) {
-        let mut news = Vec::new();
-        self.with_pool(out, |pool, acts| pool.malformed(now, line, acts, &mut news));
-        self.handle_pool_events(now, news, out);
+        let mut pool_events = Vec::new();
+        self.with_pool(outputs, |pool, actions| {
+            pool.malformed(now, upstream, actions, &mut pool_events)
+        });
+        self.handle_pool_events(now, pool_events, outputs);
     }
 
     pub(super) fn handle_pool_events(
         &mut self,
         now: Seconds,
-        news: Vec<PoolEvent>,
-        out: &mut Vec<Output>,
+        pool_events: Vec<PoolEvent>,
+        outputs: &mut Vec<Output>,
     ) {
-        for news in news {
-            match news {
+        for pool_events in pool_events {
+            match pool_events {
                 PoolEvent::ConnectFailed(id) => {
                     self.counts.unsent += 1;
                     self.attempt_ended(id, AttemptOutcome::ConnectFailed, None);
@@ -204,8 +223,8 @@
                         .machines
                         .get(&machine)
                         .map_or("", |(name, _)| name.as_str());
-                    out.push(Output::Log(format!("machine {name} has failed")));
-                    self.machine_failed(now, machine, now, out);
+                    outputs.push(Output::Log(format!("machine {name} has failed")));
+                    self.machine_failed(now, machine, now, outputs);
                 }
             }
         }
@@ -217,7 +236,7 @@
         now: Seconds,
         machine: MachineId,
         before: Seconds,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         for id in self.requests.placed_at_machine(machine) {
             let Some(RequestState::Placed { attempt, since, .. }) =
@@ -229,7 +248,7 @@
                 continue;
             }
             self.counts.lost += 1;
-            self.reply(id, Message::release(id, cause::FAILED).encode(), out);
+            self.reply(id, Message::release(id, cause::FAILED).encode(), outputs);
             self.finish_placed(
                 now,
                 id,
@@ -244,14 +263,14 @@
         &mut self,
         now: Seconds,
         notice: WatchEvent,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         // Events may be written twice, and two boards may tell the same ones.
         if notice.revision <= self.last_revision && self.last_revision > 0 {
             return;
         }
         self.last_revision = notice.revision;
-        let mut news = Vec::new();
+        let mut pool_events = Vec::new();
         let (mut entries, mut leaving) = (Vec::new(), Vec::new());
         if notice.is_complete_list {
             let listed = notice
@@ -278,17 +297,17 @@
                 && before.is_none_or(|before| up > before)
             {
                 // It has started anew: what stood there before is over.
-                self.machine_failed(now, machine, up, out);
+                self.machine_failed(now, machine, up, outputs);
             }
             entries.push(listed.endpoint);
         }
-        self.pool.fail_replaced_machines(&mut news);
+        self.pool.fail_replaced_machines(&mut pool_events);
         for machine in leaving {
-            self.with_pool(out, |pool, acts| {
-                pool.withdraw_unsent(now, machine, acts, &mut news)
+            self.with_pool(outputs, |pool, actions| {
+                pool.withdraw_unsent(now, machine, actions, &mut pool_events)
             });
         }
-        self.handle_pool_events(now, news, out);
+        self.handle_pool_events(now, pool_events, outputs);
         self.events.push(if notice.is_complete_list {
             Event::EndpointsListed(entries)
         } else {
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,6 +1,12 @@
 //! What clients say: set-ups, hand-overs, cancels, releases.
 
-use super::*;
+use super::clients::IdConflict;
+use super::{Gateway, Output};
+use super::{MAX_PENDING, MAX_PENDING_PER_CLIENT, MAX_REQUESTS};
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::request_table::{Request, RequestState};
+use crate::{DownstreamId, discovery, task_request};
+use tidespur_policy::interface::{Event, Seconds};
 
 impl Gateway {
     pub(super) fn downstream_message(
@@ -8,14 +14,14 @@
         now: Seconds,
         client: DownstreamId,
         message: Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let id = message.id;
         let too_often = match message.kind {
-            MessageKind::SetUp => return self.handle_set_up(now, client, message, out),
+            MessageKind::SetUp => return self.handle_set_up(now, client, message, outputs),
             MessageKind::Test => {
                 let tested = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
-                out.push(Output::WriteDownstream(client, tested.encode()));
+                outputs.push(Output::WriteDownstream(client, tested.encode()));
                 self.downstreams.record_free_message(now, client)
             }
             MessageKind::Release => match self
@@ -25,7 +31,7 @@
             {
                 Some((by, RequestState::Pending { .. })) if by == client => {
                     self.counts.cancelled += 1;
-                    self.cancel_request(now, id, out);
+                    self.cancel_request(now, id, outputs);
                     false
                 }
                 // Another's set-up that waits is not touched.
@@ -33,11 +39,11 @@
                     self.downstreams.record_malformed(now, client)
                 }
                 Some((_, RequestState::Placed { .. })) => {
-                    out.push(Output::WriteDownstream(
+                    outputs.push(Output::WriteDownstream(
                         client,
                         Message::new(MessageKind::Heard, id).encode(),
                     ));
-                    self.release_at_machine(now, id, out);
+                    self.release_at_machine(now, id, outputs);
                     false
                 }
                 None => self.downstreams.record_malformed(now, client),
@@ -50,7 +56,7 @@
         };
         if too_often {
             self.counts.malformed += 1;
-            self.close_client(now, client, out);
+            self.close_client(now, client, outputs);
         }
     }
 
@@ -60,13 +66,13 @@
         now: Seconds,
         client: DownstreamId,
         message: Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         let id = message.id;
         if id == RequestId::default() {
             // No id at all: an answer to it could be anybody's.
             self.counts.malformed += 1;
-            self.close_client(now, client, out);
+            self.close_client(now, client, outputs);
             return;
         }
         if let Some(known) = self.requests.get(id).map(|request| request.client) {
@@ -78,18 +84,18 @@
                         claimant: client,
                         message,
                     },
-                    out,
+                    outputs,
                 );
             } else if !task_request::is_handover(&message) {
                 // Two requests of one number: neither answer could be told from the other.
                 self.counts.malformed += 1;
-                self.close_client(now, client, out);
+                self.close_client(now, client, outputs);
             }
             return;
         }
         let mut ask = match task_request::parse(&self.site, now, &message) {
             Ok(ask) => ask,
-            Err(problem) => return self.reject_malformed(now, client, id, problem, out),
+            Err(problem) => return self.reject_malformed(now, client, id, problem, outputs),
         };
         let from = self.downstreams.from(client);
         let task = self.requests.new_task_id();
@@ -119,7 +125,7 @@
                 let cause = ended
                     .filter(|&cause| cause != cause::ENDED)
                     .unwrap_or(cause::FAILED);
-                out.push(Output::WriteDownstream(
+                outputs.push(Output::WriteDownstream(
                     client,
                     Message::release(id, cause).encode(),
                 ));
@@ -157,7 +163,7 @@
             // It never reached the policy: asking again does no harm.
             self.counts.rejected += 1;
             self.downstreams.record_valid_set_up(now, client);
-            out.push(Output::WriteDownstream(
+            outputs.push(Output::WriteDownstream(
                 client,
                 Message::release(id, cause::CONGESTED).encode(),
             ));
@@ -177,20 +183,20 @@
         client: DownstreamId,
         id: RequestId,
         problem: task_request::TaskRequestError,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         self.counts.malformed += 1;
         if self.counts.malformed < 20 {
-            out.push(Output::Log(format!(
+            outputs.push(Output::Log(format!(
                 "request {id} can't be used: {problem}"
             )));
         }
-        out.push(Output::WriteDownstream(
+        outputs.push(Output::WriteDownstream(
             client,
             Message::release(id, cause::CONTENT).encode(),
         ));
         if self.downstreams.record_malformed(now, client) {
-            self.close_client(now, client, out);
+            self.close_client(now, client, outputs);
         }
     }
 }
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -5,8 +5,11 @@
 //! one is. Guards against bytes that come in the moment of the end: a socket closed over unread bytes resets its
 //! connection, and the reset may destroy an answer on its way.
 
-use super::*;
+use super::{Gateway, Output};
 use crate::downstream::CloseReason;
+use crate::message::{Message, cause};
+use crate::request_table::RequestState;
+use tidespur_policy::interface::Seconds;
 
 /// After the word to end, requests go on coming for so long (the platform's page).
 const LATE_REQUEST_TIMEOUT: Seconds = 0.7;
@@ -53,25 +56,25 @@
     }
 
     /// Nobody connects any more.
-    pub(super) fn listening_stopped(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn listening_stopped(&mut self, outputs: &mut Vec<Output>) {
         if let Some(leaving) = &mut self.shutdown {
             leaving.phase = ShutdownPhase::ClosingClients;
         }
-        self.check_all_clients(out);
+        self.check_all_clients(outputs);
     }
 
     /// Looks at all clients: those that say nothing are closed.
-    fn check_all_clients(&mut self, out: &mut Vec<Output>) {
+    fn check_all_clients(&mut self, outputs: &mut Vec<Output>) {
         for client in self.downstreams.ids() {
             if self.downstreams.close_reason(client).is_none() {
                 self.downstreams.begin_close(client, CloseReason::Shutdown);
-                out.push(Output::CheckDownstream(client));
+                outputs.push(Output::CheckDownstream(client));
             }
         }
     }
 
     /// After the word to end: how far that is.
-    pub(super) fn advance_shutdown(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    pub(super) fn advance_shutdown(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let Some(GracefulShutdown {
             requested_at: at,
             phase: stage,
@@ -85,19 +88,19 @@
             .map(|share| self.shutdown_deadline(at, share));
         match stage {
             ShutdownPhase::Serving if now >= answered || self.requests.count() == 0 => {
-                self.answer_pending_requests(now, out);
+                self.answer_pending_requests(now, outputs);
                 self.shutdown = Some(GracefulShutdown {
                     requested_at: at,
                     phase: ShutdownPhase::StoppingListener,
                 });
-                out.push(Output::StopListening);
+                outputs.push(Output::StopListening);
             }
             ShutdownPhase::ClosingClients if now >= closed || self.downstreams.count() == 0 => {
                 self.shutdown = Some(GracefulShutdown {
                     requested_at: at,
                     phase: ShutdownPhase::Finished,
                 });
-                out.push(Output::Exit((flushed - now).max(0.0)));
+                outputs.push(Output::Exit((flushed - now).max(0.0)));
             }
             ShutdownPhase::Serving
             | ShutdownPhase::StoppingListener
@@ -134,16 +137,16 @@
     }
 
     /// Time goes on: who said something when it was to be closed is looked at again.
-    pub(super) fn recheck_closing_clients(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn recheck_closing_clients(&mut self, outputs: &mut Vec<Output>) {
         if self
             .shutdown
             .is_some_and(|leaving| leaving.phase == ShutdownPhase::ClosingClients)
         {
-            self.check_all_clients(out);
+            self.check_all_clients(outputs);
         }
     }
 
-    fn answer_pending_requests(&mut self, now: Seconds, out: &mut Vec<Output>) {
+    fn answer_pending_requests(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         for id in self.requests.pending() {
             let Some(RequestState::Pending {
                 attempt,
@@ -160,8 +163,8 @@
             } else {
                 cause::FAILED
             };
-            self.reply(id, Message::release(id, word).encode(), out);
-            self.cancel_request(now, id, out);
+            self.reply(id, Message::release(id, word).encode(), outputs);
+            self.cancel_request(now, id, outputs);
         }
     }
 }
--- a/crates/gateway/src/input_queue.rs
+++ b/crates/gateway/src/input_queue.rs
@@ -119,17 +119,17 @@
         if self.skipped_requests {
             return taken;
         }
-        let most = taken.len() + MAX_REQUESTS_PER_STEP;
-        while taken.len() < most
+        let max_taken = taken.len() + MAX_REQUESTS_PER_STEP;
+        while taken.len() < max_taken
             && let Some(client) = self.turns.pop_front()
         {
             let Some(waiting) = self.requests.get_mut(&client) else {
                 continue;
             };
-            let many = MAX_REQUESTS_PER_TURN
-                .min(most - taken.len())
+            let count = MAX_REQUESTS_PER_TURN
+                .min(max_taken - taken.len())
                 .min(waiting.inputs.len());
-            for input in waiting.inputs.drain(..many) {
+            for input in waiting.inputs.drain(..count) {
                 let id = match &input {
                     Input::DownstreamMessage(_, message) if message.kind == MessageKind::SetUp => {
                         Some(message.id)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod counts;
 pub mod discovery;
 pub mod downstream;
+pub mod error;
 pub mod gateway;
 pub mod input_queue;
 pub mod message;
@@ -14,6 +15,7 @@
 pub mod request_table;
 pub mod task_request;
 
+pub use error::GatewayError;
 pub use gateway::{Gateway, Input, Limits, Output, PeerCheck};
 
 /// A connection of an owner, or of anybody who came in.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -10,8 +10,7 @@
 mod offers;
 
 use crate::UpstreamId;
-use crate::message::{Message, MessageKind, RequestId, cause, code};
-use crate::request_table::micros;
+use crate::message::RequestId;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidespur_policy::interface::{MachineId, Seconds};
@@ -195,9 +194,10 @@
 
 impl Pool {
     /// No connections yet; at most `most` at once.
-    pub fn new(most: usize, times: ConnectionTimeouts) -> Self {
+    pub fn new(max_connections: usize, timeouts: ConnectionTimeouts) -> Self {
         let (peers, upstreams, half_closed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (idle, most, stalled_at) = (BTreeSet::new(), most.max(2), f64::NEG_INFINITY);
+        let (idle, max_connections, stalled_at) =
+            (BTreeSet::new(), max_connections.max(2), f64::NEG_INFINITY);
         Self {
             peers,
             upstreams,
@@ -206,8 +206,8 @@
             half_closed,
             next: 0,
             stalled_at,
-            max_connections: most,
-            timeouts: times,
+            max_connections: max_connections,
+            timeouts: timeouts,
         }
     }
 
@@ -217,11 +217,11 @@
     }
 
     /// The machine at the other end.
-    pub fn machine(&self, line: UpstreamId) -> Option<MachineId> {
-        let half_closed = self.half_closed.get(&line).map(|(machine, _)| *machine);
+    pub fn machine(&self, upstream: UpstreamId) -> Option<MachineId> {
+        let half_closed = self.half_closed.get(&upstream).map(|(machine, _)| *machine);
         self.upstreams
-            .get(&line)
-            .map(|line| line.machine)
+            .get(&upstream)
+            .map(|upstream| upstream.machine)
             .or(half_closed)
     }
 
@@ -232,12 +232,12 @@
 
     /// The connections to a machine that are not half-closed, those that are being dialled too.
     fn upstreams_to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
-        let lines = self
+        let upstreams = self
             .peers
             .get(&machine)
             .into_iter()
             .flat_map(|peer| &peer.upstreams);
-        lines.filter_map(|&id| {
+        upstreams.filter_map(|&id| {
             self.connections_examined
                 .set(self.connections_examined.get() + 1);
             Some((id, self.upstreams.get(&id)?))
--- a/crates/gateway/src/pool/capacity.rs
+++ b/crates/gateway/src/pool/capacity.rs
@@ -1,6 +1,10 @@
 //! Room for connections: which one gives way, and how a connection begins and is half-closed.
 
-use super::*;
+use super::{IdleClass, MAX_HALF_CLOSED, Pool, PoolAction, Upstream};
+use crate::UpstreamId;
+use crate::request_table::micros;
+use std::collections::BTreeMap;
+use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
     /// Whether a connection has to give way before another can be dialled.
@@ -13,7 +17,7 @@
         &mut self,
         now: Seconds,
         kept: Seconds,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) -> bool {
         if self.is_at_capacity() {
             let gives = |&&(rest, at, _): &&(IdleClass, u64, UpstreamId)| {
@@ -22,7 +26,7 @@
             let Some(&(.., id)) = self.idle.first().filter(gives) else {
                 return self.count() < self.max_connections;
             };
-            self.half_close(now, id, out);
+            self.half_close(now, id, actions);
         }
         while self.count() >= self.max_connections {
             // The one that was half-closed first: an end on its way there has had most time.
@@ -33,7 +37,7 @@
                 .map(|(&id, _)| id);
             let Some(id) = first else { return false };
             self.half_closed.remove(&id);
-            out.push(PoolAction::Close(id));
+            actions.push(PoolAction::Close(id));
         }
         true
     }
@@ -43,19 +47,19 @@
         now: Seconds,
         kept: Seconds,
         machine: MachineId,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) -> Option<UpstreamId> {
         let address = self
             .peers
             .get(&machine)
             .map(|peer| peer.address.clone())
             .filter(|a| !a.is_empty())?;
-        if !self.make_capacity(now, kept, out) {
+        if !self.make_capacity(now, kept, actions) {
             return None;
         }
         self.next += 1;
-        let line = UpstreamId(self.next);
-        out.push(PoolAction::Dial(line, address));
+        let upstream = UpstreamId(self.next);
+        actions.push(PoolAction::Dial(upstream, address));
         let made = Upstream {
             machine,
             dialling_since: Some(now),
@@ -69,31 +73,39 @@
             opened_at: now,
             idle_entry: None,
         };
-        self.upstreams.insert(line, made);
-        self.peers.get_mut(&machine)?.upstreams.insert(line);
-        Some(line)
+        self.upstreams.insert(upstream, made);
+        self.peers.get_mut(&machine)?.upstreams.insert(upstream);
+        Some(upstream)
     }
 
     /// Ends a connection that is not needed any more, without losing what is on its way here.
-    pub(super) fn half_close(&mut self, now: Seconds, id: UpstreamId, out: &mut Vec<PoolAction>) {
-        let Some(line) = self.remove(id) else { return };
-        if line.dialling_since.is_some() {
-            return out.push(PoolAction::Close(id));
+    pub(super) fn half_close(
+        &mut self,
+        now: Seconds,
+        id: UpstreamId,
+        actions: &mut Vec<PoolAction>,
+    ) {
+        let Some(upstream) = self.remove(id) else {
+            return;
+        };
+        if upstream.dialling_since.is_some() {
+            return actions.push(PoolAction::Close(id));
         }
-        self.half_closed.insert(id, (line.machine, now));
-        out.push(PoolAction::HalfClose(id));
+        self.half_closed.insert(id, (upstream.machine, now));
+        actions.push(PoolAction::HalfClose(id));
     }
 
     /// Takes a connection out.
     pub(super) fn remove(&mut self, id: UpstreamId) -> Option<Upstream> {
-        let line = self.upstreams.remove(&id)?;
-        line.idle_entry
+        let upstream = self.upstreams.remove(&id)?;
+        upstream
+            .idle_entry
             .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
-        if let Some(peer) = self.peers.get_mut(&line.machine) {
+        if let Some(peer) = self.peers.get_mut(&upstream.machine) {
             peer.upstreams.remove(&id);
         }
-        self.update_idle_index(line.machine);
-        Some(line)
+        self.update_idle_index(upstream.machine);
+        Some(upstream)
     }
 
     /// Finds out anew how the connections to a machine rest. Follows whatever may have changed that.
@@ -110,20 +122,21 @@
             .filter(|id| sound(&self.upstreams, id))
             .count();
         for &id in &peer.upstreams {
-            let Some(line) = self.upstreams.get_mut(&id) else {
+            let Some(upstream) = self.upstreams.get_mut(&id) else {
                 continue;
             };
-            let needed = peer.placed_tasks > 0 && all - usize::from(line.is_healthy()) == 0;
+            let needed = peer.placed_tasks > 0 && all - usize::from(upstream.is_healthy()) == 0;
             let rests = match needed {
-                _ if !line.is_idle() => None,
-                false => Some((IdleClass::Spare, micros(line.used_at))),
-                true => Some((IdleClass::Required, micros(line.opened_at))),
+                _ if !upstream.is_idle() => None,
+                false => Some((IdleClass::Spare, micros(upstream.used_at))),
+                true => Some((IdleClass::Required, micros(upstream.opened_at))),
             };
-            if rests != line.idle_entry {
-                line.idle_entry
+            if rests != upstream.idle_entry {
+                upstream
+                    .idle_entry
                     .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
                 self.idle.extend(rests.map(|(rest, at)| (rest, at, id)));
-                line.idle_entry = rests;
+                upstream.idle_entry = rests;
             }
         }
     }
--- a/crates/gateway/src/pool/endpoints.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -1,6 +1,8 @@
 //! What the discovery stream and the tasks in place tell of machines.
 
-use super::*;
+use super::{MAX_UNLISTED_MACHINES, Peer, Pool, PoolEvent};
+use std::collections::BTreeSet;
+use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
     /// The list tells of a machine. Once all that is told at a time was told, [`Pool::fail_replaced_machines`] follows.
@@ -18,7 +20,7 @@
     }
 
     /// A machine that has gone and at whose address another listens now is no more.
-    pub fn fail_replaced_machines(&mut self, news: &mut Vec<PoolEvent>) {
+    pub fn fail_replaced_machines(&mut self, events: &mut Vec<PoolEvent>) {
         let (gone, here): (Vec<_>, Vec<_>) = self.peers.iter().partition(|(_, peer)| peer.is_gone);
         let here: BTreeSet<&str> = here
             .into_iter()
@@ -35,7 +37,7 @@
             if let Some(peer) = self.peers.get_mut(&id) {
                 peer.address.clear();
                 if peer.placed_tasks > 0 {
-                    news.push(PoolEvent::MachineFailed(id));
+                    events.push(PoolEvent::MachineFailed(id));
                 }
             }
         }
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -1,20 +1,33 @@
 //! Connections over time: made, heard, ended, tested, idle; and when a machine has failed.
 
-use super::*;
+use super::{
+    ConnectionEnd, DIAL_BACKOFF, HALF_CLOSE_TIMEOUT, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_TIMEOUT,
+    IdleClass, MACHINE_FAILURE_TIMEOUT, Peer, Pool, PoolAction, PoolEvent,
+    REQUIRED_CONNECTION_MIN_AGE, Upstream, VISIT_INTERVAL,
+};
+use crate::UpstreamId;
+use crate::message::{Message, MessageKind, RequestId, code};
+use std::collections::BTreeSet;
+use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
     /// A connection is made.
-    pub fn opened(&mut self, now: Seconds, id: UpstreamId, out: &mut Vec<PoolAction>) {
-        let Some(line) = self.upstreams.get_mut(&id) else {
-            return out.push(PoolAction::Close(id));
+    pub fn opened(&mut self, now: Seconds, id: UpstreamId, actions: &mut Vec<PoolAction>) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
+            return actions.push(PoolAction::Close(id));
         };
-        (line.dialling_since, line.heard_at, line.opened_at) = (None, now, now);
-        out.extend(
-            line.unsent_offers
+        (
+            upstream.dialling_since,
+            upstream.heard_at,
+            upstream.opened_at,
+        ) = (None, now, now);
+        actions.extend(
+            upstream
+                .unsent_offers
                 .iter()
                 .map(|(offer, _)| PoolAction::OfferReady(id, *offer)),
         );
-        let machine = line.machine;
+        let machine = upstream.machine;
         if let Some(peer) = self.peers.get_mut(&machine) {
             (
                 peer.consecutive_failures,
@@ -22,7 +35,7 @@
                 peer.heard_at,
             ) = (0, 0, now);
             while let Some(bytes) = peer.queued_messages.pop_front() {
-                out.push(PoolAction::Write(id, bytes));
+                actions.push(PoolAction::Write(id, bytes));
             }
         }
         self.update_idle_index(machine);
@@ -30,11 +43,11 @@
 
     /// Something whole was read.
     pub fn message_received(&mut self, now: Seconds, id: UpstreamId) {
-        let Some(line) = self.upstreams.get_mut(&id) else {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let (machine, tested) = (line.machine, line.health_check_sent_at.take());
-        line.heard_at = now;
+        let (machine, tested) = (upstream.machine, upstream.health_check_sent_at.take());
+        upstream.heard_at = now;
         if let Some(peer) = self.peers.get_mut(&machine) {
             peer.heard_at = now;
         }
@@ -49,7 +62,7 @@
         now: Seconds,
         id: UpstreamId,
         end: ConnectionEnd,
-        news: &mut Vec<PoolEvent>,
+        events: &mut Vec<PoolEvent>,
     ) {
         let unwritten = match end {
             ConnectionEnd::WriteFailed(offer) => Some(offer),
@@ -58,15 +71,20 @@
         if unwritten.is_none() {
             self.half_closed.remove(&id);
         }
-        let Some(line) = self.remove(id) else { return };
-        let dialling = line.dialling_since.is_some();
+        let Some(upstream) = self.remove(id) else {
+            return;
+        };
+        let dialling = upstream.dialling_since.is_some();
         if unwritten.is_some() {
             // What the machine wrote before it ended the connection may still be there to read.
-            self.half_closed.insert(id, (line.machine, now));
+            self.half_closed.insert(id, (upstream.machine, now));
         }
         // Only the set-up that could not be written is known not to have left: others on the line had.
-        let waited: BTreeSet<RequestId> =
-            line.unsent_offers.iter().map(|(offer, _)| *offer).collect();
+        let waited: BTreeSet<RequestId> = upstream
+            .unsent_offers
+            .iter()
+            .map(|(offer, _)| *offer)
+            .collect();
         let never_left =
             |offer: RequestId| waited.contains(&offer) || unwritten == Some(Some(offer));
         // That an open connection ended is no proof against its machine, which closes idle ones. Whether it can still be
@@ -76,14 +94,14 @@
             true => PoolEvent::NeverSent(offer),
             false => PoolEvent::Interrupted(offer),
         };
-        news.extend(line.pending_offers.into_iter().map(told));
+        events.extend(upstream.pending_offers.into_iter().map(told));
         let heard = |other: &Upstream| {
             other.dialling_since.is_none() && now - other.heard_at < HEALTH_CHECK_INTERVAL
         };
         let alive = self
-            .upstreams_to(line.machine)
+            .upstreams_to(upstream.machine)
             .any(|(_, other)| heard(other));
-        let Some(peer) = self.peers.get_mut(&line.machine) else {
+        let Some(peer) = self.peers.get_mut(&upstream.machine) else {
             return;
         };
         if dialling {
@@ -96,7 +114,7 @@
             peer.next_dial_at = now + DIAL_BACKOFF;
             // A machine may refuse because it has too many connections: then it is heard on another.
             if peer.consecutive_refusals >= 2 && !alive && peer.placed_tasks > 0 {
-                news.push(PoolEvent::MachineFailed(line.machine));
+                events.push(PoolEvent::MachineFailed(upstream.machine));
             }
         }
     }
@@ -106,17 +124,22 @@
         &mut self,
         now: Seconds,
         id: UpstreamId,
-        out: &mut Vec<PoolAction>,
-        news: &mut Vec<PoolEvent>,
+        actions: &mut Vec<PoolAction>,
+        events: &mut Vec<PoolEvent>,
     ) {
         if self.upstreams.contains_key(&id) || self.half_closed.contains_key(&id) {
-            out.push(PoolAction::Close(id));
-            self.ended(now, id, ConnectionEnd::Other, news);
+            actions.push(PoolAction::Close(id));
+            self.ended(now, id, ConnectionEnd::Other, events);
         }
     }
 
     /// Time goes on: dials that take too long, tests, silence, idle connections.
-    pub fn tick(&mut self, now: Seconds, out: &mut Vec<PoolAction>, news: &mut Vec<PoolEvent>) {
+    pub fn tick(
+        &mut self,
+        now: Seconds,
+        actions: &mut Vec<PoolAction>,
+        events: &mut Vec<PoolEvent>,
+    ) {
         let slow = self.upstreams.iter().filter(|(_, l)| {
             l.dialling_since
                 .is_some_and(|at| now - at > self.timeouts.connect)
@@ -127,14 +150,15 @@
         });
         let over: Vec<UpstreamId> = slow.chain(silent).map(|(&id, _)| id).collect();
         for id in over {
-            self.malformed(now, id, out, news);
+            self.malformed(now, id, actions, events);
         }
-        let idle =
-            |line: &Upstream| line.is_idle() && now - line.used_at > self.timeouts.idle_limit();
+        let idle = |upstream: &Upstream| {
+            upstream.is_idle() && now - upstream.used_at > self.timeouts.idle_limit()
+        };
         let idle: Vec<UpstreamId> = self
             .upstreams
             .iter()
-            .filter(|(_, line)| idle(line))
+            .filter(|(_, upstream)| idle(upstream))
             .map(|(&id, _)| id)
             .collect();
         for id in idle {
@@ -142,9 +166,9 @@
             if self
                 .upstreams
                 .get(&id)
-                .is_some_and(|line| matches!(line.idle_entry, Some((IdleClass::Spare, _))))
+                .is_some_and(|upstream| matches!(upstream.idle_entry, Some((IdleClass::Spare, _))))
             {
-                self.half_close(now, id, out);
+                self.half_close(now, id, actions);
             }
         }
         let slow = self
@@ -154,7 +178,7 @@
         let slow: Vec<UpstreamId> = slow.map(|(&id, _)| id).collect();
         for id in slow {
             self.half_closed.remove(&id);
-            out.push(PoolAction::Close(id));
+            actions.push(PoolAction::Close(id));
         }
         let wanted = |peer: &Peer| peer.placed_tasks > 0 || !peer.queued_messages.is_empty();
         let wanted = self.peers.iter().filter(|(_, peer)| wanted(peer));
@@ -164,7 +188,7 @@
         // Who was heard longest ago comes first: where there is no room for all, the last would never be called.
         wanted.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, machine) in wanted {
-            self.probe_peer(now, machine, out, news);
+            self.probe_peer(now, machine, actions, events);
         }
         let listed = |peer: &Peer| !peer.is_gone && !peer.address.is_empty();
         self.peers
@@ -176,12 +200,12 @@
         &mut self,
         now: Seconds,
         machine: MachineId,
-        out: &mut Vec<PoolAction>,
-        news: &mut Vec<PoolEvent>,
+        actions: &mut Vec<PoolAction>,
+        events: &mut Vec<PoolEvent>,
     ) {
         let dialling = self
             .upstreams_to(machine)
-            .any(|(_, line)| line.dialling_since.is_some());
+            .any(|(_, upstream)| upstream.dialling_since.is_some());
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
@@ -189,7 +213,7 @@
             && now - peer.heard_at > MACHINE_FAILURE_TIMEOUT
             && peer.consecutive_failures >= 2
         {
-            news.push(PoolEvent::MachineFailed(machine));
+            events.push(PoolEvent::MachineFailed(machine));
             return;
         }
         let (silent_for, redial_at, told) = (
@@ -199,9 +223,9 @@
         );
         let open = || {
             self.upstreams_to(machine)
-                .filter(|(_, line)| line.dialling_since.is_none())
+                .filter(|(_, upstream)| upstream.dialling_since.is_none())
         };
-        let tested = open().any(|(_, line)| line.health_check_sent_at.is_some());
+        let tested = open().any(|(_, upstream)| upstream.health_check_sent_at.is_some());
         let newest = open()
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(id, _)| id);
@@ -210,17 +234,18 @@
         let suspect =
             newest.is_none() && !waits || silent_for > HEALTH_CHECK_INTERVAL + HEALTH_CHECK_TIMEOUT;
         let silent = newest.filter(|_| !tested && silent_for > HEALTH_CHECK_INTERVAL);
-        if let Some((id, line)) = silent.and_then(|id| Some((id, self.upstreams.get_mut(&id)?))) {
-            line.health_check_sent_at = Some(now);
+        if let Some((id, upstream)) = silent.and_then(|id| Some((id, self.upstreams.get_mut(&id)?)))
+        {
+            upstream.health_check_sent_at = Some(now);
             let test = Message::new(MessageKind::Test, RequestId(0)).with(code::CAUSE, &[0]);
-            out.push(PoolAction::Write(id, test.encode()));
+            actions.push(PoolAction::Write(id, test.encode()));
             self.update_idle_index(machine);
         }
         if suspect
             && !dialling
             && now >= redial_at
             && self
-                .dial(now, now - REQUIRED_CONNECTION_MIN_AGE, machine, out)
+                .dial(now, now - REQUIRED_CONNECTION_MIN_AGE, machine, actions)
                 .is_none()
             && let Some(peer) = self
                 .peers
--- a/crates/gateway/src/pool/offers.rs
+++ b/crates/gateway/src/pool/offers.rs
@@ -1,6 +1,9 @@
 //! Set-ups on their way to a machine: which connection carries one, and when it may leave.
 
-use super::*;
+use super::{MAX_QUEUED_MESSAGES, Pool, PoolAction, PoolEvent, STALL_RECHECK_TIMEOUT};
+use crate::UpstreamId;
+use crate::message::{Message, RequestId, cause};
+use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
     /// Sends a set-up to a machine; `None`: there is no way to it, and nothing left.
@@ -10,35 +13,37 @@
         machine: MachineId,
         id: RequestId,
         bytes: Vec<u8>,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) -> Option<UpstreamId> {
-        let fresh = self
-            .upstreams_to(machine)
-            .filter(|(_, line)| line.is_idle() && line.is_healthy() && !line.blocked);
-        let fresh = fresh.filter(|(_, line)| now - line.heard_at < self.timeouts.fresh_limit());
+        let fresh = self.upstreams_to(machine).filter(|(_, upstream)| {
+            upstream.is_idle() && upstream.is_healthy() && !upstream.blocked
+        });
+        let fresh =
+            fresh.filter(|(_, upstream)| now - upstream.heard_at < self.timeouts.fresh_limit());
         let fresh = fresh
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(at, _)| at);
         // Where there is no room for another connection, the one with the least on it is shared.
-        let shared = |lines: &Self| {
-            let shared = lines
+        let shared = |upstreams: &Self| {
+            let shared = upstreams
                 .upstreams_to(machine)
-                .filter(|(_, line)| line.health_check_sent_at.is_none());
+                .filter(|(_, upstream)| upstream.health_check_sent_at.is_none());
             shared
-                .min_by_key(|(_, line)| (line.blocked, line.pending_offers.len()))
+                .min_by_key(|(_, upstream)| (upstream.blocked, upstream.pending_offers.len()))
                 .map(|(at, _)| at)
         };
         let at = fresh
-            .or_else(|| self.dial(now, now, machine, out))
+            .or_else(|| self.dial(now, now, machine, actions))
             .or_else(|| shared(self))?;
-        let line = self.upstreams.get_mut(&at)?;
-        let looks = line.is_idle() && line.heard_at < self.stalled_at + STALL_RECHECK_TIMEOUT;
-        line.pending_offers.push(id);
-        line.used_at = now;
-        line.unsent_offers.push((id, bytes));
-        out.extend(looks.then_some(PoolAction::CheckPeer(at)));
-        if line.dialling_since.is_none() && !line.blocked {
-            out.push(PoolAction::OfferReady(at, id));
+        let upstream = self.upstreams.get_mut(&at)?;
+        let looks =
+            upstream.is_idle() && upstream.heard_at < self.stalled_at + STALL_RECHECK_TIMEOUT;
+        upstream.pending_offers.push(id);
+        upstream.used_at = now;
+        upstream.unsent_offers.push((id, bytes));
+        actions.extend(looks.then_some(PoolAction::CheckPeer(at)));
+        if upstream.dialling_since.is_none() && !upstream.blocked {
+            actions.push(PoolAction::OfferReady(at, id));
         }
         self.update_idle_index(machine);
         Some(at)
@@ -47,13 +52,13 @@
     /// A set-up that is due leaves, unless it was cancelled, or the machine takes no bytes, meanwhile; `true`: it does.
     pub fn send_ready_offer(
         &mut self,
-        line: UpstreamId,
+        upstream: UpstreamId,
         id: RequestId,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) -> bool {
         let Some(at) = self
             .upstreams
-            .get_mut(&line)
+            .get_mut(&upstream)
             .filter(|at| at.dialling_since.is_none() && !at.blocked)
         else {
             return false;
@@ -66,13 +71,13 @@
             return false;
         };
         let (_, bytes) = at.unsent_offers.remove(n);
-        out.push(PoolAction::Offer(line, id, bytes));
+        actions.push(PoolAction::Offer(upstream, id, bytes));
         true
     }
 
     /// The machine takes no bytes now, and none of this set-up left: it waits on.
-    pub fn write_blocked(&mut self, line: UpstreamId, id: RequestId, bytes: Vec<u8>) {
-        let Some(at) = self.upstreams.get_mut(&line) else {
+    pub fn write_blocked(&mut self, upstream: UpstreamId, id: RequestId, bytes: Vec<u8>) {
+        let Some(at) = self.upstreams.get_mut(&upstream) else {
             return;
         };
         at.blocked = true;
@@ -82,20 +87,20 @@
     }
 
     /// The machine takes no bytes now, and has only a part of this set-up.
-    pub fn partially_written(&mut self, line: UpstreamId, id: RequestId) {
-        if let Some(at) = self.upstreams.get_mut(&line) {
+    pub fn partially_written(&mut self, upstream: UpstreamId, id: RequestId) {
+        if let Some(at) = self.upstreams.get_mut(&upstream) {
             (at.blocked, at.partially_written) = (true, Some(id));
         }
     }
 
     /// The machine has taken all that waited for it.
-    pub fn write_drained(&mut self, line: UpstreamId, out: &mut Vec<PoolAction>) {
-        if let Some(at) = self.upstreams.get_mut(&line) {
+    pub fn write_drained(&mut self, upstream: UpstreamId, actions: &mut Vec<PoolAction>) {
+        if let Some(at) = self.upstreams.get_mut(&upstream) {
             (at.blocked, at.partially_written) = (false, None);
-            out.extend(
+            actions.extend(
                 at.unsent_offers
                     .iter()
-                    .map(|(offer, _)| PoolAction::OfferReady(line, *offer)),
+                    .map(|(offer, _)| PoolAction::OfferReady(upstream, *offer)),
             );
         }
     }
@@ -105,14 +110,14 @@
         &mut self,
         now: Seconds,
         machine: MachineId,
-        out: &mut Vec<PoolAction>,
-        news: &mut Vec<PoolEvent>,
+        actions: &mut Vec<PoolAction>,
+        events: &mut Vec<PoolEvent>,
     ) {
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
-        for line in peer.upstreams.clone() {
-            let Some(at) = self.upstreams.get_mut(&line) else {
+        for upstream in peer.upstreams.clone() {
+            let Some(at) = self.upstreams.get_mut(&upstream) else {
                 continue;
             };
             let waiting: Vec<RequestId> = std::mem::take(&mut at.unsent_offers)
@@ -121,9 +126,9 @@
                 .collect();
             at.pending_offers.retain(|offer| !waiting.contains(offer));
             if at.dialling_since.is_some() && at.pending_offers.is_empty() && !waiting.is_empty() {
-                self.half_close(now, line, out);
+                self.half_close(now, upstream, actions);
             }
-            news.extend(waiting.into_iter().map(PoolEvent::NeverSent));
+            events.extend(waiting.into_iter().map(PoolEvent::NeverSent));
         }
         self.update_idle_index(machine);
     }
@@ -134,17 +139,18 @@
         now: Seconds,
         machine: MachineId,
         bytes: Vec<u8>,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) {
         let sound = self
             .upstreams_to(machine)
-            .filter(|(_, line)| line.is_healthy());
+            .filter(|(_, upstream)| upstream.is_healthy());
         let sound = sound
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(at, _)| at);
-        if let Some((at, line)) = sound.and_then(|at| Some((at, self.upstreams.get_mut(&at)?))) {
-            line.used_at = now;
-            out.push(PoolAction::Write(at, bytes));
+        if let Some((at, upstream)) = sound.and_then(|at| Some((at, self.upstreams.get_mut(&at)?)))
+        {
+            upstream.used_at = now;
+            actions.push(PoolAction::Write(at, bytes));
             return self.update_idle_index(machine);
         }
         let Some(peer) = self.peers.get_mut(&machine) else {
@@ -157,10 +163,10 @@
     }
 
     /// A set-up has had its answer: its connection is free for another.
-    pub fn settle_offer(&mut self, line: UpstreamId, id: RequestId) {
-        if let Some(line) = self.upstreams.get_mut(&line) {
-            line.pending_offers.retain(|&offer| offer != id);
-            let machine = line.machine;
+    pub fn settle_offer(&mut self, upstream: UpstreamId, id: RequestId) {
+        if let Some(upstream) = self.upstreams.get_mut(&upstream) {
+            upstream.pending_offers.retain(|&offer| offer != id);
+            let machine = upstream.machine;
             self.update_idle_index(machine);
         }
     }
@@ -170,12 +176,12 @@
     pub fn cancel(
         &mut self,
         now: Seconds,
-        line: UpstreamId,
+        upstream: UpstreamId,
         id: RequestId,
         suspect: bool,
-        out: &mut Vec<PoolAction>,
+        actions: &mut Vec<PoolAction>,
     ) -> bool {
-        let Some(at) = self.upstreams.get_mut(&line) else {
+        let Some(at) = self.upstreams.get_mut(&upstream) else {
             return false;
         };
         at.pending_offers.retain(|&offer| offer != id);
@@ -185,18 +191,18 @@
         if at.partially_written == Some(id) && at.pending_offers.is_empty() {
             // The rest of it would still leave as soon as the machine reads. What the machine had to say on this
             // connection it says on the next.
-            self.remove(line);
-            out.push(PoolAction::Close(line));
+            self.remove(upstream);
+            actions.push(PoolAction::Close(upstream));
             return true;
         }
         if !waited {
-            out.push(PoolAction::Write(
-                line,
+            actions.push(PoolAction::Write(
+                upstream,
                 Message::release(id, cause::NORMAL).encode(),
             ));
         }
         if at.pending_offers.is_empty() && (suspect || at.dialling_since.is_some()) {
-            self.half_close(now, line, out);
+            self.half_close(now, upstream, actions);
         }
         self.update_idle_index(machine);
         waited
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -116,27 +116,36 @@
     /// Takes in a request.
     pub fn add(&mut self, id: RequestId, request: Request) {
         self.ids.insert(request.task, id);
-        self.index(id, request.client, request.state, true);
+        self.insert_into_indexes(id, request.client, request.state);
         self.requests.insert(id, request);
     }
 
-    fn index(&mut self, id: RequestId, client: DownstreamId, stage: RequestState, add: bool) {
-        match stage {
+    fn insert_into_indexes(&mut self, id: RequestId, client: DownstreamId, state: RequestState) {
+        match state {
             RequestState::Pending { attempt, .. } => {
-                let until = attempt.map(|attempt| (micros(attempt.deadline), id));
-                if add {
-                    self.pending_by_client.insert((client, id));
-                    self.attempt_deadlines.extend(until);
-                } else {
-                    self.pending_by_client.remove(&(client, id));
-                    until.map(|until| self.attempt_deadlines.remove(&until));
+                self.pending_by_client.insert((client, id));
+                if let Some(attempt) = attempt {
+                    self.attempt_deadlines
+                        .insert((micros(attempt.deadline), id));
                 }
             }
-            RequestState::Placed { machine, .. } if add => {
-                drop(self.placed_by_machine.insert((machine, id)))
+            RequestState::Placed { machine, .. } => {
+                self.placed_by_machine.insert((machine, id));
+            }
+        }
+    }
+
+    fn remove_from_indexes(&mut self, id: RequestId, client: DownstreamId, state: RequestState) {
+        match state {
+            RequestState::Pending { attempt, .. } => {
+                self.pending_by_client.remove(&(client, id));
+                if let Some(attempt) = attempt {
+                    self.attempt_deadlines
+                        .remove(&(micros(attempt.deadline), id));
+                }
             }
             RequestState::Placed { machine, .. } => {
-                drop(self.placed_by_machine.remove(&(machine, id)))
+                self.placed_by_machine.remove(&(machine, id));
             }
         }
     }
@@ -147,8 +156,8 @@
             return;
         };
         let (client, old) = (request.client, std::mem::replace(&mut request.state, stage));
-        self.index(id, client, old, false);
-        self.index(id, client, stage, true);
+        self.remove_from_indexes(id, client, old);
+        self.insert_into_indexes(id, client, stage);
     }
 
     /// Counts an attempt; tells its number.
@@ -160,9 +169,9 @@
     }
 
     /// Whether the attempt that is out for a request is on this connection.
-    pub fn is_attempt_on(&self, id: RequestId, line: UpstreamId) -> bool {
+    pub fn is_attempt_on(&self, id: RequestId, upstream: UpstreamId) -> bool {
         let stage = self.requests.get(&id).map(|request| request.state);
-        matches!(stage, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == line)
+        matches!(stage, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == upstream)
     }
 
     /// An attempt begins; the first one counts, until it is known not to have run.
@@ -192,7 +201,7 @@
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.ids.remove(&request.task);
-        self.index(id, request.client, request.state, false);
+        self.remove_from_indexes(id, request.client, request.state);
         Some(request)
     }
 
