--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,10 +3,13 @@
 mod actions;
 mod attempts;
 mod clients;
+mod endpoints;
+mod inputs;
 mod io;
 mod machines;
 mod requests;
 mod shutdown;
+mod upstream_messages;
 
 pub use io::{Input, Limits, Output, PeerCheck};
 
@@ -16,13 +19,13 @@
 use crate::counts::Counts;
 use crate::downstream::Downstreams;
 use crate::error::GatewayError;
-use crate::pool::{ConnectionEnd, ConnectionTimeouts, Pool};
-use crate::request_table::{RequestTable, micros};
+use crate::pool::{ConnectionTimeouts, Pool};
+use crate::request_table::RequestTable;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 use tidespur_load_shedding::LoadShedder;
 use tidespur_policy::Scheduler;
-use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, MachineId, Seconds, TaskId};
+use tidespur_policy::interface::{Event, MachineId, Seconds};
 use tidespur_site_settings::Site;
 
 /// Set-ups without an answer on one connection; more are refused at once.
@@ -153,136 +156,4 @@
             .min(self.ready_offers.recheck_at)
             .min(self.next_shutdown_deadline())
     }
-
-    /// Takes in what came at `now`, and tells what is to be done.
-    pub fn step(
-        &mut self,
-        now: Seconds,
-        inputs: impl IntoIterator<Item = Input>,
-        outputs: &mut Vec<Output>,
-    ) {
-        if now - self.last_step > LOOP_STALL_TIMEOUT {
-            self.pool.loop_stalled(now);
-        }
-        self.last_step = now;
-        for input in inputs {
-            self.handle_input(now, input, outputs);
-        }
-        self.handle_timers(now, outputs);
-        // An offer that can't leave is an event at once; the policy's attempts bound how often.
-        while !self.events.is_empty() {
-            let mut actions = Vec::new();
-            self.policy
-                .step(now, std::mem::take(&mut self.events), &mut actions);
-            for action in actions {
-                self.carry_out(now, action, outputs);
-            }
-        }
-    }
-
-    fn handle_input(&mut self, now: Seconds, input: Input, outputs: &mut Vec<Output>) {
-        match input {
-            Input::DownstreamOpened(client, from) => {
-                self.downstreams.opened(now, client, from);
-                self.close_surplus(now, outputs);
-            }
-            Input::DownstreamMessage(client, message) if self.downstreams.contains(client) => {
-                self.downstream_message(now, client, message, outputs);
-            }
-            Input::DownstreamMessage(..) => {}
-            Input::DownstreamMalformed(client) => {
-                self.counts.malformed += 1;
-                self.close_client(now, client, outputs);
-            }
-            Input::DownstreamClosed(client) => {
-                self.downstreams.remove(client);
-                self.cancel_client_requests(now, client, outputs);
-            }
-            Input::DownstreamPeerClosed(client) => {
-                self.downstream_peer_closed(now, client, outputs)
-            }
-            Input::DownstreamChecked(client, check) => {
-                self.downstream_checked(now, client, check, outputs)
-            }
-            Input::UpstreamOpened(upstream) => {
-                self.with_pool(outputs, |pool, actions| pool.opened(now, upstream, actions))
-            }
-            Input::UpstreamConnectRefused(upstream) => {
-                self.upstream_ended(now, upstream, ConnectionEnd::Refused, outputs)
-            }
-            Input::UpstreamEnded(upstream) | Input::UpstreamConnectFailed(upstream) => {
-                self.upstream_ended(now, upstream, ConnectionEnd::Other, outputs);
-            }
-            Input::UpstreamWriteFailed(upstream, offer) => {
-                self.upstream_ended(now, upstream, ConnectionEnd::WriteFailed(offer), outputs);
-            }
-            Input::UpstreamBlocked(upstream, offer, bytes) => {
-                self.pool.write_blocked(upstream, offer, bytes)
-            }
-            Input::UpstreamPartiallyWritten(upstream, offer) => {
-                self.pool.partially_written(upstream, offer)
-            }
-            Input::UpstreamDrained(upstream) => self.with_pool(outputs, |pool, actions| {
-                pool.write_drained(upstream, actions)
-            }),
-            Input::UpstreamChecked(upstream) => self.upstream_checked(now, upstream, outputs),
-            Input::UpstreamMalformed(upstream) => self.upstream_malformed(now, upstream, outputs),
-            Input::UpstreamMessage(upstream, message) => {
-                self.upstream_message(now, upstream, &message, outputs)
-            }
-            Input::EndpointsDelivered(event) => self.endpoints_delivered(now, event, outputs),
-            Input::Shutdown => self.begin_shutdown(now),
-            Input::ListeningStopped => self.listening_stopped(outputs),
-            Input::LagMeasured(late) => {
-                self.counts.max_lag_ms = self.counts.max_lag_ms.max((late * 1e3) as u64);
-                self.shedder.observe_lag(now, late);
-            }
-            Input::Tick => {}
-        }
-    }
-
-    /// What is due by now.
-    fn handle_timers(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
-        while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= micros(now)) {
-            self.timers.remove(&(at, token));
-            self.events.push(Event::TimerFired(token));
-        }
-        self.check_overdue_attempts(now, outputs);
-        self.recheck_busy_clients(now, outputs);
-        self.advance_shutdown(now, outputs);
-        if now - self.last_tick < TICK_INTERVAL {
-            return;
-        }
-        self.last_tick = now;
-        let mut pool_events = Vec::new();
-        self.with_pool(outputs, |pool, actions| {
-            pool.tick(now, actions, &mut pool_events)
-        });
-        self.handle_pool_events(now, pool_events, outputs);
-        for client in self.downstreams.mark_silent(now) {
-            outputs.push(Output::CheckDownstream(client));
-        }
-        // Machines come and go without end: what is kept of one goes with its last connection.
-        let pool = &self.pool;
-        self.machines.retain(|machine, _| pool.knows(*machine));
-        self.send_pending_releases(outputs);
-        self.recheck_closing_clients(outputs);
-    }
-}
-
-/// The policy's event about an attempt that has ended.
-fn attempt_ended_event(
-    task: TaskId,
-    attempt: u32,
-    outcome: AttemptOutcome,
-    closed: bool,
-    report: Option<LoadReport>,
-) -> Event {
-    Event::AttemptEnded {
-        task,
-        attempt,
-        outcome,
-        closed,
-        report,
-    }
 }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,6 +1,6 @@
 //! Actions of the policy, carried out.
 
-use super::attempt_ended_event;
+use super::attempts::attempt_ended_event;
 use super::{Gateway, Output};
 use crate::message::{Message, MessageKind, cause, code};
 use crate::request_table::{Attempt, RequestState, micros};
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -1,13 +1,13 @@
 //! Requests and attempts over time: answers to owners, cancels, time-outs, ends.
 
+use super::MAX_PENDING_RELEASES;
 use super::{Gateway, Output};
-use super::{MAX_PENDING_RELEASES, attempt_ended_event};
 use crate::UpstreamId;
 use crate::message::{Message, RequestId, cause};
 use crate::pool::PoolAction;
 use crate::request_table::RequestState;
 use std::collections::BTreeSet;
-use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds};
+use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds, TaskId};
 
 impl Gateway {
     /// Sends bytes to the owner of a request, by whatever way leads there.
@@ -225,3 +225,20 @@
         ));
     }
 }
+
+/// The policy's event about an attempt that has ended.
+pub(super) fn attempt_ended_event(
+    task: TaskId,
+    attempt: u32,
+    outcome: AttemptOutcome,
+    closed: bool,
+    report: Option<LoadReport>,
+) -> Event {
+    Event::AttemptEnded {
+        task,
+        attempt,
+        outcome,
+        closed,
+        report,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/upstream_messages.rs
@@ -0,0 +1,182 @@
+//! Messages of machines: answers to offers, ends of placed tasks, progress and health checks.
+
+use super::{Gateway, Output};
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::pool::PoolAction;
+use crate::request_table::RequestState;
+use crate::{UpstreamId, task_request};
+use tidespur_policy::interface::{AttemptOutcome, Event, MachineId, Seconds};
+
+impl Gateway {
+    /// Handles a message of a machine. One that belongs to no attempt on its connection and to no task placed on its
+    /// machine is only counted: a second copy, an answer under another's id, or one that comes after its attempt was
+    /// cancelled or has timed out.
+    pub(super) fn upstream_message(
+        &mut self,
+        now: Seconds,
+        upstream: UpstreamId,
+        message: &Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.pool.message_received(now, upstream);
+        let Some(machine) = self.pool.machine(upstream) else {
+            return;
+        };
+        let id = message.id;
+        let state = self.requests.get(id).map(|request| request.state);
+        let is_attempt_here = self.requests.is_attempt_on(id, upstream);
+        let is_placed_here = matches!(
+            state,
+            Some(RequestState::Placed { machine: placed_on, .. }) if placed_on == machine
+        );
+        match message.kind {
+            MessageKind::Answer if is_attempt_here => {
+                self.offer_accepted(now, upstream, machine, message, outputs);
+            }
+            MessageKind::Release if is_attempt_here => self.offer_released(message),
+            MessageKind::Release if is_placed_here => {
+                self.placed_task_released(now, upstream, message, outputs);
+            }
+            MessageKind::Release if state.is_none() => {
+                self.unknown_task_released(now, upstream, message, outputs);
+            }
+            MessageKind::Note if is_placed_here => self.progress_reported(message),
+            MessageKind::Test => {
+                let reply = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
+                outputs.push(Output::Upstream(PoolAction::Write(
+                    upstream,
+                    reply.encode(),
+                )));
+            }
+            MessageKind::Tested | MessageKind::Progress | MessageKind::Heard => {}
+            _ => self.counts.unmatched += 1,
+        }
+    }
+
+    /// The machine has taken the task. An answer without a description is malformed.
+    fn offer_accepted(
+        &mut self,
+        now: Seconds,
+        upstream: UpstreamId,
+        machine: MachineId,
+        message: &Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        let id = message.id;
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let RequestState::Pending {
+            attempt: Some(attempt),
+            ..
+        } = request.state
+        else {
+            return;
+        };
+        let task = request.task;
+        let client = request.client;
+        let Some(description) = message.get(code::DESCRIPTION) else {
+            return self.upstream_malformed(now, upstream, outputs);
+        };
+        let answer = Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, description);
+        self.counts.placed += 1;
+        self.pool.settle_offer(upstream, id);
+        self.requests.set_state(
+            id,
+            RequestState::Placed {
+                machine,
+                attempt: attempt.number,
+                since: now,
+            },
+        );
+        self.pool.count_placed(now, machine, true);
+        self.downstreams.count_pending(now, client, false);
+        self.downstreams.count_placed(client, true);
+        self.events.push(Event::AttemptConfirmed {
+            task,
+            attempt: attempt.number,
+        });
+        self.reply(id, answer.encode(), outputs);
+    }
+
+    /// The machine has rejected or given up the offer.
+    fn offer_released(&mut self, message: &Message) {
+        let failure = task_request::failure_cause(message);
+        let outcome = match message.cause() {
+            Some(cause::FULL) => AttemptOutcome::Rejected(failure),
+            Some(cause::ERROR) => AttemptOutcome::Failed,
+            Some(cause::MOOT) => AttemptOutcome::NeverSent,
+            _ => AttemptOutcome::Interrupted(failure),
+        };
+        match outcome {
+            AttemptOutcome::Rejected(_) => self.counts.rejected_by_machine += 1,
+            AttemptOutcome::Failed => self.counts.errors += 1,
+            _ => self.counts.interrupted += 1,
+        }
+        self.attempt_ended(message.id, outcome, task_request::load_report(message));
+    }
+
+    /// A placed task has ended at its machine; its owner is told, unless the end was ordered from here.
+    fn placed_task_released(
+        &mut self,
+        now: Seconds,
+        upstream: UpstreamId,
+        message: &Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        let id = message.id;
+        let Some(RequestState::Placed { attempt, .. }) =
+            self.requests.get(id).map(|request| request.state)
+        else {
+            return;
+        };
+        acknowledge_release(upstream, id, outputs);
+        let release_cause = message.cause().unwrap_or(cause::FAILED);
+        let outcome = match release_cause {
+            cause::NORMAL => AttemptOutcome::Finished,
+            cause::ENDED => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::Interrupted(task_request::failure_cause(message)),
+        };
+        if release_cause != cause::ENDED {
+            self.reply(id, Message::release(id, release_cause).encode(), outputs);
+        }
+        let report = task_request::load_report(message);
+        self.finish_placed(now, id, attempt, outcome, report);
+    }
+
+    /// A task has ended that is not known here: its owner may hand it over only now, and is told then.
+    fn unknown_task_released(
+        &mut self,
+        now: Seconds,
+        upstream: UpstreamId,
+        message: &Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.counts.unmatched += 1;
+        let release_cause = message.cause().unwrap_or(cause::FAILED);
+        self.requests
+            .record_unknown_end(now, message.id, release_cause);
+        acknowledge_release(upstream, message.id, outputs);
+    }
+
+    /// A placed task's progress goes to the policy; a report of an unknown kind is ignored.
+    fn progress_reported(&mut self, message: &Message) {
+        let Some(request) = self.requests.get(message.id) else {
+            return;
+        };
+        if let Some(progress) = task_request::attempt_progress(message) {
+            self.events.push(Event::AttemptProgressed {
+                task: request.task,
+                progress,
+            });
+        }
+    }
+}
+
+fn acknowledge_release(upstream: UpstreamId, id: RequestId, outputs: &mut Vec<Output>) {
+    let heard = Message::new(MessageKind::Heard, id);
+    outputs.push(Output::Upstream(PoolAction::Write(
+        upstream,
+        heard.encode(),
+    )));
+}
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -206,8 +206,8 @@
             half_closed,
             next: 0,
             stalled_at,
-            max_connections: max_connections,
-            timeouts: timeouts,
+            max_connections,
+            timeouts,
         }
     }
 
