--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -1,4 +1,8 @@
-//! Connections that came in: which may stay, which are closed, and which one leads to an owner.
+//! Connections of clients: which may stay open, which are closed, and which one leads to an owner.
+//!
+//! Owned by the gateway, which decides what follows; `accounting` counts the requests and malformed messages of each.
+
+mod accounting;
 
 use crate::DownstreamId;
 use std::collections::BTreeMap;
@@ -7,11 +11,6 @@
 
 /// One that has said nothing of use for this long is closed. The platform allows 3 s.
 const SILENT_CLIENT_TIMEOUT: Seconds = 2.0;
-/// So many messages of no use, beyond those that are forgiven each second, and it is closed.
-const MAX_PENALTY: f64 = 32.0;
-const PENALTY_DECAY_PER_SECOND: f64 = 10.0;
-/// A test, or a message that means nothing, counts as this much of one of no use.
-const FREE_MESSAGE_PENALTY: f64 = 0.1;
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -177,78 +176,6 @@
         }
     }
 
-    /// It sent something of no use; `true`: too often.
-    pub fn record_malformed(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        self.add_penalty(now, id, 1.0)
-    }
-
-    /// It sent something that is free; `true`: far too often.
-    pub fn record_free_message(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        self.add_penalty(now, id, FREE_MESSAGE_PENALTY)
-    }
-
-    fn add_penalty(&mut self, now: Seconds, id: DownstreamId, penalty: f64) -> bool {
-        self.downstreams.get_mut(&id).is_some_and(|client| {
-            let (useless, at) = client.penalty;
-            client.penalty = (
-                (useless - PENALTY_DECAY_PER_SECOND * (now - at)).max(0.0) + penalty,
-                now,
-            );
-            client.penalty.0 > MAX_PENALTY
-        })
-    }
-
-    /// It is sent a release, and may say that it heard it.
-    pub fn release_sent(&mut self, id: DownstreamId) {
-        if let Some(client) = self.downstreams.get_mut(&id) {
-            client.unacknowledged_releases = client.unacknowledged_releases.saturating_add(1);
-        }
-    }
-
-    /// It says that it heard a release; `true`: none was sent, and that too often.
-    pub fn release_acknowledged(&mut self, now: Seconds, id: DownstreamId) -> bool {
-        match self
-            .downstreams
-            .get_mut(&id)
-            .filter(|client| client.unacknowledged_releases > 0)
-        {
-            Some(client) => {
-                client.unacknowledged_releases -= 1;
-                false
-            }
-            None => self.record_malformed(now, id),
-        }
-    }
-
-    /// Its set-ups without an answer.
-    pub fn pending_count(&self, id: DownstreamId) -> usize {
-        self.downstreams.get(&id).map_or(0, |client| client.pending)
-    }
-
-    /// A set-up was opened (`true`) or is over.
-    pub fn count_pending(&mut self, now: Seconds, id: DownstreamId, more: bool) {
-        if let Some(client) = self.downstreams.get_mut(&id) {
-            client.pending = if more {
-                client.pending + 1
-            } else {
-                client.pending.saturating_sub(1)
-            };
-            client.used_at = now;
-        }
-    }
-
-    /// A task of its stands (`true`) or is over.
-    pub fn count_placed(&mut self, id: DownstreamId, more: bool) {
-        if let Some(client) = self.downstreams.get_mut(&id) {
-            client.placed = if more {
-                client.placed + 1
-            } else {
-                client.placed.saturating_sub(1)
-            };
-            client.is_owner |= more;
-        }
-    }
-
     /// A connection that leads to the owner that came by `id` from `from`: that one, else one from the same
     /// address, else any other of an owner. A connection of which no task ever stood is not taken: whoever
     /// asks for what can't be had may come from the same address.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,6 +8,7 @@
 mod io;
 mod machines;
 mod requests;
+mod set_ups;
 mod shutdown;
 mod upstream_messages;
 
--- /dev/null
+++ b/crates/gateway/src/gateway/set_ups.rs
@@ -0,0 +1,186 @@
+//! Set-ups: admitted, adopted where a machine holds the task already, rejected, or deferred as an id conflict.
+
+use super::clients::IdConflict;
+use super::{Gateway, MAX_PENDING, MAX_PENDING_PER_CLIENT, MAX_REQUESTS, Output};
+use crate::message::{Message, RequestId, cause};
+use crate::request_table::{Request, RequestState};
+use crate::task_request::TaskRequestError;
+use crate::{DownstreamId, discovery, task_request};
+use tidespur_policy::interface::{Event, Seconds, Task};
+
+/// Set-ups that can't be used are logged as long as fewer than this many malformed messages have come in all.
+const MAX_LOGGED_MALFORMED: u64 = 20;
+
+impl Gateway {
+    /// Handles a set-up. One without an id closes its connection, as an answer to it could be anybody's.
+    pub(super) fn handle_set_up(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        message: Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        let id = message.id;
+        if id == RequestId::default() {
+            return self.close_malformed_client(now, client, outputs);
+        }
+        if let Some(holder) = self.requests.get(id).map(|request| request.client) {
+            return self.set_up_of_known_id(now, holder, client, message, outputs);
+        }
+        let mut parsed = match task_request::parse(&self.site, now, &message) {
+            Ok(parsed) => parsed,
+            Err(error) => return self.reject_malformed(now, client, id, error, outputs),
+        };
+        let task = self.requests.new_task_id();
+        parsed.task.id = task;
+        let request = Request {
+            task,
+            client,
+            from: self.downstreams.from(client),
+            state: RequestState::Pending {
+                attempt: None,
+                may_have_run: false,
+            },
+            class_index: parsed.task.class,
+            forwarded: task_request::forwarded_parameters(message),
+            attempts: 0,
+            first_attempt_at: None,
+        };
+        match &parsed.placed_at {
+            Some(name) => self.adopt(now, id, request, parsed.task, name, outputs),
+            None => self.submit(now, id, request, parsed.task, outputs),
+        }
+    }
+
+    /// A set-up whose id is in the request table already. A hand-over that comes twice on one connection is ignored;
+    /// two requests of one id can't both be answered, as neither answer could be told from the other.
+    fn set_up_of_known_id(
+        &mut self,
+        now: Seconds,
+        holder: DownstreamId,
+        client: DownstreamId,
+        message: Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        if holder != client {
+            let conflict = IdConflict {
+                holder,
+                claimant: client,
+                message,
+            };
+            self.defer_id_conflict(conflict, outputs);
+        } else if !task_request::is_handover(&message) {
+            self.close_malformed_client(now, client, outputs);
+        }
+    }
+
+    /// Adopts a task that the machine `name` holds already. The endpoint list may name the machine only later; until it
+    /// counts as failed, it is waited for.
+    fn adopt(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        mut request: Request,
+        task: Task,
+        name: &str,
+        outputs: &mut Vec<Output>,
+    ) {
+        let machine = discovery::machine_id(name);
+        let client = request.client;
+        let end_cause = self.requests.unknown_end_cause(id);
+        let has_capacity = self.requests.count() < MAX_REQUESTS;
+        if end_cause.is_some() || !has_capacity || !self.pool.expect_machine(now, machine) {
+            let release_cause = end_cause
+                .filter(|&end_cause| end_cause != cause::ENDED)
+                .unwrap_or(cause::FAILED);
+            return release_client(client, id, release_cause, outputs);
+        }
+        self.machines
+            .entry(machine)
+            .or_insert_with(|| (name.to_owned(), None));
+        self.counts.adopted += 1;
+        self.downstreams.record_valid_set_up(now, client);
+        request.state = RequestState::Placed {
+            machine,
+            attempt: 0,
+            since: now,
+        };
+        request.attempts = 1;
+        self.requests.add(id, request);
+        self.pool.count_placed(now, machine, true);
+        self.downstreams.count_placed(client, true);
+        self.events.push(Event::TaskAdopted(task, machine));
+    }
+
+    /// Submits a task to the policy, or rejects it if the gateway has no capacity for it. A rejected task never reached
+    /// the policy, so that its owner can ask again without harm. A client that has gone gets no answer.
+    fn submit(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        request: Request,
+        task: Task,
+        outputs: &mut Vec<Output>,
+    ) {
+        let client = request.client;
+        if !self.downstreams.is_reachable(client) {
+            self.counts.cancelled += 1;
+            return;
+        }
+        let is_shed = !self.shedder.admit(task.class);
+        self.counts.shed += u64::from(is_shed);
+        let is_rejected = is_shed
+            || self.is_shutting_down()
+            || self.downstreams.pending_count(client) >= MAX_PENDING_PER_CLIENT
+            || self.requests.pending_count() >= MAX_PENDING;
+        self.downstreams.record_valid_set_up(now, client);
+        if is_rejected {
+            self.counts.rejected += 1;
+            return release_client(client, id, cause::CONGESTED, outputs);
+        }
+        self.counts.accepted += 1;
+        self.downstreams.count_pending(now, client, true);
+        self.requests.add(id, request);
+        self.events.push(Event::TaskSubmitted(task));
+    }
+
+    /// Rejects a set-up that can't be used, and closes its connection if too many came on it.
+    fn reject_malformed(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        id: RequestId,
+        error: TaskRequestError,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.counts.malformed += 1;
+        if self.counts.malformed < MAX_LOGGED_MALFORMED {
+            outputs.push(Output::Log(format!("request {id} can't be used: {error}")));
+        }
+        release_client(client, id, cause::CONTENT, outputs);
+        if self.downstreams.record_malformed(now, client) {
+            self.close_client(now, client, outputs);
+        }
+    }
+
+    /// Closes a connection on which nothing more can be trusted.
+    pub(super) fn close_malformed_client(
+        &mut self,
+        now: Seconds,
+        client: DownstreamId,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.counts.malformed += 1;
+        self.close_client(now, client, outputs);
+    }
+}
+
+fn release_client(
+    client: DownstreamId,
+    id: RequestId,
+    release_cause: u8,
+    outputs: &mut Vec<Output>,
+) {
+    let release = Message::release(id, release_cause);
+    outputs.push(Output::WriteDownstream(client, release.encode()));
+}
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -6,6 +6,7 @@
 
 mod capacity;
 mod endpoints;
+mod lifecycle;
 mod maintenance;
 mod offers;
 
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -1,201 +1,118 @@
-//! Connections over time: made, heard, ended, tested, idle; and when a machine has failed.
+//! Periodic maintenance: dials and health checks that time out, idle and half-closed connections, and probes of the
+//! machines that hold placed tasks.
 
 use super::{
-    ConnectionEnd, DIAL_BACKOFF, HALF_CLOSE_TIMEOUT, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_TIMEOUT,
-    IdleClass, MACHINE_FAILURE_TIMEOUT, Peer, Pool, PoolAction, PoolEvent,
-    REQUIRED_CONNECTION_MIN_AGE, Upstream, VISIT_INTERVAL,
+    DIAL_BACKOFF, HALF_CLOSE_TIMEOUT, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_TIMEOUT, IdleClass,
+    MACHINE_FAILURE_TIMEOUT, Peer, Pool, PoolAction, PoolEvent, REQUIRED_CONNECTION_MIN_AGE,
+    Upstream, VISIT_INTERVAL,
 };
 use crate::UpstreamId;
 use crate::message::{Message, MessageKind, RequestId, code};
-use std::collections::BTreeSet;
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// A connection is made.
-    pub fn opened(&mut self, now: Seconds, id: UpstreamId, actions: &mut Vec<PoolAction>) {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return actions.push(PoolAction::Close(id));
-        };
-        (
-            upstream.dialling_since,
-            upstream.heard_at,
-            upstream.opened_at,
-        ) = (None, now, now);
-        actions.extend(
-            upstream
-                .unsent_offers
-                .iter()
-                .map(|(offer, _)| PoolAction::OfferReady(id, *offer)),
-        );
-        let machine = upstream.machine;
-        if let Some(peer) = self.peers.get_mut(&machine) {
-            (
-                peer.consecutive_failures,
-                peer.consecutive_refusals,
-                peer.heard_at,
-            ) = (0, 0, now);
-            while let Some(bytes) = peer.queued_messages.pop_front() {
-                actions.push(PoolAction::Write(id, bytes));
-            }
-        }
-        self.update_idle_index(machine);
-    }
-
-    /// Something whole was read.
-    pub fn message_received(&mut self, now: Seconds, id: UpstreamId) {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return;
-        };
-        let (machine, tested) = (upstream.machine, upstream.health_check_sent_at.take());
-        upstream.heard_at = now;
-        if let Some(peer) = self.peers.get_mut(&machine) {
-            peer.heard_at = now;
-        }
-        if tested.is_some() {
-            self.update_idle_index(machine);
-        }
-    }
-
-    /// A connection ended, or could not be made.
-    pub fn ended(
-        &mut self,
-        now: Seconds,
-        id: UpstreamId,
-        end: ConnectionEnd,
-        events: &mut Vec<PoolEvent>,
-    ) {
-        let unwritten = match end {
-            ConnectionEnd::WriteFailed(offer) => Some(offer),
-            ConnectionEnd::Refused | ConnectionEnd::Other => None,
-        };
-        if unwritten.is_none() {
-            self.half_closed.remove(&id);
-        }
-        let Some(upstream) = self.remove(id) else {
-            return;
-        };
-        let dialling = upstream.dialling_since.is_some();
-        if unwritten.is_some() {
-            // What the machine wrote before it ended the connection may still be there to read.
-            self.half_closed.insert(id, (upstream.machine, now));
-        }
-        // Only the set-up that could not be written is known not to have left: others on the line had.
-        let waited: BTreeSet<RequestId> = upstream
-            .unsent_offers
-            .iter()
-            .map(|(offer, _)| *offer)
-            .collect();
-        let never_left =
-            |offer: RequestId| waited.contains(&offer) || unwritten == Some(Some(offer));
-        // That an open connection ended is no proof against its machine, which closes idle ones. Whether it can still be
-        // reached the next dial tells.
-        let told = |offer: RequestId| match never_left(offer) {
-            true if dialling => PoolEvent::ConnectFailed(offer),
-            true => PoolEvent::NeverSent(offer),
-            false => PoolEvent::Interrupted(offer),
-        };
-        events.extend(upstream.pending_offers.into_iter().map(told));
-        let heard = |other: &Upstream| {
-            other.dialling_since.is_none() && now - other.heard_at < HEALTH_CHECK_INTERVAL
-        };
-        let alive = self
-            .upstreams_to(upstream.machine)
-            .any(|(_, other)| heard(other));
-        let Some(peer) = self.peers.get_mut(&upstream.machine) else {
-            return;
-        };
-        if dialling {
-            peer.consecutive_failures += 1;
-            peer.consecutive_refusals = if end == ConnectionEnd::Refused {
-                peer.consecutive_refusals + 1
-            } else {
-                0
-            };
-            peer.next_dial_at = now + DIAL_BACKOFF;
-            // A machine may refuse because it has too many connections: then it is heard on another.
-            if peer.consecutive_refusals >= 2 && !alive && peer.placed_tasks > 0 {
-                events.push(PoolEvent::MachineFailed(upstream.machine));
-            }
-        }
-    }
-
-    /// A connection brought what can't be read: it is of no further use.
-    pub fn malformed(
+    /// Does the maintenance that is due by `now`, and forgets machines that are not listed and have nothing left here.
+    pub fn tick(
         &mut self,
         now: Seconds,
-        id: UpstreamId,
         actions: &mut Vec<PoolAction>,
         events: &mut Vec<PoolEvent>,
     ) {
-        if self.upstreams.contains_key(&id) || self.half_closed.contains_key(&id) {
-            actions.push(PoolAction::Close(id));
-            self.ended(now, id, ConnectionEnd::Other, events);
-        }
+        self.close_timed_out(now, actions, events);
+        self.half_close_idle(now, actions);
+        self.close_half_closed(now, actions);
+        self.probe_peers(now, actions, events);
+        let is_listed = |peer: &Peer| !peer.is_gone && !peer.address.is_empty();
+        self.peers.retain(|_, peer| {
+            is_listed(peer) || peer.placed_tasks > 0 || !peer.upstreams.is_empty()
+        });
     }
 
-    /// Time goes on: dials that take too long, tests, silence, idle connections.
-    pub fn tick(
+    /// Closes connections whose dial, and then those whose health check, has taken too long.
+    fn close_timed_out(
         &mut self,
         now: Seconds,
         actions: &mut Vec<PoolAction>,
         events: &mut Vec<PoolEvent>,
     ) {
-        let slow = self.upstreams.iter().filter(|(_, l)| {
-            l.dialling_since
-                .is_some_and(|at| now - at > self.timeouts.connect)
-        });
-        let silent = self.upstreams.iter().filter(|(_, l)| {
-            l.health_check_sent_at
-                .is_some_and(|at| now - at > HEALTH_CHECK_TIMEOUT)
-        });
-        let over: Vec<UpstreamId> = slow.chain(silent).map(|(&id, _)| id).collect();
-        for id in over {
+        let connect_timeout = self.timeouts.connect;
+        let is_dial_late = |upstream: &Upstream| {
+            upstream
+                .dialling_since
+                .is_some_and(|since| now - since > connect_timeout)
+        };
+        let is_check_late = |upstream: &Upstream| {
+            upstream
+                .health_check_sent_at
+                .is_some_and(|sent_at| now - sent_at > HEALTH_CHECK_TIMEOUT)
+        };
+        let mut timed_out = self.upstreams_where(is_dial_late);
+        timed_out.extend(self.upstreams_where(is_check_late));
+        for id in timed_out {
             self.malformed(now, id, actions, events);
         }
-        let idle = |upstream: &Upstream| {
-            upstream.is_idle() && now - upstream.used_at > self.timeouts.idle_limit()
-        };
-        let idle: Vec<UpstreamId> = self
-            .upstreams
-            .iter()
-            .filter(|(_, upstream)| idle(upstream))
-            .map(|(&id, _)| id)
-            .collect();
+    }
+
+    /// Half-closes connections that have been idle for too long and are not required. One at a time, as each may make
+    /// another to the same machine required.
+    fn half_close_idle(&mut self, now: Seconds, actions: &mut Vec<PoolAction>) {
+        let idle_limit = self.timeouts.idle_limit();
+        let idle = self
+            .upstreams_where(|upstream| upstream.is_idle() && now - upstream.used_at > idle_limit);
         for id in idle {
-            // One at a time, as of two idle ones to a machine one may be needed.
-            if self
+            let idle_entry = self
                 .upstreams
                 .get(&id)
-                .is_some_and(|upstream| matches!(upstream.idle_entry, Some((IdleClass::Spare, _))))
-            {
+                .and_then(|upstream| upstream.idle_entry);
+            if matches!(idle_entry, Some((IdleClass::Spare, _))) {
                 self.half_close(now, id, actions);
             }
         }
-        let slow = self
+    }
+
+    fn upstreams_where(&self, condition: impl Fn(&Upstream) -> bool) -> Vec<UpstreamId> {
+        self.upstreams
+            .iter()
+            .filter(|(_, upstream)| condition(upstream))
+            .map(|(&id, _)| id)
+            .collect()
+    }
+
+    /// Closes half-closed connections that their machines have not ended in time.
+    fn close_half_closed(&mut self, now: Seconds, actions: &mut Vec<PoolAction>) {
+        let timed_out: Vec<UpstreamId> = self
             .half_closed
             .iter()
-            .filter(|(_, (_, at))| now - at > HALF_CLOSE_TIMEOUT);
-        let slow: Vec<UpstreamId> = slow.map(|(&id, _)| id).collect();
-        for id in slow {
+            .filter(|(_, (_, since))| now - since > HALF_CLOSE_TIMEOUT)
+            .map(|(&id, _)| id)
+            .collect();
+        for id in timed_out {
             self.half_closed.remove(&id);
             actions.push(PoolAction::Close(id));
         }
-        let wanted = |peer: &Peer| peer.placed_tasks > 0 || !peer.queued_messages.is_empty();
-        let wanted = self.peers.iter().filter(|(_, peer)| wanted(peer));
-        let mut wanted: Vec<(Seconds, MachineId)> = wanted
+    }
+
+    /// Probes the machines that hold a placed task or are owed a message. The one heard longest ago comes first: where
+    /// connections are at capacity, the last one would never have its turn otherwise.
+    fn probe_peers(
+        &mut self,
+        now: Seconds,
+        actions: &mut Vec<PoolAction>,
+        events: &mut Vec<PoolEvent>,
+    ) {
+        let mut peers: Vec<(Seconds, MachineId)> = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.placed_tasks > 0 || !peer.queued_messages.is_empty())
             .map(|(&machine, peer)| (peer.heard_at, machine))
             .collect();
-        // Who was heard longest ago comes first: where there is no room for all, the last would never be called.
-        wanted.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, machine) in wanted {
+        peers.sort_by(|a, b| a.0.total_cmp(&b.0));
+        for (_, machine) in peers {
             self.probe_peer(now, machine, actions, events);
         }
-        let listed = |peer: &Peer| !peer.is_gone && !peer.address.is_empty();
-        self.peers
-            .retain(|_, peer| listed(peer) || peer.placed_tasks > 0 || !peer.upstreams.is_empty());
     }
 
-    /// Keeps one connection to a machine that holds a task of ours, and finds out whether it lives.
+    /// Keeps one connection to a machine that holds a placed task, and finds out whether the machine is alive.
     fn probe_peer(
         &mut self,
         now: Seconds,
@@ -203,58 +120,74 @@
         actions: &mut Vec<PoolAction>,
         events: &mut Vec<PoolEvent>,
     ) {
-        let dialling = self
+        let is_dialling = self
             .upstreams_to(machine)
             .any(|(_, upstream)| upstream.dialling_since.is_some());
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
+        let silent_for = now - peer.heard_at;
         if peer.placed_tasks > 0
-            && now - peer.heard_at > MACHINE_FAILURE_TIMEOUT
+            && silent_for > MACHINE_FAILURE_TIMEOUT
             && peer.consecutive_failures >= 2
         {
             events.push(PoolEvent::MachineFailed(machine));
             return;
         }
-        let (silent_for, redial_at, told) = (
-            now - peer.heard_at,
-            peer.next_dial_at,
-            peer.queued_messages.is_empty(),
-        );
-        let open = || {
+        let next_dial_at = peer.next_dial_at;
+        let has_no_message = peer.queued_messages.is_empty();
+        let open_upstreams = || {
             self.upstreams_to(machine)
                 .filter(|(_, upstream)| upstream.dialling_since.is_none())
         };
-        let tested = open().any(|(_, upstream)| upstream.health_check_sent_at.is_some());
-        let newest = open()
+        let has_check_open =
+            open_upstreams().any(|(_, upstream)| upstream.health_check_sent_at.is_some());
+        let last_heard = open_upstreams()
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(id, _)| id);
-        // Where there is no room for all, those without a connection take turns.
-        let waits = self.is_at_capacity() && silent_for < VISIT_INTERVAL && told;
-        let suspect =
-            newest.is_none() && !waits || silent_for > HEALTH_CHECK_INTERVAL + HEALTH_CHECK_TIMEOUT;
-        let silent = newest.filter(|_| !tested && silent_for > HEALTH_CHECK_INTERVAL);
-        if let Some((id, upstream)) = silent.and_then(|id| Some((id, self.upstreams.get_mut(&id)?)))
+        // At capacity, machines without a connection take turns.
+        let waits_for_turn = self.is_at_capacity() && silent_for < VISIT_INTERVAL && has_no_message;
+        let needs_dial = last_heard.is_none() && !waits_for_turn
+            || silent_for > HEALTH_CHECK_INTERVAL + HEALTH_CHECK_TIMEOUT;
+        if let Some(id) = last_heard
+            && !has_check_open
+            && silent_for > HEALTH_CHECK_INTERVAL
         {
-            upstream.health_check_sent_at = Some(now);
-            let test = Message::new(MessageKind::Test, RequestId(0)).with(code::CAUSE, &[0]);
-            actions.push(PoolAction::Write(id, test.encode()));
-            self.update_idle_index(machine);
+            self.send_health_check(now, machine, id, actions);
+        }
+        if needs_dial && !is_dialling && now >= next_dial_at {
+            self.dial_probe(now, machine, actions);
+        }
+    }
+
+    fn send_health_check(
+        &mut self,
+        now: Seconds,
+        machine: MachineId,
+        id: UpstreamId,
+        actions: &mut Vec<PoolAction>,
+    ) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
+            return;
+        };
+        upstream.health_check_sent_at = Some(now);
+        let test = Message::new(MessageKind::Test, RequestId(0)).with(code::CAUSE, &[0]);
+        actions.push(PoolAction::Write(id, test.encode()));
+        self.update_idle_index(machine);
+    }
+
+    /// Dials a machine. One without an address counts as failed dial, as nobody knows where it listens; lack of
+    /// capacity does not, as it says nothing about the machine.
+    fn dial_probe(&mut self, now: Seconds, machine: MachineId, actions: &mut Vec<PoolAction>) {
+        let required_before = now - REQUIRED_CONNECTION_MIN_AGE;
+        if self.dial(now, required_before, machine, actions).is_some() {
+            return;
         }
-        if suspect
-            && !dialling
-            && now >= redial_at
-            && self
-                .dial(now, now - REQUIRED_CONNECTION_MIN_AGE, machine, actions)
-                .is_none()
-            && let Some(peer) = self
-                .peers
-                .get_mut(&machine)
-                .filter(|peer| peer.address.is_empty())
+        if let Some(peer) = self.peers.get_mut(&machine)
+            && peer.address.is_empty()
         {
-            // Nobody knows where it could be heard. That there is no room is not its fault, and proves nothing.
-            (peer.consecutive_failures, peer.next_dial_at) =
-                (peer.consecutive_failures + 1, now + DIAL_BACKOFF);
+            peer.consecutive_failures += 1;
+            peer.next_dial_at = now + DIAL_BACKOFF;
         }
     }
 }
