--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,6 +4,7 @@
 mod attempts;
 mod clients;
 mod endpoints;
+mod id_conflicts;
 mod inputs;
 mod io;
 mod machines;
@@ -14,7 +15,8 @@
 
 pub use io::{Input, Limits, Output, PeerCheck};
 
-use clients::{IdConflict, ReadyOffers};
+use clients::ReadyOffers;
+use id_conflicts::IdConflict;
 use shutdown::GracefulShutdown;
 
 use crate::counts::Counts;
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,12 +1,13 @@
-//! Actions of the policy, carried out.
+//! Carries out the policy's actions: offers, rejections, migrations and timers.
 
 use super::attempts::attempt_ended_event;
 use super::{Gateway, Output};
-use crate::message::{Message, MessageKind, cause, code};
-use crate::request_table::{Attempt, RequestState, micros};
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::request_table::{Attempt, Request, RequestState, micros};
 use tidespur_policy::interface::{Action, AttemptOutcome, Event, MachineId, Seconds, TaskId};
 
 impl Gateway {
+    /// Carries out one action of the policy.
     pub(super) fn carry_out(&mut self, now: Seconds, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::Offer {
@@ -22,25 +23,13 @@
                 self.counts.failed += 1;
                 self.reject_request(now, task, cause::FAILED, outputs);
             }
-            Action::Migrate(task) => {
-                let Some(id) = self.requests.id_of_task(task) else {
-                    return;
-                };
-                if self
-                    .requests
-                    .get(id)
-                    .is_some_and(|r| matches!(r.state, RequestState::Placed { .. }))
-                {
-                    self.reply(id, Message::new(MessageKind::Move, id).encode(), outputs);
-                    self.release_at_machine(now, id, outputs);
-                }
-            }
-            // The board is followed all the time: there is nothing to ask for.
+            Action::Migrate(task) => self.migrate(now, task, outputs),
+            // The discovery stream is followed all the time: there is nothing to subscribe to.
             Action::SubscribeEndpoints => self.events.push(Event::EndpointsChanged(Vec::new())),
             Action::SetTimer { after, token } => {
                 self.timers.insert((micros(now + after), token));
             }
-            // The platform has no way to ask for a load alone, and none to other schedulers that is used here.
+            // The platform has no message that polls a load, and its schedulers don't gossip.
             Action::PollLoad(machine) => self.events.push(Event::LoadPolled {
                 machine,
                 report: None,
@@ -50,11 +39,24 @@
         }
     }
 
+    /// Asks the owner of a placed task to come again, and releases the task at its machine.
+    fn migrate(&mut self, now: Seconds, task: TaskId, outputs: &mut Vec<Output>) {
+        let Some(id) = self.requests.id_of_task(task) else {
+            return;
+        };
+        let state = self.requests.get(id).map(|request| request.state);
+        if let Some(RequestState::Placed { .. }) = state {
+            self.reply(id, Message::new(MessageKind::Move, id).encode(), outputs);
+            self.release_at_machine(now, id, outputs);
+        }
+    }
+
+    /// Answers a pending request with a release of this cause, and forgets it.
     pub(super) fn reject_request(
         &mut self,
         now: Seconds,
         task: TaskId,
-        word: u8,
+        release_cause: u8,
         outputs: &mut Vec<Output>,
     ) {
         let Some(id) = self.requests.id_of_task(task) else {
@@ -65,11 +67,12 @@
         else {
             return;
         };
-        self.reply(id, Message::release(id, word).encode(), outputs);
+        self.reply(id, Message::release(id, release_cause).encode(), outputs);
         self.downstreams.count_pending(now, client, false);
         self.requests.remove(id);
     }
 
+    /// Offers a task to a machine. The machine is told how long this attempt lasts in place of the owner's wait.
     pub(super) fn send_offer(
         &mut self,
         now: Seconds,
@@ -88,46 +91,44 @@
         let RequestState::Pending { may_have_run, .. } = request.state else {
             return;
         };
-        let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
-        let mut set_up = Message::new(MessageKind::SetUp, id);
-        for (code, value) in &request.forwarded {
-            set_up = set_up.with(
-                *code,
-                if *code == code::WAIT {
-                    milliseconds.as_bytes()
-                } else {
-                    value
-                },
-            );
-        }
+        let set_up = offer_message(id, request, wait);
         self.counts.offers += 1;
-        match self.with_pool(outputs, |pool, actions| {
+        let upstream = self.with_pool(outputs, |pool, actions| {
             pool.offer(now, machine, id, set_up.encode(), actions)
-        }) {
-            Some(upstream) => {
-                let attempt = Some(Attempt {
-                    number,
-                    upstream,
-                    deadline: now + wait,
-                });
-                self.requests.set_state(
-                    id,
-                    RequestState::Pending {
-                        attempt,
-                        may_have_run,
-                    },
-                );
-            }
-            None => {
-                self.counts.unsent += 1;
-                self.events.push(attempt_ended_event(
-                    task,
-                    number,
-                    AttemptOutcome::ConnectFailed,
-                    false,
-                    None,
-                ));
-            }
-        }
+        });
+        let Some(upstream) = upstream else {
+            self.counts.unsent += 1;
+            let outcome = AttemptOutcome::ConnectFailed;
+            self.events
+                .push(attempt_ended_event(task, number, outcome, false, None));
+            return;
+        };
+        let attempt = Some(Attempt {
+            number,
+            upstream,
+            deadline: now + wait,
+        });
+        self.requests.set_state(
+            id,
+            RequestState::Pending {
+                attempt,
+                may_have_run,
+            },
+        );
+    }
+}
+
+/// The set-up that a machine is sent: the owner's parameters in their order, with the attempt's wait in milliseconds.
+fn offer_message(id: RequestId, request: &Request, wait: Seconds) -> Message {
+    let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
+    let mut set_up = Message::new(MessageKind::SetUp, id);
+    for (code, value) in &request.forwarded {
+        let value = if *code == code::WAIT {
+            milliseconds.as_bytes()
+        } else {
+            value
+        };
+        set_up = set_up.with(*code, value);
     }
+    set_up
 }
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -7,9 +7,9 @@
 
 use super::{Gateway, Output, PeerCheck};
 use crate::downstream::CloseReason;
-use crate::message::{Message, RequestId};
+use crate::message::RequestId;
 use crate::request_table::RequestState;
-use crate::{DownstreamId, UpstreamId, task_request};
+use crate::{DownstreamId, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_policy::interface::{AttemptOutcome, RetrySafety, Seconds};
 
@@ -25,14 +25,6 @@
     pub(super) recheck_at: Seconds,
 }
 
-/// A set-up under the number of a request that another connection holds.
-#[derive(Debug)]
-pub(super) struct IdConflict {
-    pub(super) holder: DownstreamId,
-    pub(super) claimant: DownstreamId,
-    pub(super) message: Message,
-}
-
 impl Default for ReadyOffers {
     fn default() -> Self {
         Self {
@@ -199,57 +191,4 @@
             self.cancel_request(now, id, outputs);
         }
     }
-
-    /// A set-up names what another connection holds already. Whether that one is still there decides, and its close may
-    /// not have been read.
-    pub(super) fn defer_id_conflict(&mut self, claim: IdConflict, outputs: &mut Vec<Output>) {
-        outputs.push(Output::CheckDownstream(claim.holder));
-        self.id_conflicts.push(claim);
-    }
-
-    /// A connection was looked at: what was claimed of it is decided.
-    fn resolve_id_conflicts(
-        &mut self,
-        now: Seconds,
-        looked_at: DownstreamId,
-        outputs: &mut Vec<Output>,
-    ) {
-        let (decided, rest) = std::mem::take(&mut self.id_conflicts)
-            .into_iter()
-            .partition(|claim| claim.holder == looked_at);
-        self.id_conflicts = rest;
-        let decided: Vec<IdConflict> = decided;
-        for IdConflict {
-            holder: known,
-            claimant: client,
-            message,
-        } in decided
-        {
-            let id = message.id;
-            let there = self.downstreams.is_reachable(known);
-            match self
-                .requests
-                .get(id)
-                .map(|request| (request.client, request.state))
-            {
-                // It was cancelled with its connection.
-                None => self.handle_set_up(now, client, message, outputs),
-                // Who names what stands is believed to be its owner only where the one who is known has gone: else
-                // anybody with an id could draw its end to himself.
-                Some((by, RequestState::Placed { .. })) if task_request::is_handover(&message) => {
-                    if by == known && !there {
-                        self.downstreams.record_valid_set_up(now, client);
-                        self.downstreams.count_placed(client, true);
-                        self.requests
-                            .rebind_client(id, client, self.downstreams.from(client));
-                    }
-                }
-                // Two requests of one number: neither answer could be told from the other.
-                Some(_) => {
-                    self.counts.malformed += 1;
-                    self.close_client(now, client, outputs);
-                }
-            }
-        }
-    }
 }
--- /dev/null
+++ b/crates/gateway/src/gateway/id_conflicts.rs
@@ -0,0 +1,71 @@
+//! Set-ups whose id another connection holds already.
+//!
+//! Whether the holder is still connected decides, and its close may not have been read: so the holder is checked first.
+
+use super::{Gateway, Output};
+use crate::message::Message;
+use crate::request_table::RequestState;
+use crate::{DownstreamId, task_request};
+use tidespur_policy::interface::Seconds;
+
+/// A set-up of `claimant` under the id of a request that `holder` has.
+#[derive(Debug)]
+pub(super) struct IdConflict {
+    pub(super) holder: DownstreamId,
+    pub(super) claimant: DownstreamId,
+    pub(super) message: Message,
+}
+
+impl Gateway {
+    /// Checks the holder's connection, and keeps the set-up until that is done.
+    pub(super) fn defer_id_conflict(&mut self, conflict: IdConflict, outputs: &mut Vec<Output>) {
+        outputs.push(Output::CheckDownstream(conflict.holder));
+        self.id_conflicts.push(conflict);
+    }
+
+    /// The connection of `holder` was checked: the conflicts that wait for it are resolved, in their order.
+    pub(super) fn resolve_id_conflicts(
+        &mut self,
+        now: Seconds,
+        holder: DownstreamId,
+        outputs: &mut Vec<Output>,
+    ) {
+        let conflicts: Vec<IdConflict>;
+        (conflicts, self.id_conflicts) = std::mem::take(&mut self.id_conflicts)
+            .into_iter()
+            .partition(|conflict| conflict.holder == holder);
+        for conflict in conflicts {
+            self.resolve_id_conflict(now, conflict, outputs);
+        }
+    }
+
+    /// Handles the set-up if the holder's request has ended. A hand-over of a placed task makes the claimant its owner
+    /// only if the holder has gone: else anybody with an id could divert the end of another's task. Any other set-up
+    /// closes the claimant's connection, as neither of two answers of one id could be told from the other.
+    fn resolve_id_conflict(
+        &mut self,
+        now: Seconds,
+        conflict: IdConflict,
+        outputs: &mut Vec<Output>,
+    ) {
+        let IdConflict {
+            holder,
+            claimant,
+            message,
+        } = conflict;
+        let id = message.id;
+        let Some(request) = self.requests.get(id) else {
+            return self.handle_set_up(now, claimant, message, outputs);
+        };
+        let is_placed = matches!(request.state, RequestState::Placed { .. });
+        if !is_placed || !task_request::is_handover(&message) {
+            return self.close_malformed_client(now, claimant, outputs);
+        }
+        if request.client == holder && !self.downstreams.is_reachable(holder) {
+            self.downstreams.record_valid_set_up(now, claimant);
+            self.downstreams.count_placed(claimant, true);
+            let from = self.downstreams.from(claimant);
+            self.requests.rebind_client(id, claimant, from);
+        }
+    }
+}
--- a/crates/gateway/src/gateway/set_ups.rs
+++ b/crates/gateway/src/gateway/set_ups.rs
@@ -1,6 +1,6 @@
 //! Set-ups: admitted, adopted where a machine holds the task already, rejected, or deferred as an id conflict.
 
-use super::clients::IdConflict;
+use super::id_conflicts::IdConflict;
 use super::{Gateway, MAX_PENDING, MAX_PENDING_PER_CLIENT, MAX_REQUESTS, Output};
 use crate::message::{Message, RequestId, cause};
 use crate::request_table::{Request, RequestState};
--- a/crates/gateway/src/pool/lifecycle.rs
+++ b/crates/gateway/src/pool/lifecycle.rs
@@ -6,19 +6,17 @@
 use crate::UpstreamId;
 use crate::message::RequestId;
 use std::collections::BTreeSet;
-use tidespur_policy::interface::Seconds;
+use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// A connection is made.
+    /// A connection is open: its offers can be sent, and the messages that waited for its machine are.
     pub fn opened(&mut self, now: Seconds, id: UpstreamId, actions: &mut Vec<PoolAction>) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return actions.push(PoolAction::Close(id));
         };
-        (
-            upstream.dialling_since,
-            upstream.heard_at,
-            upstream.opened_at,
-        ) = (None, now, now);
+        upstream.dialling_since = None;
+        upstream.heard_at = now;
+        upstream.opened_at = now;
         actions.extend(
             upstream
                 .unsent_offers
@@ -27,11 +25,9 @@
         );
         let machine = upstream.machine;
         if let Some(peer) = self.peers.get_mut(&machine) {
-            (
-                peer.consecutive_failures,
-                peer.consecutive_refusals,
-                peer.heard_at,
-            ) = (0, 0, now);
+            peer.consecutive_failures = 0;
+            peer.consecutive_refusals = 0;
+            peer.heard_at = now;
             while let Some(bytes) = peer.queued_messages.pop_front() {
                 actions.push(PoolAction::Write(id, bytes));
             }
@@ -39,22 +35,24 @@
         self.update_idle_index(machine);
     }
 
-    /// Something whole was read.
+    /// A message was read, whatever it says: its machine is alive.
     pub fn message_received(&mut self, now: Seconds, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        let (machine, tested) = (upstream.machine, upstream.health_check_sent_at.take());
+        let machine = upstream.machine;
+        let health_check = upstream.health_check_sent_at.take();
         upstream.heard_at = now;
         if let Some(peer) = self.peers.get_mut(&machine) {
             peer.heard_at = now;
         }
-        if tested.is_some() {
+        if health_check.is_some() {
             self.update_idle_index(machine);
         }
     }
 
-    /// A connection ended, or could not be made.
+    /// A connection has ended, or could not be opened. After a failed write it is still read to its end, as the machine
+    /// may have written something before it ended the connection.
     pub fn ended(
         &mut self,
         now: Seconds,
@@ -62,62 +60,52 @@
         end: ConnectionEnd,
         events: &mut Vec<PoolEvent>,
     ) {
-        let unwritten = match end {
-            ConnectionEnd::WriteFailed(offer) => Some(offer),
-            ConnectionEnd::Refused | ConnectionEnd::Other => None,
-        };
-        if unwritten.is_none() {
+        let is_read_on = matches!(end, ConnectionEnd::WriteFailed(_));
+        if !is_read_on {
             self.half_closed.remove(&id);
         }
         let Some(upstream) = self.remove(id) else {
             return;
         };
-        let dialling = upstream.dialling_since.is_some();
-        if unwritten.is_some() {
-            // What the machine wrote before it ended the connection may still be there to read.
-            self.half_closed.insert(id, (upstream.machine, now));
+        let machine = upstream.machine;
+        let was_dialling = upstream.dialling_since.is_some();
+        if is_read_on {
+            self.half_closed.insert(id, (machine, now));
         }
-        // Only the set-up that could not be written is known not to have left: others on the line had.
-        let waited: BTreeSet<RequestId> = upstream
-            .unsent_offers
-            .iter()
-            .map(|(offer, _)| *offer)
-            .collect();
-        let never_left =
-            |offer: RequestId| waited.contains(&offer) || unwritten == Some(Some(offer));
-        // That an open connection ended is no proof against its machine, which closes idle ones. Whether it can still be
-        // reached the next dial tells.
-        let told = |offer: RequestId| match never_left(offer) {
-            true if dialling => PoolEvent::ConnectFailed(offer),
-            true => PoolEvent::NeverSent(offer),
-            false => PoolEvent::Interrupted(offer),
-        };
-        events.extend(upstream.pending_offers.into_iter().map(told));
-        let heard = |other: &Upstream| {
+        end_offers(upstream, end, events);
+        if was_dialling {
+            self.dial_failed(now, machine, end, events);
+        }
+    }
+
+    /// Counts a failed dial. A machine that refuses twice in a row has failed, unless it was heard lately on another
+    /// connection: it may refuse because it has too many.
+    fn dial_failed(
+        &mut self,
+        now: Seconds,
+        machine: MachineId,
+        end: ConnectionEnd,
+        events: &mut Vec<PoolEvent>,
+    ) {
+        let is_alive = self.upstreams_to(machine).any(|(_, other)| {
             other.dialling_since.is_none() && now - other.heard_at < HEALTH_CHECK_INTERVAL
-        };
-        let alive = self
-            .upstreams_to(upstream.machine)
-            .any(|(_, other)| heard(other));
-        let Some(peer) = self.peers.get_mut(&upstream.machine) else {
+        });
+        let Some(peer) = self.peers.get_mut(&machine) else {
             return;
         };
-        if dialling {
-            peer.consecutive_failures += 1;
-            peer.consecutive_refusals = if end == ConnectionEnd::Refused {
-                peer.consecutive_refusals + 1
-            } else {
-                0
-            };
-            peer.next_dial_at = now + DIAL_BACKOFF;
-            // A machine may refuse because it has too many connections: then it is heard on another.
-            if peer.consecutive_refusals >= 2 && !alive && peer.placed_tasks > 0 {
-                events.push(PoolEvent::MachineFailed(upstream.machine));
-            }
+        peer.consecutive_failures += 1;
+        if end == ConnectionEnd::Refused {
+            peer.consecutive_refusals += 1;
+        } else {
+            peer.consecutive_refusals = 0;
+        }
+        peer.next_dial_at = now + DIAL_BACKOFF;
+        if peer.consecutive_refusals >= 2 && !is_alive && peer.placed_tasks > 0 {
+            events.push(PoolEvent::MachineFailed(machine));
         }
     }
 
-    /// A connection brought what can't be read: it is of no further use.
+    /// Closes a connection on which nothing more can be read, such as one with malformed bytes.
     pub fn malformed(
         &mut self,
         now: Seconds,
@@ -131,3 +119,25 @@
         }
     }
 }
+
+/// Tells what became of each offer of a connection that has ended. Only the offer that could not be written is known not
+/// to have been sent, beside those that waited: others had been. That an open connection ended is no evidence against
+/// its machine, which closes idle ones; the next dial tells whether it can be reached.
+fn end_offers(upstream: Upstream, end: ConnectionEnd, events: &mut Vec<PoolEvent>) {
+    let was_dialling = upstream.dialling_since.is_some();
+    let unsent: BTreeSet<RequestId> = upstream
+        .unsent_offers
+        .iter()
+        .map(|(offer, _)| *offer)
+        .collect();
+    for offer in upstream.pending_offers {
+        let never_sent = unsent.contains(&offer) || end == ConnectionEnd::WriteFailed(Some(offer));
+        events.push(if !never_sent {
+            PoolEvent::Interrupted(offer)
+        } else if was_dialling {
+            PoolEvent::ConnectFailed(offer)
+        } else {
+            PoolEvent::NeverSent(offer)
+        });
+    }
+}
--- a/crates/gateway/src/task_request.rs
+++ b/crates/gateway/src/task_request.rs
@@ -1,4 +1,6 @@
-//! A set-up's fields to a task, with all that can be wrong with them.
+//! Parses set-ups and the reports of machines into the policy's types.
+//!
+//! Called by the gateway for each message; a set-up that can't be used is rejected with the error of the first field.
 
 use crate::message::{Message, code};
 use std::collections::BTreeMap;
@@ -7,10 +9,11 @@
 };
 use tidespur_site_settings::{Site, convert};
 
-/// An owner that says that it waits longer than this is not believed.
+/// A set-up whose owner waits longer than this is rejected, as no owner of the platform waits so long.
 const MAX_OWNER_WAIT: Seconds = 3600.0;
-/// Nor is a task that is to run longer than this.
+/// A set-up whose task is expected to run longer than this is rejected.
 const MAX_EXPECTED_DURATION: Seconds = 1e7;
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// Why a set-up can't be used. Its owner is told so by cause 100; the log names the field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -46,96 +49,65 @@
     pub placed_at: Option<String>,
 }
 
+/// Splits `key:value;key:value` into its fields; a later field of the same key replaces an earlier one.
 fn fields(text: &str) -> BTreeMap<&str, &str> {
     text.split(';')
         .filter_map(|field| field.split_once(':'))
-        .map(|(k, v)| (k.trim(), v.trim()))
+        .map(|(key, value)| (key.trim(), value.trim()))
         .collect()
 }
 
-fn number(what: &'static str, text: &str) -> Result<f64, TaskRequestError> {
+fn number(field: &'static str, text: &str) -> Result<f64, TaskRequestError> {
     text.parse()
         .ok()
         .filter(|number: &f64| number.is_finite())
-        .ok_or(TaskRequestError::NotANumber(what))
+        .ok_or(TaskRequestError::NotANumber(field))
 }
 
-/// Reads a set-up that came at `now`.
+fn required_text<'a>(
+    message: &'a Message,
+    code: u8,
+    field: &'static str,
+) -> Result<&'a str, TaskRequestError> {
+    message.text(code).ok_or(TaskRequestError::Missing(field))
+}
+
+fn required_field<'a>(
+    fields: &BTreeMap<&str, &'a str>,
+    name: &'static str,
+) -> Result<&'a str, TaskRequestError> {
+    fields
+        .get(name)
+        .copied()
+        .ok_or(TaskRequestError::Missing(name))
+}
+
+/// Parses a set-up that arrived at `now`.
 ///
 /// # Errors
-/// Names the field that can't be used.
+/// Fails with the first field that can't be used.
 pub fn parse(
     site: &Site,
     now: Seconds,
     message: &Message,
 ) -> Result<TaskRequest, TaskRequestError> {
-    let text = |code, what| message.text(code).ok_or(TaskRequestError::Missing(what));
-    let class = text(code::CLASS, "the class")?;
-    let class = site
-        .classes
-        .iter()
-        .position(|name| name == class)
-        .ok_or(TaskRequestError::UnknownClass)?;
-    let tenant = match (site.tenants.is_empty(), text(code::TENANT, "the tenant")) {
-        (true, _) => 0,
-        (false, tenant) => {
-            let tenant = tenant?;
-            site.tenants
-                .iter()
-                .position(|name| name == tenant)
-                .ok_or(TaskRequestError::UnknownTenant)?
-        }
-    };
-    let asks = fields(text(code::ASKS, "what the task asks for")?);
-    let field = |name: &'static str| {
-        asks.get(name)
-            .copied()
-            .ok_or(TaskRequestError::Missing(name))
-    };
-    let most = |of: fn(&tidespur_policy::interface::MachineType) -> f64, admit: f64| {
-        site.settings
-            .machine_types
-            .iter()
-            .map(of)
-            .fold(0.0, f64::max)
-            * admit.max(1.0)
-    };
-    let cores = number("cores", field("cores")?)?;
-    let memory = number("memory", field("memory")?)?;
-    // No machine admits more, however empty: waiting would not help.
-    if !(cores > 0.0 && cores <= most(|kind| kind.capacity.cpu, site.settings.overcommit.cpu)) {
-        return Err(TaskRequestError::OutOfRange("cores"));
-    }
-    if !(memory >= 0.0
-        && memory <= most(|kind| kind.capacity.memory, site.settings.overcommit.memory))
-    {
-        return Err(TaskRequestError::OutOfRange("memory"));
-    }
-    let service = field("service")?;
-    if service.is_empty() || text(code::NAME, "the task's name")?.is_empty() {
+    let class = class_index(site, message)?;
+    let tenant = tenant_index(site, message)?;
+    let fields = fields(required_text(
+        message,
+        code::ASKS,
+        "what the task asks for",
+    )?);
+    let request = requested_resources(site, &fields)?;
+    let service = required_field(&fields, "service")?;
+    if service.is_empty() || required_text(message, code::NAME, "the task's name")?.is_empty() {
         return Err(TaskRequestError::EmptyName);
     }
-    let life = match message.text(code::HINT) {
-        None if message.get(code::HINT).is_some() => {
-            return Err(TaskRequestError::Missing("the hint"));
-        }
-        None => None,
-        Some(hint) => Some(number("the hint", hint)? / 1000.0),
-    };
-    if life.is_some_and(|life| !(0.0..=MAX_EXPECTED_DURATION).contains(&life)) {
-        return Err(TaskRequestError::OutOfRange("the hint"));
-    }
-    let at = asks.get("at").map(|at| (*at).to_owned());
-    let deadline = match (text(code::WAIT, "the wait"), &at) {
-        (_, Some(_)) => f64::INFINITY,
-        (Err(problem), None) => return Err(problem),
-        (Ok(wait), None) => {
-            let wait = number("the wait", wait)? / 1000.0;
-            if !(wait > 0.0 && wait <= MAX_OWNER_WAIT) {
-                return Err(TaskRequestError::OutOfRange("the wait"));
-            }
-            now + wait
-        }
+    let expected_duration = expected_duration(message)?;
+    let placed_at = fields.get("at").map(|machine| (*machine).to_owned());
+    let deadline = match placed_at {
+        Some(_) => f64::INFINITY,
+        None => now + owner_wait(message)?,
     };
     let task = Task {
         id: TaskId(0),
@@ -143,14 +115,81 @@
         tenant,
         service: ServiceId(convert::stable_hash(service)),
         deadline,
-        expected_duration: life,
-        request: Resources::new(cores, memory),
+        expected_duration,
+        request,
         is_resubmission: message.text(code::RETRY) == Some("1"),
     };
-    Ok(TaskRequest {
-        task,
-        placed_at: at,
-    })
+    Ok(TaskRequest { task, placed_at })
+}
+
+fn class_index(site: &Site, message: &Message) -> Result<usize, TaskRequestError> {
+    let class = required_text(message, code::CLASS, "the class")?;
+    site.classes
+        .iter()
+        .position(|name| name == class)
+        .ok_or(TaskRequestError::UnknownClass)
+}
+
+/// The tenant's index in the settings; 0 where the settings have no tenants, whatever the set-up says.
+fn tenant_index(site: &Site, message: &Message) -> Result<usize, TaskRequestError> {
+    if site.tenants.is_empty() {
+        return Ok(0);
+    }
+    let tenant = required_text(message, code::TENANT, "the tenant")?;
+    site.tenants
+        .iter()
+        .position(|name| name == tenant)
+        .ok_or(TaskRequestError::UnknownTenant)
+}
+
+/// The requested resources. A request that no machine admits even when it is empty is out of range: waiting would not
+/// help.
+fn requested_resources(
+    site: &Site,
+    fields: &BTreeMap<&str, &str>,
+) -> Result<Resources, TaskRequestError> {
+    let cores = number("cores", required_field(fields, "cores")?)?;
+    let memory = number("memory", required_field(fields, "memory")?)?;
+    let machine_types = &site.settings.machine_types;
+    let overcommit = &site.settings.overcommit;
+    let largest_cpu = machine_types
+        .iter()
+        .map(|machine_type| machine_type.capacity.cpu)
+        .fold(0.0, f64::max);
+    if !(cores > 0.0 && cores <= largest_cpu * overcommit.cpu.max(1.0)) {
+        return Err(TaskRequestError::OutOfRange("cores"));
+    }
+    let largest_memory = machine_types
+        .iter()
+        .map(|machine_type| machine_type.capacity.memory)
+        .fold(0.0, f64::max);
+    if !(memory >= 0.0 && memory <= largest_memory * overcommit.memory.max(1.0)) {
+        return Err(TaskRequestError::OutOfRange("memory"));
+    }
+    Ok(Resources::new(cores, memory))
+}
+
+/// The duration that the owner expects, if the set-up has a hint.
+fn expected_duration(message: &Message) -> Result<Option<Seconds>, TaskRequestError> {
+    if message.get(code::HINT).is_none() {
+        return Ok(None);
+    }
+    let hint = required_text(message, code::HINT, "the hint")?;
+    let duration = number("the hint", hint)? / MILLISECONDS_PER_SECOND;
+    if !(0.0..=MAX_EXPECTED_DURATION).contains(&duration) {
+        return Err(TaskRequestError::OutOfRange("the hint"));
+    }
+    Ok(Some(duration))
+}
+
+/// How long the owner waits for an answer.
+fn owner_wait(message: &Message) -> Result<Seconds, TaskRequestError> {
+    let wait = required_text(message, code::WAIT, "the wait")?;
+    let wait = number("the wait", wait)? / MILLISECONDS_PER_SECOND;
+    if !(wait > 0.0 && wait <= MAX_OWNER_WAIT) {
+        return Err(TaskRequestError::OutOfRange("the wait"));
+    }
+    Ok(wait)
 }
 
 /// What of a set-up goes on to a machine, in its order: all that is not for schedulers alone, as platforms send more
