--- a/crates/gateway-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -94,15 +94,15 @@
 
     pub(super) fn report(&self) {
         let gateway = self.gateway.borrow();
-        let [requests, waiting, downstreams, upstreams, machines] = gateway.sizes();
+        let sizes = gateway.sizes();
         let counts = gateway.counts();
         tracing::info!(
             scheduler = self.name,
-            requests,
-            waiting,
-            downstreams,
-            upstreams,
-            machines,
+            requests = sizes.requests,
+            waiting = sizes.pending,
+            downstreams = sizes.downstreams,
+            upstreams = sizes.upstreams,
+            machines = sizes.machines,
             ?counts
         );
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,7 @@
-//! The state machine of the gateway: inputs from sockets to events of the policy, its actions to bytes.
+//! The gateway's state machine: turns inputs of connections into events of the policy, and its actions into messages.
+//!
+//! [`Gateway`] owns the request table, the connections of clients, the pool of connections to machines and the policy.
+//! It does no I/O: the event loop of `gateway-net` calls [`Gateway::step`] and carries out its outputs.
 
 mod actions;
 mod attempts;
@@ -19,7 +22,7 @@
 use id_conflicts::IdConflict;
 use shutdown::GracefulShutdown;
 
-use crate::counts::Counts;
+use crate::counts::{Counts, ExaminedCounts, Sizes};
 use crate::downstream::Downstreams;
 use crate::error::GatewayError;
 use crate::pool::{ConnectionTimeouts, Pool};
@@ -31,37 +34,37 @@
 use tidespur_policy::interface::{Event, MachineId, Seconds};
 use tidespur_site_settings::Site;
 
-/// Set-ups without an answer on one connection; more are refused at once.
+/// Pending requests on one connection of a client; more are rejected.
 const MAX_PENDING_PER_CLIENT: usize = 256;
-/// Set-ups without an answer in all.
+/// Pending requests in all; more are rejected.
 const MAX_PENDING: usize = 8_192;
-/// Requests and tasks that stand, in all: more are not taken over. Guards against clients that name tasks without end.
-/// Harm: whoever has more is told that they failed.
+/// Pending requests and placed tasks in all; tasks beyond that are not adopted, and their owners are told that they
+/// failed. Bounds the memory that clients can take by naming tasks without end.
 const MAX_REQUESTS: usize = 32_768;
-/// Releases that wait for a way to their owner.
+/// Releases that wait for a connection to their owner; beyond that the oldest is dropped.
 const MAX_PENDING_RELEASES: usize = 4_096;
-/// Time goes on at least this often.
+/// Maintenance runs at this interval, and the event loop wakes at least so often.
 const TICK_INTERVAL: Seconds = 0.1;
 
-/// A step this long after the one before: the loop stood still, as with a tick alone it comes sooner.
+/// A step that begins this long after the one before shows that the event loop stalled, as ticks alone come sooner.
 const LOOP_STALL_TIMEOUT: Seconds = 2.0 * TICK_INTERVAL;
 
-/// The gateway of one scheduler.
+/// The gateway of one scheduler; see the module's description.
 pub struct Gateway {
     site: Site,
     policy: Scheduler,
     requests: RequestTable,
     pool: Pool,
     downstreams: Downstreams,
-    /// Machines that are listed, or of which something is still here: name, and when it last started.
+    /// Machines that are listed or that the pool still knows: name, and when the machine last started.
     machines: BTreeMap<MachineId, (String, Option<Seconds>)>,
     last_revision: u64,
     events: Vec<Event>,
     timers: BTreeSet<(u64, u64)>,
     pending_releases: VecDeque<(Option<IpAddr>, Vec<u8>)>,
-    /// Set-ups that leave once their clients are known to be there still, and who is looked at for it.
+    /// Offers that are sent once their clients are known to be connected still.
     ready_offers: ReadyOffers,
-    /// Set-ups under the numbers of others' requests, until the others' connections have been looked at.
+    /// Set-ups whose id another connection holds, until that connection has been checked.
     id_conflicts: Vec<IdConflict>,
     shutdown: Option<GracefulShutdown>,
     last_tick: Seconds,
@@ -108,53 +111,52 @@
         })
     }
 
-    /// Number of the last event of the notice board that was taken in.
+    /// Revision of the last watch event that was applied.
     pub fn last_revision(&self) -> u64 {
         self.last_revision
     }
 
-    /// The settings that it works by.
+    /// The settings of the site.
     pub fn site(&self) -> &Site {
         &self.site
     }
 
-    /// Machines, and connections to them, that were looked at so far: the work of choosing.
-    pub fn looked(&self) -> [u64; 2] {
-        [
-            self.policy.machines_examined(),
-            self.pool.connections_examined(),
-        ]
+    /// What was examined so far to choose machines and connections.
+    pub fn examined(&self) -> ExaminedCounts {
+        ExaminedCounts {
+            machines: self.policy.machines_examined(),
+            connections: self.pool.connections_examined(),
+        }
     }
 
-    /// What was done so far.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Requests, those that wait, connections of clients and to machines, machines known.
-    pub fn sizes(&self) -> [usize; 5] {
-        let clients = self.downstreams.count();
-        [
-            self.requests.count(),
-            self.requests.pending_count(),
-            clients,
-            self.pool.count(),
-            self.pool.peer_count(),
-        ]
+    /// What the gateway holds at present.
+    pub fn sizes(&self) -> Sizes {
+        Sizes {
+            requests: self.requests.count(),
+            pending: self.requests.pending_count(),
+            downstreams: self.downstreams.count(),
+            upstreams: self.pool.count(),
+            machines: self.pool.peer_count(),
+        }
     }
 
-    /// When [`Input::Tick`] is due at the latest.
+    /// When [`Input::Tick`] is due at the latest, in seconds of the clock that [`Gateway::step`] is called with.
     pub fn next_wake(&self) -> Seconds {
         let timer = self
             .timers
             .first()
             .map_or(f64::INFINITY, |&(at, _)| at as f64 / 1e6);
-        let late = self
+        let attempt_deadline = self
             .requests
             .next_attempt_deadline()
             .map_or(f64::INFINITY, |at| at as f64 / 1e6);
         timer
-            .min(late)
+            .min(attempt_deadline)
             .min(self.last_tick + TICK_INTERVAL)
             .min(self.ready_offers.recheck_at)
             .min(self.next_shutdown_deadline())
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,8 +1,9 @@
-//! Connections to machines: which one carries what, what the end of one means, and when a machine is dead.
+//! The pool of connections to machines: which one carries an offer, what the end of one means, and when a machine has
+//! failed.
 //!
-//! One open set-up a connection while there is room: after a malformed answer a connection is of no use for
-//! anything else on it. While a machine holds a task of ours, one connection to it is kept and tested, as a
-//! machine that vanished says nothing.
+//! Owned by the gateway, which carries out its actions and handles its events. A connection carries one pending offer
+//! while capacity allows it, as nothing more can be read on it after a malformed answer. While a machine holds a placed
+//! task, one connection to it is kept open and health-checked, as a machine that vanished sends nothing.
 
 mod capacity;
 mod endpoints;
@@ -16,42 +17,41 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidespur_policy::interface::{MachineId, Seconds};
 
-/// A connection on which nothing was heard for this long carries no new set-up: a new one is dialled, and if it
-/// does not come up that proves that nothing ran. Guards against machines that died or hang unseen, and, as it is
-/// never more than half of the time after which machines close idle connections, against a set-up that crosses such
-/// a close; costs a handshake.
+/// A connection on which nothing was received for this long carries no new offer: another is dialled, and if that fails
+/// nothing can have run. Guards against machines that died or hang unnoticed, and against an offer that crosses the
+/// machine's close of an idle connection, as it is at most half of that idle time. Costs a handshake.
 const FRESH_CONNECTION_TIMEOUT: Seconds = 0.5;
-/// What was heard by this long after the loop had stood still may have come long before, and a close behind it may lie
-/// unread: such a connection is looked at before it carries a set-up. At other times what is heard has just come, and the
-/// machine's idle time is not over; a look at each would cost a tenth of all placements under full load.
+/// A connection whose last message was read within this time after a stall of the event loop is checked before it
+/// carries an offer: the message may be old, and a close behind it unread. At other times a message that is read has
+/// just arrived; a check of every connection would cost a tenth of all placements under full load.
 const STALL_RECHECK_TIMEOUT: Seconds = 0.05;
-/// A machine that holds a task of ours and was silent for this long is tested.
+/// A machine that holds a placed task and was silent for this long gets a health check.
 const HEALTH_CHECK_INTERVAL: Seconds = 1.0;
-/// A test without an answer for this long: the connection is closed.
+/// A connection whose health check is not answered within this time is closed.
 const HEALTH_CHECK_TIMEOUT: Seconds = 1.5;
-/// A machine silent for this long that can't be dialled either has failed, and what stood there has ended. The
-/// platform allows 8 s from the end, which came after the last word: this leaves time for a late tick. Any sooner, and
-/// a zone that is cut off for some seconds loses all that runs there, at every scheduler. Harm: owners of what stood on
-/// a machine that vanished hear of it so much later.
+/// A machine that was silent for this long and can't be dialled has failed, and so have the tasks placed on it. The
+/// platform allows 8 s from the failure, which came after the last message: this leaves time for a late tick. If it were
+/// shorter, a zone that is cut off for some seconds would lose all its tasks at every scheduler; its cost is that owners
+/// learn of a vanished machine so much later.
 const MACHINE_FAILURE_TIMEOUT: Seconds = 7.4;
-/// Where there is no room for a connection to each machine that holds a task of ours, one without is visited after this
-/// silence, and one that was kept for this long gives way to it. Guards against machines that count as failed only
-/// because nobody could call; costs a handshake a visit.
+/// At capacity, a machine that holds a placed task and has no connection is dialled after this silence. Guards against
+/// machines that count as failed only because none could be dialled; costs a handshake each time.
 const VISIT_INTERVAL: Seconds = 2.0;
+/// A required connection that has been open for this long may give way to such a dial.
 const REQUIRED_CONNECTION_MIN_AGE: Seconds = 1.0;
-/// So many connections may be half-closed and not ended yet while others take their room.
+/// Half-closed connections that capacity is reserved for.
 const MAX_HALF_CLOSED: usize = 8;
-/// Pause between dials that fail.
+/// Pause after a failed dial before the next one to the same machine.
 const DIAL_BACKOFF: Seconds = 0.25;
-/// An idle connection that is not needed is half-closed after this, or after half of the time after which the
-/// machines themselves close it.
+/// An idle connection that is not required is half-closed after this time, or after half of the time after which
+/// machines close it themselves, if that is shorter.
 const IDLE_TIMEOUT: Seconds = 10.0;
-/// A machine has so long to end a connection that was half-closed here. What it wrote before it heard of that, such
-/// as the end of a task, is still read; a plain close would lose it.
+/// A half-closed connection that its machine does not end within this time is closed. What the machine wrote until then,
+/// such as the end of a task, is still read; an immediate close would lose it.
 const HALF_CLOSE_TIMEOUT: Seconds = 2.0;
-/// Messages that wait for the next connection to a machine.
+/// Messages that wait for the next connection to one machine; beyond that the oldest is dropped.
 const MAX_QUEUED_MESSAGES: usize = 1_000;
-/// Machines that the list does not tell of and at which tasks were handed over.
+/// Machines that are not listed, but that adopted tasks name.
 const MAX_UNLISTED_MACHINES: usize = 1_000;
 
 /// What is to be done with connections.
@@ -152,7 +152,7 @@
         self.dialling_since.is_none() && self.pending_offers.is_empty()
     }
 
-    /// Open, and nothing stands against it.
+    /// Whether it is open and no health check waits for its answer.
     fn is_healthy(&self) -> bool {
         self.dialling_since.is_none() && self.health_check_sent_at.is_none()
     }
@@ -164,10 +164,10 @@
     is_gone: bool,
     /// Connections to it that are not half-closed.
     upstreams: BTreeSet<UpstreamId>,
-    /// Tasks of ours that stand there.
+    /// Tasks placed on it.
     placed_tasks: usize,
     heard_at: Seconds,
-    /// Dials that failed in a row, those that were refused, and when the next may go.
+    /// Failed dials in a row, refused ones among them, and when the next may begin.
     consecutive_failures: u32,
     consecutive_refusals: u32,
     next_dial_at: Seconds,
@@ -179,45 +179,41 @@
 pub struct Pool {
     peers: BTreeMap<MachineId, Peer>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// Idle connections in the order in which they give way: found without a walk over all.
+    /// Index of the idle connections in the order in which they give way.
     idle: BTreeSet<(IdleClass, u64, UpstreamId)>,
-    /// Connections that were looked at so far.
     connections_examined: Cell<u64>,
-    /// Half-closed, and not ended by the machine yet: whose, and since when.
+    /// Connections half-closed here and not ended by their machines yet, with the machine and since when.
     half_closed: BTreeMap<UpstreamId, (MachineId, Seconds)>,
     next: u64,
-    /// When the loop last went on after it had stood still: what was heard then may have come long before.
+    /// When the event loop last went on after a stall: messages read then may have arrived long before.
     stalled_at: Seconds,
-    /// Connections that may be there at once.
+    /// Bound on connections at once, half-closed ones included.
     max_connections: usize,
     timeouts: ConnectionTimeouts,
 }
 
 impl Pool {
-    /// No connections yet; at most `most` at once.
+    /// Creates a pool without connections that opens at most `max_connections` at once, and at least two.
     pub fn new(max_connections: usize, timeouts: ConnectionTimeouts) -> Self {
-        let (peers, upstreams, half_closed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (idle, max_connections, stalled_at) =
-            (BTreeSet::new(), max_connections.max(2), f64::NEG_INFINITY);
         Self {
-            peers,
-            upstreams,
-            idle,
+            peers: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
+            idle: BTreeSet::new(),
             connections_examined: Cell::new(0),
-            half_closed,
+            half_closed: BTreeMap::new(),
             next: 0,
-            stalled_at,
-            max_connections,
+            stalled_at: f64::NEG_INFINITY,
+            max_connections: max_connections.max(2),
             timeouts,
         }
     }
 
-    /// The loop has stood still until now.
+    /// The event loop stalled until now.
     pub fn loop_stalled(&mut self, now: Seconds) {
         self.stalled_at = now;
     }
 
-    /// The machine at the other end.
+    /// The machine that a connection leads to; `None` once the connection is closed.
     pub fn machine(&self, upstream: UpstreamId) -> Option<MachineId> {
         let half_closed = self.half_closed.get(&upstream).map(|(machine, _)| *machine);
         self.upstreams
@@ -226,12 +222,12 @@
             .or(half_closed)
     }
 
-    /// Connections there are.
+    /// Connections, also those that are half-closed or being dialled.
     pub fn count(&self) -> usize {
         self.upstreams.len() + self.half_closed.len()
     }
 
-    /// The connections to a machine that are not half-closed, those that are being dialled too.
+    /// The connections to a machine that are open or being dialled; counts each that is examined.
     fn upstreams_to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
         let upstreams = self
             .peers
@@ -245,7 +241,7 @@
         })
     }
 
-    /// Connections that were looked at so far, to find one.
+    /// Connections examined so far.
     pub fn connections_examined(&self) -> u64 {
         self.connections_examined.get()
     }
--- a/crates/gateway/src/pool/capacity.rs
+++ b/crates/gateway/src/pool/capacity.rs
@@ -1,9 +1,8 @@
-//! Room for connections: which one gives way, and how a connection begins and is half-closed.
+//! Capacity for connections: which one gives way to another, and how one is dialled, half-closed and removed.
 
 use super::{IdleClass, MAX_HALF_CLOSED, Pool, PoolAction, Upstream};
 use crate::UpstreamId;
 use crate::request_table::micros;
-use std::collections::BTreeMap;
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
@@ -12,24 +11,25 @@
         self.upstreams.len() + MAX_HALF_CLOSED.min(self.max_connections / 4) >= self.max_connections
     }
 
-    /// Makes room for one more connection; one that is kept gives way if it came up by `kept`.
+    /// Makes capacity for one more connection; a required one gives way only if it was opened by `required_before`.
+    /// Returns whether there is capacity now.
     pub(super) fn make_capacity(
         &mut self,
         now: Seconds,
-        kept: Seconds,
+        required_before: Seconds,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
         if self.is_at_capacity() {
-            let gives = |&&(rest, at, _): &&(IdleClass, u64, UpstreamId)| {
-                rest == IdleClass::Spare || at <= micros(kept)
+            let gives_way = |&&(class, since, _): &&(IdleClass, u64, UpstreamId)| {
+                class == IdleClass::Spare || since <= micros(required_before)
             };
-            let Some(&(.., id)) = self.idle.first().filter(gives) else {
+            let Some(&(.., id)) = self.idle.first().filter(gives_way) else {
                 return self.count() < self.max_connections;
             };
             self.half_close(now, id, actions);
         }
         while self.count() >= self.max_connections {
-            // The one that was half-closed first: an end on its way there has had most time.
+            // The one half-closed first: its machine has had most time to end it.
             let first = self
                 .half_closed
                 .iter()
@@ -42,10 +42,11 @@
         true
     }
 
+    /// Dials a machine, if its address is known and there is or can be made capacity.
     pub(super) fn dial(
         &mut self,
         now: Seconds,
-        kept: Seconds,
+        required_before: Seconds,
         machine: MachineId,
         actions: &mut Vec<PoolAction>,
     ) -> Option<UpstreamId> {
@@ -54,7 +55,7 @@
             .get(&machine)
             .map(|peer| peer.address.clone())
             .filter(|a| !a.is_empty())?;
-        if !self.make_capacity(now, kept, actions) {
+        if !self.make_capacity(now, required_before, actions) {
             return None;
         }
         self.next += 1;
@@ -78,7 +79,7 @@
         Some(upstream)
     }
 
-    /// Ends a connection that is not needed any more, without losing what is on its way here.
+    /// Ends a connection that is not needed any more, and goes on reading what its machine has written.
     pub(super) fn half_close(
         &mut self,
         now: Seconds,
@@ -95,12 +96,12 @@
         actions.push(PoolAction::HalfClose(id));
     }
 
-    /// Takes a connection out.
+    /// Removes a connection from the pool and its indexes.
     pub(super) fn remove(&mut self, id: UpstreamId) -> Option<Upstream> {
         let upstream = self.upstreams.remove(&id)?;
-        upstream
-            .idle_entry
-            .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
+        if let Some((class, since)) = upstream.idle_entry {
+            self.idle.remove(&(class, since, id));
+        }
         if let Some(peer) = self.peers.get_mut(&upstream.machine) {
             peer.upstreams.remove(&id);
         }
@@ -108,36 +109,42 @@
         Some(upstream)
     }
 
-    /// Finds out anew how the connections to a machine rest. Follows whatever may have changed that.
+    /// Classes the connections to a machine anew: idle and spare, idle and required, or in use. Called after every
+    /// change that may affect this. A connection is required if its machine holds a placed task and no other connection
+    /// to it is healthy.
     pub(super) fn update_idle_index(&mut self, machine: MachineId) {
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
-        let sound = |upstreams: &BTreeMap<UpstreamId, Upstream>, id| {
-            upstreams.get(id).is_some_and(Upstream::is_healthy)
-        };
-        let all = peer
+        let healthy = peer
             .upstreams
             .iter()
-            .filter(|id| sound(&self.upstreams, id))
+            .filter_map(|id| self.upstreams.get(id))
+            .filter(|upstream| upstream.is_healthy())
             .count();
         for &id in &peer.upstreams {
             let Some(upstream) = self.upstreams.get_mut(&id) else {
                 continue;
             };
-            let needed = peer.placed_tasks > 0 && all - usize::from(upstream.is_healthy()) == 0;
-            let rests = match needed {
-                _ if !upstream.is_idle() => None,
-                false => Some((IdleClass::Spare, micros(upstream.used_at))),
-                true => Some((IdleClass::Required, micros(upstream.opened_at))),
+            let other_healthy = healthy - usize::from(upstream.is_healthy());
+            let is_required = peer.placed_tasks > 0 && other_healthy == 0;
+            let idle_entry = if !upstream.is_idle() {
+                None
+            } else if is_required {
+                Some((IdleClass::Required, micros(upstream.opened_at)))
+            } else {
+                Some((IdleClass::Spare, micros(upstream.used_at)))
             };
-            if rests != upstream.idle_entry {
-                upstream
-                    .idle_entry
-                    .map(|(rest, at)| self.idle.remove(&(rest, at, id)));
-                self.idle.extend(rests.map(|(rest, at)| (rest, at, id)));
-                upstream.idle_entry = rests;
+            if idle_entry == upstream.idle_entry {
+                continue;
+            }
+            if let Some((class, since)) = upstream.idle_entry {
+                self.idle.remove(&(class, since, id));
+            }
+            if let Some((class, since)) = idle_entry {
+                self.idle.insert((class, since, id));
             }
+            upstream.idle_entry = idle_entry;
         }
     }
 }
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -229,13 +229,13 @@
                 continue;
             }
             while !inputs.is_empty() {
-                let (before, read) = (self.gateway.looked(), inputs.len());
+                let (before, read) = (self.gateway.examined(), inputs.len());
                 let mut out = Vec::new();
                 self.gateway
                     .step(self.now, std::mem::take(&mut inputs), &mut out);
-                let [machines, lines] = self.gateway.looked();
-                let looks =
-                    LOOK[0] * (machines - before[0]) as f64 + LOOK[1] * (lines - before[1]) as f64;
+                let after = self.gateway.examined();
+                let looks = LOOK[0] * (after.machines - before.machines) as f64
+                    + LOOK[1] * (after.connections - before.connections) as f64;
                 self.now += MESSAGE * read as f64 + looks;
                 for output in out {
                     self.now += MESSAGE;
--- a/crates/gateway/tests/recover.rs
+++ b/crates/gateway/tests/recover.rs
@@ -25,9 +25,9 @@
         world.told_late
     );
     assert!(
-        world.gateway.sizes()[1] > 600,
+        world.gateway.sizes().pending > 600,
         "{} wait for room",
-        world.gateway.sizes()[1]
+        world.gateway.sizes().pending
     );
     assert!(
         world.behind_since(LOSS + 2.0) < 0.3,
@@ -36,7 +36,7 @@
     );
     world.play(ROOM + 4.0);
     assert_eq!(
-        (world.gateway.sizes()[1], world.asked.len()),
+        (world.gateway.sizes().pending, world.asked.len()),
         (0, 0),
         "all is worked off"
     );
@@ -78,14 +78,14 @@
 fn a_second_in_which_nothing_comes_looks_at_each_machines_own_connections_only() {
     let mut world = World::new();
     world.play(LOSS - 2.0);
-    let before = world.gateway.looked();
+    let before = world.gateway.examined();
     world.play(LOSS - 1.0);
-    let [machines, lines] = world.gateway.looked();
-    assert_eq!(machines - before[0], 0, "nothing waits");
+    let after = world.gateway.examined();
+    assert_eq!(after.machines - before.machines, 0, "nothing waits");
     // Ten ticks, up to 140 machines that hold a task, each with a line or two that are looked at a few times.
     assert!(
-        world.standing.len() == 300 && lines - before[1] < 12_000,
+        world.standing.len() == 300 && after.connections - before.connections < 12_000,
         "{} looks",
-        lines - before[1]
+        after.connections - before.connections
     );
 }
--- a/crates/gateway/tests/standing.rs
+++ b/crates/gateway/tests/standing.rs
@@ -160,7 +160,7 @@
     assert!(p.told(OWNER).is_empty());
     p.wait(7.9, None);
     assert_eq!(p.told(OWNER), [release(7, cause::FAILED)]);
-    assert_eq!(p.gateway.sizes()[4], 1, "nothing is kept of it");
+    assert_eq!(p.gateway.sizes().machines, 1, "nothing is kept of it");
 }
 
 #[test]
