--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,51 +1,51 @@
-//! The notice board: server-sent events to numbered changes of the list of machines.
+//! The discovery stream: server-sent events into watch events of the endpoint list.
 
 use serde::Deserialize;
 use tidespur_policy::interface::{Endpoint, EndpointStatus, MachineId, Resources};
 use tidespur_site_settings::{Site, convert};
 
-/// One event may hold so many bytes.
+/// Bound on the data of one event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why what the discovery stream told can't be used. The list stays as it was, and the stream is asked again.
+/// Why an event of the discovery stream can't be used. The endpoint list stays as it was, and the stream is read again.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// An event that is none.
+    /// The data of an event is no JSON of the expected form.
     #[error(
         "the discovery stream tells what can't be read: {0}; look at the notice board's edition"
     )]
     Malformed(#[from] serde_json::Error),
-    /// Bytes that are no text.
+    /// A line is no UTF-8.
     #[error("the discovery stream is no text: {0}; look at who listens at its address")]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// An event that does not end.
+    /// An event is too long.
     #[error("the discovery stream tells an event without end; look at the notice board")]
     TooLong,
 }
 
-/// A line of the list, with the address that only sockets need.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// What the policy is told.
+    /// The endpoint as the policy knows it.
     pub endpoint: Endpoint,
     /// The machine's name on the platform.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on, `HOST:PORT`.
     pub address: String,
 }
 
-/// One numbered event.
+/// A watch event of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct WatchEvent {
-    /// Its number.
+    /// Its revision; a later event has a higher one.
     pub revision: u64,
-    /// It holds the whole list.
+    /// Whether it holds the complete list rather than changes.
     pub is_complete_list: bool,
-    /// What it tells.
+    /// The endpoints that it lists.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An event as it is told.
+/// The JSON of an event.
 #[derive(Deserialize)]
 pub struct WireEvent {
     rev: u64,
@@ -79,20 +79,20 @@
     left_over: Option<[f64; 2]>,
 }
 
-/// The id that the policy knows a machine by: the same at all schedulers.
+/// The id by which the policy knows a machine, the same at all schedulers: a stable hash of its name.
 pub fn machine_id(name: &str) -> MachineId {
     MachineId(convert::stable_hash(name))
 }
 
-/// Reads one event's data.
+/// Parses the data of one event.
 ///
 /// # Errors
-/// Says what can't be read; such an event counts as none.
+/// Fails if the data is malformed; such an event is skipped.
 pub fn parse_event(site: &Site, data: &str) -> Result<WatchEvent, DiscoveryError> {
     Ok(convert_event(site, serde_json::from_str(data)?))
 }
 
-/// Puts names to numbers and states to standings.
+/// Converts an event: names of types and zones become indexes of the settings, lifecycles become statuses.
 pub fn convert_event(site: &Site, wire: WireEvent) -> WatchEvent {
     let pool = wire.pool.unwrap_or(WirePool {
         reset: false,
@@ -101,10 +101,10 @@
     let index =
         |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
     let listed = pool.instances.into_iter().map(|wire| {
-        let standing = match wire.lifecycle.as_str() {
+        let status = match wire.lifecycle.as_str() {
             "Ready" => EndpointStatus::Ready,
             "Gone" => EndpointStatus::Gone,
-            // A state not known takes nothing new, and that is the safe reading.
+            // An unknown lifecycle counts as draining, so that the machine gets no new tasks.
             _ => EndpointStatus::Draining,
         };
         let [free_cores, free_memory] = wire.left_over.unwrap_or_default();
@@ -114,7 +114,7 @@
             machine_type: index(&site.machine_types, &wire.machine_type),
             cell: wire.cell,
             zone: index(&site.zones, &wire.zone),
-            status: standing,
+            status,
             started_at: (started > 0.0).then_some(started),
             unclaimed: Resources::new(free_cores, free_memory),
         };
@@ -131,17 +131,17 @@
     }
 }
 
-/// Puts server-sent events together from lines. An event without its blank line at the end is none.
+/// Assembles server-sent events from lines. An event ends with a blank line; one without it is dropped.
 #[derive(Debug, Default)]
 pub struct EventStreamDecoder {
     data: String,
 }
 
 impl EventStreamDecoder {
-    /// Takes one line, without its end; gives out the data of an event that it ends.
+    /// Adds one line without its line break; returns the data of the event that it ends, if any.
     ///
     /// # Errors
-    /// An event that is too long or no text; the stream is of no further use.
+    /// Fails if the line is no UTF-8 or the event is too long; the stream can't be read on.
     pub fn line(&mut self, line: &[u8]) -> Result<Option<String>, DiscoveryError> {
         let line = std::str::from_utf8(line)?;
         let line = line.strip_suffix('\r').unwrap_or(line);
@@ -158,7 +158,7 @@
                 return Err(DiscoveryError::TooLong);
             }
         }
-        // Numbers stand in the data too; comments and other fields mean nothing.
+        // The revision is in the data too; comments and other fields are ignored.
         Ok(None)
     }
 }
--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -9,17 +9,17 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::Seconds;
 
-/// One that has said nothing of use for this long is closed. The platform allows 3 s.
+/// A client that has sent no valid set-up for this long is closed. The platform allows 3 s.
 const SILENT_CLIENT_TIMEOUT: Seconds = 2.0;
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// There are more than may be.
+    /// There are more connections than allowed.
     OverCapacity,
-    /// It has said nothing of use for too long.
+    /// It has sent no valid set-up for too long.
     Silent,
-    /// The program ends.
+    /// The process shuts down.
     Shutdown,
 }
 
@@ -28,24 +28,25 @@
     from: IpAddr,
     opened_at: Seconds,
     used_at: Seconds,
-    /// It has sent a set-up that could be used.
+    /// Whether it has sent a set-up that could be used.
     has_valid_set_up: bool,
-    /// A task of its has stood: it is an owner's.
+    /// Whether a task of its was ever placed.
     is_owner: bool,
-    /// Set-ups without an answer, and tasks of its that stand.
+    /// Requests of its without an answer.
     pending: usize,
+    /// Tasks of its that are placed.
     placed: usize,
-    /// Messages of no use that are not forgiven yet, and when that was counted.
+    /// The penalty for malformed and useless messages, and when it was computed.
     penalty: (f64, Seconds),
-    /// Releases that it was sent and has not said it heard.
+    /// Releases that it was sent and has not acknowledged.
     unacknowledged_releases: u32,
-    /// Nobody listens there any more; what it said before may still come.
+    /// Whether the client closed the connection; messages sent before that may still follow.
     peer_closed: bool,
-    /// It is closed for this once it is sure that it says nothing.
+    /// Why it is to be closed, once a check has shown that it is idle.
     close_reason: Option<CloseReason>,
 }
 
-/// All connections that came in.
+/// All connections of clients.
 #[derive(Debug)]
 pub struct Downstreams {
     downstreams: BTreeMap<DownstreamId, Downstream>,
@@ -53,7 +54,7 @@
 }
 
 impl Downstreams {
-    /// None yet; at most `most` at once.
+    /// Starts without connections; at most `max_connections` are kept open, and at least one.
     pub fn new(max_connections: usize) -> Self {
         Self {
             downstreams: BTreeMap::new(),
@@ -61,17 +62,17 @@
         }
     }
 
-    /// Connections there are.
+    /// The number of connections.
     pub fn count(&self) -> usize {
         self.downstreams.len()
     }
 
-    /// Whether it is still there.
+    /// Whether the connection is open.
     pub fn contains(&self, id: DownstreamId) -> bool {
         self.downstreams.contains_key(&id)
     }
 
-    /// One comes in.
+    /// Adds a connection.
     pub fn opened(&mut self, now: Seconds, id: DownstreamId, from: IpAddr) {
         let made = Downstream {
             from,
@@ -89,8 +90,8 @@
         self.downstreams.insert(id, made);
     }
 
-    /// Where there are more than may be, the one to be closed if it says nothing: the oldest of those that never sent
-    /// anything of use, else the one idle longest, else the youngest.
+    /// Where there are too many connections, marks the one to close if it is idle: the oldest of those that never sent a
+    /// valid set-up, else the one idle longest, else the youngest.
     pub fn mark_surplus(&mut self, now: Seconds) -> Option<DownstreamId> {
         if self
             .downstreams
@@ -102,14 +103,14 @@
             return None;
         }
         let rank = |client: &Downstream| (client.has_valid_set_up, client.placed > 0);
-        let may = |client: &&Downstream| {
+        let may_close = |client: &&Downstream| {
             client.pending == 0 && client.close_reason.is_none() && !client.peer_closed
         };
         let idle = self
             .downstreams
             .iter()
-            .filter(|(_, client)| may(client) && client.used_at < now);
-        let first = idle.min_by(|a, b| {
+            .filter(|(_, client)| may_close(client) && client.used_at < now);
+        let longest_idle = idle.min_by(|a, b| {
             rank(a.1)
                 .cmp(&rank(b.1))
                 .then(a.1.used_at.total_cmp(&b.1.used_at))
@@ -118,67 +119,69 @@
             .downstreams
             .iter()
             .rev()
-            .find(|(_, client)| may(client));
-        let id = first.or(youngest).map(|(&id, _)| id)?;
+            .find(|(_, client)| may_close(client));
+        let id = longest_idle.or(youngest).map(|(&id, _)| id)?;
         self.begin_close(id, CloseReason::OverCapacity);
         Some(id)
     }
 
-    /// It is to be closed if it says nothing.
-    pub fn begin_close(&mut self, id: DownstreamId, why: CloseReason) {
+    /// Marks a connection to be closed if a check shows that it is idle.
+    pub fn begin_close(&mut self, id: DownstreamId, reason: CloseReason) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.close_reason = Some(why);
+            client.close_reason = Some(reason);
         }
     }
 
-    /// Why it is to be closed, if it is.
+    /// Why a connection is to be closed, if it is.
     pub fn close_reason(&self, id: DownstreamId) -> Option<CloseReason> {
         self.downstreams
             .get(&id)
             .and_then(|client| client.close_reason)
     }
 
-    /// It says something: it is not closed now.
+    /// Keeps a connection open that was to be closed, as its client has sent something.
     pub fn keep_open(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            (client.close_reason, client.used_at) = (None, now);
+            client.close_reason = None;
+            client.used_at = now;
         }
     }
 
-    /// Nobody listens there any more; what it said before may still come.
+    /// Records that the client closed its connection; messages sent before that may still follow.
     pub fn peer_closed(&mut self, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
             client.peer_closed = true;
         }
     }
 
-    /// Whether somebody listens there.
+    /// Whether the connection is open and its client has not closed it.
     pub fn is_reachable(&self, id: DownstreamId) -> bool {
         self.downstreams
             .get(&id)
             .is_some_and(|client| !client.peer_closed)
     }
 
-    /// All there are.
+    /// The ids of all connections.
     pub fn ids(&self) -> Vec<DownstreamId> {
         self.downstreams.keys().copied().collect()
     }
 
-    /// It is gone.
+    /// Removes a connection.
     pub fn remove(&mut self, id: DownstreamId) {
         self.downstreams.remove(&id);
     }
 
-    /// It sent a set-up that can be used.
+    /// Records a set-up that could be used.
     pub fn record_valid_set_up(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            (client.has_valid_set_up, client.used_at) = (true, now);
+            client.has_valid_set_up = true;
+            client.used_at = now;
         }
     }
 
-    /// A connection that leads to the owner that came by `id` from `from`: that one, else one from the same
-    /// address, else any other of an owner. A connection of which no task ever stood is not taken: whoever
-    /// asks for what can't be had may come from the same address.
+    /// A connection to the owner that was connected as `id` from the address `from`: that one, else the one used last
+    /// from the same address, else the one used last of any owner. Connections of clients without a placed task don't
+    /// count, as a client that is no owner may have the same address.
     pub fn route_to_owner(
         &self,
         id: Option<DownstreamId>,
@@ -192,37 +195,38 @@
                 .iter()
                 .filter(|(_, client)| client.is_owner && !client.peer_closed)
         };
-        let near = owners().filter(|(_, client)| Some(client.from) == from);
+        let same_address = owners().filter(|(_, client)| Some(client.from) == from);
         let newest = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
             a.1.used_at.total_cmp(&b.1.used_at)
         };
-        near.max_by(newest)
+        same_address
+            .max_by(newest)
             .or_else(|| owners().max_by(newest))
             .map(|(&id, _)| id)
     }
 
-    /// Where a connection came from.
+    /// The address of a client.
     pub fn from(&self, id: DownstreamId) -> Option<IpAddr> {
         self.downstreams.get(&id).map(|client| client.from)
     }
 
-    /// Those that have said nothing of use for too long: to be closed if that is so.
+    /// Marks the clients that have sent no valid set-up for too long, and returns them.
     pub fn mark_silent(&mut self, now: Seconds) -> Vec<DownstreamId> {
-        let silent = |client: &Downstream| {
+        let is_silent = |client: &Downstream| {
             !client.has_valid_set_up
                 && client.close_reason.is_none()
                 && client.pending == 0
                 && now - client.opened_at > SILENT_CLIENT_TIMEOUT
         };
-        let over: Vec<DownstreamId> = self
+        let silent: Vec<DownstreamId> = self
             .downstreams
             .iter()
-            .filter(|(_, client)| silent(client))
+            .filter(|(_, client)| is_silent(client))
             .map(|(&id, _)| id)
             .collect();
-        for id in &over {
+        for id in &silent {
             self.begin_close(*id, CloseReason::Silent);
         }
-        over
+        silent
     }
 }
--- a/crates/gateway/src/gateway/io.rs
+++ b/crates/gateway/src/gateway/io.rs
@@ -1,4 +1,4 @@
-//! What comes to a gateway, what it wants done, and what it may use.
+//! Inputs and outputs of the gateway, and the limits that it works in.
 
 use crate::discovery::WatchEvent;
 use crate::message::{Message, RequestId};
@@ -7,21 +7,21 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::Seconds;
 
-/// What the gateway may use.
+/// Limits on the gateway's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Connections of clients at once.
     pub downstreams: usize,
     /// Connections to machines at once.
     pub upstreams: usize,
-    /// Connections of clients that are closed here and not by their peer yet.
+    /// Connections of clients that are closed here and not yet by their peers.
     pub closing: usize,
 }
 
 impl Limits {
-    /// Shares out a limit on descriptors: some for the program itself, the discovery stream and connections that
-    /// close; a third for owners, who hold no more by the platform's rule, and an eighth for others who come in; the
-    /// rest for machines, so that as many as can be have a connection of their own.
+    /// Divides a limit on descriptors: up to 24 for the program itself, the discovery stream and connections that are
+    /// closing; a third for owners, who open no more by the platform's rule, and an eighth for other clients; the rest
+    /// for machines, so that as many as possible have a connection of their own.
     pub fn of(sockets: usize) -> Self {
         let own = 24.min(sockets / 4);
         let downstreams = sockets / 3 + sockets / 8;
@@ -33,84 +33,84 @@
     }
 }
 
-/// What a look at a client's connection found.
+/// What a check of a client's connection found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerCheck {
-    /// Nothing is unread, and all that was read has been taken in.
+    /// Nothing is unread, and all that was read has been handled.
     Idle,
-    /// The same, but for a message that is begun and not whole.
+    /// The same, except for an incomplete message.
     PartialMessage,
-    /// Nothing is unread; some of it waits to be taken in.
+    /// Nothing is unread; messages that were read wait to be handled.
     Queued,
-    /// It says more than was read at once.
+    /// More is unread than one check reads.
     MoreUnread,
 }
 
-/// What came.
+/// What has happened, for the gateway to handle.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client connected.
     DownstreamOpened(DownstreamId, IpAddr),
-    /// It sent a message.
+    /// The client sent a message.
     DownstreamMessage(DownstreamId, Message),
-    /// It sent what can't be read.
+    /// The client sent bytes that are no message.
     DownstreamMalformed(DownstreamId),
-    /// It has closed, half-closed or reset its connection, or takes no more bytes. What it said before may still
-    /// come, and then [`Input::DownstreamClosed`].
+    /// The client closed, half-closed or reset its connection, or accepts no more bytes. Messages that it sent before
+    /// may still follow, and then [`Input::DownstreamClosed`].
     DownstreamPeerClosed(DownstreamId),
-    /// Its connection ended, and all that it said has come.
+    /// The client's connection has ended, and all its messages were delivered.
     DownstreamClosed(DownstreamId),
-    /// Answers [`Output::CheckDownstream`], after what ends its requests.
+    /// Answers [`Output::CheckDownstream`], after inputs that end requests of the client.
     DownstreamChecked(DownstreamId, PeerCheck),
-    /// A connection to a machine is made.
+    /// A connection to a machine is open.
     UpstreamOpened(UpstreamId),
-    /// Nobody listens there.
+    /// A dial was refused: nothing listens at the address.
     UpstreamConnectRefused(UpstreamId),
-    /// It could not be made, for another reason.
+    /// A dial failed for another reason.
     UpstreamConnectFailed(UpstreamId),
     /// The machine sent a message.
     UpstreamMessage(UpstreamId, Message),
-    /// It sent what can't be read.
+    /// The machine sent bytes that are no message.
     UpstreamMalformed(UpstreamId),
-    /// Answers [`PoolAction::CheckPeer`], after what the machine has said.
+    /// Answers [`PoolAction::CheckPeer`], after the messages that were read from the machine.
     UpstreamChecked(UpstreamId),
-    /// The connection ended.
+    /// A connection to a machine ended.
     UpstreamEnded(UpstreamId),
-    /// The same, and no byte left of what was to be written last: this set-up, or something else.
+    /// The same, and no byte was sent of what was to be written last: this offer, or another message.
     UpstreamWriteFailed(UpstreamId, Option<RequestId>),
-    /// The machine takes no bytes now, and none of this set-up left: here it is back.
+    /// The machine accepts no bytes now, and none of this offer was sent: its bytes are returned.
     UpstreamBlocked(UpstreamId, RequestId, Vec<u8>),
-    /// The machine takes no bytes now, and only a part of this set-up left.
+    /// The machine accepts no bytes now, and only a part of this offer was sent.
     UpstreamPartiallyWritten(UpstreamId, RequestId),
-    /// All that waited for the machine has left.
+    /// All bytes that waited for the machine were sent.
     UpstreamDrained(UpstreamId),
-    /// The discovery stream delivered an event.
+    /// The discovery stream delivered a watch event.
     EndpointsDelivered(WatchEvent),
-    /// The program is to end.
+    /// The process was asked to shut down.
     Shutdown,
-    /// Answers [`Output::StopListening`], after all that had connected.
+    /// Answers [`Output::StopListening`], after all connections that were opened before.
     ListeningStopped,
-    /// Something that was due so many seconds ago is taken in only now: the loop lags.
+    /// The event loop handles something this many seconds after it was due.
     LagMeasured(Seconds),
-    /// Time goes on.
+    /// No event: timers that are due by now fire.
     Tick,
 }
 
-/// What is to be done, in this order.
+/// What is to be done; outputs of one step are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write to a client.
     WriteDownstream(DownstreamId, Vec<u8>),
-    /// Write what waits for a client, then no more; read until it closes too, for a bounded time.
+    /// Write what waits for a client, then half-close; read until the client closes too, for a bounded time.
     CloseDownstream(DownstreamId),
-    /// Read what a client has said by now; [`Input::DownstreamChecked`] answers.
+    /// Read what a client has sent by now; [`Input::DownstreamChecked`] answers.
     CheckDownstream(DownstreamId),
-    /// Something about a connection to a machine.
+    /// An action on a connection to a machine.
     Upstream(PoolAction),
-    /// A line of the log.
+    /// Write a line to the log.
     Log(String),
-    /// Accept who has connected, and then no more; [`Input::ListeningStopped`] answers.
+    /// Accept the connections that wait, and then no more; [`Input::ListeningStopped`] answers.
     StopListening,
-    /// Nothing is owed any more: end once what was written has left, within so many seconds.
+    /// Shutdown is complete: exit once all bytes were sent, and within this many seconds.
     Exit(Seconds),
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' platform as one more protocol front end of the planner, without I/O.
+//! The planner's front end for the operators' platform, without I/O.
 //!
-//! [`Gateway`] is a state machine: what came on sockets goes in, the policy is asked, and what is to be written,
-//! dialled and closed comes out. It keeps requests and their attempts; [`pool::Pool`] keeps the connections to
-//! machines. Neither decides which machine takes a task, how long to wait, or what is refused: the policy does.
+//! [`Gateway`] is a state machine: inputs of connections go in, the policy decides, and what is to be written, dialled
+//! and closed comes out. It owns the requests and their attempts; [`pool::Pool`] owns the connections to machines.
+//! Which machine takes a task, how long an attempt lasts and which task is rejected is decided by the policy.
+//! `gateway-net` runs it on sockets.
 
 pub mod counts;
 pub mod discovery;
@@ -18,10 +19,10 @@
 pub use error::GatewayError;
 pub use gateway::{Gateway, Input, Limits, Output, PeerCheck};
 
-/// A connection of an owner, or of anybody who came in.
+/// A connection that a client opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DownstreamId(pub u64);
 
-/// A connection to a machine.
+/// A connection that the gateway opened to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -54,44 +54,45 @@
 /// Machines that are not listed, but that adopted tasks name.
 const MAX_UNLISTED_MACHINES: usize = 1_000;
 
-/// What is to be done with connections.
+/// What is to be done with connections to machines; carried out in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolAction {
-    /// Dial; `Opened`, `Refused` or `Ended` answers.
+    /// Dial; `UpstreamOpened`, `UpstreamConnectRefused` or `UpstreamConnectFailed` answers.
     Dial(UpstreamId, String),
     /// Write these bytes.
     Write(UpstreamId, Vec<u8>),
-    /// This set-up could leave now: [`Pool::send_ready_offer`] follows once its client is known to be there still.
+    /// This offer can be sent now: [`Pool::send_ready_offer`] follows once its client is known to be connected still.
     OfferReady(UpstreamId, RequestId),
-    /// Read what a machine has said by now; `UpstreamLooked` answers, after that.
+    /// Read what a machine has sent by now; `UpstreamChecked` answers, after these messages.
     CheckPeer(UpstreamId),
-    /// Write this set-up; what did not leave of it is told of this one.
+    /// Write this offer; what could not be sent is reported with its id.
     Offer(UpstreamId, RequestId, Vec<u8>),
-    /// Write no more, and go on reading until the machine ends it too; `Ended` answers.
+    /// Write no more, and go on reading until the machine ends the connection too; `UpstreamEnded` answers.
     HalfClose(UpstreamId),
-    /// Close, also while it is being dialled. Nothing answers.
+    /// Close, also while it is being dialled. No input answers.
     Close(UpstreamId),
 }
 
-/// What became of set-ups and machines.
+/// What became of offers and machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolEvent {
-    /// No byte of this set-up left.
+    /// The dial for this offer failed, so that no byte of it was sent.
     ConnectFailed(RequestId),
-    /// The same, and that says nothing against the machine: a choice made here, or an idle connection that it closed.
+    /// No byte of this offer was sent, which is no fault of the machine: it was withdrawn here, or the machine closed an
+    /// idle connection.
     NeverSent(RequestId),
-    /// The connection ended under this set-up: it may have run.
+    /// The connection ended while this offer was pending: the task may have run.
     Interrupted(RequestId),
-    /// The machine is dead, or was silent too long: what stood there is over.
+    /// The machine has failed: the tasks placed on it are lost.
     MachineFailed(MachineId),
 }
 
-/// Times of connections that the settings tell.
+/// Timeouts of connections, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTimeouts {
-    /// One not made within this counts as none.
+    /// A dial that takes longer has failed, in seconds.
     pub connect: Seconds,
-    /// Machines close one that is idle for this long.
+    /// Machines close a connection that is idle for this long, in seconds.
     pub idle: Seconds,
 }
 
@@ -105,12 +106,12 @@
     }
 }
 
-/// How a connection ended, or was not made.
+/// How a connection ended, or why it was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Nobody listens there.
+    /// The dial was refused.
     Refused,
-    /// Not a byte left of what was written last, a set-up where one is named; the connection is read to its end.
+    /// No byte was sent of the last write, an offer where one is named; the connection is read to its end.
     WriteFailed(Option<RequestId>),
     /// Otherwise.
     Other,
@@ -119,31 +120,32 @@
 #[derive(Debug)]
 struct Upstream {
     machine: MachineId,
-    /// Since when it is being dialled; `None`: it is open.
+    /// Since when it is being dialled; `None` once it is open.
     dialling_since: Option<Seconds>,
-    /// Set-ups without an answer: one, or more where there was no room for another connection.
+    /// Offers without an answer: one, or more where there was no capacity for another connection.
     pending_offers: Vec<RequestId>,
-    /// Set-ups that have not left: until it is open and takes bytes, and it is sure that their clients are still there;
-    /// kept one by one, so that what is cancelled never leaves.
+    /// Offers that are not sent yet: until the connection is open and accepts bytes, and their clients are known to be
+    /// connected still. Held one by one, so that a cancelled one is never sent.
     unsent_offers: Vec<(RequestId, Vec<u8>)>,
-    /// The machine takes no bytes now; with a set-up of which only a part has left.
+    /// The machine accepts no bytes now.
     blocked: bool,
+    /// The offer of which only a part was sent.
     partially_written: Option<RequestId>,
     heard_at: Seconds,
     used_at: Seconds,
     health_check_sent_at: Option<Seconds>,
-    /// When it came up.
+    /// When the connection was opened.
     opened_at: Seconds,
-    /// How it stands among the idle ones, if it does.
+    /// Its entry in the pool's index of idle connections, if it is idle.
     idle_entry: Option<(IdleClass, u64)>,
 }
 
-/// What an idle connection is there for, in the order in which they give way.
+/// What an idle connection is held for, in the order in which they give way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleClass {
-    /// Nothing: by its last use.
+    /// Reuse; ordered by its last use.
     Spare,
-    /// The one sound connection to a machine that holds a task of ours: by when it came up.
+    /// The only healthy connection to a machine that holds a placed task; ordered by when it was opened.
     Required,
 }
 
--- a/crates/gateway/src/pool/endpoints.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -1,39 +1,46 @@
-//! What the discovery stream and the tasks in place tell of machines.
+//! Machines that the pool knows, from the endpoint list and from adopted tasks.
 
 use super::{MAX_UNLISTED_MACHINES, Peer, Pool, PoolEvent};
 use std::collections::BTreeSet;
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// The list tells of a machine. Once all that is told at a time was told, [`Pool::fail_replaced_machines`] follows.
-    pub fn endpoint_listed(&mut self, now: Seconds, machine: MachineId, address: &str, gone: bool) {
+    /// Records a listed machine. [`Pool::fail_replaced_machines`] follows after all endpoints of a watch event.
+    pub fn endpoint_listed(
+        &mut self,
+        now: Seconds,
+        machine: MachineId,
+        address: &str,
+        is_gone: bool,
+    ) {
         let peer = self.peers.entry(machine).or_insert_with(|| Peer {
             heard_at: now,
             ..Peer::default()
         });
-        // One that was forgotten gets no address back: another may listen there.
-        let forgotten = gone && peer.address.is_empty();
-        if !address.is_empty() && !forgotten {
+        // A machine whose address was taken over doesn't get it back: another may listen there.
+        let is_replaced = is_gone && peer.address.is_empty();
+        if !address.is_empty() && !is_replaced {
             peer.address = address.to_owned();
         }
-        peer.is_gone = gone;
+        peer.is_gone = is_gone;
     }
 
-    /// A machine that has gone and at whose address another listens now is no more.
+    /// Fails each machine that has gone and whose address another machine has now.
     pub fn fail_replaced_machines(&mut self, events: &mut Vec<PoolEvent>) {
-        let (gone, here): (Vec<_>, Vec<_>) = self.peers.iter().partition(|(_, peer)| peer.is_gone);
-        let here: BTreeSet<&str> = here
+        let (gone, present): (Vec<_>, Vec<_>) =
+            self.peers.iter().partition(|(_, peer)| peer.is_gone);
+        let present_addresses: BTreeSet<&str> = present
             .into_iter()
             .map(|(_, peer)| peer.address.as_str())
             .collect();
-        let over = gone
+        let with_address = gone
             .into_iter()
             .filter(|(_, peer)| !peer.address.is_empty());
-        let over: Vec<MachineId> = over
-            .filter(|(_, peer)| here.contains(peer.address.as_str()))
+        let replaced: Vec<MachineId> = with_address
+            .filter(|(_, peer)| present_addresses.contains(peer.address.as_str()))
             .map(|(&id, _)| id)
             .collect();
-        for id in over {
+        for id in replaced {
             if let Some(peer) = self.peers.get_mut(&id) {
                 peer.address.clear();
                 if peer.placed_tasks > 0 {
@@ -43,31 +50,30 @@
         }
     }
 
-    /// The whole list was told: who is not in it has gone. Tells who that is.
+    /// Marks machines that a complete list doesn't name as gone, and returns them.
     pub fn mark_unlisted_gone(&mut self, listed: &BTreeSet<MachineId>) -> Vec<MachineId> {
-        let away = self
+        let unlisted = self
             .peers
             .iter_mut()
             .filter(|(machine, peer)| !listed.contains(machine) && !peer.is_gone);
-        away.map(|(&machine, peer)| {
-            peer.is_gone = true;
-            machine
-        })
-        .collect()
+        unlisted
+            .map(|(&machine, peer)| {
+                peer.is_gone = true;
+                machine
+            })
+            .collect()
     }
 
-    /// Tasks of ours that stand at a machine came or went.
+    /// Counts a task that was placed on a machine, or (`more` is false) has ended there.
     pub fn count_placed(&mut self, now: Seconds, machine: MachineId, more: bool) {
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
         };
         if more {
             if peer.placed_tasks == 0 {
-                (
-                    peer.heard_at,
-                    peer.consecutive_failures,
-                    peer.consecutive_refusals,
-                ) = (now, 0, 0);
+                peer.heard_at = now;
+                peer.consecutive_failures = 0;
+                peer.consecutive_refusals = 0;
             }
             peer.placed_tasks += 1;
         } else {
@@ -78,12 +84,13 @@
         }
     }
 
-    /// Whether a machine is listed, or something of it is still here.
+    /// Whether a machine is listed, or has connections, messages or placed tasks here.
     pub fn knows(&self, machine: MachineId) -> bool {
         self.peers.contains_key(&machine)
     }
 
-    /// A task was handed over that stands at a machine which the list may tell of only later; `false`: too many such.
+    /// Makes the machine of an adopted task known, which may be listed only later. Returns false if there are too many
+    /// such machines.
     pub fn expect_machine(&mut self, now: Seconds, machine: MachineId) -> bool {
         if self.peers.contains_key(&machine) {
             return true;
@@ -107,7 +114,7 @@
         true
     }
 
-    /// Machines that are known.
+    /// The number of known machines.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
--- a/crates/gateway/src/pool/offers.rs
+++ b/crates/gateway/src/pool/offers.rs
@@ -1,4 +1,4 @@
-//! Set-ups on their way to a machine: which connection carries one, and when it may leave.
+//! Offers to machines: which connection carries one, when it is sent, and how it is withdrawn or cancelled.
 
 use super::{MAX_QUEUED_MESSAGES, Pool, PoolAction, PoolEvent, STALL_RECHECK_TIMEOUT};
 use crate::UpstreamId;
@@ -6,7 +6,8 @@
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// Sends a set-up to a machine; `None`: there is no way to it, and nothing left.
+    /// Assigns an offer to a connection: an idle one that was heard lately, else a new one, else the one with the fewest
+    /// offers. Returns `None` if there is no connection and no capacity for one; nothing was sent then.
     pub fn offer(
         &mut self,
         now: Seconds,
@@ -23,33 +24,33 @@
         let fresh = fresh
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(at, _)| at);
-        // Where there is no room for another connection, the one with the least on it is shared.
-        let shared = |upstreams: &Self| {
-            let shared = upstreams
+        let shared = |pool: &Self| {
+            let candidates = pool
                 .upstreams_to(machine)
                 .filter(|(_, upstream)| upstream.health_check_sent_at.is_none());
-            shared
+            candidates
                 .min_by_key(|(_, upstream)| (upstream.blocked, upstream.pending_offers.len()))
                 .map(|(at, _)| at)
         };
-        let at = fresh
+        let upstream_id = fresh
             .or_else(|| self.dial(now, now, machine, actions))
             .or_else(|| shared(self))?;
-        let upstream = self.upstreams.get_mut(&at)?;
-        let looks =
+        let upstream = self.upstreams.get_mut(&upstream_id)?;
+        let needs_check =
             upstream.is_idle() && upstream.heard_at < self.stalled_at + STALL_RECHECK_TIMEOUT;
         upstream.pending_offers.push(id);
         upstream.used_at = now;
         upstream.unsent_offers.push((id, bytes));
-        actions.extend(looks.then_some(PoolAction::CheckPeer(at)));
+        actions.extend(needs_check.then_some(PoolAction::CheckPeer(upstream_id)));
         if upstream.dialling_since.is_none() && !upstream.blocked {
-            actions.push(PoolAction::OfferReady(at, id));
+            actions.push(PoolAction::OfferReady(upstream_id, id));
         }
         self.update_idle_index(machine);
-        Some(at)
+        Some(upstream_id)
     }
 
-    /// A set-up that is due leaves, unless it was cancelled, or the machine takes no bytes, meanwhile; `true`: it does.
+    /// Sends an offer that was ready, unless it was cancelled or the machine accepts no bytes meanwhile. Returns whether
+    /// it is sent.
     pub fn send_ready_offer(
         &mut self,
         upstream: UpstreamId,
@@ -63,19 +64,19 @@
         else {
             return false;
         };
-        let Some(n) = at
+        let Some(index) = at
             .unsent_offers
             .iter()
             .position(|(waiting, _)| *waiting == id)
         else {
             return false;
         };
-        let (_, bytes) = at.unsent_offers.remove(n);
+        let (_, bytes) = at.unsent_offers.remove(index);
         actions.push(PoolAction::Offer(upstream, id, bytes));
         true
     }
 
-    /// The machine takes no bytes now, and none of this set-up left: it waits on.
+    /// The machine accepts no bytes now, and none of this offer was sent: the offer waits.
     pub fn write_blocked(&mut self, upstream: UpstreamId, id: RequestId, bytes: Vec<u8>) {
         let Some(at) = self.upstreams.get_mut(&upstream) else {
             return;
@@ -86,17 +87,19 @@
         }
     }
 
-    /// The machine takes no bytes now, and has only a part of this set-up.
+    /// The machine accepts no bytes now, and a part of this offer was sent.
     pub fn partially_written(&mut self, upstream: UpstreamId, id: RequestId) {
         if let Some(at) = self.upstreams.get_mut(&upstream) {
-            (at.blocked, at.partially_written) = (true, Some(id));
+            at.blocked = true;
+            at.partially_written = Some(id);
         }
     }
 
-    /// The machine has taken all that waited for it.
+    /// All bytes that waited for the machine were sent: its unsent offers are ready again.
     pub fn write_drained(&mut self, upstream: UpstreamId, actions: &mut Vec<PoolAction>) {
         if let Some(at) = self.upstreams.get_mut(&upstream) {
-            (at.blocked, at.partially_written) = (false, None);
+            at.blocked = false;
+            at.partially_written = None;
             actions.extend(
                 at.unsent_offers
                     .iter()
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A machine is to get nothing more: set-ups for it that have not left are taken back.
+    /// Withdraws the unsent offers to a machine that is to get no new tasks.
     pub fn withdraw_unsent(
         &mut self,
         now: Seconds,
@@ -133,7 +136,7 @@
         self.update_idle_index(machine);
     }
 
-    /// Tells a machine something about a task that stands there, now or once there is a connection.
+    /// Sends a message about a placed task to its machine, now or once there is a connection.
     pub fn notify(
         &mut self,
         now: Seconds,
@@ -141,13 +144,14 @@
         bytes: Vec<u8>,
         actions: &mut Vec<PoolAction>,
     ) {
-        let sound = self
+        let healthy = self
             .upstreams_to(machine)
             .filter(|(_, upstream)| upstream.is_healthy());
-        let sound = sound
+        let last_heard = healthy
             .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
             .map(|(at, _)| at);
-        if let Some((at, upstream)) = sound.and_then(|at| Some((at, self.upstreams.get_mut(&at)?)))
+        if let Some((at, upstream)) =
+            last_heard.and_then(|at| Some((at, self.upstreams.get_mut(&at)?)))
         {
             upstream.used_at = now;
             actions.push(PoolAction::Write(at, bytes));
@@ -162,7 +166,7 @@
         peer.queued_messages.push_back(bytes);
     }
 
-    /// A set-up has had its answer: its connection is free for another.
+    /// An offer was answered: its connection is free for another.
     pub fn settle_offer(&mut self, upstream: UpstreamId, id: RequestId) {
         if let Some(upstream) = self.upstreams.get_mut(&upstream) {
             upstream.pending_offers.retain(|&offer| offer != id);
@@ -171,8 +175,8 @@
         }
     }
 
-    /// Cancels a set-up. With `suspect`, nothing was heard in time: the connection is used no more, and half-closed
-    /// unless others are open on it. Tells whether the machine never got it.
+    /// Cancels an offer. With `suspect`, its answer did not come in time: the connection is half-closed unless other
+    /// offers are pending on it. Returns whether the machine never received the offer.
     pub fn cancel(
         &mut self,
         now: Seconds,
@@ -185,17 +189,17 @@
             return false;
         };
         at.pending_offers.retain(|&offer| offer != id);
-        let waited = at.unsent_offers.iter().any(|(waiting, _)| *waiting == id);
+        let was_unsent = at.unsent_offers.iter().any(|(waiting, _)| *waiting == id);
         at.unsent_offers.retain(|(waiting, _)| *waiting != id);
         let machine = at.machine;
         if at.partially_written == Some(id) && at.pending_offers.is_empty() {
-            // The rest of it would still leave as soon as the machine reads. What the machine had to say on this
-            // connection it says on the next.
+            // Else the rest of it would be sent as soon as the machine reads. The machine repeats on the next connection
+            // what it has to say.
             self.remove(upstream);
             actions.push(PoolAction::Close(upstream));
             return true;
         }
-        if !waited {
+        if !was_unsent {
             actions.push(PoolAction::Write(
                 upstream,
                 Message::release(id, cause::NORMAL).encode(),
@@ -205,6 +209,6 @@
             self.half_close(now, upstream, actions);
         }
         self.update_idle_index(machine);
-        waited
+        was_unsent
     }
 }
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -1,4 +1,6 @@
-//! Requests: which id is which task, what is out for it, where it stands, and whether its owner has its answer.
+//! The request table: pending requests and placed tasks, indexed by task, client, machine and attempt deadline.
+//!
+//! Owned by the gateway. All changes of a request's state go through the table, which keeps its indexes in step.
 
 mod request;
 
@@ -10,45 +12,47 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::{MachineId, Seconds, TaskId};
 
-/// Ends of tasks that are not ours are kept in mind for so long, and so many of them.
+/// The end of an unknown task is remembered for this long, as the task may be handed over after it.
 const UNKNOWN_END_TIMEOUT: Seconds = 30.0;
+/// Ends of unknown tasks that are remembered; beyond that the oldest is forgotten.
 const MAX_UNKNOWN_ENDS: usize = 4_096;
 
-/// All requests.
+/// All requests; see the module's description.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
     ids: BTreeMap<TaskId, RequestId>,
-    /// Open requests of a connection, tasks that stand at a machine.
     pending_by_client: BTreeSet<(DownstreamId, RequestId)>,
     placed_by_machine: BTreeSet<(MachineId, RequestId)>,
+    /// Deadlines of attempts, in microseconds.
     attempt_deadlines: BTreeSet<(u64, RequestId)>,
+    /// Ends of tasks that were not known: when, which, and with which cause.
     unknown_ends: VecDeque<(Seconds, RequestId, u8)>,
     next: u64,
 }
 
-/// Microseconds, to sort points in time by.
+/// A time in whole microseconds, as a key of ordered indexes.
 pub fn micros(at: Seconds) -> u64 {
     (at.max(0.0) * 1e6) as u64
 }
 
 impl RequestTable {
-    /// Requests there are.
+    /// The number of requests, pending or placed.
     pub fn count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Those whose owner waits.
+    /// The requests whose owner waits for an answer.
     pub fn pending(&self) -> Vec<RequestId> {
         self.pending_by_client.iter().map(|&(_, id)| id).collect()
     }
 
-    /// The number of those whose owner waits.
+    /// The number of requests whose owner waits for an answer.
     pub fn pending_count(&self) -> usize {
         self.pending_by_client.len()
     }
 
-    /// A number for a new task.
+    /// Assigns the id of a new task.
     pub fn new_task_id(&mut self) -> TaskId {
         self.next += 1;
         TaskId(self.next)
@@ -59,12 +63,12 @@
         self.requests.get(&id)
     }
 
-    /// The id of a task.
+    /// The id of a task's request.
     pub fn id_of_task(&self, task: TaskId) -> Option<RequestId> {
         self.ids.get(&task).copied()
     }
 
-    /// Takes in a request.
+    /// Adds a request.
     pub fn add(&mut self, id: RequestId, request: Request) {
         self.ids.insert(request.task, id);
         self.insert_into_indexes(id, request.client, request.state);
@@ -101,17 +105,18 @@
         }
     }
 
-    /// Brings a request to another stage.
-    pub fn set_state(&mut self, id: RequestId, stage: RequestState) {
+    /// Changes the state of a request.
+    pub fn set_state(&mut self, id: RequestId, state: RequestState) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let (client, old) = (request.client, std::mem::replace(&mut request.state, stage));
-        self.remove_from_indexes(id, client, old);
-        self.insert_into_indexes(id, client, stage);
+        let client = request.client;
+        let previous = std::mem::replace(&mut request.state, state);
+        self.remove_from_indexes(id, client, previous);
+        self.insert_into_indexes(id, client, state);
     }
 
-    /// Counts an attempt; tells its number.
+    /// Counts an attempt, and returns its number, from 0.
     pub fn count_attempt(&mut self, id: RequestId) -> u32 {
         self.requests.get_mut(&id).map_or(0, |request| {
             request.attempts += 1;
@@ -119,36 +124,37 @@
         })
     }
 
-    /// Whether the attempt that is out for a request is on this connection.
+    /// Whether a request's present attempt was made on this connection.
     pub fn is_attempt_on(&self, id: RequestId, upstream: UpstreamId) -> bool {
-        let stage = self.requests.get(&id).map(|request| request.state);
-        matches!(stage, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == upstream)
+        let state = self.requests.get(&id).map(|request| request.state);
+        matches!(state, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == upstream)
     }
 
-    /// An attempt begins; the first one counts, until it is known not to have run.
+    /// Records the time of the first attempt that may have run; later ones change nothing.
     pub fn record_first_attempt(&mut self, now: Seconds, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.first_attempt_at.get_or_insert(now);
         }
     }
 
-    /// No attempt has run.
+    /// Forgets the time of the first attempt, as no attempt has run.
     pub fn clear_first_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.first_attempt_at = None;
         }
     }
 
-    /// The owner of a task that stands came back by another connection.
+    /// Records that the owner of a placed task came back on another connection.
     pub fn rebind_client(&mut self, id: RequestId, client: DownstreamId, from: Option<IpAddr>) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(request.state, RequestState::Placed { .. })
         {
-            (request.client, request.from) = (client, from.or(request.from));
+            request.client = client;
+            request.from = from.or(request.from);
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.ids.remove(&request.task);
@@ -156,7 +162,7 @@
         Some(request)
     }
 
-    /// Open requests of a connection.
+    /// The pending requests of a connection.
     pub fn pending_of_client(&self, client: DownstreamId) -> Vec<RequestId> {
         let range = (client, RequestId(0))..=(client, RequestId(u64::MAX));
         self.pending_by_client
@@ -165,7 +171,7 @@
             .collect()
     }
 
-    /// Tasks that stand at a machine.
+    /// The tasks placed on a machine.
     pub fn placed_at_machine(&self, machine: MachineId) -> Vec<RequestId> {
         let range = (machine, RequestId(0))..=(machine, RequestId(u64::MAX));
         self.placed_by_machine
@@ -174,7 +180,7 @@
             .collect()
     }
 
-    /// Attempts whose time is over.
+    /// Requests whose attempt has passed its deadline.
     pub fn overdue_attempts(&self, now: Seconds) -> Vec<RequestId> {
         self.attempt_deadlines
             .range(..=(micros(now), RequestId(u64::MAX)))
@@ -182,12 +188,12 @@
             .collect()
     }
 
-    /// When the next attempt's time is over.
+    /// The next deadline of an attempt, in microseconds.
     pub fn next_attempt_deadline(&self) -> Option<u64> {
         self.attempt_deadlines.first().map(|&(at, _)| at)
     }
 
-    /// A machine told the end of a task that is not known here: it may be handed over only now.
+    /// Remembers the end of a task that is not known here, as its owner may hand it over only after that.
     pub fn record_unknown_end(&mut self, now: Seconds, id: RequestId, cause: u8) {
         while self
             .unknown_ends
@@ -200,7 +206,7 @@
         self.unknown_ends.push_back((now, id, cause));
     }
 
-    /// The cause with which a machine told the end of this task, where it did before the task was handed over.
+    /// The cause with which this task ended, if its end came before the task was handed over.
     pub fn unknown_end_cause(&self, id: RequestId) -> Option<u8> {
         self.unknown_ends
             .iter()
--- a/crates/gateway/src/request_table/request.rs
+++ b/crates/gateway/src/request_table/request.rs
@@ -4,10 +4,10 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::{MachineId, Seconds, TaskId};
 
-/// The attempt that is out.
+/// An attempt to place a task.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Its number.
+    /// Number of the attempt of its request, from 0.
     pub number: u32,
     /// The connection that carries it.
     pub upstream: UpstreamId,
@@ -15,23 +15,23 @@
     pub deadline: Seconds,
 }
 
-/// Where a request is.
+/// Whether a request is pending or placed.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestState {
-    /// Its owner waits.
+    /// The owner waits for an answer.
     Pending {
-        /// The attempt that is out.
+        /// The present attempt, if there is one.
         attempt: Option<Attempt>,
         /// An earlier attempt may have run.
         may_have_run: bool,
     },
-    /// The task stands.
+    /// The task is placed.
     Placed {
-        /// At this machine,
+        /// The machine that holds the task.
         machine: MachineId,
-        /// by this attempt,
+        /// Number of the attempt that placed it.
         attempt: u32,
-        /// since it was offered, or handed over.
+        /// When it was placed, or adopted.
         since: Seconds,
     },
 }
@@ -39,19 +39,19 @@
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The policy's name for it.
+    /// The policy's id of the task.
     pub task: TaskId,
-    /// The connection of its set-up, or by which its owner came back; it may have gone.
+    /// The connection of the set-up, or on which its owner came back; it may have ended.
     pub client: DownstreamId,
-    /// The address it came from.
+    /// The address of that connection.
     pub from: Option<IpAddr>,
-    /// Where it is.
+    /// Its present state.
     pub state: RequestState,
     /// The class's index in the settings.
     pub class_index: usize,
-    /// What a machine is sent, but for the wait: code and value, in the owner's order.
+    /// The parameters that a machine is sent, except the wait: code and value, in the owner's order.
     pub forwarded: Vec<(u8, Vec<u8>)>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
     /// When the first attempt that may have run began.
     pub first_attempt_at: Option<Seconds>,
