--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts over time: answers to owners, cancels, time-outs, ends.
+//! The course of requests and attempts: answers to owners, cancels, timeouts and ends.
 
 use super::MAX_PENDING_RELEASES;
 use super::{Gateway, Output};
@@ -10,7 +10,7 @@
 use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds, TaskId};
 
 impl Gateway {
-    /// Sends bytes to the owner of a request, by whatever way leads there.
+    /// Sends a message to the owner of a request, or holds it back until there is a connection to the owner.
     pub(super) fn reply(&mut self, id: RequestId, bytes: Vec<u8>, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// What had no way to its owner goes out once there is one.
+    /// Sends the releases that were held back, in their order, as far as there are connections to their owners.
     pub(super) fn send_pending_releases(&mut self, outputs: &mut Vec<Output>) {
         while let Some((from, _)) = self.pending_releases.front() {
             let Some(client) = self.downstreams.route_to_owner(None, *from) else {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A request whose owner waits is over: nothing is owed, and what is out for it is cancelled at its machine.
+    /// Cancels a pending request without an answer to its owner, and its present attempt at the machine.
     pub(super) fn cancel_request(
         &mut self,
         now: Seconds,
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Attempts whose time is over: an answer may lie unread, so their connections are looked at first. Guards against
-    /// a loop that lags and takes an attempt for failed that was answered in time. Costs one read.
+    /// Checks the connections of attempts that have passed their deadlines, as an answer may be unread. Guards against a
+    /// lagging event loop that times out an attempt which was answered in time. Costs one read a connection.
     pub(super) fn check_overdue_attempts(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
-        let of = |id| match self.requests.get(id).map(|request| request.state) {
+        let upstream_of_attempt = |id| match self.requests.get(id).map(|request| request.state) {
             Some(RequestState::Pending {
                 attempt: Some(attempt),
                 ..
@@ -89,7 +89,7 @@
             .requests
             .overdue_attempts(now)
             .into_iter()
-            .filter_map(of)
+            .filter_map(upstream_of_attempt)
             .collect();
         outputs.extend(
             lines
@@ -98,7 +98,7 @@
         );
     }
 
-    /// What a machine had said on a connection was taken in: what is over now is over.
+    /// All that a machine has sent on a connection was handled: attempts on it that are still overdue time out.
     pub(super) fn upstream_checked(
         &mut self,
         now: Seconds,
@@ -112,7 +112,8 @@
         }
     }
 
-    /// The time of an attempt is over: it is cancelled.
+    /// Cancels an attempt that has passed its deadline. It has not run if it was never sent, because it waited for its
+    /// client or for a machine that accepted no bytes.
     fn attempt_timed_out(&mut self, now: Seconds, id: RequestId, outputs: &mut Vec<Output>) {
         let Some(RequestState::Pending {
             attempt: Some(attempt),
@@ -125,7 +126,6 @@
         let never_left = self.with_pool(outputs, |pool, actions| {
             pool.cancel(now, attempt.upstream, id, true, actions)
         });
-        // It waited for its own client or for a machine that takes no bytes: it has not run.
         self.attempt_ended(
             id,
             if never_left {
@@ -137,7 +137,7 @@
         );
     }
 
-    /// The attempt that is out has ended without an answer that the task stands.
+    /// The present attempt of a request has ended, and the task was not placed.
     pub(super) fn attempt_ended(
         &mut self,
         id: RequestId,
@@ -155,19 +155,19 @@
             return;
         };
         let task = request.task;
-        let ran = !matches!(
+        let may_have_run_now = !matches!(
             outcome,
             AttemptOutcome::Rejected(_) | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
         self.pool.settle_offer(attempt.upstream, id);
-        if !(may_have_run || ran) {
+        if !(may_have_run || may_have_run_now) {
             self.requests.clear_first_attempt(id);
         }
         self.requests.set_state(
             id,
             RequestState::Pending {
                 attempt: None,
-                may_have_run: may_have_run || ran,
+                may_have_run: may_have_run || may_have_run_now,
             },
         );
         self.events.push(attempt_ended_event(
@@ -179,7 +179,7 @@
         ));
     }
 
-    /// A standing task is ended from here: its machine is told.
+    /// Ends a placed task, and notifies its machine.
     pub(super) fn release_at_machine(
         &mut self,
         now: Seconds,
@@ -199,7 +199,7 @@
         self.finish_placed(now, id, attempt, AttemptOutcome::Cancelled, None);
     }
 
-    /// A standing task has ended.
+    /// A placed task has ended.
     pub(super) fn finish_placed(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -1,9 +1,9 @@
-//! Connections of clients: who is there, who has gone, who is closed.
+//! Connections of clients: which are still connected, and which are closed.
 //!
-//! One mechanism tells whether a client is still there, before anything depends on it: a look, which reads what it has
-//! said by now. An attempt begins only after one, and a connection that seems idle is closed only after one. Guards
-//! against a close or a cancel that waits, in the kernel or in the input queue, while its set-up is sent on. Costs
-//! one read an attempt. Harm: a client that says more than a look reads has its attempts wait until it was read.
+//! Before anything depends on a client, its connection is checked: what it has sent by now is read. An offer is sent
+//! only after a check, and a connection that seems idle is closed only after one. Guards against a close or a cancel
+//! that waits, in the kernel or in the input queue, while the set-up is forwarded. Costs one read an attempt; offers of
+//! a client that sends more than a check reads wait until all was read.
 
 use super::{Gateway, Output, PeerCheck};
 use crate::downstream::CloseReason;
@@ -13,15 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_policy::interface::{AttemptOutcome, RetrySafety, Seconds};
 
-/// After a look that did not come to an end, the next one.
+/// Time from a check that left unread bytes to the next one.
 const RECHECK_INTERVAL: Seconds = 0.02;
 
-/// Set-ups that could leave, by the client that they wait for.
+/// Offers that can be sent once their clients were checked.
 #[derive(Debug)]
 pub(super) struct ReadyOffers {
     by_client: BTreeMap<DownstreamId, Vec<(UpstreamId, RequestId)>>,
-    /// Clients that said more than was read at once, and when they are looked at again.
+    /// Clients that had sent more than a check reads.
     busy: BTreeSet<DownstreamId>,
+    /// When these clients are checked again; infinite if there are none.
     pub(super) recheck_at: Seconds,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Gateway {
-    /// A set-up could leave: its client is looked at first, once for all of its set-ups in a step.
+    /// An offer can be sent: its client is checked first, once for all of its offers in a step.
     pub(super) fn offer_ready(
         &mut self,
         upstream: UpstreamId,
@@ -53,7 +54,8 @@
         due.push((upstream, id));
     }
 
-    /// A look at a client is done: what ends its requests was taken in before.
+    /// A client was checked; inputs that end its requests were handled before. Its id conflicts are resolved, it is
+    /// closed if that was intended and it is idle, and its offers that are still wanted are sent.
     pub(super) fn downstream_checked(
         &mut self,
         now: Seconds,
@@ -62,11 +64,11 @@
         outputs: &mut Vec<Output>,
     ) {
         self.resolve_id_conflicts(now, client, outputs);
-        if let Some(cause_given) = self.downstreams.close_reason(client) {
-            // Who takes long for a message, and is not in the way, may go on with it.
-            let idle = check == PeerCheck::Idle
-                || check == PeerCheck::PartialMessage && cause_given != CloseReason::Silent;
-            if idle && self.downstreams.pending_count(client) == 0 {
+        if let Some(close_reason) = self.downstreams.close_reason(client) {
+            // A client that is slow to send a message may go on, unless it has sent no valid set-up yet.
+            let is_idle = check == PeerCheck::Idle
+                || check == PeerCheck::PartialMessage && close_reason != CloseReason::Silent;
+            if is_idle && self.downstreams.pending_count(client) == 0 {
                 self.close_client(now, client, outputs);
             } else {
                 self.downstreams.keep_open(now, client);
@@ -74,7 +76,7 @@
             }
         }
         if check == PeerCheck::MoreUnread {
-            // What was cancelled meanwhile is forgotten, however long this goes on.
+            // Offers that were cancelled meanwhile are dropped, however long this goes on.
             let requests = &self.requests;
             if let Some(due) = self.ready_offers.by_client.get_mut(&client) {
                 due.retain(|&(upstream, id)| requests.is_attempt_on(id, upstream));
@@ -83,7 +85,7 @@
             self.ready_offers.recheck_at = self.ready_offers.recheck_at.min(now + RECHECK_INTERVAL);
             return;
         }
-        // Those that were cancelled meanwhile are not in the pool any more.
+        // The pool ignores offers that were cancelled meanwhile.
         for (upstream, id) in self
             .ready_offers
             .by_client
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Whether a repeat would begin after the window in which it has no second effect: it was decided in time, and
-    /// then waited for its connection.
+    /// Whether a retry would begin after the window of its idempotency key: it was decided in time, and then waited for
+    /// its connection.
     fn is_past_window(&self, now: Seconds, id: RequestId) -> bool {
         let Some((
             request,
@@ -134,7 +136,7 @@
             .is_some_and(|began| now > began + window)
     }
 
-    /// Time goes on: clients that said more than was read at once are looked at again.
+    /// Checks the clients again that had sent more than a check reads, once that is due.
     pub(super) fn recheck_busy_clients(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         if now >= self.ready_offers.recheck_at {
             self.ready_offers.recheck_at = f64::INFINITY;
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Where there are more connections than may be, one that says nothing is closed.
+    /// Where there are too many connections, checks one that is then closed if it is idle.
     pub(super) fn close_surplus(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         outputs.extend(
             self.downstreams
@@ -155,7 +157,7 @@
         );
     }
 
-    /// Nobody listens there any more: what was open on it is cancelled at once, whatever else it said before.
+    /// The client has closed its connection: its pending requests are cancelled at once, whatever it has sent before.
     pub(super) fn downstream_peer_closed(
         &mut self,
         now: Seconds,
@@ -166,6 +168,7 @@
         self.cancel_client_requests(now, client, outputs);
     }
 
+    /// Closes a client's connection, and cancels its pending requests.
     pub(super) fn close_client(
         &mut self,
         now: Seconds,
@@ -178,7 +181,7 @@
         outputs.push(Output::CloseDownstream(client));
     }
 
-    /// A connection is no more: what was open on it is cancelled, what stands is reached by another way.
+    /// Cancels the pending requests of a connection that has ended. Owners of placed tasks are reached by others.
     pub(super) fn cancel_client_requests(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -8,7 +8,7 @@
 use tidespur_policy::interface::{AttemptOutcome, FailureCause, MachineId, Seconds};
 
 impl Gateway {
-    /// Has something done with the connections to machines, and what it leads to carried out.
+    /// Calls the pool, and passes on the actions that it returns.
     pub(super) fn with_pool<T>(
         &mut self,
         outputs: &mut Vec<Output>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What stood at a machine since before `before` is over.
+    /// Fails the tasks that were placed on a machine at or before `before`, and releases them to their owners.
     pub(super) fn machine_failed(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -1,9 +1,9 @@
-//! The word to end: what is still answered, and when the program ends.
+//! Graceful shutdown: which requests are still answered, and when the process exits.
 //!
-//! All that is taken gets its answer first. Then who has connected is accepted and nobody more, each connection is
-//! looked at, what it still asks for is refused, and it is closed once it says nothing; the program ends when the last
-//! one is. Guards against bytes that come in the moment of the end: a socket closed over unread bytes resets its
-//! connection, and the reset may destroy an answer on its way.
+//! Accepted requests are answered first. Then the connections that wait are accepted and no more, each client is
+//! checked, its new requests are rejected, and its connection is closed once it is idle; the process exits when the last
+//! one is closed. Guards against bytes that arrive at the same moment: closing a socket with unread bytes resets its
+//! connection, and the reset may destroy an answer that was sent.
 
 use super::{Gateway, Output};
 use crate::downstream::CloseReason;
@@ -11,19 +11,20 @@
 use crate::request_table::RequestState;
 use tidespur_policy::interface::Seconds;
 
-/// After the word to end, requests go on coming for so long (the platform's page).
+/// After a shutdown request, clients go on sending requests for this long (the platform's specification).
 const LATE_REQUEST_TIMEOUT: Seconds = 0.7;
-/// The platform kills no sooner than the longest deadline of the settings, or this where it is longer, and
-/// `LATE_REQUEST_TIMEOUT` more after the word (the same page).
+/// The platform kills the process no sooner than the longest deadline of the settings, or this if it is shorter, plus
+/// [`LATE_REQUEST_TIMEOUT`] after the request (the same specification).
 const MAX_SHUTDOWN_DEADLINE: Seconds = 3.0;
-/// Of that time beyond `LATE_REQUEST_TIMEOUT`, what is open may take this share. Until then the ends of what stands are passed
-/// on too; then what is open is answered.
+/// Fraction of the time beyond [`LATE_REQUEST_TIMEOUT`] after which pending requests are answered. Until then ends of
+/// placed tasks are forwarded too.
 const ANSWERED_FRACTION: f64 = 0.8;
-/// By this share the connections are closed, and by the last one what was written has left.
+/// Fraction of it after which connections are closed.
 const CLOSED_FRACTION: f64 = 0.9;
+/// Fraction of it after which all bytes were sent.
 const FLUSHED_FRACTION: f64 = 0.97;
 
-/// The word to end was given.
+/// A shutdown that was requested.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GracefulShutdown {
     requested_at: Seconds,
@@ -32,12 +33,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ShutdownPhase {
-    /// Requests are taken as before.
+    /// Requests are accepted as before.
     Serving,
-    /// Nothing is open: who has connected is accepted, then nobody more.
+    /// No request is pending: connections that wait are accepted, and then no more.
     StoppingListener,
-    /// Each connection is closed once it says nothing.
+    /// Each connection is closed once it is idle.
     ClosingClients,
+    /// The process was told to exit.
     Finished,
 }
 
@@ -49,13 +51,13 @@
         });
     }
 
-    /// Whether what is asked now is refused at once, as the program ends.
+    /// Whether new requests are rejected because of the shutdown.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown
             .is_some_and(|leaving| leaving.phase != ShutdownPhase::Serving)
     }
 
-    /// Nobody connects any more.
+    /// No further connection is accepted: the clients are closed once they are idle.
     pub(super) fn listening_stopped(&mut self, outputs: &mut Vec<Output>) {
         if let Some(leaving) = &mut self.shutdown {
             leaving.phase = ShutdownPhase::ClosingClients;
@@ -63,7 +65,7 @@
         self.check_all_clients(outputs);
     }
 
-    /// Looks at all clients: those that say nothing are closed.
+    /// Checks all clients, to close those that are idle.
     fn check_all_clients(&mut self, outputs: &mut Vec<Output>) {
         for client in self.downstreams.ids() {
             if self.downstreams.close_reason(client).is_none() {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// After the word to end: how far that is.
+    /// Advances the shutdown to its next phase once that is due or nothing is left to wait for.
     pub(super) fn advance_shutdown(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let Some(GracefulShutdown {
             requested_at: at,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// When this share of the time that the platform gives is over.
+    /// When this fraction of the time that the platform gives is over.
     fn shutdown_deadline(&self, at: Seconds, share: f64) -> Seconds {
         let longest = self
             .site
@@ -121,7 +123,7 @@
         at + LATE_REQUEST_TIMEOUT + share * longest.min(MAX_SHUTDOWN_DEADLINE)
     }
 
-    /// When the next of it is due at the latest.
+    /// When the next phase is due at the latest; infinite without a shutdown.
     pub(super) fn next_shutdown_deadline(&self) -> Seconds {
         match self.shutdown {
             Some(GracefulShutdown {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Time goes on: who said something when it was to be closed is looked at again.
+    /// Checks clients again that were not idle when they were to be closed.
     pub(super) fn recheck_closing_clients(&mut self, outputs: &mut Vec<Output>) {
         if self
             .shutdown
@@ -156,14 +158,14 @@
             else {
                 continue;
             };
-            // What may run can't be refused: its owner would ask again at once.
-            let harmless = attempt.is_none() && !may_have_run;
-            let word = if harmless {
+            // A task that may have run must not be rejected as harmless to repeat.
+            let never_ran = attempt.is_none() && !may_have_run;
+            let release_cause = if never_ran {
                 cause::CONGESTED
             } else {
                 cause::FAILED
             };
-            self.reply(id, Message::release(id, word).encode(), outputs);
+            self.reply(id, Message::release(id, release_cause).encode(), outputs);
             self.cancel_request(now, id, outputs);
         }
     }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,12 +1,15 @@
-//! The platform's messages: frames and parameters, from bytes and back. Takes any bytes without harm.
+//! The platform's messages: framing and parameters, encoded and decoded. Any bytes can be decoded without harm.
+//!
+//! A message is a length of two bytes, a type of one, the task's id of eight, and parameters: a code of one byte, a
+//! length of two and the value. All numbers are big-endian.
 
 mod codes;
 
 pub use codes::{cause, code};
 
-/// A message may hold so many bytes after its length.
+/// Bound on the bytes of a message after its length.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// Type and task, which every message has.
+/// Bytes of the type and the task's id, which every message has.
 const HEADER_BYTES: usize = 9;
 
 /// A request's id on the platform: 16 hex digits there, eight bytes here.
@@ -22,23 +25,23 @@
 /// What a message is, by its type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// A task to place, or one that a machine already holds.
+    /// A task to place, or to adopt from the machine that holds it.
     SetUp,
-    /// Free; means nothing.
+    /// No meaning here; ignored.
     Progress,
-    /// The task stands.
+    /// The task is placed.
     Answer,
-    /// A refusal, a release, or a set-up given up, by its cause.
+    /// A rejection, the end of a task, or a cancelled set-up, by its cause.
     Release,
-    /// Free; the release was heard.
+    /// Acknowledges a release.
     Heard,
-    /// Asks whether the connection works.
+    /// A health check of the connection.
     Test,
-    /// It does, or not, by its cause.
+    /// Answers a health check, by its cause.
     Tested,
-    /// News of a task that stands.
+    /// Progress of a placed task.
     Note,
-    /// A standing task ends; its owner comes again.
+    /// A placed task is migrated: it ends, and its owner submits it again.
     Move,
 }
 
@@ -70,12 +73,12 @@
     }
 }
 
-/// A message as it came: its parameters are as long as they say and no longer than the message.
+/// A message. The lengths of its parameters were checked when it was decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it is.
+    /// Its type.
     pub kind: MessageKind,
-    /// The task that it names.
+    /// The task that it is about.
     pub id: RequestId,
     /// Its parameters, in order: code and value.
     pub parameters: Vec<(u8, Vec<u8>)>,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The same with one parameter more. A value beyond [`MAX_MESSAGE_BYTES`] is cut to it, as no peer reads it.
+    /// Adds a parameter. A value longer than [`MAX_MESSAGE_BYTES`] is truncated, as no peer accepts it.
     #[must_use]
     pub fn with(mut self, code: u8, value: &[u8]) -> Self {
         self.parameters
@@ -99,12 +102,12 @@
         self
     }
 
-    /// A release, or a set-up given up.
+    /// A release with this cause.
     pub fn release(id: RequestId, cause: u8) -> Self {
         Self::new(MessageKind::Release, id).with(code::CAUSE, &[cause])
     }
 
-    /// The first parameter of this code.
+    /// The value of the first parameter of this code.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -112,19 +115,19 @@
             .map(|(_, value)| value.as_slice())
     }
 
-    /// The first parameter of this code as text; `None` also where it is no UTF-8.
+    /// The value of the first parameter of this code as text; `None` also where it is no UTF-8.
     pub fn text(&self, code: u8) -> Option<&str> {
         std::str::from_utf8(self.get(code)?).ok()
     }
 
-    /// The cause, where one is given.
+    /// The cause, if there is one of one byte.
     pub fn cause(&self) -> Option<u8> {
         self.get(code::CAUSE)
             .and_then(|value| <[u8; 1]>::try_from(value).ok())
             .map(|[cause]| cause)
     }
 
-    /// Its bytes.
+    /// The message's bytes on the wire.
     pub fn encode(&self) -> Vec<u8> {
         let length = HEADER_BYTES
             + self
@@ -145,36 +148,21 @@
     }
 }
 
-/// Why bytes are no message. Nothing after them can be read: the connection is of no further use.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why bytes are no message. Nothing after them can be read: the connection has to be closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// A length below the head's, or above [`MAX_MESSAGE_BYTES`].
+    /// The length is below the header's, or above [`MAX_MESSAGE_BYTES`].
+    #[error("a message of {0} bytes, {HEADER_BYTES} to {MAX_MESSAGE_BYTES} are allowed")]
     Length(usize),
-    /// A type that is not known.
+    /// The type is not known.
+    #[error("a message of type {0}, which is not known")]
     Type(u8),
-    /// Parameters that do not fill the message, of this task.
+    /// The parameters do not fill the message, which is for this task.
+    #[error("a message for task {0} whose parameters do not fill it")]
     Parameters(RequestId),
 }
 
-impl std::fmt::Display for MessageError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Self::Length(n) => write!(
-                f,
-                "a message of {n} bytes, {HEADER_BYTES} to {MAX_MESSAGE_BYTES} are allowed"
-            ),
-            Self::Type(n) => write!(f, "a message of type {n}, which is not known"),
-            Self::Parameters(id) => {
-                write!(f, "a message for task {id} whose parameters do not fill it")
-            }
-        }
-    }
-}
-
-impl std::error::Error for MessageError {}
-
-/// Takes in bytes as they come and gives out whole messages. Holds at most one unfinished message and what was
-/// fed last.
+/// Decodes messages from a stream of bytes. Holds at most one incomplete message and the bytes that were fed last.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
@@ -182,26 +170,26 @@
 }
 
 impl Decoder {
-    /// Takes in bytes.
+    /// Adds bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.read);
         self.read = 0;
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_MESSAGE_BYTES / 4 {
-            // Most connections hold nothing most of the time, and there are many.
+            // There are many connections, and most hold no bytes most of the time.
             self.bytes = Vec::new();
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether an unfinished message waits for its rest.
+    /// Whether bytes are left that were not decoded yet.
     pub fn has_partial_message(&self) -> bool {
         self.read < self.bytes.len()
     }
 
-    /// The next whole message, if there is one.
+    /// Decodes the next complete message, if there is one.
     ///
     /// # Errors
-    /// The bytes are no message; the decoder is of no further use.
+    /// Fails if the bytes are no message; the decoder can't be used after that.
     pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let rest = &self.bytes[self.read..];
         let Some(&[high, low]) = rest.first_chunk::<2>() else {
--- a/crates/gateway/src/message/codes.rs
+++ b/crates/gateway/src/message/codes.rs
@@ -1,49 +1,49 @@
-//! Numbers of the platform's messages.
+//! Numbers of parameters and causes in the platform's messages.
 
 /// Codes of the parameters.
 pub mod code {
-    /// Class, by name.
+    /// The task's class, by name.
     pub const CLASS: u8 = 180;
     /// How long the sender waits, in milliseconds.
     pub const WAIT: u8 = 183;
     /// Tenant, by name, where the settings have any.
     pub const TENANT: u8 = 186;
-    /// `1` where an owner tries again.
+    /// `1` where an owner submits a task again.
     pub const RETRY: u8 = 189;
     /// Name of the task.
     pub const NAME: u8 = 192;
-    /// What the task asks for.
+    /// What the task requests: resources, service, and the machine that holds it, if one does.
     pub const ASKS: u8 = 195;
-    /// What is noted, or why something was refused or released.
+    /// The kind of progress, or the reason of a rejection or release.
     pub const WORD: u8 = 201;
-    /// Load of a machine.
+    /// Load report of a machine.
     pub const LOAD: u8 = 207;
     /// How long the task is expected to run, in milliseconds.
     pub const HINT: u8 = 210;
-    /// The figure of a note.
+    /// The level that a progress report gives.
     pub const FIGURE: u8 = 216;
-    /// Cause: one byte.
+    /// The cause, one byte; see [`cause`](super::cause).
     pub const CAUSE: u8 = 222;
-    /// Description: bytes that are passed on as they are.
+    /// The description of a placed task: bytes that are forwarded unchanged.
     pub const DESCRIPTION: u8 = 225;
 }
 
-/// Causes.
+/// Causes of releases.
 pub mod cause {
-    /// A standing task came to its end; from an owner, before the answer: the set-up is given up.
+    /// A placed task finished. From an owner, before the answer: the set-up is cancelled.
     pub const NORMAL: u8 = 16;
-    /// A standing task was moved, or ended by its owner.
+    /// A placed task was migrated, or ended by its owner.
     pub const ENDED: u8 = 31;
-    /// Refused: full, never ran.
+    /// Rejected, as there is no capacity; the task never ran.
     pub const FULL: u8 = 34;
     /// Failed, reset or cut.
     pub const FAILED: u8 = 41;
-    /// Refused by the scheduler itself: too much at once.
+    /// Rejected by the scheduler as overloaded; the task never ran.
     pub const CONGESTED: u8 = 42;
     /// An error of the machine.
     pub const ERROR: u8 = 47;
-    /// Failed: what was asked can't be read or can't be had.
+    /// Rejected: the request is malformed or can never be met.
     pub const CONTENT: u8 = 100;
-    /// Never left.
+    /// Never sent.
     pub const MOOT: u8 = 102;
 }
