--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -88,7 +88,7 @@
             Ok(line) => line,
             Err(why) => return why,
         };
-        match events.line(&line) {
+        match events.push_line(&line) {
             Ok(Some(data)) => take(&data),
             Ok(None) => {}
             Err(problem) => return problem.to_string(),
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// Fails if the line is no UTF-8 or the event is too long; the stream can't be read on.
-    pub fn line(&mut self, line: &[u8]) -> Result<Option<String>, DiscoveryError> {
+    pub fn push_line(&mut self, line: &[u8]) -> Result<Option<String>, DiscoveryError> {
         let line = std::str::from_utf8(line)?;
         let line = line.strip_suffix('\r').unwrap_or(line);
         if line.is_empty() {
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -8,7 +8,7 @@
 
 impl Gateway {
     /// Carries out one action of the policy.
-    pub(super) fn carry_out(&mut self, now: Seconds, action: Action, outputs: &mut Vec<Output>) {
+    pub(super) fn apply_action(&mut self, now: Seconds, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::Offer {
                 task,
@@ -46,7 +46,7 @@
         };
         let state = self.requests.get(id).map(|request| request.state);
         if let Some(RequestState::Placed { .. }) = state {
-            self.reply(id, Message::new(MessageKind::Move, id).encode(), outputs);
+            self.reply(id, Message::new(MessageKind::Migrate, id).encode(), outputs);
             self.release_at_machine(now, id, outputs);
         }
     }
@@ -123,7 +123,7 @@
     let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
     let mut set_up = Message::new(MessageKind::SetUp, id);
     for (code, value) in &request.forwarded {
-        let value = if *code == code::WAIT {
+        let value = if *code == code::TIMEOUT {
             milliseconds.as_bytes()
         } else {
             value
--- a/crates/gateway/src/gateway/inputs.rs
+++ b/crates/gateway/src/gateway/inputs.rs
@@ -36,7 +36,7 @@
             self.policy
                 .step(now, std::mem::take(&mut self.events), &mut actions);
             for action in actions {
-                self.carry_out(now, action, outputs);
+                self.apply_action(now, action, outputs);
             }
         }
     }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -17,17 +17,19 @@
     ) {
         let is_over_limit = match message.kind {
             MessageKind::SetUp => return self.handle_set_up(now, client, message, outputs),
-            MessageKind::Test => {
-                let reply = Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]);
+            MessageKind::HealthCheck => {
+                let reply =
+                    Message::new(MessageKind::HealthCheckReply, message.id).with(code::CAUSE, &[1]);
                 outputs.push(Output::WriteDownstream(client, reply.encode()));
                 self.downstreams.record_free_message(now, client)
             }
             MessageKind::Release => self.handle_release(now, client, message.id, outputs),
-            MessageKind::Heard => self.downstreams.release_acknowledged(now, client),
+            MessageKind::ReleaseAck => self.downstreams.release_acknowledged(now, client),
             MessageKind::Progress => self.downstreams.record_free_message(now, client),
-            MessageKind::Answer | MessageKind::Tested | MessageKind::Note | MessageKind::Move => {
-                self.downstreams.record_malformed(now, client)
-            }
+            MessageKind::Accepted
+            | MessageKind::HealthCheckReply
+            | MessageKind::ProgressReport
+            | MessageKind::Migrate => self.downstreams.record_malformed(now, client),
         };
         if is_over_limit {
             self.close_malformed_client(now, client, outputs);
@@ -54,7 +56,7 @@
             }
             RequestState::Pending { .. } => self.downstreams.record_malformed(now, client),
             RequestState::Placed { .. } => {
-                let heard = Message::new(MessageKind::Heard, id);
+                let heard = Message::new(MessageKind::ReleaseAck, id);
                 outputs.push(Output::WriteDownstream(client, heard.encode()));
                 self.release_at_machine(now, id, outputs);
                 false
--- a/crates/gateway/src/gateway/upstream_messages.rs
+++ b/crates/gateway/src/gateway/upstream_messages.rs
@@ -4,7 +4,7 @@
 use crate::message::{Message, MessageKind, RequestId, cause, code};
 use crate::pool::PoolAction;
 use crate::request_table::RequestState;
-use crate::{UpstreamId, task_request};
+use crate::{UpstreamId, machine_report};
 use tidespur_policy::interface::{AttemptOutcome, Event, MachineId, Seconds};
 
 impl Gateway {
@@ -30,7 +30,7 @@
             Some(RequestState::Placed { machine: placed_on, .. }) if placed_on == machine
         );
         match message.kind {
-            MessageKind::Answer if is_attempt_here => {
+            MessageKind::Accepted if is_attempt_here => {
                 self.offer_accepted(now, upstream, machine, message, outputs);
             }
             MessageKind::Release if is_attempt_here => self.offer_released(message),
@@ -40,15 +40,15 @@
             MessageKind::Release if state.is_none() => {
                 self.unknown_task_released(now, upstream, message, outputs);
             }
-            MessageKind::Note if is_placed_here => self.progress_reported(message),
-            MessageKind::Test => {
-                let reply = Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]);
+            MessageKind::ProgressReport if is_placed_here => self.progress_reported(message),
+            MessageKind::HealthCheck => {
+                let reply = Message::new(MessageKind::HealthCheckReply, id).with(code::CAUSE, &[1]);
                 outputs.push(Output::Upstream(PoolAction::Write(
                     upstream,
                     reply.encode(),
                 )));
             }
-            MessageKind::Tested | MessageKind::Progress | MessageKind::Heard => {}
+            MessageKind::HealthCheckReply | MessageKind::Progress | MessageKind::ReleaseAck => {}
             _ => self.counts.unmatched += 1,
         }
     }
@@ -78,7 +78,7 @@
         let Some(description) = message.get(code::DESCRIPTION) else {
             return self.upstream_malformed(now, upstream, outputs);
         };
-        let answer = Message::new(MessageKind::Answer, id).with(code::DESCRIPTION, description);
+        let answer = Message::new(MessageKind::Accepted, id).with(code::DESCRIPTION, description);
         self.counts.placed += 1;
         self.pool.settle_offer(upstream, id);
         self.requests.set_state(
@@ -101,7 +101,7 @@
 
     /// The machine has rejected or given up the offer.
     fn offer_released(&mut self, message: &Message) {
-        let failure = task_request::failure_cause(message);
+        let failure = machine_report::failure_cause(message);
         let outcome = match message.cause() {
             Some(cause::FULL) => AttemptOutcome::Rejected(failure),
             Some(cause::ERROR) => AttemptOutcome::Failed,
@@ -113,7 +113,7 @@
             AttemptOutcome::Failed => self.counts.errors += 1,
             _ => self.counts.interrupted += 1,
         }
-        self.attempt_ended(message.id, outcome, task_request::load_report(message));
+        self.attempt_ended(message.id, outcome, machine_report::load_report(message));
     }
 
     /// A placed task has ended at its machine; its owner is told, unless the end was ordered from here.
@@ -135,12 +135,12 @@
         let outcome = match release_cause {
             cause::NORMAL => AttemptOutcome::Finished,
             cause::ENDED => AttemptOutcome::Cancelled,
-            _ => AttemptOutcome::Interrupted(task_request::failure_cause(message)),
+            _ => AttemptOutcome::Interrupted(machine_report::failure_cause(message)),
         };
         if release_cause != cause::ENDED {
             self.reply(id, Message::release(id, release_cause).encode(), outputs);
         }
-        let report = task_request::load_report(message);
+        let report = machine_report::load_report(message);
         self.finish_placed(now, id, attempt, outcome, report);
     }
 
@@ -164,7 +164,7 @@
         let Some(request) = self.requests.get(message.id) else {
             return;
         };
-        if let Some(progress) = task_request::attempt_progress(message) {
+        if let Some(progress) = machine_report::attempt_progress(message) {
             self.events.push(Event::AttemptProgressed {
                 task: request.task,
                 progress,
@@ -174,7 +174,7 @@
 }
 
 fn acknowledge_release(upstream: UpstreamId, id: RequestId, outputs: &mut Vec<Output>) {
-    let heard = Message::new(MessageKind::Heard, id);
+    let heard = Message::new(MessageKind::ReleaseAck, id);
     outputs.push(Output::Upstream(PoolAction::Write(
         upstream,
         heard.encode(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod error;
 pub mod gateway;
 pub mod input_queue;
+pub mod machine_report;
 pub mod message;
 pub mod pool;
 pub mod request_table;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -30,32 +30,32 @@
     /// No meaning here; ignored.
     Progress,
     /// The task is placed.
-    Answer,
+    Accepted,
     /// A rejection, the end of a task, or a cancelled set-up, by its cause.
     Release,
     /// Acknowledges a release.
-    Heard,
+    ReleaseAck,
     /// A health check of the connection.
-    Test,
+    HealthCheck,
     /// Answers a health check, by its cause.
-    Tested,
+    HealthCheckReply,
     /// Progress of a placed task.
-    Note,
+    ProgressReport,
     /// A placed task is migrated: it ends, and its owner submits it again.
-    Move,
+    Migrate,
 }
 
 impl MessageKind {
     const ALL: [(u8, Self); 9] = [
         (1, Self::SetUp),
         (6, Self::Progress),
-        (9, Self::Answer),
+        (9, Self::Accepted),
         (12, Self::Release),
-        (16, Self::Heard),
-        (52, Self::Test),
-        (53, Self::Tested),
-        (44, Self::Note),
-        (51, Self::Move),
+        (16, Self::ReleaseAck),
+        (52, Self::HealthCheck),
+        (53, Self::HealthCheckReply),
+        (44, Self::ProgressReport),
+        (51, Self::Migrate),
     ];
 
     fn of(number: u8) -> Option<Self> {
--- a/crates/gateway/src/message/codes.rs
+++ b/crates/gateway/src/message/codes.rs
@@ -5,7 +5,7 @@
     /// The task's class, by name.
     pub const CLASS: u8 = 180;
     /// How long the sender waits, in milliseconds.
-    pub const WAIT: u8 = 183;
+    pub const TIMEOUT: u8 = 183;
     /// Tenant, by name, where the settings have any.
     pub const TENANT: u8 = 186;
     /// `1` where an owner submits a task again.
@@ -13,15 +13,15 @@
     /// Name of the task.
     pub const NAME: u8 = 192;
     /// What the task requests: resources, service, and the machine that holds it, if one does.
-    pub const ASKS: u8 = 195;
+    pub const REQUESTED: u8 = 195;
     /// The kind of progress, or the reason of a rejection or release.
-    pub const WORD: u8 = 201;
+    pub const REASON: u8 = 201;
     /// Load report of a machine.
     pub const LOAD: u8 = 207;
     /// How long the task is expected to run, in milliseconds.
-    pub const HINT: u8 = 210;
+    pub const EXPECTED_DURATION: u8 = 210;
     /// The level that a progress report gives.
-    pub const FIGURE: u8 = 216;
+    pub const LEVEL: u8 = 216;
     /// The cause, one byte; see [`cause`](super::cause).
     pub const CAUSE: u8 = 222;
     /// The description of a placed task: bytes that are forwarded unchanged.
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -171,7 +171,7 @@
             return;
         };
         upstream.health_check_sent_at = Some(now);
-        let test = Message::new(MessageKind::Test, RequestId(0)).with(code::CAUSE, &[0]);
+        let test = Message::new(MessageKind::HealthCheck, RequestId(0)).with(code::CAUSE, &[0]);
         actions.push(PoolAction::Write(id, test.encode()));
         self.update_idle_index(machine);
     }
--- a/crates/gateway/src/task_request.rs
+++ b/crates/gateway/src/task_request.rs
@@ -1,12 +1,10 @@
-//! Parses set-ups and the reports of machines into the policy's types.
+//! Parses set-ups into the policy's tasks.
 //!
 //! Called by the gateway for each message; a set-up that can't be used is rejected with the error of the first field.
 
 use crate::message::{Message, code};
 use std::collections::BTreeMap;
-use tidespur_policy::interface::{
-    AttemptProgress, FailureCause, LoadReport, Resources, Seconds, ServiceId, Task, TaskId,
-};
+use tidespur_policy::interface::{Resources, Seconds, ServiceId, Task, TaskId};
 use tidespur_site_settings::{Site, convert};
 
 /// A set-up whose owner waits longer than this is rejected, as no owner of the platform waits so long.
@@ -50,7 +48,7 @@
 }
 
 /// Splits `key:value;key:value` into its fields; a later field of the same key replaces an earlier one.
-fn fields(text: &str) -> BTreeMap<&str, &str> {
+pub(crate) fn fields(text: &str) -> BTreeMap<&str, &str> {
     text.split(';')
         .filter_map(|field| field.split_once(':'))
         .map(|(key, value)| (key.trim(), value.trim()))
@@ -95,7 +93,7 @@
     let tenant = tenant_index(site, message)?;
     let fields = fields(required_text(
         message,
-        code::ASKS,
+        code::REQUESTED,
         "what the task asks for",
     )?);
     let request = requested_resources(site, &fields)?;
@@ -171,10 +169,10 @@
 
 /// The duration that the owner expects, if the set-up has a hint.
 fn expected_duration(message: &Message) -> Result<Option<Seconds>, TaskRequestError> {
-    if message.get(code::HINT).is_none() {
+    if message.get(code::EXPECTED_DURATION).is_none() {
         return Ok(None);
     }
-    let hint = required_text(message, code::HINT, "the hint")?;
+    let hint = required_text(message, code::EXPECTED_DURATION, "the hint")?;
     let duration = number("the hint", hint)? / MILLISECONDS_PER_SECOND;
     if !(0.0..=MAX_EXPECTED_DURATION).contains(&duration) {
         return Err(TaskRequestError::OutOfRange("the hint"));
@@ -184,7 +182,7 @@
 
 /// How long the owner waits for an answer.
 fn owner_wait(message: &Message) -> Result<Seconds, TaskRequestError> {
-    let wait = required_text(message, code::WAIT, "the wait")?;
+    let wait = required_text(message, code::TIMEOUT, "the wait")?;
     let wait = number("the wait", wait)? / MILLISECONDS_PER_SECOND;
     if !(wait > 0.0 && wait <= MAX_OWNER_WAIT) {
         return Err(TaskRequestError::OutOfRange("the wait"));
@@ -195,7 +193,7 @@
 /// What of a set-up goes on to a machine, in its order: all that is not for schedulers alone, as platforms send more
 /// than one deployment's settings show (a tenant, the key of work that may be repeated). The wait is written anew.
 pub fn forwarded_parameters(message: Message) -> Vec<(u8, Vec<u8>)> {
-    let own = [code::RETRY, code::HINT, code::ASKS];
+    let own = [code::RETRY, code::EXPECTED_DURATION, code::REQUESTED];
     message
         .parameters
         .into_iter()
@@ -206,48 +204,6 @@
 /// Whether a set-up names the machine that holds its task already.
 pub fn is_handover(message: &Message) -> bool {
     message
-        .text(code::ASKS)
+        .text(code::REQUESTED)
         .is_some_and(|asks| fields(asks).contains_key("at"))
 }
-
-/// The load that came along, if any of it can be read.
-pub fn load_report(message: &Message) -> Option<LoadReport> {
-    let values = fields(message.text(code::LOAD)?);
-    let values = values
-        .into_iter()
-        .filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?)))
-        .collect();
-    Some(convert::load_report(&values)).filter(|report| *report != LoadReport::default())
-}
-
-/// Why something was refused or released.
-pub fn failure_cause(message: &Message) -> FailureCause {
-    const WORDS: [&str; 7] = [
-        "lack_cpu",
-        "lack_ram",
-        "backlog",
-        "unfit",
-        "killed",
-        "displaced",
-        "dismissed",
-    ];
-    let word = message.text(code::WORD).unwrap_or("");
-    convert::failure_cause(
-        WORDS
-            .iter()
-            .position(|w| *w == word)
-            .map_or(0, |i| i as u32 + 1),
-    )
-}
-
-/// What a note tells; `None` for one that is not known.
-pub fn attempt_progress(message: &Message) -> Option<AttemptProgress> {
-    const WORDS: [&str; 5] = ["running", "use_cpu", "use_ram", "health", "ram_high"];
-    let word = message.text(code::WORD)?;
-    let sort = WORDS.iter().position(|w| *w == word)? as u32 + 1;
-    let level = message
-        .text(code::FIGURE)
-        .and_then(|figure| figure.parse().ok())
-        .unwrap_or(0.0);
-    convert::attempt_progress(sort, level)
-}
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -17,19 +17,19 @@
             message.with(code, value)
         }
     };
-    let asks = |text: &str| bad(code::ASKS, text.as_bytes());
+    let asks = |text: &str| bad(code::REQUESTED, text.as_bytes());
     let cases = [
         bad(code::CLASS, b"nonsense"),
         bad(code::CLASS, b""),
         bad(code::NAME, b""),
-        bad(code::WAIT, b""),
-        bad(code::WAIT, b"-5"),
-        bad(code::WAIT, b"nan"),
-        bad(code::WAIT, b"1e99"),
-        bad(code::HINT, b"inf"),
-        bad(code::HINT, b"-1"),
-        bad(code::HINT, b"\xff"),
-        bad(code::ASKS, b""),
+        bad(code::TIMEOUT, b""),
+        bad(code::TIMEOUT, b"-5"),
+        bad(code::TIMEOUT, b"nan"),
+        bad(code::TIMEOUT, b"1e99"),
+        bad(code::EXPECTED_DURATION, b"inf"),
+        bad(code::EXPECTED_DURATION, b"-1"),
+        bad(code::EXPECTED_DURATION, b"\xff"),
+        bad(code::REQUESTED, b""),
         asks("cores:-1;memory:2;service:a"),
         asks("cores:NaN;memory:2;service:a"),
         asks("cores:1e9;memory:2;service:a"),
@@ -171,12 +171,12 @@
     for id in 1..200 {
         p.machine_says(line, release(id, cause::NORMAL));
         assert_eq!(p.told(OWNER).len(), 1, "{id}");
-        p.client_says(OWNER, Message::new(MessageKind::Heard, RequestId(id)));
+        p.client_says(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(id)));
         assert!(p.closed_clients().is_empty(), "{id}");
     }
     // Where nothing was released, it means nothing, and is not listened to without end.
     let closed = (0..100).any(|_| {
-        p.client_says(OWNER, Message::new(MessageKind::Heard, RequestId(1)));
+        p.client_says(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(1)));
         !p.closed_clients().is_empty()
     });
     assert!(closed);
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -9,13 +9,13 @@
     prop::sample::select(vec![
         MessageKind::SetUp,
         MessageKind::Progress,
-        MessageKind::Answer,
+        MessageKind::Accepted,
         MessageKind::Release,
-        MessageKind::Heard,
-        MessageKind::Test,
-        MessageKind::Tested,
-        MessageKind::Note,
-        MessageKind::Move,
+        MessageKind::ReleaseAck,
+        MessageKind::HealthCheck,
+        MessageKind::HealthCheckReply,
+        MessageKind::ProgressReport,
+        MessageKind::Migrate,
     ])
 }
 
--- a/crates/gateway/tests/common/hears.rs
+++ b/crates/gateway/tests/common/hears.rs
@@ -14,7 +14,7 @@
         };
         self.turned_away[usize::from(id.0.is_multiple_of(3))] +=
             usize::from(message.cause() == Some(cause::CONGESTED));
-        if message.kind == MessageKind::Answer {
+        if message.kind == MessageKind::Accepted {
             self.answered += 1;
         } else {
             // Whoever is turned away comes again, after pauses that double.
@@ -29,13 +29,15 @@
         let id = message.id;
         let reply = match message.kind {
             MessageKind::SetUp if self.full => {
-                release(id.0, cause::FULL).with(code::WORD, b"lack_cpu")
+                release(id.0, cause::FULL).with(code::REASON, b"lack_cpu")
             }
             MessageKind::SetUp => {
                 self.standing.insert(id, m);
                 answer(id.0)
             }
-            MessageKind::Test => Message::new(MessageKind::Tested, id).with(code::CAUSE, &[1]),
+            MessageKind::HealthCheck => {
+                Message::new(MessageKind::HealthCheckReply, id).with(code::CAUSE, &[1])
+            }
             _ => return,
         };
         self.after(RTT, What::Input(Input::UpstreamMessage(line, reply)));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -56,10 +56,13 @@
 pub fn set_up(id: u64, class: &str) -> Message {
     Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, class.as_bytes())
-        .with(code::WAIT, b"6000")
+        .with(code::TIMEOUT, b"6000")
         .with(code::NAME, format!("{id:016x}").as_bytes())
-        .with(code::HINT, b"8200.0")
-        .with(code::ASKS, b"cores:1;memory:2;service:00000000b4d65521")
+        .with(code::EXPECTED_DURATION, b"8200.0")
+        .with(
+            code::REQUESTED,
+            b"cores:1;memory:2;service:00000000b4d65521",
+        )
         .with(code::DESCRIPTION, b"v=0 \x00\xff")
 }
 
@@ -68,11 +71,12 @@
     Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, b"web")
         .with(code::NAME, format!("{id:016x}").as_bytes())
-        .with(code::ASKS, asks.as_bytes())
+        .with(code::REQUESTED, asks.as_bytes())
 }
 
 pub fn answer(id: u64) -> Message {
-    Message::new(MessageKind::Answer, RequestId(id)).with(code::DESCRIPTION, b"machine's \x01 own")
+    Message::new(MessageKind::Accepted, RequestId(id))
+        .with(code::DESCRIPTION, b"machine's \x01 own")
 }
 
 pub fn release(id: u64, cause: u8) -> Message {
@@ -271,7 +275,7 @@
     pub fn standing(&mut self, id: u64, class: &str) -> (UpstreamId, String) {
         let (line, address) = self.offered(set_up(id, class));
         self.machine_says(line, answer(id));
-        assert_eq!(self.told(OWNER)[0].kind, MessageKind::Answer);
+        assert_eq!(self.told(OWNER)[0].kind, MessageKind::Accepted);
         (line, address)
     }
 }
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -145,11 +145,13 @@
             "web"
         };
         let mut message = set_up(id.0, class);
-        message.parameters.retain(|(c, _)| *c != code::HINT);
+        message
+            .parameters
+            .retain(|(c, _)| *c != code::EXPECTED_DURATION);
         let owner = DownstreamId(1 + id.0 % OWNERS);
         self.put(Input::DownstreamMessage(
             owner,
-            message.with(code::HINT, b"60000"),
+            message.with(code::EXPECTED_DURATION, b"60000"),
         ));
     }
 
--- a/crates/gateway/tests/compatibility.rs
+++ b/crates/gateway/tests/compatibility.rs
@@ -9,7 +9,7 @@
 use fixtures::{Sample, assert_compatible, assert_encoded, from_hex, to_hex};
 use tidespur_gateway::message::{Decoder, Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{Input, Output, discovery, task_request};
+use tidespur_gateway::{Input, Output, discovery, machine_report, task_request};
 use tidespur_policy::interface::{
     AttemptProgress, EndpointStatus, FailureCause, LoadReport, ServiceId,
 };
@@ -20,17 +20,17 @@
 fn full_set_up(id: RequestId) -> Message {
     Message::new(MessageKind::SetUp, id)
         .with(code::CLASS, b"slot")
-        .with(code::WAIT, b"6000")
+        .with(code::TIMEOUT, b"6000")
         .with(code::TENANT, b"tenant-1")
         .with(code::RETRY, b"1")
         .with(code::NAME, b"task-1")
-        .with(code::ASKS, b"cores:1.5;memory:2.25;service:service-1")
-        .with(code::HINT, b"8200.0")
+        .with(code::REQUESTED, b"cores:1.5;memory:2.25;service:service-1")
+        .with(code::EXPECTED_DURATION, b"8200.0")
         .with(code::DESCRIPTION, b"v=0 \x00\xff")
 }
 
 fn word(word: &str) -> Message {
-    Message::new(MessageKind::Note, ID).with(code::WORD, word.as_bytes())
+    Message::new(MessageKind::ProgressReport, ID).with(code::REASON, word.as_bytes())
 }
 
 fn decode(text: &str) -> Message {
@@ -47,13 +47,13 @@
     let kinds = samples_of_each_variant! { MessageKind:
         "empty SetUp", MessageKind::SetUp => MessageKind::SetUp;
         "empty Progress", MessageKind::Progress => MessageKind::Progress;
-        "empty Answer", MessageKind::Answer => MessageKind::Answer;
+        "empty Answer", MessageKind::Accepted => MessageKind::Accepted;
         "empty Release", MessageKind::Release => MessageKind::Release;
-        "empty Heard", MessageKind::Heard => MessageKind::Heard;
-        "empty Test", MessageKind::Test => MessageKind::Test;
-        "empty Tested", MessageKind::Tested => MessageKind::Tested;
-        "empty Note", MessageKind::Note => MessageKind::Note;
-        "empty Move", MessageKind::Move => MessageKind::Move;
+        "empty Heard", MessageKind::ReleaseAck => MessageKind::ReleaseAck;
+        "empty Test", MessageKind::HealthCheck => MessageKind::HealthCheck;
+        "empty Tested", MessageKind::HealthCheckReply => MessageKind::HealthCheckReply;
+        "empty Note", MessageKind::ProgressReport => MessageKind::ProgressReport;
+        "empty Move", MessageKind::Migrate => MessageKind::Migrate;
     };
     let mut samples: Vec<Sample<Message>> = kinds
         .into_iter()
@@ -63,24 +63,24 @@
         ("set-up of an owner", full_set_up(ID)),
         (
             "answer of a machine",
-            Message::new(MessageKind::Answer, ID).with(code::DESCRIPTION, b"bytes \x01"),
+            Message::new(MessageKind::Accepted, ID).with(code::DESCRIPTION, b"bytes \x01"),
         ),
         ("refusal of a machine", {
             Message::release(ID, cause::FULL)
-                .with(code::WORD, b"lack_cpu")
+                .with(code::REASON, b"lack_cpu")
                 .with(code::LOAD, b"x0:1;q:2")
         }),
         (
             "note of a machine",
-            word("use_cpu").with(code::FIGURE, b"1.5"),
+            word("use_cpu").with(code::LEVEL, b"1.5"),
         ),
         (
             "test",
-            Message::new(MessageKind::Test, ID).with(code::CAUSE, &[0]),
+            Message::new(MessageKind::HealthCheck, ID).with(code::CAUSE, &[0]),
         ),
         (
             "tested",
-            Message::new(MessageKind::Tested, ID).with(code::CAUSE, &[1]),
+            Message::new(MessageKind::HealthCheckReply, ID).with(code::CAUSE, &[1]),
         ),
     ]);
     assert_compatible(
@@ -95,15 +95,15 @@
 fn codes_and_causes_keep_their_numbers() {
     let numbers = [
         ("code CLASS", code::CLASS),
-        ("code WAIT", code::WAIT),
+        ("code WAIT", code::TIMEOUT),
         ("code TENANT", code::TENANT),
         ("code RETRY", code::RETRY),
         ("code NAME", code::NAME),
-        ("code ASKS", code::ASKS),
-        ("code WORD", code::WORD),
+        ("code ASKS", code::REQUESTED),
+        ("code WORD", code::REASON),
         ("code LOAD", code::LOAD),
-        ("code HINT", code::HINT),
-        ("code FIGURE", code::FIGURE),
+        ("code HINT", code::EXPECTED_DURATION),
+        ("code FIGURE", code::LEVEL),
         ("code CAUSE", code::CAUSE),
         ("code DESCRIPTION", code::DESCRIPTION),
         ("cause NORMAL", cause::NORMAL),
@@ -150,12 +150,12 @@
     transcript.push(("answer passed on", written(&played)));
     played.client_says(
         OWNER,
-        Message::new(MessageKind::Test, RequestId(9)).with(code::CAUSE, &[0]),
+        Message::new(MessageKind::HealthCheck, RequestId(9)).with(code::CAUSE, &[0]),
     );
     transcript.push(("test of an owner", written(&played)));
     played.machine_says(
         line,
-        Message::new(MessageKind::Test, RequestId(9)).with(code::CAUSE, &[0]),
+        Message::new(MessageKind::HealthCheck, RequestId(9)).with(code::CAUSE, &[0]),
     );
     transcript.push(("test of a machine", written(&played)));
     played.machine_says(line, release(5, cause::NORMAL));
@@ -177,7 +177,10 @@
 
     let mut played = Played::new(1);
     let (line, _) = played.offered(set_up(8, "web"));
-    played.machine_says(line, release(8, cause::FULL).with(code::WORD, b"lack_cpu"));
+    played.machine_says(
+        line,
+        release(8, cause::FULL).with(code::REASON, b"lack_cpu"),
+    );
     played.wait(7.0, None);
     transcript.push(("set-up that no machine has room for", written(&played)));
 
@@ -268,7 +271,11 @@
         ("another", FailureCause::Unspecified),
     ];
     for (text, expected) in words {
-        assert_eq!(task_request::failure_cause(&word(text)), expected, "{text}");
+        assert_eq!(
+            machine_report::failure_cause(&word(text)),
+            expected,
+            "{text}"
+        );
     }
 }
 
@@ -287,7 +294,7 @@
     ];
     for (text, expected) in words {
         assert_eq!(
-            task_request::attempt_progress(&word(text).with(code::FIGURE, b"1.5")),
+            machine_report::attempt_progress(&word(text).with(code::LEVEL, b"1.5")),
             expected,
             "{text}"
         );
@@ -297,8 +304,8 @@
 #[test]
 fn every_figure_of_a_load_report_is_read() {
     let report = |text: &str| {
-        task_request::load_report(
-            &Message::new(MessageKind::Answer, ID).with(code::LOAD, text.as_bytes()),
+        machine_report::load_report(
+            &Message::new(MessageKind::Accepted, ID).with(code::LOAD, text.as_bytes()),
         )
     };
     let expected = LoadReport {
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -45,12 +45,12 @@
         let tests: Vec<_> = p
             .written()
             .into_iter()
-            .filter(|(_, m)| m.kind == MessageKind::Test)
+            .filter(|(_, m)| m.kind == MessageKind::HealthCheck)
             .collect();
         for (line, _) in tests {
             p.machine_says(
                 line,
-                Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]),
+                Message::new(MessageKind::HealthCheckReply, RequestId(0)).with(code::CAUSE, &[1]),
             );
         }
         if !finished.is_empty() {
@@ -149,9 +149,9 @@
                 todo.extend((!cut).then_some(Input::UpstreamOpened(line)));
             }
             for (line, message) in p.written() {
-                let passes = message.kind == MessageKind::Test && !cut;
-                let tested =
-                    Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]);
+                let passes = message.kind == MessageKind::HealthCheck && !cut;
+                let tested = Message::new(MessageKind::HealthCheckReply, RequestId(0))
+                    .with(code::CAUSE, &[1]);
                 todo.extend(passes.then_some(Input::UpstreamMessage(line, tested)));
             }
             let finished = |output: &Output| match output {
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -19,7 +19,7 @@
     );
     assert_eq!(offer.get(code::DESCRIPTION), Some(&b"v=0 \x00\xff"[..]));
     assert_eq!(offer.text(code::CLASS), Some("web"));
-    assert!(offer.text(code::WAIT).unwrap().parse::<u64>().unwrap() > 0);
+    assert!(offer.text(code::TIMEOUT).unwrap().parse::<u64>().unwrap() > 0);
     p.machine_says(line, answer(5));
     let told = p.told(OWNER);
     assert_eq!(told.len(), 1);
@@ -33,7 +33,7 @@
 fn a_full_machine_is_followed_by_another_and_one_attempt_is_out_at_a_time() {
     let mut p = Played::new(3);
     let (first, at) = p.offered(set_up(5, "slot"));
-    let full = release(5, cause::FULL).with(code::WORD, b"lack_cpu");
+    let full = release(5, cause::FULL).with(code::REASON, b"lack_cpu");
     p.machine_says(first, full);
     let (second, to) = p.dials().pop().expect("another machine is tried");
     assert_ne!(at, to);
@@ -118,7 +118,7 @@
     assert_ne!(next, line);
     // An answer without a description is malformed too.
     p.step(Input::UpstreamOpened(next));
-    p.machine_says(next, Message::new(MessageKind::Answer, RequestId(5)));
+    p.machine_says(next, Message::new(MessageKind::Accepted, RequestId(5)));
     assert!(p.told(OWNER).is_empty());
     assert!(p.closed_lines().contains(&next));
 }
@@ -178,7 +178,7 @@
         codes,
         [
             code::CLASS,
-            code::WAIT,
+            code::TIMEOUT,
             code::NAME,
             code::DESCRIPTION,
             219,
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -19,7 +19,7 @@
     p.machine_says(line, answer(5));
     assert_eq!(
         p.told(OWNER)[0].kind,
-        MessageKind::Answer,
+        MessageKind::Accepted,
         "it goes on as before"
     );
     p.step(notice(2, false, &[(1, "Terminating", 0)]));
--- a/crates/gateway/tests/standing.rs
+++ b/crates/gateway/tests/standing.rs
@@ -19,7 +19,7 @@
     assert_eq!(p.told(OWNER), [release(5, cause::NORMAL)]);
     assert_eq!(
         p.written(),
-        [(second, Message::new(MessageKind::Heard, RequestId(5)))]
+        [(second, Message::new(MessageKind::ReleaseAck, RequestId(5)))]
     );
     // Told twice, it is heard and not passed on again.
     p.machine_says(first, release(5, cause::NORMAL));
@@ -34,7 +34,7 @@
     assert!(
         p.written()
             .iter()
-            .any(|(to, m)| *to == line && m.kind == MessageKind::Test)
+            .any(|(to, m)| *to == line && m.kind == MessageKind::HealthCheck)
     );
     assert!(
         p.told(OWNER).is_empty(),
@@ -52,10 +52,13 @@
     for _ in 0..20 {
         p.wait(0.5, None);
         assert!(p.told(OWNER).is_empty());
-        if p.written().iter().any(|(_, m)| m.kind == MessageKind::Test) {
+        if p.written()
+            .iter()
+            .any(|(_, m)| m.kind == MessageKind::HealthCheck)
+        {
             p.machine_says(
                 line,
-                Message::new(MessageKind::Tested, RequestId(0)).with(code::CAUSE, &[1]),
+                Message::new(MessageKind::HealthCheckReply, RequestId(0)).with(code::CAUSE, &[1]),
             );
         }
     }
--- a/crates/gateway/tests/withheld.rs
+++ b/crates/gateway/tests/withheld.rs
@@ -188,6 +188,6 @@
         &mut p.out,
     );
     let told: Vec<_> = p.told(OWNER).iter().map(|m| (m.id, m.kind)).collect();
-    assert_eq!(told, [(RequestId(6), MessageKind::Answer)]);
+    assert_eq!(told, [(RequestId(6), MessageKind::Accepted)]);
     assert!(p.written().is_empty(), "it is not cancelled");
 }
