--- a/crates/gateway/src/downstream/accounting.rs
+++ b/crates/gateway/src/downstream/accounting.rs
@@ -61,27 +61,34 @@
         self.downstreams.get(&id).map_or(0, |client| client.pending)
     }
 
-    /// Counts a request that became pending, or (`more` is false) is pending no longer.
-    pub fn count_pending(&mut self, now: Seconds, id: DownstreamId, more: bool) {
+    /// Counts a request that became pending.
+    pub fn request_opened(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.pending = if more {
-                client.pending + 1
-            } else {
-                client.pending.saturating_sub(1)
-            };
+            client.pending += 1;
             client.used_at = now;
         }
     }
 
-    /// Counts a task that was placed, or (`more` is false) has ended.
-    pub fn count_placed(&mut self, id: DownstreamId, more: bool) {
+    /// Counts a request that is pending no longer.
+    pub fn request_closed(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
-            client.placed = if more {
-                client.placed + 1
-            } else {
-                client.placed.saturating_sub(1)
-            };
-            client.is_owner |= more;
+            client.pending = client.pending.saturating_sub(1);
+            client.used_at = now;
+        }
+    }
+
+    /// Counts a task that was placed; its client is an owner from then on.
+    pub fn task_placed(&mut self, id: DownstreamId) {
+        if let Some(client) = self.downstreams.get_mut(&id) {
+            client.placed += 1;
+            client.is_owner = true;
+        }
+    }
+
+    /// Counts a placed task that has ended.
+    pub fn task_ended(&mut self, id: DownstreamId) {
+        if let Some(client) = self.downstreams.get_mut(&id) {
+            client.placed = client.placed.saturating_sub(1);
         }
     }
 }
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -68,7 +68,7 @@
             return;
         };
         self.reply(id, Message::release(id, release_cause).encode(), outputs);
-        self.downstreams.count_pending(now, client, false);
+        self.downstreams.request_closed(now, client);
         self.requests.remove(id);
     }
 
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -4,7 +4,7 @@
 use super::{Gateway, Output};
 use crate::UpstreamId;
 use crate::message::{Message, RequestId, cause};
-use crate::pool::PoolAction;
+use crate::pool::{CancelReason, PoolAction};
 use crate::request_table::RequestState;
 use std::collections::BTreeSet;
 use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds, TaskId};
@@ -59,11 +59,11 @@
         let (task, RequestState::Pending { attempt, .. }) = (request.task, request.state) else {
             return;
         };
-        self.downstreams.count_pending(now, request.client, false);
+        self.downstreams.request_closed(now, request.client);
         self.events.push(Event::TaskCancelled(task));
         if let Some(attempt) = attempt {
             self.with_pool(outputs, |pool, actions| {
-                pool.cancel(now, attempt.upstream, id, false, actions)
+                pool.cancel(now, attempt.upstream, id, CancelReason::Unwanted, actions)
             });
             self.events.push(attempt_ended_event(
                 task,
@@ -124,7 +124,7 @@
         };
         self.counts.timed_out += 1;
         let never_left = self.with_pool(outputs, |pool, actions| {
-            pool.cancel(now, attempt.upstream, id, true, actions)
+            pool.cancel(now, attempt.upstream, id, CancelReason::TimedOut, actions)
         });
         self.attempt_ended(
             id,
@@ -196,13 +196,12 @@
         self.with_pool(outputs, |pool, actions| {
             pool.notify(now, machine, ended, actions)
         });
-        self.finish_placed(now, id, attempt, AttemptOutcome::Cancelled, None);
+        self.finish_placed(id, attempt, AttemptOutcome::Cancelled, None);
     }
 
     /// A placed task has ended.
     pub(super) fn finish_placed(
         &mut self,
-        now: Seconds,
         id: RequestId,
         attempt: u32,
         outcome: AttemptOutcome,
@@ -212,9 +211,9 @@
             return;
         };
         if let RequestState::Placed { machine, .. } = request.state {
-            self.pool.count_placed(now, machine, false);
+            self.pool.task_ended(machine);
         }
-        self.downstreams.count_placed(request.client, false);
+        self.downstreams.task_ended(request.client);
         self.counts.ended += 1;
         self.events.push(attempt_ended_event(
             request.task,
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -8,6 +8,7 @@
 use super::{Gateway, Output, PeerCheck};
 use crate::downstream::CloseReason;
 use crate::message::RequestId;
+use crate::pool::CancelReason;
 use crate::request_table::RequestState;
 use crate::{DownstreamId, UpstreamId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -94,7 +95,7 @@
         {
             if self.is_past_window(now, id) {
                 self.with_pool(outputs, |pool, actions| {
-                    pool.cancel(now, upstream, id, false, actions)
+                    pool.cancel(now, upstream, id, CancelReason::Unwanted, actions)
                 });
                 self.attempt_ended(id, AttemptOutcome::NeverSent, None);
             } else if self.with_pool(outputs, |pool, actions| {
--- a/crates/gateway/src/gateway/endpoints.rs
+++ b/crates/gateway/src/gateway/endpoints.rs
@@ -60,7 +60,7 @@
         if let (Some((_, previous_start)), Some(start)) = (previous, started_at)
             && previous_start.is_none_or(|previous_start| start > previous_start)
         {
-            self.machine_failed(now, machine, start, outputs);
+            self.machine_failed(machine, start, outputs);
         }
     }
 }
--- a/crates/gateway/src/gateway/id_conflicts.rs
+++ b/crates/gateway/src/gateway/id_conflicts.rs
@@ -63,7 +63,7 @@
         }
         if request.client == holder && !self.downstreams.is_reachable(holder) {
             self.downstreams.record_valid_set_up(now, claimant);
-            self.downstreams.count_placed(claimant, true);
+            self.downstreams.task_placed(claimant);
             let from = self.downstreams.from(claimant);
             self.requests.rebind_client(id, claimant, from);
         }
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -80,7 +80,7 @@
                         .get(&machine)
                         .map_or("", |(name, _)| name.as_str());
                     outputs.push(Output::Log(format!("machine {name} has failed")));
-                    self.machine_failed(now, machine, now, outputs);
+                    self.machine_failed(machine, now, outputs);
                 }
             }
         }
@@ -89,7 +89,6 @@
     /// Fails the tasks that were placed on a machine at or before `before`, and releases them to their owners.
     pub(super) fn machine_failed(
         &mut self,
-        now: Seconds,
         machine: MachineId,
         before: Seconds,
         outputs: &mut Vec<Output>,
@@ -106,7 +105,6 @@
             self.counts.lost += 1;
             self.reply(id, Message::release(id, cause::FAILED).encode(), outputs);
             self.finish_placed(
-                now,
                 id,
                 attempt,
                 AttemptOutcome::Interrupted(FailureCause::Unspecified),
--- a/crates/gateway/src/gateway/set_ups.rs
+++ b/crates/gateway/src/gateway/set_ups.rs
@@ -107,8 +107,8 @@
         };
         request.attempts = 1;
         self.requests.add(id, request);
-        self.pool.count_placed(now, machine, true);
-        self.downstreams.count_placed(client, true);
+        self.pool.task_placed(now, machine);
+        self.downstreams.task_placed(client);
         self.events.push(Event::TaskAdopted(task, machine));
     }
 
@@ -139,7 +139,7 @@
             return release_client(client, id, cause::CONGESTED, outputs);
         }
         self.counts.accepted += 1;
-        self.downstreams.count_pending(now, client, true);
+        self.downstreams.request_opened(now, client);
         self.requests.add(id, request);
         self.events.push(Event::TaskSubmitted(task));
     }
--- a/crates/gateway/src/gateway/upstream_messages.rs
+++ b/crates/gateway/src/gateway/upstream_messages.rs
@@ -35,7 +35,7 @@
             }
             MessageKind::Release if is_attempt_here => self.offer_released(message),
             MessageKind::Release if is_placed_here => {
-                self.placed_task_released(now, upstream, message, outputs);
+                self.placed_task_released(upstream, message, outputs);
             }
             MessageKind::Release if state.is_none() => {
                 self.unknown_task_released(now, upstream, message, outputs);
@@ -89,9 +89,9 @@
                 since: now,
             },
         );
-        self.pool.count_placed(now, machine, true);
-        self.downstreams.count_pending(now, client, false);
-        self.downstreams.count_placed(client, true);
+        self.pool.task_placed(now, machine);
+        self.downstreams.request_closed(now, client);
+        self.downstreams.task_placed(client);
         self.events.push(Event::AttemptConfirmed {
             task,
             attempt: attempt.number,
@@ -119,7 +119,6 @@
     /// A placed task has ended at its machine; its owner is told, unless the end was ordered from here.
     fn placed_task_released(
         &mut self,
-        now: Seconds,
         upstream: UpstreamId,
         message: &Message,
         outputs: &mut Vec<Output>,
@@ -141,7 +140,7 @@
             self.reply(id, Message::release(id, release_cause).encode(), outputs);
         }
         let report = machine_report::load_report(message);
-        self.finish_placed(now, id, attempt, outcome, report);
+        self.finish_placed(id, attempt, outcome, report);
     }
 
     /// A task has ended that is not known here: its owner may hand it over only now, and is told then.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -87,6 +87,15 @@
     MachineFailed(MachineId),
 }
 
+/// Why an offer is cancelled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancelReason {
+    /// Its answer did not come in time.
+    TimedOut,
+    /// Its owner has cancelled the request, or it must not be sent any more.
+    Unwanted,
+}
+
 /// Timeouts of connections, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTimeouts {
--- a/crates/gateway/src/pool/endpoints.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -64,21 +64,28 @@
             .collect()
     }
 
-    /// Counts a task that was placed on a machine, or (`more` is false) has ended there.
-    pub fn count_placed(&mut self, now: Seconds, machine: MachineId, more: bool) {
+    /// Counts a task that was placed on a machine. The first one starts its failure detection anew.
+    pub fn task_placed(&mut self, now: Seconds, machine: MachineId) {
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
         };
-        if more {
-            if peer.placed_tasks == 0 {
-                peer.heard_at = now;
-                peer.consecutive_failures = 0;
-                peer.consecutive_refusals = 0;
-            }
-            peer.placed_tasks += 1;
-        } else {
-            peer.placed_tasks = peer.placed_tasks.saturating_sub(1);
+        if peer.placed_tasks == 0 {
+            peer.heard_at = now;
+            peer.consecutive_failures = 0;
+            peer.consecutive_refusals = 0;
+        }
+        peer.placed_tasks += 1;
+        if peer.placed_tasks == 1 {
+            self.update_idle_index(machine);
         }
+    }
+
+    /// Counts a task that has ended on a machine.
+    pub fn task_ended(&mut self, machine: MachineId) {
+        let Some(peer) = self.peers.get_mut(&machine) else {
+            return;
+        };
+        peer.placed_tasks = peer.placed_tasks.saturating_sub(1);
         if peer.placed_tasks <= 1 {
             self.update_idle_index(machine);
         }
--- a/crates/gateway/src/pool/offers.rs
+++ b/crates/gateway/src/pool/offers.rs
@@ -1,6 +1,8 @@
 //! Offers to machines: which connection carries one, when it is sent, and how it is withdrawn or cancelled.
 
-use super::{MAX_QUEUED_MESSAGES, Pool, PoolAction, PoolEvent, STALL_RECHECK_TIMEOUT};
+use super::{
+    CancelReason, MAX_QUEUED_MESSAGES, Pool, PoolAction, PoolEvent, STALL_RECHECK_TIMEOUT,
+};
 use crate::UpstreamId;
 use crate::message::{Message, RequestId, cause};
 use tidespur_policy::interface::{MachineId, Seconds};
@@ -175,14 +177,14 @@
         }
     }
 
-    /// Cancels an offer. With `suspect`, its answer did not come in time: the connection is half-closed unless other
-    /// offers are pending on it. Returns whether the machine never received the offer.
+    /// Cancels an offer. After a timeout the connection is suspect, and is half-closed unless other offers are pending on
+    /// it. Returns whether the machine never received the offer.
     pub fn cancel(
         &mut self,
         now: Seconds,
         upstream: UpstreamId,
         id: RequestId,
-        suspect: bool,
+        reason: CancelReason,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
         let Some(at) = self.upstreams.get_mut(&upstream) else {
@@ -205,7 +207,9 @@
                 Message::release(id, cause::NORMAL).encode(),
             ));
         }
-        if at.pending_offers.is_empty() && (suspect || at.dialling_since.is_some()) {
+        if at.pending_offers.is_empty()
+            && (reason == CancelReason::TimedOut || at.dialling_since.is_some())
+        {
             self.half_close(now, upstream, actions);
         }
         self.update_idle_index(machine);
