--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -42,9 +42,9 @@
     /// Descriptors there may be.
     pub sockets: usize,
     /// Address of the notice board.
-    pub board: String,
+    pub discovery_address: String,
     /// Its events up to now.
-    pub known: Vec<WatchEvent>,
+    pub watch_events: Vec<WatchEvent>,
     /// What the policy and the gateway are told.
     pub site: Site,
 }
@@ -56,7 +56,7 @@
 pub fn path() -> Result<PathBuf, StartError> {
     std::env::var_os("RELAY_CONFIG")
         .map(PathBuf::from)
-        .ok_or(StartError::NoConfig)
+        .ok_or(StartError::ConfigNotSet)
 }
 
 /// Reads a configuration.
@@ -79,8 +79,8 @@
         listen: wire.listen,
         seed,
         sockets: wire.limits.sockets,
-        board: wire.board,
-        known,
+        discovery_address: wire.board,
+        watch_events: known,
         site,
     })
 }
--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -6,40 +6,40 @@
 use tidespur_net::{Client, clock};
 
 /// A comment comes each second: silence for this long is an end.
-const SILENCE: f64 = 2.0;
+const SILENCE_TIMEOUT: f64 = 2.0;
 /// The head of an answer must be there within this.
-const HEAD_WITHIN: f64 = 1.0;
+const RESPONSE_HEAD_TIMEOUT: f64 = 1.0;
 /// Pause after a connection that brought nothing.
-const AGAIN: f64 = 0.1;
+const RECONNECT_BACKOFF: f64 = 0.1;
 /// After a move, what is left of the old stream is read for so long at most: the platform's page closes it after 1.5 s.
 /// Guards against streams that pile up where it moves back and forth.
-const OLD_FOR: f64 = 3.0;
+const OLD_STREAM_TIMEOUT: f64 = 3.0;
 
 /// Where the board listens now.
 #[derive(Debug)]
-pub struct Address {
-    at: RefCell<String>,
+pub struct DiscoveryAddress {
+    current: RefCell<String>,
     /// How often it moved, and when last.
     moves: Cell<u32>,
     moved_at: Cell<f64>,
 }
 
-impl Address {
+impl DiscoveryAddress {
     /// At this address.
     pub fn new(at: String) -> Self {
         Self {
-            at: RefCell::new(at),
+            current: RefCell::new(at),
             moves: Cell::new(0),
             moved_at: Cell::new(0.0),
         }
     }
 
     /// It listens elsewhere from now on; `false` where it was there already.
-    pub fn moves_to(&self, at: &str) -> bool {
-        if *self.at.borrow() == at {
+    pub fn move_to(&self, at: &str) -> bool {
+        if *self.current.borrow() == at {
             return false;
         }
-        self.at.replace(at.to_owned());
+        self.current.replace(at.to_owned());
         self.moves.set(self.moves.get() + 1);
         self.moved_at.set(clock::now());
         true
@@ -47,13 +47,17 @@
 }
 
 /// Follows the stream where it is now. Once it has moved, what is left of the old stream is still read.
-pub async fn follow(current: Rc<Address>, delivered: impl Fn() -> u64, mut take: impl FnMut(&str)) {
-    let (address, moves) = (current.at.borrow().clone(), current.moves.get());
+pub async fn follow(
+    current: Rc<DiscoveryAddress>,
+    delivered: impl Fn() -> u64,
+    mut take: impl FnMut(&str),
+) {
+    let (address, moves) = (current.current.borrow().clone(), current.moves.get());
     loop {
         let began = clock::now();
         let left = || match current.moves.get() == moves {
             true => f64::INFINITY,
-            false => current.moved_at.get() + OLD_FOR - clock::now(),
+            false => current.moved_at.get() + OLD_STREAM_TIMEOUT - clock::now(),
         };
         let why = once(&address, delivered(), left, &mut take).await;
         tracing::info!(board = address, why, "the discovery stream ended");
@@ -61,7 +65,7 @@
             return;
         }
         if clock::now() - began < 0.5 {
-            clock::sleep(AGAIN).await;
+            clock::sleep(RECONNECT_BACKOFF).await;
         }
     }
 }
@@ -73,7 +77,10 @@
     take: &mut impl FnMut(&str),
 ) -> String {
     let client = Client::new(address, 1, vec![("last-event-id", delivered.to_string())]);
-    let mut lines = match client.stream_lines("/board/poll", HEAD_WITHIN).await {
+    let mut lines = match client
+        .stream_lines("/board/poll", RESPONSE_HEAD_TIMEOUT)
+        .await
+    {
         Ok(lines) if lines.status.is_success() => lines,
         Ok(lines) => return format!("status {}", lines.status),
         Err(problem) => return problem.to_string(),
@@ -84,7 +91,7 @@
         if left <= 0.0 {
             return "it has moved".into();
         }
-        let line = match lines.next_with_timeout(SILENCE.min(left)).await {
+        let line = match lines.next_with_timeout(SILENCE_TIMEOUT.min(left)).await {
             Ok(line) => line,
             Err(why) => return why,
         };
--- a/crates/gateway-net/src/error.rs
+++ b/crates/gateway-net/src/error.rs
@@ -13,7 +13,7 @@
     #[error(
         "RELAY_CONFIG is not set; start it as `run` in deploy/balancer.toml says, on the platform"
     )]
-    NoConfig,
+    ConfigNotSet,
     /// The configuration is not there.
     #[error("{0:?}: {1}; look at the path and at who may read it")]
     Unreadable(PathBuf, std::io::Error),
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -6,26 +6,26 @@
 
 use crate::StartError;
 use crate::config::{self, Config};
-use crate::discovery::{self, Address};
-use crate::socket::{Connection, Socket, TURN, Wrote};
+use crate::discovery::DiscoveryAddress;
+use crate::socket::{Connection, READ_BUFFER_BYTES, Socket};
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use smol::channel::{Receiver, Sender};
 use smol::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use tidespur_gateway::input_queue::{InputQueue, Sequence};
-use tidespur_gateway::message::{Decoder, Message, RequestId};
+use tidespur_gateway::message::{Decoder, Message};
 use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, PeerCheck, UpstreamId};
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, UpstreamId};
 use tidespur_net::clock;
 use upstream::Upstream;
 
 /// A line of counters goes to the log this often.
-const REPORT: f64 = 10.0;
-struct Run {
+const REPORT_INTERVAL: f64 = 10.0;
+struct EventLoop {
     gateway: RefCell<Gateway>,
     executor: Rc<LocalExecutor<'static>>,
     listener: RefCell<Option<Rc<Async<TcpListener>>>>,
@@ -33,7 +33,7 @@
     downstreams: RefCell<BTreeMap<DownstreamId, Rc<Connection>>>,
     /// Closed here and not by their peers yet, and how many may be.
     closing: RefCell<VecDeque<Rc<Socket>>>,
-    closing_most: usize,
+    max_closing: usize,
     upstreams: RefCell<BTreeMap<UpstreamId, Upstream>>,
     buffer: RefCell<Vec<u8>>,
     next_client: Cell<u64>,
@@ -41,11 +41,11 @@
     wake: async_lock::Semaphore,
     /// What came and was not taken in yet; told when there is something.
     queue: RefCell<InputQueue>,
-    came: (Sender<()>, Receiver<()>),
-    board: Rc<Address>,
+    input_signal: (Sender<()>, Receiver<()>),
+    discovery_address: Rc<DiscoveryAddress>,
     name: String,
     /// To end, once what was written has left, within so many seconds.
-    over: Cell<Option<f64>>,
+    exit_within: Cell<Option<f64>>,
 }
 
 /// Runs the scheduler on the platform until it is told to end and nothing is owed any more.
@@ -57,12 +57,12 @@
     let signals = Signals::new([Signal::Hup, Signal::Term]).map_err(StartError::Signals)?;
     let config = config::load()?;
     let executor = Rc::new(LocalExecutor::new());
-    let run = Run::new(config, executor.clone(), signals)?;
-    smol::block_on(executor.run(run.live()));
+    let run = EventLoop::new(config, executor.clone(), signals)?;
+    smol::block_on(executor.run(run.run_until_exit()));
     Ok(())
 }
 
-impl Run {
+impl EventLoop {
     fn new(
         config: Config,
         executor: Rc<LocalExecutor<'static>>,
@@ -76,20 +76,20 @@
             listening: RefCell::default(),
             downstreams: RefCell::default(),
             closing: RefCell::default(),
-            closing_most: limits.closing,
+            max_closing: limits.closing,
             upstreams: RefCell::default(),
-            buffer: RefCell::new(vec![0; TURN]),
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             next_client: Cell::new(0),
             wake: async_lock::Semaphore::new(0),
             queue: RefCell::default(),
-            came: smol::channel::bounded(1),
-            board: Rc::new(Address::new(config.board.clone())),
+            input_signal: smol::channel::bounded(1),
+            discovery_address: Rc::new(DiscoveryAddress::new(config.discovery_address.clone())),
             name: config.name,
-            over: Cell::new(None),
+            exit_within: Cell::new(None),
         });
         this.step(
             config
-                .known
+                .watch_events
                 .into_iter()
                 .map(Input::EndpointsDelivered)
                 .collect(),
@@ -99,12 +99,12 @@
         this.listener
             .replace(Some(Rc::new(downstream::bind(address)?)));
         tracing::info!(scheduler = this.name, %address, sockets = config.sockets, "started");
-        this.spawn(this.clone().turns());
-        this.spawn(this.clone().mark());
+        this.spawn(this.clone().handle_queue());
+        this.spawn(this.clone().measure_lag());
         this.listening
             .replace(Some(this.executor.spawn(this.clone().listen())));
         this.spawn(this.clone().signals(signals));
-        this.follow();
+        this.follow_discovery();
         Ok(this)
     }
 
@@ -113,9 +113,9 @@
     }
 
     /// Time goes on.
-    async fn live(self: Rc<Self>) {
+    async fn run_until_exit(self: Rc<Self>) {
         let mut reported = clock::now();
-        while self.over.get().is_none() {
+        while self.exit_within.get().is_none() {
             let now = clock::now();
             let due = self.gateway.borrow().next_wake() - now;
             if due > 0.0
@@ -130,25 +130,25 @@
                 inputs.push(Input::Tick);
                 self.step(inputs);
             }
-            if now - reported > REPORT {
+            if now - reported > REPORT_INTERVAL {
                 reported = now;
                 self.report();
             }
         }
         self.report();
-        self.flush(self.over.get().unwrap_or_default()).await;
+        self.flush(self.exit_within.get().unwrap_or_default()).await;
     }
 
     /// What came is taken in with all that came beside it: the reactor wakes readers before this comes round.
-    fn put(&self, input: Input) -> Sequence {
+    fn enqueue(&self, input: Input) -> Sequence {
         // Where it was told already, once is enough.
-        let _ = self.came.0.try_send(());
+        let _ = self.input_signal.0.try_send(());
         self.queue.borrow_mut().push(input)
     }
 
     /// Takes in what came, in the order of [`InputQueue`].
-    async fn turns(self: Rc<Self>) {
-        while self.came.1.recv().await.is_ok() {
+    async fn handle_queue(self: Rc<Self>) {
+        while self.input_signal.1.recv().await.is_ok() {
             while !self.queue.borrow().is_empty() {
                 let inputs = self.queue.borrow_mut().take_batch();
                 self.step(inputs);
@@ -162,8 +162,8 @@
         while !inputs.is_empty() {
             // A connection that ended meanwhile from here has been told already.
             inputs.retain(|input| match input {
-                Input::DownstreamClosed(client) => self.client_over(*client),
-                Input::UpstreamEnded(upstream) => self.upstream_over(*upstream),
+                Input::DownstreamClosed(client) => self.remove_client(*client),
+                Input::UpstreamEnded(upstream) => self.close_upstream(*upstream),
                 _ => true,
             });
             let mut out = Vec::new();
@@ -193,40 +193,40 @@
                     }
                     _ => tracing::trace!(?output),
                 }
-                self.carry_out(output, &mut inputs);
+                self.apply_output(output, &mut inputs);
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
+    fn apply_output(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
         match output {
             Output::WriteDownstream(client, bytes) => {
                 inputs.extend(self.write_client(client, &bytes))
             }
             Output::CloseDownstream(client) => self.close_client(client),
             Output::CheckDownstream(client) => {
-                let seen = self.look(client);
-                self.after_all(inputs, Input::DownstreamChecked(client, seen));
+                let seen = self.check_client(client);
+                self.answer_after_completions(inputs, Input::DownstreamChecked(client, seen));
             }
             Output::Upstream(PoolAction::CheckPeer(upstream)) => {
-                self.look_upstream(upstream);
-                self.after_all(inputs, Input::UpstreamChecked(upstream));
+                self.check_upstream(upstream);
+                self.answer_after_completions(inputs, Input::UpstreamChecked(upstream));
             }
             Output::Upstream(action) => inputs.extend(self.on_upstream(action)),
             Output::Log(line) => tracing::info!(scheduler = self.name, "{line}"),
             Output::StopListening => {
                 self.stop_listening();
-                self.after_all(inputs, Input::ListeningStopped);
+                self.answer_after_completions(inputs, Input::ListeningStopped);
             }
             Output::Exit(within) => {
-                self.over.set(Some(within));
+                self.exit_within.set(Some(within));
                 self.wake.add_permits(1);
             }
         }
     }
 
     /// Answers an output, after all that came until now and goes first.
-    fn after_all(&self, inputs: &mut Vec<Input>, answer: Input) {
+    fn answer_after_completions(&self, inputs: &mut Vec<Input>, answer: Input) {
         inputs.extend(self.queue.borrow_mut().take_completions());
         inputs.push(answer);
     }
--- a/crates/gateway-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -1,29 +1,35 @@
 //! The discovery stream, signals, and the clock of the loop.
 
-use super::*;
+use super::EventLoop;
+use crate::config::{self};
+use crate::discovery::{self};
+use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
+use std::rc::Rc;
+use tidespur_gateway::{DownstreamId, Input};
+use tidespur_net::clock;
 
 /// How far the loop is behind is measured this often.
-const MARK: f64 = 0.05;
+const LAG_INTERVAL: f64 = 0.05;
 /// A configuration that can't be read is read again after this, so many times.
-const REREAD: f64 = 0.1;
-const REREADS: u32 = 50;
+const RELOAD_BACKOFF: f64 = 0.1;
+const MAX_RELOAD_RETRIES: u32 = 50;
 /// At the end, it is looked this often whether all has left.
-const FLUSHED: f64 = 0.005;
+const FLUSH_POLL_INTERVAL: f64 = 0.005;
 
-impl Run {
+impl EventLoop {
     /// Measures how far the loop is behind: a timer comes to its turn as late as a message that came when it was
     /// due, as both wait for the reactor and for all that was woken before them.
-    pub(super) async fn mark(self: Rc<Self>) {
+    pub(super) async fn measure_lag(self: Rc<Self>) {
         loop {
-            let due = clock::now() + MARK;
-            clock::sleep(MARK).await;
-            self.put(Input::LagMeasured(clock::now() - due));
+            let due = clock::now() + LAG_INTERVAL;
+            clock::sleep(LAG_INTERVAL).await;
+            self.enqueue(Input::LagMeasured(clock::now() - due));
         }
     }
 
     /// Follows the discovery stream where it is now.
-    pub(super) fn follow(self: &Rc<Self>) {
+    pub(super) fn follow_discovery(self: &Rc<Self>) {
         let (this, that) = (self.clone(), self.clone());
         let delivered = move || this.gateway.borrow().last_revision();
         let take = move |data: &str| {
@@ -34,7 +40,11 @@
                 Err(problem) => tracing::warn!(scheduler = that.name, %problem),
             }
         };
-        self.spawn(discovery::follow(self.board.clone(), delivered, take));
+        self.spawn(discovery::follow(
+            self.discovery_address.clone(),
+            delivered,
+            take,
+        ));
     }
 
     pub(super) async fn signals(self: Rc<Self>, mut signals: Signals) {
@@ -58,16 +68,16 @@
 
     /// Reads the configuration again; until it can be read, what was read before holds.
     async fn reload(self: Rc<Self>) {
-        for _ in 0..REREADS {
+        for _ in 0..MAX_RELOAD_RETRIES {
             match config::load() {
                 Ok(config) => {
-                    if self.board.moves_to(&config.board) {
+                    if self.discovery_address.move_to(&config.discovery_address) {
                         tracing::info!(
                             scheduler = self.name,
-                            board = config.board,
+                            board = config.discovery_address,
                             "another discovery stream"
                         );
-                        self.follow();
+                        self.follow_discovery();
                     }
                     return;
                 }
@@ -75,7 +85,7 @@
                     tracing::warn!(scheduler = self.name, %problem, "the old settings hold")
                 }
             }
-            clock::sleep(REREAD).await;
+            clock::sleep(RELOAD_BACKOFF).await;
         }
     }
 
@@ -88,7 +98,7 @@
         while clock::now() < until
             && !(self.closing.borrow().is_empty() && self.upstreams_flushed())
         {
-            clock::sleep(FLUSHED).await;
+            clock::sleep(FLUSH_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -1,49 +1,57 @@
 //! Connections of clients: accepted, read, looked at, closed.
 
-use super::*;
+use super::EventLoop;
+use crate::StartError;
+use crate::socket::{Connection, READ_BUFFER_BYTES, WriteOutcome};
+use async_io::Async;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use tidespur_gateway::input_queue::Sequence;
+use tidespur_gateway::{DownstreamId, Input, PeerCheck};
+use tidespur_net::clock;
 
 /// Pause of the listener where descriptors are used up.
-const SHORT: f64 = 0.02;
+const ACCEPT_BACKOFF: f64 = 0.02;
 /// A message must be whole this long after its first byte, and the first one this long after the connection was made.
 /// Guards against clients that send a part and stay: the platform's page allows 3 s from the connection on until
 /// they are closed. Harm: whoever needs longer for one message is closed too.
-const HALF_FOR: f64 = 2.5;
-const FIRST_WITHIN: f64 = 2.6;
+const PARTIAL_MESSAGE_TIMEOUT: f64 = 2.5;
+const FIRST_MESSAGE_TIMEOUT: f64 = 2.6;
 /// A look reads so many bytes at most, and none where so many requests wait already.
-const LOOK_MOST: usize = 4 * TURN;
-const WAITING_MOST: usize = 256;
+const MAX_CHECK_BYTES: usize = 4 * READ_BUFFER_BYTES;
+const MAX_QUEUED_REQUESTS: usize = 256;
 /// One that was closed here is read for so long at most, until its peer closes it too.
-const LINGER: f64 = 1.0;
+const LINGER_TIMEOUT: f64 = 1.0;
 
 /// An address that is still taken is asked for again after this, so many times: the one who had it may be ending.
-const REBIND: std::time::Duration = std::time::Duration::from_millis(50);
-const REBINDS: u32 = 100;
+const BIND_BACKOFF: std::time::Duration = std::time::Duration::from_millis(50);
+const MAX_BIND_RETRIES: u32 = 100;
 
 /// What a read brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Took {
+enum ReadOutcome {
     Bytes(usize),
-    Nothing,
-    End,
+    Empty,
+    Ended,
 }
 
 pub(super) fn bind(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
     let mut tries = 0;
     loop {
         match Async::<TcpListener>::bind(address) {
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && tries < REBINDS => {
+            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && tries < MAX_BIND_RETRIES => {
                 if tries == 0 {
                     tracing::warn!(%address, "waits for its address, which is taken");
                 }
                 tries += 1;
-                std::thread::sleep(REBIND);
+                std::thread::sleep(BIND_BACKOFF);
             }
             made => return made.map_err(|e| StartError::Bind(address, e)),
         }
     }
 }
 
-impl Run {
+impl EventLoop {
     pub(super) async fn listen(self: Rc<Self>) {
         loop {
             let Some(listener) = self.listener.borrow().clone() else {
@@ -51,7 +59,7 @@
             };
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    let sequence = self.accepted(stream, from);
+                    let sequence = self.accept_client(stream, from);
                     // A flood of connections is accepted at once, one after the other: those closed for it, and
                     // all others, must have their turn in between.
                     while !self.queue.borrow().is_step_past(sequence) {
@@ -60,7 +68,7 @@
                 }
                 Err(problem) => {
                     tracing::warn!(scheduler = self.name, %problem, "accept");
-                    clock::sleep(SHORT).await;
+                    clock::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
@@ -73,7 +81,7 @@
         };
         while let Ok((stream, from)) = listener.get_ref().accept() {
             match Async::new(stream) {
-                Ok(stream) => drop(self.accepted(stream, from)),
+                Ok(stream) => drop(self.accept_client(stream, from)),
                 Err(problem) => tracing::warn!(scheduler = self.name, %problem, "accept"),
             }
         }
@@ -81,28 +89,28 @@
         self.listening.borrow_mut().take();
     }
 
-    fn accepted(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> Sequence {
+    fn accept_client(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> Sequence {
         let client = DownstreamId(self.next_client.replace(self.next_client.get() + 1));
         let connection = Connection::new(stream);
         self.downstreams
             .borrow_mut()
             .insert(client, connection.clone());
-        let sequence = self.put(Input::DownstreamOpened(client, from.ip()));
+        let sequence = self.enqueue(Input::DownstreamOpened(client, from.ip()));
         self.spawn(self.clone().serve(client, connection));
         sequence
     }
 
     async fn serve(self: Rc<Self>, client: DownstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
-            let first = if connection.whole.get() {
+            let first = if connection.has_sent_message.get() {
                 f64::INFINITY
             } else {
-                connection.opened_at + FIRST_WITHIN
+                connection.opened_at + FIRST_MESSAGE_TIMEOUT
             };
             let half = connection
-                .half_since
+                .partial_since
                 .get()
-                .map(|since| (since + HALF_FOR).min(first));
+                .map(|since| (since + PARTIAL_MESSAGE_TIMEOUT).min(first));
             let patience = half.map_or(f64::INFINITY, |until| until - clock::now());
             let ready = clock::timeout(patience, connection.socket.readable()).await;
             if connection.ended.get() {
@@ -115,15 +123,15 @@
                     "half a message, and no more"
                 );
                 connection.ended.set(true);
-                self.put(Input::DownstreamMalformed(client));
+                self.enqueue(Input::DownstreamMalformed(client));
                 return;
             }
-            if let Took::Bytes(_) = self.take_bytes(client, &connection) {
+            if let ReadOutcome::Bytes(_) = self.read_client(client, &connection) {
                 // Until what it said was taken, no more is read: a flood waits in its own socket. A look reads on.
                 while !self
                     .queue
                     .borrow()
-                    .is_drained(client, connection.said.get())
+                    .is_drained(client, connection.last_input.get())
                 {
                     futures_lite::future::yield_now().await;
                 }
@@ -132,14 +140,14 @@
     }
 
     /// Reads once, and puts what is whole into the queue.
-    fn take_bytes(&self, client: DownstreamId, connection: &Connection) -> Took {
+    fn read_client(&self, client: DownstreamId, connection: &Connection) -> ReadOutcome {
         let read = match connection.socket.read_now(&self.buffer) {
-            Ok(None) => return Took::Nothing,
+            Ok(None) => return ReadOutcome::Empty,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
-                self.put(Input::DownstreamPeerClosed(client));
-                self.put(Input::DownstreamClosed(client));
-                return Took::End;
+                self.enqueue(Input::DownstreamPeerClosed(client));
+                self.enqueue(Input::DownstreamClosed(client));
+                return ReadOutcome::Ended;
             }
             Ok(Some(read)) => read,
         };
@@ -148,39 +156,44 @@
         let inputs = self.decode(&mut decoder, read, said, Input::DownstreamMalformed(client));
         let half = match (decoder.has_partial_message(), inputs.is_empty()) {
             (false, _) => None,
-            (true, true) => connection.half_since.get().or_else(|| Some(clock::now())),
+            (true, true) => connection
+                .partial_since
+                .get()
+                .or_else(|| Some(clock::now())),
             (true, false) => Some(clock::now()),
         };
-        connection.half_since.set(half);
+        connection.partial_since.set(half);
         connection
-            .whole
-            .set(connection.whole.get() || !inputs.is_empty());
+            .has_sent_message
+            .set(connection.has_sent_message.get() || !inputs.is_empty());
         for input in inputs {
             connection
                 .ended
                 .set(matches!(input, Input::DownstreamMalformed(_)));
-            connection.said.set(self.put(input));
+            connection.last_input.set(self.enqueue(input));
         }
-        Took::Bytes(read)
+        ReadOutcome::Bytes(read)
     }
 
     /// Reads what a client has said by now.
-    pub(super) fn look(&self, client: DownstreamId) -> PeerCheck {
+    pub(super) fn check_client(&self, client: DownstreamId) -> PeerCheck {
         let connection = self.downstreams.borrow().get(&client).cloned();
         let mut read = 0;
         while let Some(connection) = connection
             .as_ref()
             .filter(|connection| !connection.ended.get())
         {
-            if read >= LOOK_MOST || self.queue.borrow().waiting_requests(client) >= WAITING_MOST {
+            if read >= MAX_CHECK_BYTES
+                || self.queue.borrow().waiting_requests(client) >= MAX_QUEUED_REQUESTS
+            {
                 return PeerCheck::MoreUnread;
             }
-            match self.take_bytes(client, connection) {
-                Took::Bytes(n) => read += n,
-                Took::Nothing | Took::End => break,
+            match self.read_client(client, connection) {
+                ReadOutcome::Bytes(n) => read += n,
+                ReadOutcome::Empty | ReadOutcome::Ended => break,
             }
         }
-        let half = connection.is_some_and(|connection| connection.half_since.get().is_some());
+        let half = connection.is_some_and(|connection| connection.partial_since.get().is_some());
         match self.queue.borrow().waiting_requests(client) {
             0 if half => PeerCheck::PartialMessage,
             0 => PeerCheck::Idle,
@@ -196,7 +209,7 @@
             let socket = connection.socket.clone();
             self.spawn(async move { drop(socket.drain().await) });
         }
-        if wrote == Wrote::Taken || connection.ended.get() {
+        if wrote == WriteOutcome::Accepted || connection.ended.get() {
             return None;
         }
         // What it said before is still read, to its end.
@@ -205,7 +218,7 @@
     }
 
     /// Its end has been told.
-    pub(super) fn client_over(&self, client: DownstreamId) -> bool {
+    pub(super) fn remove_client(&self, client: DownstreamId) -> bool {
         self.downstreams.borrow_mut().remove(&client).is_some()
     }
 
@@ -219,14 +232,14 @@
         socket.half_close();
         let mut closing = self.closing.borrow_mut();
         closing.push_back(socket.clone());
-        if closing.len() > self.closing_most
+        if closing.len() > self.max_closing
             && let Some(first) = closing.pop_front()
         {
             first.close();
         }
         let this = self.clone();
         self.spawn(async move {
-            clock::timeout(LINGER, socket.discard(&this.buffer)).await;
+            clock::timeout(LINGER_TIMEOUT, socket.discard(&this.buffer)).await;
             socket.close();
             this.closing
                 .borrow_mut()
--- a/crates/gateway-net/src/run/upstream.rs
+++ b/crates/gateway-net/src/run/upstream.rs
@@ -1,18 +1,26 @@
 //! Connections to machines: dialled, written, read, closed.
 
-use super::*;
+use super::EventLoop;
+use crate::socket::{Connection, Socket, WriteOutcome};
+use async_io::Async;
+use smol::Task;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use tidespur_gateway::message::RequestId;
+use tidespur_gateway::pool::PoolAction;
+use tidespur_gateway::{Input, UpstreamId};
 
 /// A look reads so often at most. A machine says little at a time; one that floods ends as any that can't be used.
-const LOOK_READS: usize = 4;
+const MAX_CHECK_READS: usize = 4;
 
 /// A connection to a machine.
 pub(super) enum Upstream {
     /// Being dialled by this task: dropped with it, so that a dial given up holds no descriptor.
-    Dialled(Task<()>),
+    Dialling(Task<()>),
     Open(Rc<Connection>),
 }
 
-impl Run {
+impl EventLoop {
     /// Carries out what is to be done with a connection to a machine.
     pub(super) fn on_upstream(self: &Rc<Self>, action: PoolAction) -> Option<Input> {
         match action {
@@ -20,34 +28,34 @@
                 let dial = self.executor.spawn(self.clone().dial(upstream, address));
                 self.upstreams
                     .borrow_mut()
-                    .insert(upstream, Upstream::Dialled(dial));
+                    .insert(upstream, Upstream::Dialling(dial));
                 None
             }
             PoolAction::Write(upstream, bytes) => {
                 // One that has ended unseen by the gateway takes nothing either.
-                let Some(socket) = self.open(upstream) else {
+                let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, None));
                 };
                 let wrote = socket.write(&bytes);
-                self.wrote(upstream, None, socket, wrote)
+                self.handle_write(upstream, None, socket, wrote)
             }
             PoolAction::Offer(upstream, id, bytes) => {
-                let Some(socket) = self.open(upstream) else {
+                let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, Some(id)));
                 };
                 let wrote = socket.offer(&bytes);
-                if wrote.0 == Wrote::Full {
-                    let _ = self.wrote(upstream, Some(id), socket, wrote);
+                if wrote.0 == WriteOutcome::Blocked {
+                    let _ = self.handle_write(upstream, Some(id), socket, wrote);
                     return Some(Input::UpstreamBlocked(upstream, id, bytes));
                 }
-                self.wrote(upstream, Some(id), socket, wrote)
+                self.handle_write(upstream, Some(id), socket, wrote)
             }
             PoolAction::HalfClose(upstream) => {
-                self.open(upstream)?.half_close();
+                self.open_socket(upstream)?.half_close();
                 None
             }
             PoolAction::Close(upstream) => {
-                self.upstream_over(upstream);
+                self.close_upstream(upstream);
                 None
             }
             // The gateway keeps these to itself.
@@ -56,45 +64,50 @@
     }
 
     /// How a write of the set-up `offer`, or of something else, went; sees to what the machine does not take at once.
-    fn wrote(
+    fn handle_write(
         self: &Rc<Self>,
         upstream: UpstreamId,
         offer: Option<RequestId>,
         socket: Rc<Socket>,
-        (wrote, drain): (Wrote, bool),
+        (wrote, drain): (WriteOutcome, bool),
     ) -> Option<Input> {
         if drain {
             let this = self.clone();
             self.spawn(async move {
                 if socket.drain().await.is_ok() {
-                    this.put(Input::UpstreamDrained(upstream));
+                    this.enqueue(Input::UpstreamDrained(upstream));
                 }
             });
         }
         match (wrote, offer) {
-            (Wrote::Part, Some(id)) => Some(Input::UpstreamPartiallyWritten(upstream, id)),
-            (Wrote::Taken | Wrote::Full | Wrote::Part, _) => None,
+            (WriteOutcome::PartiallyWritten, Some(id)) => {
+                Some(Input::UpstreamPartiallyWritten(upstream, id))
+            }
+            (
+                WriteOutcome::Accepted | WriteOutcome::Blocked | WriteOutcome::PartiallyWritten,
+                _,
+            ) => None,
             // The machine may have written something before it ended the connection: it is read on.
-            (Wrote::Nothing, offer) => Some(Input::UpstreamWriteFailed(upstream, offer)),
-            (Wrote::Broken, _) => self
-                .upstream_over(upstream)
+            (WriteOutcome::NotWritten, offer) => Some(Input::UpstreamWriteFailed(upstream, offer)),
+            (WriteOutcome::Failed, _) => self
+                .close_upstream(upstream)
                 .then_some(Input::UpstreamEnded(upstream)),
         }
     }
 
     /// The connection to a machine, where it is open.
-    fn open(&self, upstream: UpstreamId) -> Option<Rc<Socket>> {
+    fn open_socket(&self, upstream: UpstreamId) -> Option<Rc<Socket>> {
         match self.upstreams.borrow().get(&upstream) {
             Some(Upstream::Open(connection)) => Some(connection.socket.clone()),
-            Some(Upstream::Dialled(_)) | None => None,
+            Some(Upstream::Dialling(_)) | None => None,
         }
     }
 
-    pub(super) fn upstream_over(&self, upstream: UpstreamId) -> bool {
+    pub(super) fn close_upstream(&self, upstream: UpstreamId) -> bool {
         match self.upstreams.borrow_mut().remove(&upstream) {
             Some(Upstream::Open(connection)) => connection.socket.close(),
             // The dial ends here, and its descriptor is free again.
-            Some(Upstream::Dialled(dial)) => drop(dial),
+            Some(Upstream::Dialling(dial)) => drop(dial),
             None => return false,
         }
         true
@@ -107,7 +120,7 @@
             .values()
             .all(|upstream| match upstream {
                 Upstream::Open(connection) => connection.socket.is_flushed(),
-                Upstream::Dialled(_) => true,
+                Upstream::Dialling(_) => true,
             })
     }
 
@@ -118,14 +131,14 @@
         };
         // From here on it is this task that reads the connection: it is no more ended with the dial.
         match self.upstreams.borrow_mut().remove(&upstream) {
-            Some(Upstream::Dialled(dial)) => dial.detach(),
+            Some(Upstream::Dialling(dial)) => dial.detach(),
             _ => return,
         }
         let connection = match made {
             Ok(stream) => Connection::new(stream),
             Err(problem) => {
                 let refused = problem.kind() == std::io::ErrorKind::ConnectionRefused;
-                self.put(if refused {
+                self.enqueue(if refused {
                     Input::UpstreamConnectRefused(upstream)
                 } else {
                     Input::UpstreamConnectFailed(upstream)
@@ -136,30 +149,30 @@
         self.upstreams
             .borrow_mut()
             .insert(upstream, Upstream::Open(connection.clone()));
-        self.put(Input::UpstreamOpened(upstream));
-        self.hear(upstream, connection).await;
+        self.enqueue(Input::UpstreamOpened(upstream));
+        self.read_upstream(upstream, connection).await;
     }
 
-    async fn hear(self: &Rc<Self>, upstream: UpstreamId, connection: Rc<Connection>) {
+    async fn read_upstream(self: &Rc<Self>, upstream: UpstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
             // An error shows in the read.
             let _ = connection.socket.readable().await;
             if connection.ended.get() || !self.upstreams.borrow().contains_key(&upstream) {
                 return;
             }
-            self.hear_now(upstream, &connection);
+            self.read_upstream_once(upstream, &connection);
             // All that is owed goes into the next step, which comes before this is polled again.
             futures_lite::future::yield_now().await;
         }
     }
 
     /// Reads once what a machine has said, and puts it into the queue; `false`: there was nothing.
-    fn hear_now(&self, upstream: UpstreamId, connection: &Connection) -> bool {
+    fn read_upstream_once(&self, upstream: UpstreamId, connection: &Connection) -> bool {
         let read = match connection.socket.read_now(&self.buffer) {
             Ok(None) => return false,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
-                self.put(Input::UpstreamEnded(upstream));
+                self.enqueue(Input::UpstreamEnded(upstream));
                 return true;
             }
             Ok(Some(read)) => read,
@@ -170,19 +183,19 @@
             connection
                 .ended
                 .set(matches!(input, Input::UpstreamMalformed(_)));
-            self.put(input);
+            self.enqueue(input);
         }
         true
     }
 
-    /// Reads what a machine has said by now, as far as [`LOOK_READS`] go.
-    pub(super) fn look_upstream(&self, upstream: UpstreamId) {
+    /// Reads what a machine has said by now, as far as [`MAX_CHECK_READS`] go.
+    pub(super) fn check_upstream(&self, upstream: UpstreamId) {
         let connection = match self.upstreams.borrow().get(&upstream) {
             Some(Upstream::Open(connection)) => connection.clone(),
-            Some(Upstream::Dialled(_)) | None => return,
+            Some(Upstream::Dialling(_)) | None => return,
         };
-        for _ in 0..LOOK_READS {
-            if connection.ended.get() || !self.hear_now(upstream, &connection) {
+        for _ in 0..MAX_CHECK_READS {
+            if connection.ended.get() || !self.read_upstream_once(upstream, &connection) {
                 return;
             }
         }
--- a/crates/gateway-net/src/socket.rs
+++ b/crates/gateway-net/src/socket.rs
@@ -7,33 +7,33 @@
 use std::rc::Rc;
 
 /// Bytes that may wait for a peer that does not read; then the connection is closed.
-const UNREAD_MOST: usize = 256 * 1024;
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 /// Bytes read in one turn; then others have theirs.
-pub const TURN: usize = 16 * 1024;
+pub const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Of a connection that was closed here, so many bytes are still read: a socket closed over unread bytes resets its
 /// connection, and the reset may destroy an answer on its way. Bounds the work for one that never stops.
-const DISCARDED_MOST: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 /// How a write went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// Gone, or waiting to go.
-    Taken,
+    Accepted,
     /// The peer takes no bytes now, and not one of these left.
-    Full,
+    Blocked,
     /// The peer takes no more bytes now, and has a part of these; the rest waits to go.
-    Part,
+    PartiallyWritten,
     /// Not a byte of it left, and none will.
-    Nothing,
+    NotWritten,
     /// Some may have left; the connection is of no further use.
-    Broken,
+    Failed,
 }
 
 /// A connection, held by its reader and by whoever writes.
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
-    waiting: RefCell<Vec<u8>>,
+    unsent: RefCell<Vec<u8>>,
     /// Somebody sees to what waits.
     draining: Cell<bool>,
     /// It is half-closed once nothing waits: else a release that waits behind a set-up would never leave.
@@ -47,46 +47,46 @@
         let _ = stream.get_ref().set_nodelay(true);
         Self {
             stream,
-            waiting: RefCell::default(),
+            unsent: RefCell::default(),
             draining: Cell::new(false),
             half_closing: Cell::new(false),
         }
     }
 
     /// Writes what the peer takes at once; the rest waits. `true` comes along where somebody has to [`Socket::drain`].
-    pub fn write(&self, bytes: &[u8]) -> (Wrote, bool) {
+    pub fn write(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         {
-            let mut waiting = self.waiting.borrow_mut();
+            let mut waiting = self.unsent.borrow_mut();
             if !waiting.is_empty() {
-                if waiting.len() + bytes.len() > UNREAD_MOST {
-                    return (Wrote::Nothing, false);
+                if waiting.len() + bytes.len() > MAX_UNSENT_BYTES {
+                    return (WriteOutcome::NotWritten, false);
                 }
                 waiting.extend_from_slice(bytes);
-                return (Wrote::Taken, false);
+                return (WriteOutcome::Accepted, false);
             }
         }
         match self.write_now(bytes) {
-            (Wrote::Full, _) => {
-                self.waiting.borrow_mut().extend_from_slice(bytes);
-                (Wrote::Taken, !self.draining.replace(true))
+            (WriteOutcome::Blocked, _) => {
+                self.unsent.borrow_mut().extend_from_slice(bytes);
+                (WriteOutcome::Accepted, !self.draining.replace(true))
             }
-            (Wrote::Part, drain) => (Wrote::Taken, drain),
+            (WriteOutcome::PartiallyWritten, drain) => (WriteOutcome::Accepted, drain),
             other => other,
         }
     }
 
     /// Writes only if the peer takes at least a part at once; `true` as with [`Socket::write`].
-    pub fn offer(&self, bytes: &[u8]) -> (Wrote, bool) {
-        if !self.waiting.borrow().is_empty() {
-            return (Wrote::Full, false);
+    pub fn offer(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
+        if !self.unsent.borrow().is_empty() {
+            return (WriteOutcome::Blocked, false);
         }
         match self.write_now(bytes) {
-            (Wrote::Full, _) => (Wrote::Full, !self.draining.replace(true)),
+            (WriteOutcome::Blocked, _) => (WriteOutcome::Blocked, !self.draining.replace(true)),
             other => other,
         }
     }
 
-    fn write_now(&self, bytes: &[u8]) -> (Wrote, bool) {
+    fn write_now(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         let mut done = 0;
         while done < bytes.len() {
             match self.stream.get_ref().write(&bytes[done..]) {
@@ -94,25 +94,25 @@
                 Ok(n) => done += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock && done == 0 => {
-                    return (Wrote::Full, false);
+                    return (WriteOutcome::Blocked, false);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.waiting.borrow_mut().extend_from_slice(&bytes[done..]);
-                    return (Wrote::Part, !self.draining.replace(true));
+                    self.unsent.borrow_mut().extend_from_slice(&bytes[done..]);
+                    return (WriteOutcome::PartiallyWritten, !self.draining.replace(true));
                 }
                 Err(_) => {
                     return (
                         if done == 0 {
-                            Wrote::Nothing
+                            WriteOutcome::NotWritten
                         } else {
-                            Wrote::Broken
+                            WriteOutcome::Failed
                         },
                         false,
                     );
                 }
             }
         }
-        (Wrote::Taken, false)
+        (WriteOutcome::Accepted, false)
     }
 
     /// Writes what waits until nothing does and the peer takes more, or the connection ends.
@@ -128,7 +128,7 @@
     async fn drain_all(&self) -> io::Result<()> {
         loop {
             self.stream.writable().await?;
-            let mut waiting = self.waiting.borrow_mut();
+            let mut waiting = self.unsent.borrow_mut();
             if !waiting.is_empty() {
                 match self.stream.get_ref().write(&waiting) {
                     Ok(n) => drop(waiting.drain(..n)),
@@ -139,7 +139,7 @@
             if waiting.is_empty() {
                 *waiting = Vec::new();
                 if self.half_closing.get() {
-                    self.shut();
+                    self.shutdown_write();
                 }
                 return Ok(());
             }
@@ -148,7 +148,7 @@
 
     /// Whether all that was written has left.
     pub fn is_flushed(&self) -> bool {
-        self.waiting.borrow().is_empty()
+        self.unsent.borrow().is_empty()
     }
 
     /// Waits until there may be something to read.
@@ -189,7 +189,7 @@
 
     /// Reads to the end and forgets it.
     pub async fn discard(&self, buffer: &RefCell<Vec<u8>>) {
-        let mut left = DISCARDED_MOST;
+        let mut left = MAX_DISCARDED_BYTES;
         while let Ok(n) = self.read(buffer).await
             && n > 0
             && n <= left
@@ -203,11 +203,11 @@
     pub fn half_close(&self) {
         self.half_closing.set(true);
         if self.is_flushed() {
-            self.shut();
+            self.shutdown_write();
         }
     }
 
-    fn shut(&self) {
+    fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
@@ -225,15 +225,15 @@
     /// What was read of the peer's next message.
     pub decoder: RefCell<tidespur_gateway::message::Decoder>,
     /// Since when a message is begun and not whole.
-    pub half_since: Cell<Option<f64>>,
+    pub partial_since: Cell<Option<f64>>,
     /// When it was accepted.
     pub opened_at: f64,
     /// It has said something whole since.
-    pub whole: Cell<bool>,
+    pub has_sent_message: Cell<bool>,
     /// Its end, or what can't be read, was seen: nothing more is read.
     pub ended: Cell<bool>,
     /// The last of what it said.
-    pub said: Cell<tidespur_gateway::input_queue::Sequence>,
+    pub last_input: Cell<tidespur_gateway::input_queue::Sequence>,
 }
 
 impl Connection {
@@ -242,11 +242,11 @@
         Rc::new(Self {
             socket: Rc::new(Socket::new(stream)),
             decoder: RefCell::default(),
-            half_since: Cell::new(None),
+            partial_since: Cell::new(None),
             opened_at: tidespur_net::clock::now(),
-            whole: Cell::new(false),
+            has_sent_message: Cell::new(false),
             ended: Cell::new(false),
-            said: Cell::default(),
+            last_input: Cell::default(),
         })
     }
 }
--- a/crates/gateway-net/tests/compatibility.rs
+++ b/crates/gateway-net/tests/compatibility.rs
@@ -11,9 +11,9 @@
     assert_eq!(config.listen, "127.0.0.1:7001");
     assert_eq!(config.seed, 0x1f);
     assert_eq!(config.sockets, 512);
-    assert_eq!(config.board, "127.0.0.1:7002");
+    assert_eq!(config.discovery_address, "127.0.0.1:7002");
     assert_eq!(config.site.settings.ordinal, 3);
-    let [event] = config.known.as_slice() else {
+    let [event] = config.watch_events.as_slice() else {
         panic!("one known event")
     };
     assert_eq!(
--- a/crates/gateway-net/tests/socket.rs
+++ b/crates/gateway-net/tests/socket.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use tidespur_gateway_net::socket::{Socket, Wrote};
+use tidespur_gateway_net::socket::{Socket, WriteOutcome};
 
 fn pair() -> (Socket, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -19,7 +19,7 @@
     let (mut sent, mut waits) = (0, false);
     while !waits {
         let (wrote, drain) = socket.write(&[7; 64 * 1024]);
-        assert_eq!(wrote, Wrote::Taken);
+        assert_eq!(wrote, WriteOutcome::Accepted);
         (sent, waits) = (sent + 64 * 1024, drain);
     }
     sent
@@ -36,7 +36,7 @@
 fn what_waits_for_a_slow_peer_still_leaves_after_the_connection_is_half_closed() {
     let (socket, peer) = pair();
     let sent = fill(&socket);
-    assert_eq!(socket.write(b"cancelled").0, Wrote::Taken);
+    assert_eq!(socket.write(b"cancelled").0, WriteOutcome::Accepted);
     socket.half_close();
     let reader = read_all(peer);
     smol::block_on(socket.drain()).expect("all of it leaves");
@@ -54,12 +54,12 @@
     let (wrote, drain) = socket.offer(b"set-up");
     assert_eq!(
         (wrote, drain),
-        (Wrote::Full, false),
+        (WriteOutcome::Blocked, false),
         "somebody sees to what waits already"
     );
     let reader = read_all(peer);
     smol::block_on(socket.drain()).expect("all of it leaves");
-    assert_eq!(socket.offer(b"after").0, Wrote::Taken);
+    assert_eq!(socket.offer(b"after").0, WriteOutcome::Accepted);
     socket.half_close();
     let read = reader
         .join()
@@ -74,16 +74,22 @@
     // Set-ups as large as can be, until one does not go whole.
     let told = (0..)
         .map(|_| socket.offer(&[7; 16 * 1024]).0)
-        .find(|wrote| *wrote != Wrote::Taken);
-    assert!(matches!(told, Some(Wrote::Part | Wrote::Full)), "{told:?}");
-    assert_eq!(socket.is_flushed(), told == Some(Wrote::Full));
-    assert_eq!(socket.offer(b"next").0, Wrote::Full);
+        .find(|wrote| *wrote != WriteOutcome::Accepted);
+    assert!(
+        matches!(
+            told,
+            Some(WriteOutcome::PartiallyWritten | WriteOutcome::Blocked)
+        ),
+        "{told:?}"
+    );
+    assert_eq!(socket.is_flushed(), told == Some(WriteOutcome::Blocked));
+    assert_eq!(socket.offer(b"next").0, WriteOutcome::Blocked);
 }
 
 #[test]
 fn bytes_that_come_while_it_closes_do_not_reset_what_is_on_its_way() {
     let (socket, mut peer) = pair();
-    assert_eq!(socket.write(b"answer").0, Wrote::Taken);
+    assert_eq!(socket.write(b"answer").0, WriteOutcome::Accepted);
     // They lie unread when it is closed; a plain close over them is a reset.
     peer.write_all(&[1; 1000]).expect("they fit");
     socket.half_close();
