--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a scheduler at its start.
+//! The configuration that the platform gives a scheduler.
 
 use crate::StartError;
 use serde::Deserialize;
@@ -30,39 +30,39 @@
     notices: Vec<WireEvent>,
 }
 
-/// The configuration, read.
+/// A configuration that was parsed.
 #[derive(Debug)]
 pub struct Config {
     /// Name of this scheduler.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to, `IP:PORT`.
     pub listen: String,
-    /// What chance is drawn from.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// Descriptors there may be.
+    /// Bound on descriptors.
     pub sockets: usize,
-    /// Address of the notice board.
+    /// Address of the discovery stream.
     pub discovery_address: String,
-    /// Its events up to now.
+    /// The stream's events up to now.
     pub watch_events: Vec<WatchEvent>,
-    /// What the policy and the gateway are told.
+    /// Settings of the policy and the gateway.
     pub site: Site,
 }
 
-/// Where the configuration is: `RELAY_CONFIG`.
+/// The path of the configuration, from the variable `RELAY_CONFIG`.
 ///
 /// # Errors
-/// The variable is not set.
+/// Fails if the variable is not set.
 pub fn path() -> Result<PathBuf, StartError> {
     std::env::var_os("RELAY_CONFIG")
         .map(PathBuf::from)
         .ok_or(StartError::ConfigNotSet)
 }
 
-/// Reads a configuration.
+/// Parses a configuration.
 ///
 /// # Errors
-/// Says what can't be read, or worked with.
+/// Fails if it can't be read or parsed, or if a setting can't be used.
 pub fn read(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
     let site = wire.settings.into_site()?;
@@ -88,7 +88,7 @@
 /// Reads the configuration that the platform names.
 ///
 /// # Errors
-/// Says what can't be read, or worked with.
+/// Fails if it can't be read or parsed, or if a setting can't be used.
 pub fn load() -> Result<Config, StartError> {
     let path = path()?;
     let text = std::fs::read_to_string(&path).map_err(|e| StartError::Unreadable(path, e))?;
--- a/crates/gateway-net/src/discovery.rs
+++ b/crates/gateway-net/src/discovery.rs
@@ -1,31 +1,32 @@
-//! Follows the discovery stream: connected always, and at once again after an end.
+//! Follows the discovery stream, and reconnects as soon as it has ended.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tidespur_gateway::discovery::EventStreamDecoder;
 use tidespur_net::{Client, clock};
 
-/// A comment comes each second: silence for this long is an end.
+/// The stream sends a comment each second; one that is silent for this long has ended, in seconds.
 const SILENCE_TIMEOUT: f64 = 2.0;
-/// The head of an answer must be there within this.
+/// The head of the response must arrive within this time, in seconds.
 const RESPONSE_HEAD_TIMEOUT: f64 = 1.0;
-/// Pause after a connection that brought nothing.
+/// Pause after a connection that ended at once, in seconds.
 const RECONNECT_BACKOFF: f64 = 0.1;
-/// After a move, what is left of the old stream is read for so long at most: the platform's page closes it after 1.5 s.
-/// Guards against streams that pile up where it moves back and forth.
+/// After a move the old stream is read for at most this long, in seconds; the platform closes it after 1.5 s. Guards
+/// against streams that pile up where it moves back and forth.
 const OLD_STREAM_TIMEOUT: f64 = 3.0;
 
-/// Where the board listens now.
+/// The present address of the discovery stream.
 #[derive(Debug)]
 pub struct DiscoveryAddress {
     current: RefCell<String>,
-    /// How often it moved, and when last.
+    /// How often the address has changed.
     moves: Cell<u32>,
+    /// When it changed last.
     moved_at: Cell<f64>,
 }
 
 impl DiscoveryAddress {
-    /// At this address.
+    /// Starts with this address.
     pub fn new(at: String) -> Self {
         Self {
             current: RefCell::new(at),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// It listens elsewhere from now on; `false` where it was there already.
+    /// Changes the address; returns false if it is the present one.
     pub fn move_to(&self, at: &str) -> bool {
         if *self.current.borrow() == at {
             return false;
@@ -46,21 +47,25 @@
     }
 }
 
-/// Follows the stream where it is now. Once it has moved, what is left of the old stream is still read.
+/// Follows the stream at its present address. Once that has changed, the rest of the old stream is read, and the task
+/// ends.
 pub async fn follow(
     current: Rc<DiscoveryAddress>,
     delivered: impl Fn() -> u64,
-    mut take: impl FnMut(&str),
+    mut deliver: impl FnMut(&str),
 ) {
     let (address, moves) = (current.current.borrow().clone(), current.moves.get());
     loop {
         let began = clock::now();
-        let left = || match current.moves.get() == moves {
-            true => f64::INFINITY,
-            false => current.moved_at.get() + OLD_STREAM_TIMEOUT - clock::now(),
+        let left = || {
+            if current.moves.get() == moves {
+                f64::INFINITY
+            } else {
+                current.moved_at.get() + OLD_STREAM_TIMEOUT - clock::now()
+            }
         };
-        let why = once(&address, delivered(), left, &mut take).await;
-        tracing::info!(board = address, why, "the discovery stream ended");
+        let reason = once(&address, delivered(), left, &mut deliver).await;
+        tracing::info!(board = address, reason, "the discovery stream ended");
         if current.moves.get() != moves {
             return;
         }
@@ -74,7 +79,7 @@
     address: &str,
     delivered: u64,
     left: impl Fn() -> f64,
-    take: &mut impl FnMut(&str),
+    deliver: &mut impl FnMut(&str),
 ) -> String {
     let client = Client::new(address, 1, vec![("last-event-id", delivered.to_string())]);
     let mut lines = match client
@@ -83,7 +88,7 @@
     {
         Ok(lines) if lines.status.is_success() => lines,
         Ok(lines) => return format!("status {}", lines.status),
-        Err(problem) => return problem.to_string(),
+        Err(error) => return error.to_string(),
     };
     let mut events = EventStreamDecoder::default();
     loop {
@@ -93,12 +98,12 @@
         }
         let line = match lines.next_with_timeout(SILENCE_TIMEOUT.min(left)).await {
             Ok(line) => line,
-            Err(why) => return why,
+            Err(reason) => return reason,
         };
         match events.push_line(&line) {
-            Ok(Some(data)) => take(&data),
+            Ok(Some(data)) => deliver(&data),
             Ok(None) => {}
-            Err(problem) => return problem.to_string(),
+            Err(error) => return error.to_string(),
         }
     }
 }
--- a/crates/gateway-net/src/lib.rs
+++ b/crates/gateway-net/src/lib.rs
@@ -1,6 +1,10 @@
-//! Sockets, timers and signals of the platform's gateway. Decides nothing: see [`tidespur_gateway::Gateway`].
+//! The event loop that runs the gateway on sockets, timers and signals.
+//!
+//! It decides nothing: inputs go to [`tidespur_gateway::Gateway`], and its outputs are carried out. The planner's `main`
+//! calls [`run`] on the operators' platform.
 
 pub mod config;
+mod connection;
 mod discovery;
 mod error;
 mod run;
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -1,13 +1,19 @@
-//! The loops: listen, dial, read, write, signals, timers. They decide nothing.
+//! The event loop: listens, dials, reads, writes, and handles signals and timers.
+//!
+//! It owns the gateway and all connections, and runs on one thread. Its tasks live as long as the process: a reader ends
+//! with its connection, a dial with its entry in the table of connections.
 
+mod bind;
 mod control;
 mod downstream;
+mod step;
 mod upstream;
 
 use crate::StartError;
 use crate::config::{self, Config};
+use crate::connection::Connection;
 use crate::discovery::DiscoveryAddress;
-use crate::socket::{Connection, READ_BUFFER_BYTES, Socket};
+use crate::socket::{READ_BUFFER_BYTES, Socket};
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use smol::channel::{Receiver, Sender};
@@ -17,41 +23,41 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use tidespur_gateway::input_queue::{InputQueue, Sequence};
-use tidespur_gateway::message::{Decoder, Message};
-use tidespur_gateway::pool::PoolAction;
-use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, Output, UpstreamId};
+use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, UpstreamId};
 use tidespur_net::clock;
 use upstream::Upstream;
 
-/// A line of counters goes to the log this often.
+/// Interval at which the counters are logged, in seconds.
 const REPORT_INTERVAL: f64 = 10.0;
+
+/// The gateway with its connections, listener and queue.
 struct EventLoop {
     gateway: RefCell<Gateway>,
     executor: Rc<LocalExecutor<'static>>,
     listener: RefCell<Option<Rc<Async<TcpListener>>>>,
     listening: RefCell<Option<Task<()>>>,
     downstreams: RefCell<BTreeMap<DownstreamId, Rc<Connection>>>,
-    /// Closed here and not by their peers yet, and how many may be.
+    /// Connections half-closed here and not yet closed by their peers.
     closing: RefCell<VecDeque<Rc<Socket>>>,
     max_closing: usize,
     upstreams: RefCell<BTreeMap<UpstreamId, Upstream>>,
     buffer: RefCell<Vec<u8>>,
     next_client: Cell<u64>,
-    /// Told when the time of the next tick may have changed.
+    /// Signals that the next tick may be due earlier.
     wake: async_lock::Semaphore,
-    /// What came and was not taken in yet; told when there is something.
+    /// Inputs that wait for the next step.
     queue: RefCell<InputQueue>,
     input_signal: (Sender<()>, Receiver<()>),
     discovery_address: Rc<DiscoveryAddress>,
     name: String,
-    /// To end, once what was written has left, within so many seconds.
+    /// Set once the process is to exit: the seconds that sending what was written may take.
     exit_within: Cell<Option<f64>>,
 }
 
-/// Runs the scheduler on the platform until it is told to end and nothing is owed any more.
+/// Runs the scheduler on the platform until its shutdown is complete.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// Fails if it can't start.
 pub fn run() -> Result<(), StartError> {
     // Before anything else: a signal without a handler ends the program.
     let signals = Signals::new([Signal::Hup, Signal::Term]).map_err(StartError::Signals)?;
@@ -96,8 +102,7 @@
         );
         let listen = config.listen;
         let address: SocketAddr = listen.parse().map_err(|_| StartError::Address(listen))?;
-        this.listener
-            .replace(Some(Rc::new(downstream::bind(address)?)));
+        this.listener.replace(Some(Rc::new(bind::bind(address)?)));
         tracing::info!(scheduler = this.name, %address, sockets = config.sockets, "started");
         this.spawn(this.clone().handle_queue());
         this.spawn(this.clone().measure_lag());
@@ -112,7 +117,7 @@
         self.executor.spawn(future).detach();
     }
 
-    /// Time goes on.
+    /// Runs ticks and logs the counters until the process is to exit, and then sends what was written.
     async fn run_until_exit(self: Rc<Self>) {
         let mut reported = clock::now();
         while self.exit_within.get().is_none() {
@@ -139,14 +144,15 @@
         self.flush(self.exit_within.get().unwrap_or_default()).await;
     }
 
-    /// What came is taken in with all that came beside it: the reactor wakes readers before this comes round.
+    /// Adds an input to the queue. It is handled with all others that arrive meanwhile, as the reactor wakes readers before
+    /// the queue is handled.
     fn enqueue(&self, input: Input) -> Sequence {
-        // Where it was told already, once is enough.
+        // The channel holds one signal; if it is full, the queue is handled anyway.
         let _ = self.input_signal.0.try_send(());
         self.queue.borrow_mut().push(input)
     }
 
-    /// Takes in what came, in the order of [`InputQueue`].
+    /// Handles the queue's inputs, in the order of [`InputQueue`].
     async fn handle_queue(self: Rc<Self>) {
         while self.input_signal.1.recv().await.is_ok() {
             while !self.queue.borrow().is_empty() {
@@ -156,101 +162,4 @@
             }
         }
     }
-
-    fn step(self: &Rc<Self>, inputs: Vec<Input>) {
-        let mut inputs = inputs;
-        while !inputs.is_empty() {
-            // A connection that ended meanwhile from here has been told already.
-            inputs.retain(|input| match input {
-                Input::DownstreamClosed(client) => self.remove_client(*client),
-                Input::UpstreamEnded(upstream) => self.close_upstream(*upstream),
-                _ => true,
-            });
-            let mut out = Vec::new();
-            let before = self.gateway.borrow().next_wake();
-            for input in &inputs {
-                match input {
-                    Input::DownstreamMessage(..) | Input::UpstreamMessage(..) => {
-                        tracing::trace!(?input)
-                    }
-                    Input::Tick | Input::DownstreamChecked(..) | Input::UpstreamChecked(_) => {}
-                    _ => tracing::debug!(scheduler = self.name, ?input),
-                }
-            }
-            self.gateway
-                .borrow_mut()
-                .step(clock::now(), std::mem::take(&mut inputs), &mut out);
-            if self.gateway.borrow().next_wake() < before {
-                self.wake.add_permits(1);
-            }
-            for output in out {
-                match &output {
-                    Output::CloseDownstream(_)
-                    | Output::Upstream(
-                        PoolAction::Dial(..) | PoolAction::HalfClose(_) | PoolAction::Close(_),
-                    ) => {
-                        tracing::debug!(scheduler = self.name, ?output);
-                    }
-                    _ => tracing::trace!(?output),
-                }
-                self.apply_output(output, &mut inputs);
-            }
-        }
-    }
-
-    fn apply_output(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
-        match output {
-            Output::WriteDownstream(client, bytes) => {
-                inputs.extend(self.write_client(client, &bytes))
-            }
-            Output::CloseDownstream(client) => self.close_client(client),
-            Output::CheckDownstream(client) => {
-                let seen = self.check_client(client);
-                self.answer_after_completions(inputs, Input::DownstreamChecked(client, seen));
-            }
-            Output::Upstream(PoolAction::CheckPeer(upstream)) => {
-                self.check_upstream(upstream);
-                self.answer_after_completions(inputs, Input::UpstreamChecked(upstream));
-            }
-            Output::Upstream(action) => inputs.extend(self.on_upstream(action)),
-            Output::Log(line) => tracing::info!(scheduler = self.name, "{line}"),
-            Output::StopListening => {
-                self.stop_listening();
-                self.answer_after_completions(inputs, Input::ListeningStopped);
-            }
-            Output::Exit(within) => {
-                self.exit_within.set(Some(within));
-                self.wake.add_permits(1);
-            }
-        }
-    }
-
-    /// Answers an output, after all that came until now and goes first.
-    fn answer_after_completions(&self, inputs: &mut Vec<Input>, answer: Input) {
-        inputs.extend(self.queue.borrow_mut().take_completions());
-        inputs.push(answer);
-    }
-
-    /// Puts what was read last to the messages of a connection.
-    fn decode(
-        &self,
-        decoder: &mut Decoder,
-        read: usize,
-        said: impl Fn(Message) -> Input,
-        malformed: Input,
-    ) -> Vec<Input> {
-        decoder.feed(&self.buffer.borrow()[..read]);
-        let mut inputs = Vec::new();
-        loop {
-            match decoder.next_message() {
-                Ok(Some(message)) => inputs.push(said(message)),
-                Ok(None) => return inputs,
-                Err(problem) => {
-                    tracing::debug!(scheduler = self.name, %problem, ?malformed);
-                    inputs.push(malformed);
-                    return inputs;
-                }
-            }
-        }
-    }
 }
--- a/crates/gateway-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -1,4 +1,4 @@
-//! The discovery stream, signals, and the clock of the loop.
+//! The discovery stream, signals, the measuring of lag, and the counters in the log.
 
 use super::EventLoop;
 use crate::config::{self};
@@ -9,17 +9,18 @@
 use tidespur_gateway::{DownstreamId, Input};
 use tidespur_net::clock;
 
-/// How far the loop is behind is measured this often.
+/// Interval at which the lag of the event loop is measured, in seconds.
 const LAG_INTERVAL: f64 = 0.05;
-/// A configuration that can't be read is read again after this, so many times.
+/// Pause before a configuration that could not be read is read again, in seconds.
 const RELOAD_BACKOFF: f64 = 0.1;
+/// Attempts to read the configuration after a signal.
 const MAX_RELOAD_RETRIES: u32 = 50;
-/// At the end, it is looked this often whether all has left.
+/// Interval at which the shutdown checks whether all bytes were sent, in seconds.
 const FLUSH_POLL_INTERVAL: f64 = 0.005;
 
 impl EventLoop {
-    /// Measures how far the loop is behind: a timer comes to its turn as late as a message that came when it was
-    /// due, as both wait for the reactor and for all that was woken before them.
+    /// Measures the lag of the event loop: a timer is handled as late as a message that arrives when it is due, as both
+    /// wait for the reactor and for all tasks that were woken before them.
     pub(super) async fn measure_lag(self: Rc<Self>) {
         loop {
             let due = clock::now() + LAG_INTERVAL;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Follows the discovery stream where it is now.
+    /// Follows the discovery stream at its present address.
     pub(super) fn follow_discovery(self: &Rc<Self>) {
         let (this, that) = (self.clone(), self.clone());
         let delivered = move || this.gateway.borrow().last_revision();
@@ -37,7 +38,7 @@
                 tidespur_gateway::discovery::parse_event(that.gateway.borrow().site(), data);
             match event {
                 Ok(event) => that.step(vec![Input::EndpointsDelivered(event)]),
-                Err(problem) => tracing::warn!(scheduler = that.name, %problem),
+                Err(error) => tracing::warn!(scheduler = that.name, %error),
             }
         };
         self.spawn(discovery::follow(
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Reads the configuration again; until it can be read, what was read before holds.
+    /// Reads the configuration again; until that succeeds the previous one stays in use.
     async fn reload(self: Rc<Self>) {
         for _ in 0..MAX_RELOAD_RETRIES {
             match config::load() {
@@ -81,15 +82,15 @@
                     }
                     return;
                 }
-                Err(problem) => {
-                    tracing::warn!(scheduler = self.name, %problem, "the old settings hold")
+                Err(error) => {
+                    tracing::warn!(scheduler = self.name, %error, "the old settings hold")
                 }
             }
             clock::sleep(RELOAD_BACKOFF).await;
         }
     }
 
-    /// Waits until what was written has left, within so many seconds.
+    /// Waits until all bytes were sent, for at most `within` seconds.
     pub(super) async fn flush(self: &Rc<Self>, within: f64) {
         let left: Vec<DownstreamId> = self.downstreams.borrow().keys().copied().collect();
         left.into_iter()
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -1,33 +1,31 @@
-//! Connections of clients: accepted, read, looked at, closed.
+//! Connections of clients: accepted, read, checked, written and closed.
 
 use super::EventLoop;
-use crate::StartError;
-use crate::socket::{Connection, READ_BUFFER_BYTES, WriteOutcome};
+use crate::connection::Connection;
+use crate::socket::{READ_BUFFER_BYTES, WriteOutcome};
 use async_io::Async;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use tidespur_gateway::input_queue::Sequence;
 use tidespur_gateway::{DownstreamId, Input, PeerCheck};
 use tidespur_net::clock;
 
-/// Pause of the listener where descriptors are used up.
+/// Pause of the listener after a failed accept, such as for lack of descriptors, in seconds.
 const ACCEPT_BACKOFF: f64 = 0.02;
-/// A message must be whole this long after its first byte, and the first one this long after the connection was made.
-/// Guards against clients that send a part and stay: the platform's page allows 3 s from the connection on until
-/// they are closed. Harm: whoever needs longer for one message is closed too.
+/// A message must be complete this long after its first byte, in seconds. Guards against clients that send a part and
+/// stay: the platform allows 3 s from the connection on until they are closed. A client that needs longer for one message
+/// is closed too.
 const PARTIAL_MESSAGE_TIMEOUT: f64 = 2.5;
+/// The first message, once begun, must be complete this long after the connection was opened, in seconds.
 const FIRST_MESSAGE_TIMEOUT: f64 = 2.6;
-/// A look reads so many bytes at most, and none where so many requests wait already.
+/// Bytes that a check reads at most.
 const MAX_CHECK_BYTES: usize = 4 * READ_BUFFER_BYTES;
+/// A check reads no more from a client with this many requests in the queue.
 const MAX_QUEUED_REQUESTS: usize = 256;
-/// One that was closed here is read for so long at most, until its peer closes it too.
+/// A connection that was half-closed here is read for at most this long, until its peer closes it too, in seconds.
 const LINGER_TIMEOUT: f64 = 1.0;
 
-/// An address that is still taken is asked for again after this, so many times: the one who had it may be ending.
-const BIND_BACKOFF: std::time::Duration = std::time::Duration::from_millis(50);
-const MAX_BIND_RETRIES: u32 = 100;
-
-/// What a read brought.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadOutcome {
     Bytes(usize),
@@ -35,22 +33,6 @@
     Ended,
 }
 
-pub(super) fn bind(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
-    let mut tries = 0;
-    loop {
-        match Async::<TcpListener>::bind(address) {
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && tries < MAX_BIND_RETRIES => {
-                if tries == 0 {
-                    tracing::warn!(%address, "waits for its address, which is taken");
-                }
-                tries += 1;
-                std::thread::sleep(BIND_BACKOFF);
-            }
-            made => return made.map_err(|e| StartError::Bind(address, e)),
-        }
-    }
-}
-
 impl EventLoop {
     pub(super) async fn listen(self: Rc<Self>) {
         loop {
@@ -60,21 +42,20 @@
             match listener.accept().await {
                 Ok((stream, from)) => {
                     let sequence = self.accept_client(stream, from);
-                    // A flood of connections is accepted at once, one after the other: those closed for it, and
-                    // all others, must have their turn in between.
+                    // Other connections have their turn after each one that is accepted, also in a flood of them.
                     while !self.queue.borrow().is_step_past(sequence) {
                         futures_lite::future::yield_now().await;
                     }
                 }
-                Err(problem) => {
-                    tracing::warn!(scheduler = self.name, %problem, "accept");
+                Err(error) => {
+                    tracing::warn!(scheduler = self.name, %error, "accept");
                     clock::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Accepts who has connected by now, and then nobody more.
+    /// Accepts the connections that wait, and then no more.
     pub(super) fn stop_listening(self: &Rc<Self>) {
         let Some(listener) = self.listener.borrow_mut().take() else {
             return;
@@ -82,10 +63,10 @@
         while let Ok((stream, from)) = listener.get_ref().accept() {
             match Async::new(stream) {
                 Ok(stream) => drop(self.accept_client(stream, from)),
-                Err(problem) => tracing::warn!(scheduler = self.name, %problem, "accept"),
+                Err(error) => tracing::warn!(scheduler = self.name, %error, "accept"),
             }
         }
-        // The task that listens holds it too.
+        // Cancels the task that listens, which holds the listener too.
         self.listening.borrow_mut().take();
     }
 
@@ -127,7 +108,8 @@
                 return;
             }
             if let ReadOutcome::Bytes(_) = self.read_client(client, &connection) {
-                // Until what it said was taken, no more is read: a flood waits in its own socket. A look reads on.
+                // No more is read until these inputs were handled, so that a flood waits in its own socket; only a check
+                // reads on.
                 while !self
                     .queue
                     .borrow()
@@ -139,7 +121,7 @@
         }
     }
 
-    /// Reads once, and puts what is whole into the queue.
+    /// Reads once, and adds the complete messages to the queue.
     fn read_client(&self, client: DownstreamId, connection: &Connection) -> ReadOutcome {
         let read = match connection.socket.read_now(&self.buffer) {
             Ok(None) => return ReadOutcome::Empty,
@@ -154,15 +136,17 @@
         let mut decoder = connection.decoder.borrow_mut();
         let said = |message| Input::DownstreamMessage(client, message);
         let inputs = self.decode(&mut decoder, read, said, Input::DownstreamMalformed(client));
-        let half = match (decoder.has_partial_message(), inputs.is_empty()) {
-            (false, _) => None,
-            (true, true) => connection
+        let partial_since = if !decoder.has_partial_message() {
+            None
+        } else if inputs.is_empty() {
+            connection
                 .partial_since
                 .get()
-                .or_else(|| Some(clock::now())),
-            (true, false) => Some(clock::now()),
+                .or_else(|| Some(clock::now()))
+        } else {
+            Some(clock::now())
         };
-        connection.partial_since.set(half);
+        connection.partial_since.set(partial_since);
         connection
             .has_sent_message
             .set(connection.has_sent_message.get() || !inputs.is_empty());
@@ -175,7 +159,7 @@
         ReadOutcome::Bytes(read)
     }
 
-    /// Reads what a client has said by now.
+    /// Reads what a client has sent by now, within bounds.
     pub(super) fn check_client(&self, client: DownstreamId) -> PeerCheck {
         let connection = self.downstreams.borrow().get(&client).cloned();
         let mut read = 0;
@@ -201,7 +185,7 @@
         }
     }
 
-    /// Writes to a client; what it leads to where nothing more reaches it.
+    /// Writes to a client; returns an input if the client can't be reached any more.
     pub(super) fn write_client(&self, client: DownstreamId, bytes: &[u8]) -> Option<Input> {
         let connection = self.downstreams.borrow().get(&client).cloned()?;
         let (wrote, drain) = connection.socket.write(bytes);
@@ -212,17 +196,17 @@
         if wrote == WriteOutcome::Accepted || connection.ended.get() {
             return None;
         }
-        // What it said before is still read, to its end.
+        // What the client has sent before is still read, to its end.
         connection.socket.close();
         Some(Input::DownstreamPeerClosed(client))
     }
 
-    /// Its end has been told.
+    /// Forgets a connection that has ended; returns whether it was known.
     pub(super) fn remove_client(&self, client: DownstreamId) -> bool {
         self.downstreams.borrow_mut().remove(&client).is_some()
     }
 
-    /// Ends a connection without harm to what is on its way to the client.
+    /// Half-closes a connection, and reads it until its client closes it too, so that no reset destroys what was sent.
     pub(super) fn close_client(self: &Rc<Self>, client: DownstreamId) {
         let Some(connection) = self.downstreams.borrow_mut().remove(&client) else {
             return;
--- a/crates/gateway-net/src/run/upstream.rs
+++ b/crates/gateway-net/src/run/upstream.rs
@@ -1,7 +1,8 @@
-//! Connections to machines: dialled, written, read, closed.
+//! Connections to machines: dialled, written, read, checked and closed.
 
 use super::EventLoop;
-use crate::socket::{Connection, Socket, WriteOutcome};
+use crate::connection::Connection;
+use crate::socket::{Socket, WriteOutcome};
 use async_io::Async;
 use smol::Task;
 use std::net::{SocketAddr, TcpStream};
@@ -10,12 +11,12 @@
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{Input, UpstreamId};
 
-/// A look reads so often at most. A machine says little at a time; one that floods ends as any that can't be used.
+/// Reads of one check at most: machines send little at a time.
 const MAX_CHECK_READS: usize = 4;
 
 /// A connection to a machine.
 pub(super) enum Upstream {
-    /// Being dialled by this task: dropped with it, so that a dial given up holds no descriptor.
+    /// Being dialled by this task, which is cancelled with the entry, so that it holds no descriptor.
     Dialling(Task<()>),
     Open(Rc<Connection>),
 }
@@ -32,7 +33,7 @@
                 None
             }
             PoolAction::Write(upstream, bytes) => {
-                // One that has ended unseen by the gateway takes nothing either.
+                // The connection may have ended without the gateway's knowledge.
                 let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, None));
                 };
@@ -58,12 +59,12 @@
                 self.close_upstream(upstream);
                 None
             }
-            // The gateway keeps these to itself.
+            // The gateway handles these itself.
             PoolAction::OfferReady(..) | PoolAction::CheckPeer(_) => None,
         }
     }
 
-    /// How a write of the set-up `offer`, or of something else, went; sees to what the machine does not take at once.
+    /// Handles the outcome of writing the offer `offer`, or another message, and starts to drain what is unsent.
     fn handle_write(
         self: &Rc<Self>,
         upstream: UpstreamId,
@@ -113,7 +114,7 @@
         true
     }
 
-    /// Whether all that was written to machines has left.
+    /// Whether all bytes to machines were sent.
     pub(super) fn upstreams_flushed(&self) -> bool {
         self.upstreams
             .borrow()
@@ -129,15 +130,15 @@
             Ok(address) => Async::<TcpStream>::connect(address).await,
             Err(e) => Err(std::io::Error::new(std::io::ErrorKind::InvalidInput, e)),
         };
-        // From here on it is this task that reads the connection: it is no more ended with the dial.
+        // The task reads the connection from here on, and is not cancelled with the dial any more.
         match self.upstreams.borrow_mut().remove(&upstream) {
             Some(Upstream::Dialling(dial)) => dial.detach(),
             _ => return,
         }
         let connection = match made {
             Ok(stream) => Connection::new(stream),
-            Err(problem) => {
-                let refused = problem.kind() == std::io::ErrorKind::ConnectionRefused;
+            Err(error) => {
+                let refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
                 self.enqueue(if refused {
                     Input::UpstreamConnectRefused(upstream)
                 } else {
@@ -155,18 +156,18 @@
 
     async fn read_upstream(self: &Rc<Self>, upstream: UpstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
-            // An error shows in the read.
+            // The read returns the error.
             let _ = connection.socket.readable().await;
             if connection.ended.get() || !self.upstreams.borrow().contains_key(&upstream) {
                 return;
             }
             self.read_upstream_once(upstream, &connection);
-            // All that is owed goes into the next step, which comes before this is polled again.
+            // The next step, with these completions, comes before this task is polled again.
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Reads once what a machine has said, and puts it into the queue; `false`: there was nothing.
+    /// Reads once, and adds the complete messages to the queue; returns whether there was something to read.
     fn read_upstream_once(&self, upstream: UpstreamId, connection: &Connection) -> bool {
         let read = match connection.socket.read_now(&self.buffer) {
             Ok(None) => return false,
@@ -188,7 +189,7 @@
         true
     }
 
-    /// Reads what a machine has said by now, as far as [`MAX_CHECK_READS`] go.
+    /// Reads what a machine has sent by now, as far as [`MAX_CHECK_READS`] go.
     pub(super) fn check_upstream(&self, upstream: UpstreamId) {
         let connection = match self.upstreams.borrow().get(&upstream) {
             Some(Upstream::Open(connection)) => connection.clone(),
--- a/crates/gateway-net/src/socket.rs
+++ b/crates/gateway-net/src/socket.rs
@@ -1,49 +1,48 @@
-//! One connection: bytes out at once or as soon as the peer takes them, bytes in by turns.
+//! A non-blocking socket: writes at once or as soon as the peer accepts bytes, reads a bounded number at a time.
 
 use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
-use std::rc::Rc;
 
-/// Bytes that may wait for a peer that does not read; then the connection is closed.
+/// Bytes that may wait for a peer that does not read; beyond that a write fails.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// Bytes read in one turn; then others have theirs.
+/// Bytes that are read at once, before other connections have their turn.
 pub const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Of a connection that was closed here, so many bytes are still read: a socket closed over unread bytes resets its
-/// connection, and the reset may destroy an answer on its way. Bounds the work for one that never stops.
+/// Bytes that are still read from a connection that was half-closed here: closing a socket with unread bytes resets its
+/// connection, and the reset may destroy an answer that was sent. Bounds the work for a peer that never stops.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// How a write went.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Gone, or waiting to go.
+    /// All bytes were sent or wait to be sent.
     Accepted,
-    /// The peer takes no bytes now, and not one of these left.
+    /// The peer accepts no bytes now, and none of these were sent.
     Blocked,
-    /// The peer takes no more bytes now, and has a part of these; the rest waits to go.
+    /// A part of the bytes was sent; the rest waits to be sent.
     PartiallyWritten,
-    /// Not a byte of it left, and none will.
+    /// No byte was sent, and none will be.
     NotWritten,
-    /// Some may have left; the connection is of no further use.
+    /// The connection has failed; some bytes may have been sent.
     Failed,
 }
 
-/// A connection, held by its reader and by whoever writes.
+/// A connected socket, shared by its reader and its writers.
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
     unsent: RefCell<Vec<u8>>,
-    /// Somebody sees to what waits.
+    /// Whether a task drains the unsent bytes.
     draining: Cell<bool>,
-    /// It is half-closed once nothing waits: else a release that waits behind a set-up would never leave.
+    /// Whether it is half-closed once all bytes were sent; else a release that waits behind an offer would be lost.
     half_closing: Cell<bool>,
 }
 
 impl Socket {
-    /// Over an open connection.
+    /// Wraps an open connection.
     pub fn new(stream: Async<TcpStream>) -> Self {
-        // Without it answers wait for acknowledgements; a socket that refuses it still works.
+        // Without TCP_NODELAY answers wait for acknowledgements; a socket that rejects the option still works.
         let _ = stream.get_ref().set_nodelay(true);
         Self {
             stream,
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Writes what the peer takes at once; the rest waits. `true` comes along where somebody has to [`Socket::drain`].
+    /// Writes what the peer accepts at once; the rest waits. Also returns whether the caller has to [`Socket::drain`].
     pub fn write(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         {
             let mut waiting = self.unsent.borrow_mut();
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Writes only if the peer takes at least a part at once; `true` as with [`Socket::write`].
+    /// Writes only if the peer accepts at least a part at once; also returns whether the caller has to drain.
     pub fn offer(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         if !self.unsent.borrow().is_empty() {
             return (WriteOutcome::Blocked, false);
@@ -115,7 +114,7 @@
         (WriteOutcome::Accepted, false)
     }
 
-    /// Writes what waits until nothing does and the peer takes more, or the connection ends.
+    /// Writes the unsent bytes until none are left and the peer accepts more, or the connection ends.
     ///
     /// # Errors
     /// The connection has ended.
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Whether all that was written has left.
+    /// Whether all bytes were sent.
     pub fn is_flushed(&self) -> bool {
         self.unsent.borrow().is_empty()
     }
@@ -159,7 +158,7 @@
         self.stream.readable().await
     }
 
-    /// Reads what is there into `buffer`; 0 at the end, `None` where there is nothing now.
+    /// Reads available bytes into `buffer`; returns 0 at the end, and `None` if there are none now.
     ///
     /// # Errors
     /// The connection has ended.
@@ -187,7 +186,7 @@
         }
     }
 
-    /// Reads to the end and forgets it.
+    /// Reads to the end, within a bound, and drops the bytes.
     pub async fn discard(&self, buffer: &RefCell<Vec<u8>>) {
         let mut left = MAX_DISCARDED_BYTES;
         while let Ok(n) = self.read(buffer).await
@@ -199,7 +198,7 @@
         }
     }
 
-    /// Writes what waits and then no more, and is still read.
+    /// Writes the unsent bytes and then no more; the connection can still be read.
     pub fn half_close(&self) {
         self.half_closing.set(true);
         if self.is_flushed() {
@@ -211,42 +210,8 @@
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    /// Ends the connection in both directions, for its reader too. What was read by the system is still there to read.
+    /// Ends the connection in both directions. Bytes that the system has received can still be read.
     pub fn close(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Both);
     }
 }
-
-/// A connection as its reader knows it.
-#[derive(Debug)]
-pub struct Connection {
-    /// Its bytes.
-    pub socket: Rc<Socket>,
-    /// What was read of the peer's next message.
-    pub decoder: RefCell<tidespur_gateway::message::Decoder>,
-    /// Since when a message is begun and not whole.
-    pub partial_since: Cell<Option<f64>>,
-    /// When it was accepted.
-    pub opened_at: f64,
-    /// It has said something whole since.
-    pub has_sent_message: Cell<bool>,
-    /// Its end, or what can't be read, was seen: nothing more is read.
-    pub ended: Cell<bool>,
-    /// The last of what it said.
-    pub last_input: Cell<tidespur_gateway::input_queue::Sequence>,
-}
-
-impl Connection {
-    /// Over an open connection.
-    pub fn new(stream: Async<TcpStream>) -> Rc<Self> {
-        Rc::new(Self {
-            socket: Rc::new(Socket::new(stream)),
-            decoder: RefCell::default(),
-            partial_since: Cell::new(None),
-            opened_at: tidespur_net::clock::now(),
-            has_sent_message: Cell::new(false),
-            ended: Cell::new(false),
-            last_input: Cell::default(),
-        })
-    }
-}
