--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -16,7 +16,7 @@
 use tidespur_coordination::Fence;
 use tidespur_daemon::{open_store, report_loop_lag, shutdown_without_membership};
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{MemberHandle, ShutdownReason};
+use tidespur_membership_net::{JoinError, MemberHandle, ReplacedError, ShutdownReason};
 use tidespur_net::Recorder;
 use tidespur_persistence::{Disk, LoadedRecords, PersistenceError};
 use tidespur_policy::interface::SettingsError;
@@ -48,9 +48,12 @@
     /// The planner knows no edge.
     #[error("--edge is needed where no fleet is joined")]
     NoEdge,
-    /// The fleet can't be joined, or another process has replaced this one in it.
-    #[error("{0}")]
-    Membership(Box<dyn std::error::Error + Send + Sync>),
+    /// The fleet can't be joined.
+    #[error(transparent)]
+    Join(#[from] JoinError),
+    /// A newer process of this planner's name has replaced it in the fleet.
+    #[error(transparent)]
+    Replaced(#[from] ReplacedError),
 }
 
 /// Runs the planner until it is told to shut down.
@@ -98,9 +101,7 @@
     if let Some(disk) = &disk {
         disk.finish();
     }
-    reason
-        .into_result()
-        .map_err(|error| RunError::Membership(error.into()))
+    Ok(reason.into_result()?)
 }
 
 fn planner_name(options: &Options) -> String {
@@ -167,8 +168,7 @@
         options.shared.seed,
         incarnation,
     )
-    .await
-    .map_err(|error| RunError::Membership(error.into()))?;
+    .await?;
     if member.is_none() && options.edges.is_empty() {
         return Err(RunError::NoEdge);
     }
