--- a/crates/planner/tests/attempt_log.rs
+++ b/crates/planner/tests/attempt_log.rs
@@ -1,5 +1,5 @@
-//! What a planner remembers of its offers: guarded work may wait at a node that nobody has heard since the planner came
-//! back, and until that is known it is not called gone.
+//! The log of attempts: a non-idempotent task may run at a node that has not reported since the planner's restart, and
+//! until it has, the task is not called gone.
 
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -16,21 +16,21 @@
 
 const UID: &str = "6d0f-1";
 
-fn after(batches: &[Batch]) -> LoadedRecords {
-    let mut back = LoadedRecords {
+fn stored_records(batches: &[Batch]) -> LoadedRecords {
+    let mut records = LoadedRecords {
         generation: 1,
         ..LoadedRecords::default()
     };
     for (record, value) in batches.iter().flat_map(|batch| batch.changes()) {
         match value {
-            Some(value) => drop(back.records.insert(record.clone(), value.to_vec())),
-            None => drop(back.records.remove(record)),
+            Some(value) => drop(records.records.insert(record.clone(), value.to_vec())),
+            None => drop(records.records.remove(record)),
         }
     }
-    back
+    records
 }
 
-fn remembering() -> Attempts {
+fn empty_log() -> Attempts {
     Attempts::load(&LoadedRecords::default()).unwrap()
 }
 
@@ -40,7 +40,7 @@
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}})
 }
 
-/// A planner that comes back with these attempts, in a register that lists these nodes.
+/// A planner that restarts with these attempts, and a node list of these nodes.
 fn planner(attempts: Attempts, listed: &[&str]) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
     let mut core = core.with_restored_state(attempts, Fence::default());
@@ -59,14 +59,14 @@
     core
 }
 
-/// Lets time go on, the nodes being heard: a planner that stood still would give up what it was asked.
-fn pass(core: &mut Core, from: f64, seconds: f64, nodes: &[&str], out: &mut Vec<Output>) {
+/// Lets time pass in small steps while the nodes report: a stalled planner would give up its queries.
+fn pass(core: &mut Core, from: f64, seconds: f64, nodes: &[&str], outputs: &mut Vec<Output>) {
     for tenth in 1..=(seconds * 10.0) as u32 {
         let heard = nodes
             .iter()
             .map(|node| Input::NodeAlive((*node).to_owned()))
             .collect();
-        core.step(from + f64::from(tenth) / 10.0, heard, out);
+        core.step(from + f64::from(tenth) / 10.0, heard, outputs);
     }
 }
 
@@ -76,10 +76,10 @@
         tenant: "default".into(),
         name: "n".into(),
     };
-    let mut out = Vec::new();
-    core.step(now, vec![Input::EdgeMessage(EDGE, ask)], &mut out);
-    pass(core, now, 2.0, nodes, &mut out);
-    let found = out.into_iter().find_map(|output| match output {
+    let mut outputs = Vec::new();
+    core.step(now, vec![Input::EdgeMessage(EDGE, ask)], &mut outputs);
+    pass(core, now, 2.0, nodes, &mut outputs);
+    let found = outputs.into_iter().find_map(|output| match output {
         Output::SendToEdge(
             _,
             ToEdge::Located {
@@ -91,18 +91,18 @@
     found.expect("each question gets its answer")
 }
 
-/// Offered to `b` by a process that is no more.
+/// The records of an earlier process that made an offer to `b`.
 fn offered() -> LoadedRecords {
-    let mut attempts = remembering();
+    let mut attempts = empty_log();
     attempts.record_offer(UID, PodName::new("default", "n"), "b", 5.0);
-    after(&[attempts.take_batch()])
+    stored_records(&[attempts.take_batch()])
 }
 
 #[test]
-fn work_that_was_offered_to_a_node_not_heard_since_is_unclear_and_not_gone() {
-    // Without what was remembered the same question is answered with "nowhere", and a second one would be started.
+fn a_task_offered_to_a_node_that_has_not_reported_since_is_unknown_and_not_gone() {
+    // Without the log the same query is answered with `NotFound`, and a second copy would be started.
     assert_eq!(
-        locate(&mut planner(remembering(), &["a"]), 0.5, &["a"]),
+        locate(&mut planner(empty_log(), &["a"]), 0.5, &["a"]),
         Location::NotFound
     );
     let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_node_that_the_register_takes_off_its_list_takes_its_attempts_with_it() {
+fn attempts_at_a_node_are_cleared_when_it_is_removed_from_the_node_list() {
     let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
     core.step(0.3, vec![Input::NodeUpdated(node("b"))], &mut vec![]);
     core.step(0.4, vec![Input::NodeDeleted(node("b"))], &mut vec![]);
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn what_is_proved_is_forgotten_and_what_is_not_stays() {
-    let mut attempts = remembering();
+fn attempts_are_removed_when_proved_not_to_run_and_kept_otherwise() {
+    let mut attempts = empty_log();
     let mut batches = Vec::new();
     attempts.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
     attempts.record_offer("b", PodName::new("t", "y"), "n1", 5.0);
@@ -147,17 +147,17 @@
     let (none, names) = (BTreeSet::new(), BTreeSet::new());
     attempts.reconcile(5.5, "n1", &none, &names);
     batches.push(attempts.take_batch());
-    assert_eq!(Attempts::load(&after(&batches)).unwrap().len(), 2);
+    assert_eq!(Attempts::load(&stored_records(&batches)).unwrap().len(), 2);
     attempts.reconcile(6.5, "n1", &BTreeSet::from(["a"]), &names);
     batches.push(attempts.take_batch());
-    let back = Attempts::load(&after(&batches)).unwrap();
-    assert_eq!(back.len(), 1);
+    let restored = Attempts::load(&stored_records(&batches)).unwrap();
+    assert_eq!(restored.len(), 1);
     assert!(
-        back.may_run_unseen("a", |_| false)
-            && !back.may_run_unseen("a", |node| node == "n1")
-            && !back.may_run_unseen("b", |_| false)
+        restored.may_run_unseen("a", |_| false)
+            && !restored.may_run_unseen("a", |node| node == "n1")
+            && !restored.may_run_unseen("b", |_| false)
     );
-    // A process without a memory notes nothing.
+    // Without a store nothing is recorded.
     let mut off = Attempts::default();
     off.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
     assert!(off.is_empty() && off.take_batch().is_empty());
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -1,29 +1,22 @@
-//! The program on loopback, with a machine, a discovery stream and an owner scripted by hand.
+//! The gateway program on loopback, with a machine, a discovery stream and an owner scripted by the test.
 #![allow(dead_code, reason = "each test file uses a part")]
 
+pub mod machine;
+mod process;
 mod system;
+#[allow(unused_imports, reason = "each test file uses a part")]
+pub use process::{GatewayProcess, config, write_config};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 #[allow(unused_imports, reason = "each test file uses a part")]
-pub use system::*;
+pub use system::{
+    ConnectionEnd, connection_end, dials, is_in_transit, own_address, passes_health_check, sockets,
+};
 
 /// Nothing here judges by how fast it went; this only ends a test that hangs.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-pub const SETTINGS: &str = r#"{"balancers":1,"ordinal":0,"locality":0,"discovery":"ask",
- "services":[{"name":"web","aimS":0.7,"deadlineS":6,"effect":"safe","group":"all","credit":1,"windowS":5}],
- "kinds":["std"],"zones":["east"],
- "familyInfo":{"acceptsMemory":1.5,"ack":"accepted","admitCores":2.5,"apartBy":["none"],"classCalm":[1],
-  "coldBears":8,"kindByClass":[-1],"kindCores":[32],"lostAfter":[1],"memOfKind":[64],"priorityByClass":[0],
-  "startSeconds":[10],"togetherMax":[0],"listsFree":true},
- "limits":{"maxAttempts":4,"connectTimeoutS":0.25},"report":{"via":"answers"},
- "safety":{"answerSlackS":0.05,"coldFrom":0.2,"coldS":9,"drainGraceS":1,"fallMultiple":3,"overloadForS":1},
- "tariffs":{}}"#;
-
 pub fn event(number: u64, whole: bool, machine: &str, at: SocketAddr) -> String {
     format!(
         r#"{{"rev":{number},"pool":{{"generation":{number},"reset":{whole},"instances":[{{"instanceId":"{machine}","hostPort":"{at}","zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0,"left_over":[30,60]}}]}}}}"#
@@ -116,124 +109,6 @@
         .unwrap();
 }
 
-pub struct Scheduler {
-    pub child: Child,
-    pub config: PathBuf,
-    pub at: SocketAddr,
-    log: Arc<Mutex<String>>,
-}
-
-impl Scheduler {
-    pub fn start(test: &str, board: SocketAddr, known: &str) -> Self {
-        Self::start_with(test, board, known, |config| config)
-    }
-
-    /// The same, with the configuration changed.
-    pub fn start_with(
-        test: &str,
-        board: SocketAddr,
-        known: &str,
-        change: impl Fn(String) -> String,
-    ) -> Self {
-        let at = own_address();
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
-        std::fs::create_dir_all(&folder).unwrap();
-        let path = folder.join("config.json");
-        std::fs::write(&path, change(config(at, board, known))).unwrap();
-        // As few descriptors as the configuration tells; `exec` keeps the process.
-        let mut child = Command::new("sh")
-            .args(["-c", "ulimit -n $(sed -n 's/.*\"sockets\":\\([0-9]*\\).*/\\1/p' \"$RELAY_CONFIG\"); exec \"$0\" platform"])
-            .arg(env!("CARGO_BIN_EXE_tidespur-planner"))
-            .env("RELAY_CONFIG", &path)
-            .stdout(Stdio::null())
-            .stderr(Stdio::piped())
-            .spawn()
-            .unwrap();
-        let log = Arc::new(Mutex::new(String::new()));
-        let (stderr, into) = (child.stderr.take().unwrap(), log.clone());
-        std::thread::spawn(move || {
-            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                eprintln!("{line}");
-                into.lock().unwrap().push_str(&line);
-            }
-        });
-        Self {
-            child,
-            config: path,
-            at,
-            log,
-        }
-    }
-
-    /// Waits until the program's log tells this.
-    pub fn tells(&self, what: &str) {
-        until(what, || self.log.lock().unwrap().contains(what))
-    }
-
-    /// Holds the loop: what is done meanwhile it finds at once, in this order, when it goes on.
-    pub fn held<T>(&self, act: impl FnOnce() -> T) -> T {
-        let stat = format!("/proc/{}/stat", self.child.id());
-        self.signal("-STOP");
-        until("it stands still", || {
-            let stat = std::fs::read_to_string(&stat).unwrap();
-            stat.rsplit(')')
-                .next()
-                .is_some_and(|rest| rest.trim_start().starts_with('T'))
-        });
-        let done = act();
-        // On a busy machine the system may carry it there only later: then nothing would be forced.
-        until("all of it has come", || {
-            !on_its_way(self.child.id(), self.at)
-        });
-        self.signal("-CONT");
-        done
-    }
-
-    pub fn connect(&self) -> TcpStream {
-        let began = Instant::now();
-        loop {
-            match TcpStream::connect(self.at) {
-                Ok(stream) => return patient(stream),
-                Err(e) => assert!(began.elapsed() < PATIENCE, "{e}"),
-            }
-            std::thread::sleep(Duration::from_millis(10));
-        }
-    }
-
-    /// Descriptors that the process holds, as the system counts them.
-    pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .unwrap()
-            .count()
-    }
-
-    pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill")
-            .args([name, &self.child.id().to_string()])
-            .status()
-            .unwrap();
-        assert!(sent.success());
-    }
-}
-
-impl Drop for Scheduler {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-pub fn config(at: SocketAddr, board: SocketAddr, known: &str) -> String {
-    format!(
-        r#"{{"name":"n0","listen":"{at}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":48,"sockets":256}},
-        "board":"{board}","known":{{"rev":1,"notices":[{known}]}},"settings":{SETTINGS}}}"#
-    )
-}
-
-pub fn write_config(path: &Path, at: SocketAddr, board: SocketAddr, known: &str) {
-    std::fs::write(path, config(at, board, known)).unwrap();
-}
-
 /// Waits until this is so.
 pub fn until(what: &str, is_so: impl Fn() -> bool) {
     let began = Instant::now();
@@ -244,8 +119,8 @@
 }
 
 /// A connection that the loop has accepted and read from.
-pub fn greeted(scheduler: &Scheduler) -> TcpStream {
-    let mut stream = scheduler.connect();
+pub fn greeted(gateway: &GatewayProcess) -> TcpStream {
+    let mut stream = gateway.connect();
     stream.write_all(&message(52, 9, &[(222, &[0])])).unwrap();
     assert_eq!(next(&mut stream).0, 53);
     stream
--- a/crates/planner/tests/common/system.rs
+++ b/crates/planner/tests/common/system.rs
@@ -1,4 +1,4 @@
-//! What the system tells of a process.
+//! What the system's tables say of a process and its sockets.
 
 use super::{PATIENCE, message};
 use std::collections::BTreeMap;
@@ -30,61 +30,98 @@
             )
         })
         .collect();
-    // By inode: such a table may tell a line twice when others change while it is read.
+    // By inode, as a table may repeat a line when others change while it is read.
     let mut all = BTreeMap::new();
     for kind in ["tcp", "tcp6", "udp", "udp6", "raw", "unix"] {
-        let table = std::fs::read_to_string(format!("/proc/{pid}/net/{kind}")).unwrap_or_default();
-        for line in table.lines().skip(1) {
-            let fields: Vec<&str> = line.split_whitespace().collect();
-            let (at, state, inode) = if kind == "unix" { (7, 5, 6) } else { (1, 3, 9) };
-            let field = |n: usize| fields.get(n).copied().unwrap_or("").to_owned();
-            if own.contains(&field(inode)) {
-                all.insert(field(inode), (kind, field(state), field(at)));
+        for line in socket_table(pid, kind).unwrap_or_default() {
+            let (at, state, inode) = if kind == "unix" {
+                (7, 5, 6)
+            } else {
+                (LOCAL_ADDRESS, STATE, INODE)
+            };
+            let inode = line.field(inode);
+            if own.iter().any(|own| own == inode) {
+                let socket = (
+                    kind,
+                    line.field(state).to_owned(),
+                    line.field(at).to_owned(),
+                );
+                all.insert(inode.to_owned(), socket);
             }
         }
     }
     all.into_values().collect()
 }
 
-/// Whether something to a process is still on its way: bytes, an end or a connection that its peers' systems have sent and
+/// Columns of the system's tables of TCP, UDP and raw sockets.
+const LOCAL_ADDRESS: usize = 1;
+const REMOTE_ADDRESS: usize = 2;
+const STATE: usize = 3;
+const QUEUES: usize = 4;
+const INODE: usize = 9;
+
+/// A line of one of the system's socket tables.
+struct SocketLine(Vec<String>);
+
+impl SocketLine {
+    /// A column; empty where the line has none.
+    fn field(&self, column: usize) -> &str {
+        self.0.get(column).map_or("", String::as_str)
+    }
+}
+
+/// The system's table of sockets of a kind, as a process sees it.
+fn socket_table(pid: u32, kind: &str) -> std::io::Result<Vec<SocketLine>> {
+    let table = std::fs::read_to_string(format!("/proc/{pid}/net/{kind}"))?;
+    let read = |line: &str| SocketLine(line.split_whitespace().map(str::to_owned).collect());
+    Ok(table.lines().skip(1).map(read).collect())
+}
+
+/// Whether something to a process is still in transit: bytes, an end or a connection that its peers' systems have sent and
 /// that were not acknowledged. `at` is where it listens.
-pub fn on_its_way(pid: u32, at: SocketAddr) -> bool {
+pub fn is_in_transit(pid: u32, at: SocketAddr) -> bool {
     let mut own: Vec<String> = sockets(pid).into_iter().map(|(.., local)| local).collect();
-    own.extend(written(at));
-    let table = std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).unwrap();
-    table.lines().skip(1).any(|line| {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let field = |n: usize| fields.get(n).copied().unwrap_or("");
+    own.extend(table_address(at));
+    let table = socket_table(pid, "tcp").unwrap();
+    table.iter().any(|line| {
         // A connection that is being made, or an end that was not acknowledged.
-        let open = ["02", "04", "09", "0B"].contains(&field(3));
-        own.iter().any(|own| own == field(2)) && (open || !field(4).starts_with("00000000:"))
+        let is_open = ["02", "04", "09", "0B"].contains(&line.field(STATE));
+        let is_to_process = own.iter().any(|own| own == line.field(REMOTE_ADDRESS));
+        is_to_process && (is_open || !line.field(QUEUES).starts_with("00000000:"))
     })
 }
 
 /// An address as the system's table writes it.
-fn written(at: SocketAddr) -> Option<String> {
+fn table_address(at: SocketAddr) -> Option<String> {
     let SocketAddr::V4(at) = at else { return None };
     let ip = u32::from_le_bytes(at.ip().octets());
     Some(format!("{ip:08X}:{:04X}", at.port()))
 }
 
-/// How a process's end of the connection from `peer` stands in the system's own table: its state (`01` is established), and
-/// the bytes that lie unread; `None` where it is no more.
-pub fn unread(pid: u32, peer: SocketAddr) -> Option<(String, usize)> {
-    let remote = written(peer)?;
-    let table = std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).unwrap();
-    table.lines().skip(1).find_map(|line| {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let here = fields.get(2) == Some(&remote.as_str());
-        let bytes = fields
-            .get(4)
-            .and_then(|queues| usize::from_str_radix(queues.split_once(':')?.1, 16).ok());
-        here.then(|| (fields[3].to_owned(), bytes.unwrap_or(0)))
+/// A process's end of a connection in the system's table.
+pub struct ConnectionEnd {
+    /// `01` is established.
+    pub state: String,
+    pub unread_bytes: usize,
+}
+
+/// A process's end of the connection from `peer`; `None` where it is no more.
+pub fn connection_end(pid: u32, peer: SocketAddr) -> Option<ConnectionEnd> {
+    let remote = table_address(peer)?;
+    let table = socket_table(pid, "tcp").unwrap();
+    let line = table
+        .iter()
+        .find(|line| line.field(REMOTE_ADDRESS) == remote)?;
+    let received = line.field(QUEUES).split_once(':').map(|queues| queues.1);
+    let bytes = received.and_then(|bytes| usize::from_str_radix(bytes, 16).ok());
+    Some(ConnectionEnd {
+        state: line.field(STATE).to_owned(),
+        unread_bytes: bytes.unwrap_or(0),
     })
 }
 
-/// Whether a process passes a test by now.
-pub fn passes_a_test(at: SocketAddr) -> bool {
+/// Whether a process answers a health check by now.
+pub fn passes_health_check(at: SocketAddr) -> bool {
     let passed = || -> std::io::Result<bool> {
         let mut stream = TcpStream::connect(at)?;
         stream.set_read_timeout(Some(PATIENCE))?;
--- a/crates/planner/tests/gateway_client_disconnects.rs
+++ b/crates/planner/tests/gateway_client_disconnects.rs
@@ -2,11 +2,12 @@
 //! leaves, so that it finds all at once; what a machine hears first afterwards is another's set-up, or the test fails.
 
 mod common;
-#[path = "common/machine.rs"]
-mod machine;
 
-use common::*;
-use machine::*;
+use common::machine::{Machine, SET_UP};
+use common::{
+    GatewayProcess, PATIENCE, connection_end, dials, event, greeted, listen, message, next, set_up,
+    unreachable, until,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
@@ -14,9 +15,9 @@
 
 /// Waits until a close or a reset of a client has come to the program's socket: on a busy machine the system may carry it
 /// there only later, and the order would not be forced.
-fn arrived(scheduler: &Scheduler, client: SocketAddr) {
+fn wait_for_close(gateway: &GatewayProcess, client: SocketAddr) {
     let established =
-        || unread(scheduler.child.id(), client).is_some_and(|(state, _)| state == "01");
+        || connection_end(gateway.child.id(), client).is_some_and(|end| end.state == "01");
     until("its end has come", || !established());
 }
 
@@ -34,13 +35,13 @@
     }),
 ];
 
-/// A scheduler with one machine, to which a connection is open, and an owner.
-fn fresh(test: &str) -> (Scheduler, Machine, TcpStream, usize) {
+/// A gateway with one machine, to which a connection is open, and an owner.
+fn fresh(test: &str) -> (GatewayProcess, Machine, TcpStream, usize) {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let scheduler = Scheduler::start(test, board_at, &event(1, true, "s-1", machine.at));
-    let mut owner = greeted(&scheduler);
+    let gateway = GatewayProcess::start(test, board_at, &event(1, true, "s-1", machine.at));
+    let mut owner = greeted(&gateway);
     let connection = machine.places(&mut owner, 5);
-    (scheduler, machine, owner, connection)
+    (gateway, machine, owner, connection)
 }
 
 /// The next set-up that reaches the machine is this owner's.
@@ -56,15 +57,15 @@
 #[test]
 fn a_set_up_and_its_end_in_the_kernel_never_leave() {
     for (way, leave) in WAYS {
-        let (scheduler, mut machine, mut owner, connection) = fresh(&format!("gone-{way}"));
-        let mut gone = greeted(&scheduler);
+        let (gateway, mut machine, mut owner, connection) = fresh(&format!("gone-{way}"));
+        let mut gone = greeted(&gateway);
         let client = gone.local_addr().unwrap();
-        scheduler.held(|| {
+        gateway.while_stopped(|| {
             // A word on it makes the connection one that carries a set-up at once.
             machine.says(connection, &message(6, 5, &[]));
             gone.write_all(&set_up(6)).unwrap();
             leave(gone);
-            arrived(&scheduler, client);
+            wait_for_close(&gateway, client);
         });
         only(&mut machine, &mut owner);
     }
@@ -72,9 +73,9 @@
 
 #[test]
 fn set_ups_taken_back_in_one_go_never_leave() {
-    let (scheduler, mut machine, mut owner, connection) = fresh("taken-back");
-    let mut gone = greeted(&scheduler);
-    scheduler.held(|| {
+    let (gateway, mut machine, mut owner, connection) = fresh("taken-back");
+    let mut gone = greeted(&gateway);
+    gateway.while_stopped(|| {
         machine.says(connection, &message(6, 5, &[]));
         let set_ups: Vec<u8> = (100..170).flat_map(set_up).collect();
         let cancels: Vec<u8> = (100..170)
@@ -84,7 +85,8 @@
         gone.write_all(&all).unwrap();
         let client = gone.local_addr().unwrap();
         until("all of it has come", || {
-            unread(scheduler.child.id(), client).is_some_and(|(_, bytes)| bytes == all.len())
+            connection_end(gateway.child.id(), client)
+                .is_some_and(|end| end.unread_bytes == all.len())
         });
     });
     only(&mut machine, &mut owner);
@@ -92,16 +94,16 @@
 
 #[test]
 fn a_close_behind_a_flood_is_known_before_the_flood_leaves() {
-    let (scheduler, mut machine, mut owner, connection) = fresh("flood-gone");
-    let mut gone = greeted(&scheduler);
-    scheduler.held(|| {
+    let (gateway, mut machine, mut owner, connection) = fresh("flood-gone");
+    let mut gone = greeted(&gateway);
+    gateway.while_stopped(|| {
         machine.says(connection, &message(6, 5, &[]));
         // More than one read takes in.
         gone.write_all(&(100..400).flat_map(set_up).collect::<Vec<u8>>())
             .unwrap();
         let client = gone.local_addr().unwrap();
         drop(gone);
-        arrived(&scheduler, client);
+        wait_for_close(&gateway, client);
     });
     only(&mut machine, &mut owner);
 }
@@ -112,8 +114,8 @@
     let known: Vec<String> = (0..2)
         .map(|n| event(n as u64 + 1, n == 0, &format!("s-{n}"), machines[n].at))
         .collect();
-    let scheduler = Scheduler::start("between", board_at, &known.join(","));
-    let mut owner = greeted(&scheduler);
+    let gateway = GatewayProcess::start("between", board_at, &known.join(","));
+    let mut owner = greeted(&gateway);
     // Tasks are placed until both machines have a connection.
     let mut id = 100;
     while machines.iter().any(|machine| machine.connections() == 0) {
@@ -125,11 +127,11 @@
         id += 1;
         assert!(id < 200, "one machine is never chosen");
     }
-    let mut gone = greeted(&scheduler);
+    let mut gone = greeted(&gateway);
     gone.write_all(&set_up(6)).unwrap();
     let (n, connection, got) = either(&mut machines);
     assert_eq!(got, 6);
-    scheduler.held(|| {
+    gateway.while_stopped(|| {
         for other in 0..machines[1 - n].connections() {
             machines[1 - n].says(other, &message(6, 6, &[]));
         }
@@ -139,7 +141,7 @@
         );
         let client = gone.local_addr().unwrap();
         drop(gone);
-        arrived(&scheduler, client);
+        wait_for_close(&gateway, client);
     });
     owner.write_all(&set_up(9_999)).unwrap();
     assert_eq!(
@@ -167,7 +169,7 @@
 fn a_set_up_behind_a_dial_never_leaves_once_its_client_has_gone() {
     let (_board, board_at) = listen();
     let (listener, taken, at) = unreachable();
-    let scheduler = Scheduler::start_with(
+    let gateway = GatewayProcess::start_with(
         "gone-dial",
         board_at,
         &event(1, true, "s-1", at),
@@ -177,17 +179,17 @@
                 .replace(r#""safe""#, r#""unsafe""#)
         },
     );
-    let mut gone = greeted(&scheduler);
+    let mut gone = greeted(&gateway);
     gone.write_all(&set_up(6)).unwrap();
-    until("a dial", || dials(scheduler.child.id()) == 1);
-    let mut dialled = scheduler.held(|| {
+    until("a dial", || dials(gateway.child.id()) == 1);
+    let mut dialled = gateway.while_stopped(|| {
         drop(taken);
         drop(listener.accept().unwrap());
         // The system tries again, and the connection is made while the loop is held.
         let dialled = listener.accept().unwrap().0;
         let client = gone.local_addr().unwrap();
         drop(gone);
-        arrived(&scheduler, client);
+        wait_for_close(&gateway, client);
         TcpStream::from(dialled)
     });
     dialled.set_read_timeout(Some(PATIENCE)).unwrap();
--- a/crates/planner/tests/gateway_crossing_events.rs
+++ b/crates/planner/tests/gateway_crossing_events.rs
@@ -1,14 +1,15 @@
 //! Two events that cross, on real connections: the loop is held (SIGSTOP) while both happen, in the bad order.
 
 mod common;
-#[path = "common/machine.rs"]
-mod machine;
 
-use common::*;
-use machine::*;
+use common::machine::{Machine, RELEASE};
+use common::{
+    GatewayProcess, PATIENCE, board, config, dials, event, greeted, listen, message, next,
+    own_address, passes_health_check, set_up, tell, unreachable, until,
+};
 use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
-use std::time::Duration;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
 
 fn refused(id: u64) -> (u8, u64, Vec<u8>) {
     (RELEASE, id, vec![222, 0, 1, 42])
@@ -26,19 +27,19 @@
 #[test]
 fn what_comes_in_the_moment_of_the_end_is_answered_whole() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let mut scheduler = Scheduler::start("moment", board_at, &event(1, true, "s-1", machine.at));
-    let mut owner = greeted(&scheduler);
+    let mut gateway = GatewayProcess::start("moment", board_at, &event(1, true, "s-1", machine.at));
+    let mut owner = greeted(&gateway);
     owner.write_all(&set_up(5)).unwrap();
     let (connection, _) = machine.next_set_up();
-    scheduler.signal("-TERM");
-    scheduler.tells("told to end");
-    let mut new = scheduler.held(|| {
+    gateway.signal("-TERM");
+    gateway.wait_for_log("told to end");
+    let mut new = gateway.while_stopped(|| {
         // Requests come for 0.7 s after the word; the loop is held beyond that, and then finds all of this at once.
         std::thread::sleep(Duration::from_secs(1));
         machine.accepts(connection, 5);
         machine.says(connection, &message(12, 5, &[(222, &[16])]));
         owner.write_all(&set_up(8)).unwrap();
-        let mut new = scheduler.connect();
+        let mut new = gateway.connect();
         new.write_all(&set_up(7)).unwrap();
         new
     });
@@ -50,20 +51,20 @@
     assert_eq!(of_owner, [(9, 5), (RELEASE, 5), (RELEASE, 8)]);
     assert_eq!(next(&mut new), refused(7));
     assert_eq!((rest(owner), rest(new)), (vec![], vec![]));
-    assert!(scheduler.child.wait().unwrap().success());
+    assert!(gateway.child.wait().unwrap().success());
 }
 
 #[test]
 fn a_connection_closed_for_room_in_the_moment_of_its_set_up_keeps_it() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
     let few = |config: String| config.replace(r#""sockets":256"#, r#""sockets":48"#);
-    let scheduler =
-        Scheduler::start_with("room", board_at, &event(1, true, "s-1", machine.at), few);
+    let gateway =
+        GatewayProcess::start_with("room", board_at, &event(1, true, "s-1", machine.at), few);
     // The oldest of those that never sent anything of use would give way: 22 may be there.
-    let mut oldest = greeted(&scheduler);
-    let _others: Vec<TcpStream> = (0..21).map(|_| greeted(&scheduler)).collect();
-    let _one_more = scheduler.held(|| {
-        let one_more = scheduler.connect();
+    let mut oldest = greeted(&gateway);
+    let _others: Vec<TcpStream> = (0..21).map(|_| greeted(&gateway)).collect();
+    let _one_more = gateway.while_stopped(|| {
+        let one_more = gateway.connect();
         oldest.write_all(&set_up(5)).unwrap();
         one_more
     });
@@ -76,11 +77,11 @@
 #[test]
 fn an_owner_who_comes_back_in_the_moment_of_his_close_hears_of_the_end() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let scheduler = Scheduler::start("back", board_at, &event(1, true, "s-1", machine.at));
-    let mut first = greeted(&scheduler);
+    let gateway = GatewayProcess::start("back", board_at, &event(1, true, "s-1", machine.at));
+    let mut first = greeted(&gateway);
     let connection = machine.places(&mut first, 5);
-    let mut second = greeted(&scheduler);
-    scheduler.held(|| {
+    let mut second = greeted(&gateway);
+    gateway.while_stopped(|| {
         let asks = b"cores:1;memory:2;service:00000000b4d65521;at:s-1";
         let name = b"0000000000000005";
         second
@@ -98,12 +99,12 @@
 #[test]
 fn a_set_up_sent_again_in_the_moment_of_its_close_is_taken() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let scheduler = Scheduler::start("again", board_at, &event(1, true, "s-1", machine.at));
-    let mut first = greeted(&scheduler);
+    let gateway = GatewayProcess::start("again", board_at, &event(1, true, "s-1", machine.at));
+    let mut first = greeted(&gateway);
     first.write_all(&set_up(5)).unwrap();
     machine.next_set_up();
-    let mut second = greeted(&scheduler);
-    scheduler.held(|| {
+    let mut second = greeted(&gateway);
+    gateway.while_stopped(|| {
         second.write_all(&set_up(5)).unwrap();
         drop(first);
     });
@@ -119,10 +120,10 @@
     // What may have run could not go out again, and would fail.
     let unsafe_work = |config: String| config.replace(r#""safe""#, r#""unsafe""#);
     let known = event(1, true, "s-1", machine.at);
-    let scheduler = Scheduler::start_with("idle-close", board_at, &known, unsafe_work);
-    let mut owner = greeted(&scheduler);
+    let gateway = GatewayProcess::start_with("idle-close", board_at, &known, unsafe_work);
+    let mut owner = greeted(&gateway);
     let connection = machine.places(&mut owner, 5);
-    scheduler.held(|| {
+    gateway.while_stopped(|| {
         // A word on it makes the connection one that carries a set-up at once; then it is idle for longer than that lasts.
         machine.says(connection, &message(6, 5, &[]));
         std::thread::sleep(Duration::from_millis(600));
@@ -139,7 +140,7 @@
 fn a_set_up_behind_a_dial_is_taken_back_when_its_machine_drains() {
     let ((board_in, board_at), mut other) = (listen(), Machine::new());
     let (_listener, _taken, at) = unreachable();
-    let scheduler = Scheduler::start_with(
+    let gateway = GatewayProcess::start_with(
         "drain-dial",
         board_at,
         &event(1, true, "s-1", at),
@@ -150,9 +151,9 @@
         },
     );
     let (_, mut stream) = board(&board_in);
-    let mut owner = greeted(&scheduler);
+    let mut owner = greeted(&gateway);
     owner.write_all(&set_up(5)).unwrap();
-    until("a dial", || dials(scheduler.child.id()) == 1);
+    until("a dial", || dials(gateway.child.id()) == 1);
     tell(&mut stream, 2, &event(2, false, "s-2", other.at));
     tell(
         &mut stream,
@@ -161,7 +162,7 @@
     );
     let (connection, id) = other.next_set_up();
     assert_eq!(
-        (id, dials(scheduler.child.id())),
+        (id, dials(gateway.child.id())),
         (5, 0),
         "and it is not dialled any more"
     );
@@ -174,14 +175,14 @@
     let mut machine = Machine::new();
     let board_at = own_address();
     let few = |config: String| config.replace(r#""sockets":256"#, r#""sockets":64"#);
-    let scheduler =
-        Scheduler::start_with("full", board_at, &event(1, true, "s-1", machine.at), few);
-    let mut owner = greeted(&scheduler);
+    let gateway =
+        GatewayProcess::start_with("full", board_at, &event(1, true, "s-1", machine.at), few);
+    let mut owner = greeted(&gateway);
     machine.places(&mut owner, 5);
     // Twice as many as it may have descriptors; the process's own limit is set to these.
-    let _idle: Vec<TcpStream> = (0..128).map(|_| scheduler.connect()).collect();
+    let _idle: Vec<TcpStream> = (0..128).map(|_| gateway.connect()).collect();
     machine.places(&mut owner, 7);
-    let board_in = TcpListener::bind(board_at).unwrap();
+    let board_in = bind_when_free(board_at);
     let (from, mut stream) = board(&board_in);
     assert_eq!(from, 1, "it goes on from what it knows");
     let mut new = Machine::new();
@@ -195,17 +196,30 @@
     while next(&mut owner).1 != 6 {}
 }
 
+/// Listens at an address of [`own_address`]. A process that another test starts at this moment may hold the address until
+/// it executes its program.
+fn bind_when_free(at: SocketAddr) -> TcpListener {
+    let began = Instant::now();
+    loop {
+        match TcpListener::bind(at) {
+            Ok(listener) => return listener,
+            Err(error) => assert!(began.elapsed() < PATIENCE, "{at}: {error}"),
+        }
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
 #[test]
 fn an_address_that_the_one_before_still_holds_is_waited_for() {
     let (machine, (_board, board_at)) = (Machine::new(), listen());
     let at = own_address();
-    let before = TcpListener::bind(at).unwrap();
+    let before = bind_when_free(at);
     let known = event(1, true, "s-1", machine.at);
-    let mut scheduler =
-        Scheduler::start_with("taken", board_at, &known, |_| config(at, board_at, &known));
-    scheduler.tells("waits for its address");
+    let mut gateway =
+        GatewayProcess::start_with("taken", board_at, &known, |_| config(at, board_at, &known));
+    gateway.wait_for_log("waits for its address");
     drop(before);
-    scheduler.at = at;
+    gateway.at = at;
     // A process that another test is starting may hold the listener for a moment yet, and take connections to their end.
-    until("it serves there", || passes_a_test(scheduler.at));
+    until("it serves there", || passes_health_check(gateway.at));
 }
--- a/crates/planner/tests/gateway_discovery.rs
+++ b/crates/planner/tests/gateway_discovery.rs
@@ -1,11 +1,9 @@
 //! The discovery stream and the configuration while work is under way, on real connections.
 
 mod common;
-#[path = "common/machine.rs"]
-mod machine;
 
-use common::*;
-use machine::*;
+use common::machine::{Machine, RELEASE};
+use common::{GatewayProcess, board, config, event, greeted, listen, message, next, set_up, tell};
 use std::io::Write;
 
 #[test]
@@ -13,18 +11,18 @@
     let ((old_in, old_at), (new_in, new_at)) = (listen(), listen());
     let mut machine = Machine::new();
     let first = event(1, true, "s-1", machine.at);
-    let scheduler = Scheduler::start("signals", old_at, &first);
+    let gateway = GatewayProcess::start("signals", old_at, &first);
     let (_, mut old) = board(&old_in);
-    let whole = config(scheduler.at, new_at, &first);
-    scheduler.held(|| {
-        std::fs::write(&scheduler.config, &whole[..whole.len() / 2]).unwrap();
-        scheduler.signal("-HUP");
-        scheduler.signal("-HUP");
+    let whole = config(gateway.at, new_at, &first);
+    gateway.while_stopped(|| {
+        std::fs::write(&gateway.config, &whole[..whole.len() / 2]).unwrap();
+        gateway.signal("-HUP");
+        gateway.signal("-HUP");
     });
-    scheduler.tells("the old settings hold");
+    gateway.wait_for_log("the old settings hold");
     // Written in place, as an operator might: a second signal while the first is still read.
-    std::fs::write(&scheduler.config, &whole).unwrap();
-    scheduler.signal("-HUP");
+    std::fs::write(&gateway.config, &whole).unwrap();
+    gateway.signal("-HUP");
     let (from, mut new) = board(&new_in);
     assert_eq!(from, 1);
     // Both streams tell the same event: it counts once, and what the old one still tells is read.
@@ -36,20 +34,20 @@
             &event(2, false, "s-2", other.at).replace("Ready", "Terminating"),
         );
     }
-    let mut owner = greeted(&scheduler);
+    let mut owner = greeted(&gateway);
     machine.places(&mut owner, 5);
 }
 
 #[test]
 fn a_list_that_shrinks_at_once_leaves_what_is_out_and_what_stands_to_its_end() {
     let ((board_in, board_at), mut machine) = (listen(), Machine::new());
-    let scheduler = Scheduler::start("shrinks", board_at, &event(1, true, "s-1", machine.at));
+    let gateway = GatewayProcess::start("shrinks", board_at, &event(1, true, "s-1", machine.at));
     let (_, mut stream) = board(&board_in);
-    let mut owner = greeted(&scheduler);
+    let mut owner = greeted(&gateway);
     owner.write_all(&set_up(5)).unwrap();
     let (connection, _) = machine.next_set_up();
     let other = Machine::new();
-    scheduler.held(|| {
+    gateway.while_stopped(|| {
         tell(&mut stream, 2, &event(2, true, "s-2", other.at));
         machine.accepts(connection, 5);
     });
@@ -65,13 +63,13 @@
 #[test]
 fn an_id_that_comes_again_right_after_its_end_is_a_task_of_its_own() {
     let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let scheduler = Scheduler::start("id-again", board_at, &event(1, true, "s-1", machine.at));
-    let mut owner = greeted(&scheduler);
+    let gateway = GatewayProcess::start("id-again", board_at, &event(1, true, "s-1", machine.at));
+    let mut owner = greeted(&gateway);
     for _ in 0..3 {
         let connection = machine.places(&mut owner, 5);
         // Told twice: the second copy comes when nothing of it is known any more, or when the next is under way.
         let over = message(12, 5, &[(222, &[16])]);
-        scheduler.held(|| {
+        gateway.while_stopped(|| {
             machine.says(connection, &over);
             machine.says(connection, &over);
         });
--- a/crates/planner/tests/gateway_process_isolation.rs
+++ b/crates/planner/tests/gateway_process_isolation.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::*;
+use common::{GatewayProcess, board, event, listen, placed, sockets};
 
 /// Files that a process holds open for writing, beside the three that it was started with.
 fn written(pid: u32) -> Vec<String> {
@@ -28,11 +28,11 @@
 #[test]
 fn it_is_one_process_with_one_listener_and_no_way_to_talk_but_the_platforms() {
     let ((board_in, board_at), (machine, machine_at)) = (listen(), listen());
-    let scheduler = Scheduler::start("alone", board_at, &event(1, true, "s-1", machine_at));
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("alone", board_at, &event(1, true, "s-1", machine_at));
+    let mut owner = gateway.connect();
     let _board = board(&board_in);
     let _offer = placed(&mut owner, &machine);
-    let pid = scheduler.child.id();
+    let pid = gateway.child.id();
     let children =
         std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).unwrap_or_default();
     assert_eq!(children.trim(), "", "it starts no other program");
--- a/crates/planner/tests/gateway_program.rs
+++ b/crates/planner/tests/gateway_program.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    GatewayProcess, PATIENCE, accept, board, event, listen, message, next, placed, set_up, tell,
+    unreachable, write_config,
+};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,8 +13,8 @@
 #[test]
 fn a_task_is_placed_ends_and_both_are_told_to_its_owner() {
     let (board_at, (machine, machine_at)) = (listen(), listen());
-    let scheduler = Scheduler::start("placed", board_at.1, &event(1, true, "s-1", machine_at));
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("placed", board_at.1, &event(1, true, "s-1", machine_at));
+    let mut owner = gateway.connect();
     owner.write_all(&message(52, 9, &[(222, &[0])])).unwrap();
     assert_eq!(next(&mut owner), (53, 9, vec![222, 0, 1, 1]));
     owner.write_all(&set_up(5)).unwrap();
@@ -39,8 +42,8 @@
 fn an_event_cut_in_half_is_none_and_the_board_is_asked_again_from_the_last_whole_one() {
     let ((board_in, board_at), (machine, machine_at)) = (listen(), listen());
     let gone = event(1, true, "s-1", listen().1).replace("Ready", "Terminating");
-    let scheduler = Scheduler::start("cut", board_at, &gone);
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("cut", board_at, &gone);
+    let mut owner = gateway.connect();
     let (from, mut stream) = board(&board_in);
     assert_eq!(from, 1);
     let second = event(2, false, "s-2", machine_at);
@@ -60,14 +63,14 @@
     let ((old_in, old_at), (new_in, new_at)) = (listen(), listen());
     let (machine, machine_at) = listen();
     let first = event(1, true, "s-1", machine_at);
-    let scheduler = Scheduler::start("reload", old_at, &first);
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("reload", old_at, &first);
+    let mut owner = gateway.connect();
     let (_, _old) = board(&old_in);
     let mut offer = placed(&mut owner, &machine);
-    std::fs::write(&scheduler.config, "{\"name\":").unwrap();
-    scheduler.signal("-HUP");
+    std::fs::write(&gateway.config, "{\"name\":").unwrap();
+    gateway.signal("-HUP");
     std::thread::sleep(Duration::from_millis(150));
-    write_config(&scheduler.config, scheduler.at, new_at, &first);
+    write_config(&gateway.config, gateway.at, new_at, &first);
     let (from, mut stream) = board(&new_in);
     assert_eq!(from, 1, "the numbers go on");
     offer.write_all(&message(12, 5, &[(222, &[16])])).unwrap();
@@ -83,12 +86,12 @@
 #[test]
 fn told_to_end_with_open_work_it_answers_it_and_ends_well() {
     let ((_board, board_at), (machine, machine_at)) = (listen(), listen());
-    let mut scheduler = Scheduler::start("end", board_at, &event(1, true, "s-1", machine_at));
-    let mut owner = scheduler.connect();
+    let mut gateway = GatewayProcess::start("end", board_at, &event(1, true, "s-1", machine_at));
+    let mut owner = gateway.connect();
     owner.write_all(&set_up(5)).unwrap();
     let mut offer = accept(&machine);
     assert_eq!(next(&mut offer).1, 5);
-    scheduler.signal("-TERM");
+    gateway.signal("-TERM");
     owner.write_all(&set_up(6)).unwrap();
     let mut second = accept(&machine);
     assert_eq!(
@@ -102,23 +105,23 @@
         stream.write_all(&message(12, id, &[(222, &[16])])).unwrap();
         assert_eq!(next(&mut owner).0, 12);
     }
-    assert!(scheduler.child.wait().unwrap().success());
+    assert!(gateway.child.wait().unwrap().success());
 }
 
 #[test]
 fn floods_and_silence_leave_room_for_an_owner() {
     let ((_board, board_at), (machine, machine_at)) = (listen(), listen());
-    let scheduler = Scheduler::start("flood", board_at, &event(1, true, "s-1", machine_at));
+    let gateway = GatewayProcess::start("flood", board_at, &event(1, true, "s-1", machine_at));
     // More than it may have descriptors, some of them saying what can't be read.
     let mut others = Vec::new();
     for n in 0..400 {
-        let mut other = scheduler.connect();
+        let mut other = gateway.connect();
         if n % 4 == 0 {
             let _ = other.write_all(&[0xff; 64]);
         }
         others.push(other);
     }
-    let mut owner = scheduler.connect();
+    let mut owner = gateway.connect();
     let _offer = placed(&mut owner, &machine);
     // Each of the others is closed in the end.
     for mut other in others {
@@ -131,8 +134,8 @@
 #[test]
 fn one_that_sends_half_a_message_and_stays_is_closed_even_if_it_has_asked_before() {
     let ((_board, board_at), (machine, machine_at)) = (listen(), listen());
-    let scheduler = Scheduler::start("half", board_at, &event(1, true, "s-1", machine_at));
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("half", board_at, &event(1, true, "s-1", machine_at));
+    let mut owner = gateway.connect();
     let _offer = placed(&mut owner, &machine);
     owner.write_all(&set_up(6)[..20]).unwrap();
     assert_eq!(owner.read(&mut [0; 16]).expect("a close, not silence"), 0);
@@ -146,11 +149,11 @@
         event(n as u64 + 1, n == 0, &format!("s-{n}"), machine.2)
     };
     let known: Vec<String> = machines.iter().enumerate().map(told).collect();
-    let scheduler = Scheduler::start("dials", board_at, &known.join(","));
-    let mut owner = scheduler.connect();
+    let gateway = GatewayProcess::start("dials", board_at, &known.join(","));
+    let mut owner = gateway.connect();
     owner.write_all(&message(52, 9, &[(222, &[0])])).unwrap();
     assert_eq!(next(&mut owner).0, 53);
-    let before = scheduler.descriptors();
+    let before = gateway.descriptors();
     for id in 1..=6 {
         let mut set_up = set_up(id);
         let wait = set_up
@@ -166,11 +169,11 @@
     assert_eq!(answered, [1, 2, 3, 4, 5, 6]);
     // The system itself gives such a connection up after minutes only. One to the board may be counted or not.
     let began = Instant::now();
-    while scheduler.descriptors() > before + 1 {
+    while gateway.descriptors() > before + 1 {
         assert!(
             began.elapsed() < PATIENCE,
             "{} descriptors, {before} before",
-            scheduler.descriptors()
+            gateway.descriptors()
         );
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/crates/planner/tests/gateway_startup.rs
+++ b/crates/planner/tests/gateway_startup.rs
@@ -1,11 +1,9 @@
 //! Many processes that start at once, each under a crowd of idle clients that fills its descriptors, with discovery down.
 
 mod common;
-#[path = "common/machine.rs"]
-mod machine;
 
-use common::*;
-use machine::*;
+use common::machine::Machine;
+use common::{GatewayProcess, config, event, own_address, passes_health_check, until};
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -51,38 +49,34 @@
     let start = |n: usize, at: Option<SocketAddr>| {
         let few = |config: String| config.replace(r#""sockets":256"#, SOCKETS);
         let change = |made| few(at.map_or(made, |at| config(at, nobody, &known)));
-        let mut scheduler = Scheduler::start_with(&format!("starts-{n}"), nobody, &known, change);
-        scheduler.at = at.unwrap_or(scheduler.at);
-        scheduler
+        let mut gateway =
+            GatewayProcess::start_with(&format!("starts-{n}"), nobody, &known, change);
+        gateway.at = at.unwrap_or(gateway.at);
+        gateway
     };
-    let mut fleet: Vec<Scheduler> = (0..ALL).map(|n| start(n, None)).collect();
+    let mut fleet: Vec<GatewayProcess> = (0..ALL).map(|n| start(n, None)).collect();
     let ends = Arc::new(AtomicBool::new(false));
-    for scheduler in &fleet {
-        until("ready at first", || passes_a_test(scheduler.at));
+    for gateway in &fleet {
+        until("ready at first", || passes_health_check(gateway.at));
     }
     let crowds: Vec<_> = fleet
         .iter()
-        .map(|scheduler| crowd(scheduler.at, ends.clone()))
+        .map(|gateway| crowd(gateway.at, ends.clone()))
         .collect();
-    for scheduler in &fleet {
-        until("its descriptors are filled", || {
-            scheduler.descriptors() > 24
-        });
+    for gateway in &fleet {
+        until("its descriptors are filled", || gateway.descriptors() > 24);
     }
-    let before: Vec<SocketAddr> = fleet
-        .drain(..KILLED)
-        .map(|scheduler| scheduler.at)
-        .collect();
+    let before: Vec<SocketAddr> = fleet.drain(..KILLED).map(|gateway| gateway.at).collect();
     let began = Instant::now();
-    let started: Vec<Scheduler> = before
+    let started: Vec<GatewayProcess> = before
         .iter()
         .enumerate()
         .map(|(n, &at)| start(n, Some(at)))
         .collect();
-    let watched = started.iter().map(|scheduler| {
-        let at = scheduler.at;
+    let watched = started.iter().map(|gateway| {
+        let at = gateway.at;
         std::thread::spawn(move || {
-            until("ready again", || passes_a_test(at));
+            until("ready again", || passes_health_check(at));
             began.elapsed()
         })
     });
@@ -95,9 +89,9 @@
         "{in_time} of {KILLED} were ready in time: {ready:?}"
     );
     fleet.extend(started);
-    for (n, scheduler) in fleet.iter().enumerate() {
+    for (n, gateway) in fleet.iter().enumerate() {
         let id = 100 + n as u64;
-        let mut owner = scheduler.connect();
+        let mut owner = gateway.connect();
         machine.places(&mut owner, id);
     }
     ends.store(true, Ordering::Relaxed);
--- a/crates/planner/tests/planner_count.rs
+++ b/crates/planner/tests/planner_count.rs
@@ -1,5 +1,5 @@
-//! How many share what cold nodes bear, as an edge says it under a lease: an older word is refused by name, also over the
-//! planner's end, and what is said divides what this planner offers to cold nodes.
+//! The planner count that an edge sends under a lease: an older fencing token is rejected, also after a restart of the
+//! planner, and the count divides the planner's offers to nodes in slow start.
 
 use serde_json::json;
 use tidespur_api::task::PlacementRequest;
@@ -14,34 +14,35 @@
 
 const EDGE: EdgeId = EdgeId(1);
 
-fn after(batch: &Batch) -> LoadedRecords {
-    let mut back = LoadedRecords {
+fn stored_records(batch: &Batch) -> LoadedRecords {
+    let mut restarted = LoadedRecords {
         generation: 1,
         ..LoadedRecords::default()
     };
     for (record, value) in batch.changes() {
-        back.records
+        restarted
+            .records
             .extend(value.map(|value| (record.clone(), value.to_vec())));
     }
-    back
+    restarted
 }
 
-/// A planner that comes back with this memory.
-fn planner(memory: &LoadedRecords) -> Core {
+/// A planner that restarts with these records.
+fn planner(records: &LoadedRecords) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
-    core.with_restored_state(Attempts::load(memory).unwrap(), Fence::load(memory))
+    core.with_restored_state(Attempts::load(records).unwrap(), Fence::load(records))
 }
 
-fn hears(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
-    let word = ToPlanner::PlannerCount {
+fn receive_count(core: &mut Core, lease: &str, token: u64, planners: u32) -> Vec<Output> {
+    let message = ToPlanner::PlannerCount {
         lease: lease.into(),
         token,
         planners,
     };
-    let mut out = Vec::new();
-    core.step(1.0, vec![Input::EdgeMessage(EDGE, word)], &mut out);
-    out.retain(|output| matches!(output, Output::SetPlannerCount(_) | Output::SendToEdge(..)));
-    out
+    let mut outputs = Vec::new();
+    core.step(1.0, vec![Input::EdgeMessage(EDGE, message)], &mut outputs);
+    outputs.retain(|output| matches!(output, Output::SetPlannerCount(_) | Output::SendToEdge(..)));
+    outputs
 }
 
 fn stale(token: u64, newest: u64) -> [Output; 1] {
@@ -56,38 +57,38 @@
 }
 
 #[test]
-fn an_older_token_is_refused_by_name_also_after_a_return() {
+fn an_older_token_is_rejected_also_after_a_restart() {
     let mut core = planner(&LoadedRecords::default());
     assert_eq!(
-        hears(&mut core, "fleet", 3, 2),
+        receive_count(&mut core, "fleet", 3, 2),
         [Output::SetPlannerCount(2)]
     );
-    let memory = after(&core.take_batch());
-    assert_eq!(hears(&mut core, "fleet", 2, 1), stale(2, 3));
+    let records = stored_records(&core.take_batch());
+    assert_eq!(receive_count(&mut core, "fleet", 2, 1), stale(2, 3));
     assert_eq!(
-        hears(&mut core, "fleet", 3, 4),
+        receive_count(&mut core, "fleet", 3, 4),
         [Output::SetPlannerCount(4)],
         "the same holder goes on"
     );
     assert_eq!(
-        hears(&mut core, "another", 1, 4),
+        receive_count(&mut core, "another", 1, 4),
         [Output::SetPlannerCount(4)],
         "each lease has tokens of its own"
     );
-    let mut back = planner(&memory);
+    let mut restarted = planner(&records);
     assert_eq!(
-        hears(&mut back, "fleet", 2, 1),
+        receive_count(&mut restarted, "fleet", 2, 1),
         stale(2, 3),
         "the fence outlives the process"
     );
     assert_eq!(
-        hears(&mut back, "fleet", 4, 1),
+        receive_count(&mut restarted, "fleet", 4, 1),
         [Output::SetPlannerCount(1)]
     );
 }
 
-/// Offers to one cold node in three seconds, of a planner that shares with so many; each is over at once.
-fn offers(planners: u32) -> usize {
+/// Number of offers to one node in slow start in three seconds; each offer ends at once.
+fn offer_count(planners: u32) -> usize {
     let mut core = planner(&LoadedRecords::default());
     let cold = json!({"metadata": {"name": "a", "labels": {"node.kubernetes.io/instance-type": "std-24"},
         "annotations": {"node.tidespur.dev/address": "a:1", "node.tidespur.dev/up-since": "999"}},
@@ -104,7 +105,7 @@
     while now < 1_003.0 {
         let uid = format!("t-{next}");
         next += 1;
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             uid: uid.clone(),
             name: uid.clone(),
             tenant: "default".into(),
@@ -114,14 +115,14 @@
             memory: 0.1,
             ..PlacementRequest::default()
         };
-        inputs.push(Input::EdgeMessage(EDGE, ToPlanner::Place(ask)));
+        inputs.push(Input::EdgeMessage(EDGE, ToPlanner::Place(request)));
         inputs.push(Input::EdgeMessage(
             EDGE,
             ToPlanner::Commit { uid, timeout: 5.0 },
         ));
-        let mut out = Vec::new();
-        core.step(now, std::mem::take(&mut inputs), &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        core.step(now, std::mem::take(&mut inputs), &mut outputs);
+        for output in outputs {
             if let Output::Offer(Offer { task, attempt, .. }) = output {
                 offers += 1;
                 let answer = OfferAnswer::NotAccepted {
@@ -142,8 +143,8 @@
 }
 
 #[test]
-fn what_is_said_divides_what_a_planner_offers_to_cold_nodes() {
-    let [alone, eight, hundred] = [1, 8, 100].map(offers);
+fn the_planner_count_divides_the_offers_to_nodes_in_slow_start() {
+    let [alone, eight, hundred] = [1, 8, 100].map(offer_count);
     assert!(
         alone > 2 * eight && eight >= 2 && hundred <= 1,
         "{alone}, {eight}, {hundred} offers"
