--- a/crates/api/src/decode.rs
+++ b/crates/api/src/decode.rs
@@ -1,24 +1,30 @@
-//! Bodies to objects: syntax, duplicate and unknown fields, types.
+//! Decodes request bodies into objects: syntax, duplicate and unknown fields, types.
 
 use crate::{ApiError, Object, Resource};
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// What is done about fields that the published type does not have, or that come twice.
+/// Repeated keys that are reported of one body.
+const MAX_REPEATED_KEYS: usize = 16;
+
+/// What is done about unknown and duplicate fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum FieldValidation {
-    /// Dropped in silence.
+    /// They are dropped silently.
     Ignore,
-    /// Dropped, and told in `Warning` headers.
+    /// They are dropped and reported in `Warning` headers.
     #[default]
     Warn,
-    /// Refused with 400.
+    /// The request is rejected with 400.
     Strict,
 }
 
 impl FieldValidation {
-    /// Reads the query parameter.
+    /// Parses the query parameter `fieldValidation`.
+    ///
+    /// # Errors
+    /// 400 for an unknown value.
     pub fn parse(text: Option<&str>) -> Result<Self, ApiError> {
         match text {
             None | Some("" | "Warn") => Ok(Self::Warn),
@@ -31,11 +37,14 @@
     }
 }
 
-/// Reads JSON; repeated keys are told by their path, the last one counts.
+/// Parses JSON and returns it with the paths of repeated keys, of which the last one counts.
+///
+/// # Errors
+/// 400 for invalid JSON.
 pub fn json(body: &[u8]) -> Result<(Value, Vec<String>), ApiError> {
     let mut repeated = Vec::new();
     let mut deserializer = serde_json::Deserializer::from_slice(body);
-    let seed = Noting {
+    let seed = RepeatedKeys {
         path: String::new(),
         repeated: &mut repeated,
     };
@@ -46,7 +55,10 @@
     Ok((value, repeated))
 }
 
-/// An object of this resource from a body: through the published type, with the warnings that are due.
+/// Decodes an object of this resource from a body and returns it with warnings.
+///
+/// # Errors
+/// 400 for an object that does not have the published type.
 pub fn object(
     resource: &Resource,
     body: &[u8],
@@ -60,7 +72,10 @@
     typed(resource, value, warnings, validation)
 }
 
-/// An object of this resource from a value, such as a patched one.
+/// Decodes an object of this resource from a value, such as a patched one, and returns it with warnings.
+///
+/// # Errors
+/// 400 for a value that does not have the published type.
 pub fn typed(
     resource: &Resource,
     value: Value,
@@ -105,19 +120,20 @@
     Ok((object, warnings))
 }
 
-struct Noting<'a> {
+/// Deserializes any JSON value and records the paths of repeated keys.
+struct RepeatedKeys<'a> {
     path: String,
     repeated: &'a mut Vec<String>,
 }
 
-impl<'de> DeserializeSeed<'de> for Noting<'_> {
+impl<'de> DeserializeSeed<'de> for RepeatedKeys<'_> {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
         deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Noting<'_> {
+impl<'de> Visitor<'de> for RepeatedKeys<'_> {
     type Value = Value;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a JSON value")
@@ -144,7 +160,7 @@
         let mut list = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, list.len());
-            match seq.next_element_seed(Noting {
+            match seq.next_element_seed(RepeatedKeys {
                 path,
                 repeated: self.repeated,
             })? {
@@ -161,10 +177,10 @@
             } else {
                 format!("{}.{key}", self.path)
             };
-            if map.contains_key(&key) && self.repeated.len() < 16 {
+            if map.contains_key(&key) && self.repeated.len() < MAX_REPEATED_KEYS {
                 self.repeated.push(path.clone());
             }
-            let value = access.next_value_seed(Noting {
+            let value = access.next_value_seed(RepeatedKeys {
                 path,
                 repeated: self.repeated,
             })?;
--- a/crates/api/src/fields.rs
+++ b/crates/api/src/fields.rs
@@ -1,11 +1,12 @@
-//! Which fields of the published types mean something here. A field is honoured or refused by name; none is taken
-//! and then ignored. What only a node's runtime reads (image, command, volumes, ...) travels to the node as written.
+//! Which fields of the published types are supported. An unsupported field is rejected by name; none is accepted and
+//! then ignored. What only a node's runtime reads (image, command, volumes, ...) is passed to the node as written.
 
 use crate::status::Cause;
 use crate::{Object, Resource, meta};
 use serde_json::Value;
 
-const JOB: [&str; 10] = [
+/// Supported fields of a Job's spec.
+const JOB_FIELDS: [&str; 10] = [
     "parallelism",
     "completions",
     "backoffLimit",
@@ -18,8 +19,8 @@
     "manualSelector",
 ];
 
-/// Of a Pod's spec: placement reads the first four, nodes the others.
-const POD: [&str; 25] = [
+/// Supported fields of a Pod's spec: placement reads the first four, nodes the others.
+const POD_FIELDS: [&str; 25] = [
     "containers",
     "priorityClassName",
     "restartPolicy",
@@ -47,7 +48,8 @@
     "os",
 ];
 
-const CONTAINER: [&str; 18] = [
+/// Supported fields of a container.
+const CONTAINER_FIELDS: [&str; 18] = [
     "name",
     "resources",
     "image",
@@ -68,13 +70,13 @@
     "terminationMessagePolicy",
 ];
 
-/// Fields of which one value only is served.
-const JOB_ONLY: [(&str, &str); 2] = [
+/// Fields of a Job's spec of which a single value is supported.
+const JOB_SINGLE_VALUES: [(&str, &str); 2] = [
     ("completionMode", "NonIndexed"),
     ("podReplacementPolicy", "TerminatingOrFailed"),
 ];
 
-fn refused(field: String, message: &str) -> Cause {
+fn unsupported(field: String, message: &str) -> Cause {
     Cause {
         reason: "FieldValueNotSupported",
         field,
@@ -84,16 +86,17 @@
 
 const NOT_SERVED: &str = "is not served by tidespur; leave it out (docs/api.md lists what is)";
 
-fn known(object: &Value, at: &str, names: &[&str], causes: &mut Vec<Cause>) {
+/// Names each field of `object` that is not among `names` and not empty.
+fn check_names(object: &Value, path: &str, names: &[&str], causes: &mut Vec<Cause>) {
     for (key, value) in object.as_object().into_iter().flatten() {
-        let empty = value.is_null() || value.as_array().is_some_and(Vec::is_empty);
-        if !empty && !names.contains(&key.as_str()) {
-            causes.push(refused(format!("{at}.{key}"), NOT_SERVED));
+        let is_empty = value.is_null() || value.as_array().is_some_and(Vec::is_empty);
+        if !is_empty && !names.contains(&key.as_str()) {
+            causes.push(unsupported(format!("{path}.{key}"), NOT_SERVED));
         }
     }
 }
 
-/// Names each field of an object that can't be honoured.
+/// Names each unsupported field of an object.
 pub(crate) fn check(resource: &Resource, object: &Object, causes: &mut Vec<Cause>) {
     let listed = |path: &[&str]| {
         meta::value_at(object, path)
@@ -102,16 +105,16 @@
     };
     if listed(&["metadata", "finalizers"]) {
         let message = "is not served: a deletion is at once; leave it out";
-        causes.push(refused("metadata.finalizers".into(), message));
+        causes.push(unsupported("metadata.finalizers".into(), message));
     }
     let spec = meta::value_at(object, &["spec"]);
     match resource.kind {
-        "Pod" => pod(spec, "spec", causes),
+        "Pod" => check_pod(spec, "spec", causes),
         "Job" => {
-            known(spec, "spec", &JOB, causes);
-            for (field, only) in JOB_ONLY {
+            check_names(spec, "spec", &JOB_FIELDS, causes);
+            for (field, only) in JOB_SINGLE_VALUES {
                 if spec.get(field).is_some_and(|value| value != only) {
-                    causes.push(refused(
+                    causes.push(unsupported(
                         format!("spec.{field}"),
                         &format!("only {only} is served"),
                     ));
@@ -121,34 +124,34 @@
                 .get("manualSelector")
                 .is_some_and(|value| value != false)
             {
-                causes.push(refused(
+                causes.push(unsupported(
                     "spec.manualSelector".into(),
                     "only false is served",
                 ));
             }
             let template = meta::value_at(spec, &["template"]);
-            known(template, "spec.template", &["metadata", "spec"], causes);
-            pod(
+            check_names(template, "spec.template", &["metadata", "spec"], causes);
+            check_pod(
                 meta::value_at(template, &["spec"]),
                 "spec.template.spec",
                 causes,
             );
         }
         "Namespace" if listed(&["spec", "finalizers"]) => {
-            causes.push(refused("spec.finalizers".into(), NOT_SERVED));
+            causes.push(unsupported("spec.finalizers".into(), NOT_SERVED));
         }
         _ => {}
     }
 }
 
-fn pod(spec: &Value, at: &str, causes: &mut Vec<Cause>) {
-    known(spec, at, &POD, causes);
+fn check_pod(spec: &Value, at: &str, causes: &mut Vec<Cause>) {
+    check_names(spec, at, &POD_FIELDS, causes);
     if spec
         .get("terminationGracePeriodSeconds")
         .is_some_and(|grace| grace.as_i64() != Some(0))
     {
         let message = "only 0 is served: nodes stop a Pod at once";
-        causes.push(refused(
+        causes.push(unsupported(
             format!("{at}.terminationGracePeriodSeconds"),
             message,
         ));
@@ -156,21 +159,21 @@
     let scheduler = meta::text_at(spec, &["schedulerName"]);
     if !["", "default-scheduler", "tidespur"].contains(&scheduler) {
         let message = format!("{scheduler:?} is not served here: use tidespur, or leave it out");
-        causes.push(refused(format!("{at}.schedulerName"), &message));
+        causes.push(unsupported(format!("{at}.schedulerName"), &message));
     }
     let containers = meta::value_at(spec, &["containers"]).as_array();
     for (i, container) in containers.into_iter().flatten().enumerate() {
         let at = format!("{at}.containers[{i}]");
-        known(container, &at, &CONTAINER, causes);
+        check_names(container, &at, &CONTAINER_FIELDS, causes);
         let resources = meta::value_at(container, &["resources"]);
-        known(
+        check_names(
             resources,
             &format!("{at}.resources"),
             &["requests", "limits"],
             causes,
         );
         let requests = meta::value_at(resources, &["requests"]);
-        known(
+        check_names(
             requests,
             &format!("{at}.resources.requests"),
             &["cpu", "memory"],
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,8 @@
 //! The published API objects that tidespur serves, without I/O.
 //!
-//! Objects travel as JSON values that have been through the published types of `k8s-openapi`; this crate decodes
-//! them, checks them, patches them, matches selectors against them and words errors as `Status`.
+//! Objects are JSON values that have been converted through the published types of `k8s-openapi`. This package decodes,
+//! validates and patches them, matches selectors against them and formats errors as `Status`. Owns no state; called by
+//! the REST API, the store, edge and planner.
 
 pub mod decode;
 mod fields;
--- a/crates/api/src/meta.rs
+++ b/crates/api/src/meta.rs
@@ -1,17 +1,17 @@
-//! Reading and writing of an object's metadata.
+//! Reads and writes an object's metadata and conditions.
 
 use serde_json::{Map, Value, json};
 
 static NULL: Value = Value::Null;
 
-/// Follows a path of keys; null where it ends early.
+/// The value at a path of keys; null if there is none.
 pub fn value_at<'a>(object: &'a Value, path: &[&str]) -> &'a Value {
     path.iter()
         .try_fold(object, |value, key| value.get(key))
         .unwrap_or(&NULL)
 }
 
-/// A string at a path, or "".
+/// The string at a path; "" if there is none.
 pub fn text_at<'a>(object: &'a Value, path: &[&str]) -> &'a str {
     value_at(object, path).as_str().unwrap_or("")
 }
@@ -31,28 +31,28 @@
     text_at(object, &["metadata", "uid"])
 }
 
-/// `metadata.resourceVersion`, 0 where there is none or it is no number.
+/// `metadata.resourceVersion`; 0 if there is none or it is no number.
 pub fn version(object: &Value) -> u64 {
     text_at(object, &["metadata", "resourceVersion"])
         .parse()
         .unwrap_or(0)
 }
 
-/// One annotation.
+/// The annotation of this key.
 pub fn annotation<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
     value_at(object, &["metadata", "annotations"])
         .get(key)
         .and_then(Value::as_str)
 }
 
-/// One label.
+/// The label of this key.
 pub fn label<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
     value_at(object, &["metadata", "labels"])
         .get(key)
         .and_then(Value::as_str)
 }
 
-/// The object's map of that key, made where it is missing or of another type.
+/// The object's map of this key; created if it is missing or of another type.
 pub fn map_mut<'a>(object: &'a mut Value, key: &str) -> &'a mut Map<String, Value> {
     if !object.is_object() {
         *object = json!({});
@@ -66,7 +66,7 @@
     }
 }
 
-/// Sets a key of the metadata.
+/// Sets a field of the metadata.
 pub fn set(object: &mut Value, key: &str, value: Value) {
     map_mut(object, "metadata").insert(key.to_owned(), value);
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether the condition of that type stands at `True`.
+/// Whether the condition of that type is `True`.
 pub fn has_condition(object: &Value, kind: &str) -> bool {
     let list = value_at(object, &["status", "conditions"]).as_array();
     list.is_some_and(|list| {
@@ -94,20 +94,20 @@
     })
 }
 
-/// A point in time (Unix seconds) as published objects write it.
+/// A time, in Unix seconds, in the published format.
 pub fn timestamp(unix: f64) -> String {
     jiff::Timestamp::from_second(unix as i64)
         .map(|t| t.to_string())
         .unwrap_or_default()
 }
 
-/// A point in time as the published `MicroTime` writes it.
+/// A time, in Unix seconds, in the published format of `MicroTime`.
 pub fn timestamp_micro(unix: f64) -> String {
     let stamp = jiff::Timestamp::from_microsecond((unix * 1e6) as i64);
     stamp.map(|t| format!("{t:.6}")).unwrap_or_default()
 }
 
-/// The Unix seconds of a published timestamp.
+/// The Unix seconds of a time in the published format.
 pub fn unix(text: &str) -> Option<f64> {
     text.parse::<jiff::Timestamp>()
         .ok()
--- a/crates/api/src/patch.rs
+++ b/crates/api/src/patch.rs
@@ -1,21 +1,24 @@
 //! The three published kinds of patch.
 
 use crate::{ApiError, Object};
-use serde_json::Value;
+use serde_json::{Map, Value};
 
 /// Kind of a patch, by its media type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatchKind {
-    /// RFC 6902.
+    /// JSON patch (RFC 6902).
     Json,
-    /// RFC 7396.
+    /// JSON merge patch (RFC 7396).
     Merge,
-    /// Lists of known keys are merged item by item.
+    /// Strategic merge patch: lists with a known key are merged item by item.
     Strategic,
 }
 
 impl PatchKind {
-    /// By media type; 415 for others.
+    /// The kind of this media type.
+    ///
+    /// # Errors
+    /// 415 for other media types.
     pub fn parse(media: &str) -> Result<Self, ApiError> {
         match media.split(';').next().unwrap_or("").trim() {
             "application/json-patch+json" => Ok(Self::Json),
@@ -33,36 +36,35 @@
     }
 }
 
-/// A patch of more operations than this is refused.
-const OPERATIONS_MOST: usize = 1_000;
+/// Operations that one JSON patch may have.
+const MAX_OPERATIONS: usize = 1_000;
 
 /// The object after the patch.
+///
+/// # Errors
+/// The patch is malformed, too long, or cannot be applied.
 pub fn apply(kind: PatchKind, object: &Object, patch: Value) -> Result<Object, ApiError> {
-    let mut after = object.clone();
+    let mut patched = object.clone();
     match kind {
-        PatchKind::Json => {
-            let patch: json_patch::Patch = serde_json::from_value(patch)
-                .map_err(|e| ApiError::bad_request(format!("the body is no JSON patch: {e}")))?;
-            if patch.0.len() > OPERATIONS_MOST {
-                return Err(ApiError::new(
-                    413,
-                    "RequestEntityTooLarge",
-                    format!("a JSON patch may have {OPERATIONS_MOST} operations at most"),
-                ));
-            }
-            json_patch::patch(&mut after, &patch).map_err(|e| {
-                ApiError::new(
-                    422,
-                    "Invalid",
-                    format!("the JSON patch can't be applied: {e}"),
-                )
-            })?;
-        }
-        PatchKind::Merge if patch.is_object() => json_patch::merge(&mut after, &patch),
-        PatchKind::Strategic if patch.is_object() => strategic(&mut after, patch, "")?,
+        PatchKind::Json => apply_operations(&mut patched, patch)?,
+        PatchKind::Merge if patch.is_object() => json_patch::merge(&mut patched, &patch),
+        PatchKind::Strategic if patch.is_object() => merge_strategic(&mut patched, patch, "")?,
         _ => return Err(ApiError::bad_request("a merge patch must be a JSON object")),
     }
-    Ok(after)
+    Ok(patched)
+}
+
+fn apply_operations(target: &mut Value, patch: Value) -> Result<(), ApiError> {
+    let patch: json_patch::Patch = serde_json::from_value(patch)
+        .map_err(|error| ApiError::bad_request(format!("the body is no JSON patch: {error}")))?;
+    if patch.0.len() > MAX_OPERATIONS {
+        let message = format!("a JSON patch may have {MAX_OPERATIONS} operations at most");
+        return Err(ApiError::new(413, "RequestEntityTooLarge", message));
+    }
+    json_patch::patch(target, &patch).map_err(|error| {
+        let message = format!("the JSON patch can't be applied: {error}");
+        ApiError::new(422, "Invalid", message)
+    })
 }
 
 /// Keys by which the published types merge their lists.
@@ -86,69 +88,91 @@
     })
 }
 
-fn strategic(target: &mut Value, patch: Value, name: &str) -> Result<(), ApiError> {
+/// Merges a strategic merge patch into `target`; `name` is the key that `target` has in its object.
+fn merge_strategic(target: &mut Value, patch: Value, name: &str) -> Result<(), ApiError> {
     match patch {
-        Value::Object(mut fields) => {
-            match fields.remove("$patch").as_ref().and_then(Value::as_str) {
-                None | Some("merge") => {}
-                Some("replace") => {
-                    *target = Value::Object(fields);
-                    return Ok(());
-                }
-                Some("delete") => {
-                    *target = Value::Null;
-                    return Ok(());
-                }
-                Some(other) => {
-                    return Err(ApiError::bad_request(format!(
-                        "unknown $patch directive {other:?}"
-                    )));
-                }
-            }
-            if !target.is_object() {
-                *target = Value::Object(Default::default());
-            }
-            for (key, value) in fields {
-                if let Some(list) = key.strip_prefix("$deleteFromPrimitiveList/") {
-                    if let (Some(Value::Array(old)), Value::Array(gone)) =
-                        (target.get_mut(list), value)
-                    {
-                        old.retain(|one| !gone.contains(one));
-                    }
-                } else if key.starts_with("$setElementOrder/") || key.starts_with("$retainKeys") {
-                    // The order of the elements is kept as it stands, which every reader allows.
-                } else if value.is_null() {
-                    if let Some(map) = target.as_object_mut() {
-                        map.remove(&key);
-                    }
-                } else {
-                    strategic(&mut target[&key], value, &key)?;
-                }
-            }
-        }
+        Value::Object(fields) => merge_object(target, fields),
         Value::Array(items) => match merge_key(name) {
-            Some(by) if items.iter().all(Value::is_object) => {
-                let mut list = match target.take() {
-                    Value::Array(list) => list,
-                    _ => vec![],
-                };
-                for item in items {
-                    let place = list
-                        .iter()
-                        .position(|old| old.get(by) == item.get(by) && item.get(by).is_some());
-                    match (item["$patch"].as_str(), place) {
-                        (Some("delete"), Some(place)) => drop(list.remove(place)),
-                        (Some("delete"), None) => {}
-                        (Some("replace"), _) => list.clear(),
-                        (_, Some(place)) => strategic(&mut list[place], item, "")?,
-                        (_, None) => list.push(item),
-                    }
-                }
-                *target = Value::Array(list);
+            Some(key) if items.iter().all(Value::is_object) => merge_list(target, items, key),
+            _ => {
+                *target = Value::Array(items);
+                Ok(())
             }
-            _ => *target = Value::Array(items),
         },
-        scalar => *target = scalar,
+        scalar => {
+            *target = scalar;
+            Ok(())
+        }
+    }
+}
+
+fn merge_object(target: &mut Value, mut fields: Map<String, Value>) -> Result<(), ApiError> {
+    match fields.remove("$patch").as_ref().and_then(Value::as_str) {
+        None | Some("merge") => {}
+        Some("replace") => {
+            *target = Value::Object(fields);
+            return Ok(());
+        }
+        Some("delete") => {
+            *target = Value::Null;
+            return Ok(());
+        }
+        Some(other) => {
+            let message = format!("unknown $patch directive {other:?}");
+            return Err(ApiError::bad_request(message));
+        }
+    }
+    if !target.is_object() {
+        *target = Value::Object(Map::new());
+    }
+    for (key, value) in fields {
+        merge_field(target, &key, value)?;
+    }
+    Ok(())
+}
+
+/// Merges one field of a patch into an object.
+fn merge_field(target: &mut Value, key: &str, value: Value) -> Result<(), ApiError> {
+    if let Some(list) = key.strip_prefix("$deleteFromPrimitiveList/") {
+        if let (Some(Value::Array(items)), Value::Array(deleted)) = (target.get_mut(list), value) {
+            items.retain(|item| !deleted.contains(item));
+        }
+        return Ok(());
+    }
+    if key.starts_with("$setElementOrder/") || key.starts_with("$retainKeys") {
+        // The present order of the elements is kept, which every reader allows.
+        return Ok(());
+    }
+    if value.is_null() {
+        if let Some(map) = target.as_object_mut() {
+            map.remove(key);
+        }
+        return Ok(());
+    }
+    merge_strategic(&mut target[key], value, key)
+}
+
+/// Merges the items of a patch into a list whose items are identified by `key`.
+fn merge_list(target: &mut Value, items: Vec<Value>, key: &str) -> Result<(), ApiError> {
+    let mut list = match target.take() {
+        Value::Array(list) => list,
+        _ => Vec::new(),
+    };
+    for item in items {
+        let has_key = item.get(key).is_some();
+        let position = list
+            .iter()
+            .position(|present| has_key && present.get(key) == item.get(key));
+        match (item["$patch"].as_str(), position) {
+            (Some("delete"), Some(position)) => {
+                list.remove(position);
+            }
+            (Some("delete"), None) => {}
+            (Some("replace"), _) => list.clear(),
+            (_, Some(position)) => merge_strategic(&mut list[position], item, "")?,
+            (_, None) => list.push(item),
+        }
     }
+    *target = Value::Array(list);
     Ok(())
 }
--- a/crates/api/src/quantity.rs
+++ b/crates/api/src/quantity.rs
@@ -2,21 +2,30 @@
 //!
 //! Looked at `kube_quantity` and `k8s-quantity-parser`: both are bound to older releases of the object types.
 
-/// The largest quantity that is taken: far above any machine, far below where sums lose precision.
+/// The largest quantity: far above any machine, far below where sums lose precision.
 pub const MAX_QUANTITY: f64 = 1e15;
 
-/// Why a quantity is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuantityError(pub String);
+/// Longest text of a quantity, in bytes.
+const MAX_TEXT_BYTES: usize = 64;
 
-impl std::fmt::Display for QuantityError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a text is no quantity.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum QuantityError {
+    /// The text is too long.
+    #[error("a quantity of more than 64 characters")]
+    TooLong,
+    /// The text is no number with an optional suffix.
+    #[error("quantity {0:?} must be a number with an optional suffix such as m, k, Mi, Gi")]
+    Malformed(String),
+    /// The number is negative.
+    #[error("quantity {0:?} must be 0 or more")]
+    Negative(String),
+    /// The number is larger than [`MAX_QUANTITY`].
+    #[error("quantity {0:?} is beyond 1e15")]
+    TooLarge(String),
 }
 
-impl std::error::Error for QuantityError {}
-
+/// Suffixes and the factors that they stand for; longer ones first.
 const SUFFIXES: [(&str, f64); 15] = [
     ("Ki", 1024.0),
     ("Mi", 1_048_576.0),
@@ -36,28 +45,37 @@
 ];
 
 /// Parses a quantity; it must be finite, at least 0 and at most [`MAX_QUANTITY`].
+///
+/// # Errors
+/// What is wrong with the text.
 pub fn parse(text: &str) -> Result<f64, QuantityError> {
-    let fail = |why: &str| Err(QuantityError(format!("quantity {text:?} {why}")));
-    if text.len() > 64 {
-        return Err(QuantityError(
-            "a quantity of more than 64 characters".into(),
-        ));
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(QuantityError::TooLong);
     }
-    let (number, scale) = SUFFIXES
-        .iter()
-        .find_map(|(suffix, scale)| text.strip_suffix(suffix).map(|number| (number, *scale)))
-        .unwrap_or((text, 1.0));
-    let plain = |c: char| c.is_ascii_digit() || matches!(c, '.' | '+' | '-' | 'e' | 'E');
-    if number.is_empty() || !number.chars().all(plain) {
-        return fail("must be a number with an optional suffix such as m, k, Mi, Gi");
+    let (number, scale) = split_suffix(text);
+    let is_allowed = |c: char| c.is_ascii_digit() || matches!(c, '.' | '+' | '-' | 'e' | 'E');
+    if number.is_empty() || !number.chars().all(is_allowed) {
+        return Err(QuantityError::Malformed(text.to_owned()));
     }
-    let Ok(value) = number.parse::<f64>() else {
-        return fail("must be a number with an optional suffix such as m, k, Mi, Gi");
+    let Ok(number) = number.parse::<f64>() else {
+        return Err(QuantityError::Malformed(text.to_owned()));
     };
-    let value = value * scale;
-    match value {
-        _ if value < 0.0 => fail("must be 0 or more"),
-        _ if !value.is_finite() || value > MAX_QUANTITY => fail("is beyond 1e15"),
-        _ => Ok(value),
+    let value = number * scale;
+    if value < 0.0 {
+        return Err(QuantityError::Negative(text.to_owned()));
+    }
+    if !value.is_finite() || value > MAX_QUANTITY {
+        return Err(QuantityError::TooLarge(text.to_owned()));
+    }
+    Ok(value)
+}
+
+/// The number and the factor of its suffix.
+fn split_suffix(text: &str) -> (&str, f64) {
+    for (suffix, scale) in SUFFIXES {
+        if let Some(number) = text.strip_suffix(suffix) {
+            return (number, scale);
+        }
     }
+    (text, 1.0)
 }
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -4,8 +4,21 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 
-/// Brings a value through its published type; unknown fields are told by path.
-pub type ThroughType = fn(Value, &mut Vec<String>) -> Result<Value, String>;
+/// Converts a value to its published type and back; the paths of unknown fields are appended.
+pub type ThroughType = fn(Value, &mut Vec<String>) -> Result<Value, TypeError>;
+
+/// A value that does not have the published type.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{path}: {message}")]
+pub struct TypeError {
+    /// Path of the field with the wrong type.
+    pub path: String,
+    /// What was found and what is expected.
+    pub message: String,
+}
+
+/// Unknown fields that are reported of one object.
+const MAX_UNKNOWN_FIELDS: usize = 16;
 
 /// A kind of object that is served.
 #[derive(Debug)]
@@ -35,12 +48,12 @@
 fn through<T: Serialize + DeserializeOwned>(
     value: Value,
     unknown: &mut Vec<String>,
-) -> Result<Value, String> {
+) -> Result<Value, TypeError> {
     let mut track = serde_path_to_error::Track::new();
     let noting = |path: serde_ignored::Path<'_>| {
         let path = path.to_string().replace(".?", "");
-        // These two say what the object is and are checked apart.
-        if unknown.len() < 16 && path != "kind" && path != "apiVersion" {
+        // These two identify the type and are checked by the caller.
+        if unknown.len() < MAX_UNKNOWN_FIELDS && path != "kind" && path != "apiVersion" {
             unknown.push(path);
         }
     };
@@ -48,8 +61,14 @@
     let ignored = serde_ignored::Deserializer::new(value, &mut note);
     let typed: Result<T, _> =
         T::deserialize(serde_path_to_error::Deserializer::new(ignored, &mut track));
-    let typed = typed.map_err(|e| format!("{}: {e}", track.path()))?;
-    serde_json::to_value(typed).map_err(|e| e.to_string())
+    let typed = typed.map_err(|error| TypeError {
+        path: track.path().to_string(),
+        message: error.to_string(),
+    })?;
+    serde_json::to_value(typed).map_err(|error| TypeError {
+        path: String::new(),
+        message: error.to_string(),
+    })
 }
 
 /// All that is served, in the order of [`Resource::index`].
--- a/crates/api/src/selector.rs
+++ b/crates/api/src/selector.rs
@@ -2,22 +2,26 @@
 
 use crate::{ApiError, Object, meta};
 
-/// One demand on a value.
+/// A requirement on one value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Demand {
+enum Requirement {
     In(Vec<String>),
     NotIn(Vec<String>),
     Exists,
     Missing,
 }
 
-/// What a list or watch is narrowed to.
+/// Selects the objects of a list or watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
-    labels: Vec<(String, Demand)>,
-    fields: Vec<(String, Demand)>,
+    labels: Vec<(String, Requirement)>,
+    fields: Vec<(String, Requirement)>,
 }
 
+/// Longest selector, in bytes.
+const MAX_SELECTOR_BYTES: usize = 4096;
+
+/// Fields that selectors can name.
 const FIELDS: [&str; 8] = [
     "metadata.name",
     "metadata.namespace",
@@ -30,42 +34,26 @@
 ];
 
 impl Selector {
-    /// Reads both query parameters.
+    /// Parses the query parameters `labelSelector` and `fieldSelector`.
+    ///
+    /// # Errors
+    /// 400 for a selector that is too long or malformed, and for an unknown field.
     pub fn parse(labels: Option<&str>, fields: Option<&str>) -> Result<Self, ApiError> {
-        let read = |text: Option<&str>, what: &str| match text {
-            None => Ok(vec![]),
-            Some(text) if text.len() > 4096 => Err(ApiError::bad_request(format!(
-                "{what} selector is too long"
-            ))),
-            Some(text) => terms(text)
-                .iter()
-                .map(|t| demand(t))
-                .collect::<Result<Vec<_>, _>>()
-                .map_err(|term| {
-                    let found = format!(
-                        "unable to parse {what} selector {text:?}: {term:?} is not understood"
-                    );
-                    ApiError::bad_request(found)
-                }),
-        };
         let selector = Self {
-            labels: read(labels, "label")?,
-            fields: read(fields, "field")?,
+            labels: parse_requirements(labels, "label")?,
+            fields: parse_requirements(fields, "field")?,
         };
-        if let Some((field, _)) = selector
-            .fields
-            .iter()
-            .find(|(field, _)| !FIELDS.contains(&field.as_str()))
-        {
-            let known = FIELDS.join(", ");
-            return Err(ApiError::bad_request(format!(
-                "field label not supported: {field}; use one of {known}"
-            )));
+        for (field, _) in &selector.fields {
+            if !FIELDS.contains(&field.as_str()) {
+                let known = FIELDS.join(", ");
+                let message = format!("field label not supported: {field}; use one of {known}");
+                return Err(ApiError::bad_request(message));
+            }
         }
         Ok(selector)
     }
 
-    /// Whether it matches all.
+    /// Whether it matches every object.
     pub fn is_empty(&self) -> bool {
         self.labels.is_empty() && self.fields.is_empty()
     }
@@ -83,81 +71,102 @@
         };
         self.labels
             .iter()
-            .all(|(key, demand)| fits(demand, meta::label(object, key)))
+            .all(|(key, requirement)| is_met(requirement, meta::label(object, key)))
             && self
                 .fields
                 .iter()
-                .all(|(path, demand)| fits(demand, Some(&field(path))))
+                .all(|(path, requirement)| is_met(requirement, Some(&field(path))))
     }
 }
 
-fn fits(demand: &Demand, found: Option<&str>) -> bool {
-    let among = |list: &[String]| found.is_some_and(|found| list.iter().any(|one| one == found));
-    match demand {
-        Demand::In(list) => among(list),
-        Demand::NotIn(list) => !among(list),
-        Demand::Exists => found.is_some(),
-        Demand::Missing => found.is_none(),
+/// Whether the value that was found meets the requirement.
+fn is_met(requirement: &Requirement, found: Option<&str>) -> bool {
+    let among = |list: &[String]| found.is_some_and(|found| list.iter().any(|item| item == found));
+    match requirement {
+        Requirement::In(list) => among(list),
+        Requirement::NotIn(list) => !among(list),
+        Requirement::Exists => found.is_some(),
+        Requirement::Missing => found.is_none(),
+    }
+}
+
+fn parse_requirements(
+    text: Option<&str>,
+    kind: &str,
+) -> Result<Vec<(String, Requirement)>, ApiError> {
+    let Some(text) = text else {
+        return Ok(Vec::new());
+    };
+    if text.len() > MAX_SELECTOR_BYTES {
+        let message = format!("{kind} selector is too long");
+        return Err(ApiError::bad_request(message));
+    }
+    let mut requirements = Vec::new();
+    for term in terms(text) {
+        let Some(requirement) = parse_term(&term) else {
+            let message =
+                format!("unable to parse {kind} selector {text:?}: {term:?} is not understood");
+            return Err(ApiError::bad_request(message));
+        };
+        requirements.push(requirement);
     }
+    Ok(requirements)
 }
 
 /// Splits at commas outside parentheses.
 fn terms(text: &str) -> Vec<String> {
-    let (mut depth, mut list) = (0, vec![String::new()]);
+    let mut depth = 0;
+    let mut terms = Vec::new();
+    let mut term = String::new();
     for c in text.chars() {
         match c {
             '(' => depth += 1,
             ')' => depth -= 1,
             _ => {}
         }
-        match list.last_mut() {
-            Some(last) if c != ',' || depth > 0 => last.push(c),
-            _ => list.push(String::new()),
+        if c == ',' && depth <= 0 {
+            terms.push(std::mem::take(&mut term));
+        } else {
+            term.push(c);
         }
     }
-    list.into_iter()
-        .map(|term| term.trim().to_owned())
-        .filter(|term| !term.is_empty())
-        .collect()
+    terms.push(term);
+    let trimmed = terms.iter().map(|term| term.trim().to_owned());
+    trimmed.filter(|term| !term.is_empty()).collect()
 }
 
-fn demand(term: &str) -> Result<(String, Demand), String> {
-    let key = |key: &str| {
-        let key = key.trim();
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-        if key.is_empty() || !key.chars().all(plain) {
-            Err(term.to_owned())
-        } else {
-            Ok(key.to_owned())
-        }
-    };
-    let list = |text: &str| {
-        let inner = text
-            .trim()
-            .strip_prefix('(')
-            .and_then(|text| text.strip_suffix(')'));
-        let inner = inner.ok_or_else(|| term.to_owned())?;
-        Ok::<_, String>(
-            inner
-                .split(',')
-                .map(|one| one.trim().to_owned())
-                .collect::<Vec<_>>(),
-        )
-    };
-    if let Some((left, right)) = term.split_once(" notin ") {
-        return Ok((key(left)?, Demand::NotIn(list(right)?)));
+/// One term; `None` if it is malformed.
+fn parse_term(term: &str) -> Option<(String, Requirement)> {
+    if let Some((key, values)) = term.split_once(" notin ") {
+        return Some((parse_key(key)?, Requirement::NotIn(parse_values(values)?)));
     }
-    if let Some((left, right)) = term.split_once(" in ") {
-        return Ok((key(left)?, Demand::In(list(right)?)));
+    if let Some((key, values)) = term.split_once(" in ") {
+        return Some((parse_key(key)?, Requirement::In(parse_values(values)?)));
     }
-    if let Some((left, right)) = term.split_once("!=") {
-        return Ok((key(left)?, Demand::NotIn(vec![right.trim().to_owned()])));
+    if let Some((key, value)) = term.split_once("!=") {
+        let values = vec![value.trim().to_owned()];
+        return Some((parse_key(key)?, Requirement::NotIn(values)));
     }
-    if let Some((left, right)) = term.split_once("==").or_else(|| term.split_once('=')) {
-        return Ok((key(left)?, Demand::In(vec![right.trim().to_owned()])));
+    if let Some((key, value)) = term.split_once("==").or_else(|| term.split_once('=')) {
+        let values = vec![value.trim().to_owned()];
+        return Some((parse_key(key)?, Requirement::In(values)));
     }
     match term.strip_prefix('!') {
-        Some(rest) => Ok((key(rest)?, Demand::Missing)),
-        None => Ok((key(term)?, Demand::Exists)),
+        Some(key) => Some((parse_key(key)?, Requirement::Missing)),
+        None => Some((parse_key(term)?, Requirement::Exists)),
     }
 }
+
+fn parse_key(key: &str) -> Option<String> {
+    let key = key.trim();
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
+    let is_valid = !key.is_empty() && key.chars().all(is_allowed);
+    is_valid.then(|| key.to_owned())
+}
+
+/// The values of a list in parentheses.
+fn parse_values(list: &str) -> Option<Vec<String>> {
+    let inner = list.trim().strip_prefix('(')?.strip_suffix(')')?;
+    let values = inner.split(',').map(|value| value.trim().to_owned());
+    Some(values.collect())
+}
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -14,19 +14,20 @@
 }
 
 /// An error of the API.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{code} {reason}: {message}")]
 pub struct ApiError {
     /// HTTP status.
     pub code: u16,
     /// Published reason, such as `NotFound`.
     pub reason: &'static str,
-    /// For people.
+    /// What is wrong, for people.
     pub message: String,
     /// Causes by field.
     pub causes: Vec<Cause>,
-    /// Seconds to stay away.
+    /// Seconds after which the client may retry.
     pub retry_after: Option<u32>,
-    /// Kind and name of what it is about.
+    /// Kind and name of the object that it concerns.
     pub subject: Option<(String, String)>,
 }
 
@@ -43,7 +44,7 @@
             subject: None,
         }
     }
-    /// 400.
+    /// 400: the request is malformed.
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::new(400, "BadRequest", message)
     }
@@ -61,12 +62,12 @@
             "the server could not find the requested resource",
         )
     }
-    /// 405.
+    /// 405: the resource does not allow the method.
     pub fn method_not_allowed() -> Self {
         let message = "the server does not allow this method on the requested resource";
         Self::new(405, "MethodNotAllowed", message)
     }
-    /// 409 where a name is taken.
+    /// 409: the name is taken.
     pub fn already_exists(plural: &str, name: &str) -> Self {
         let mut error = Self::new(
             409,
@@ -76,18 +77,18 @@
         error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
-    /// 409 where the object has changed meanwhile.
+    /// 409: a precondition does not hold.
     pub fn conflict(plural: &str, name: &str, why: &str) -> Self {
         let message = format!("Operation cannot be fulfilled on {plural} \"{name}\": {why}");
         let mut error = Self::new(409, "Conflict", message);
         error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
-    /// 410.
+    /// 410: the requested version is no longer kept.
     pub fn expired(message: impl Into<String>) -> Self {
         Self::new(410, "Expired", message)
     }
-    /// 422 with causes.
+    /// 422: the object violates rules, by field.
     pub fn invalid(kind: &str, name: &str, causes: Vec<Cause>) -> Self {
         let list: Vec<String> = causes
             .iter()
@@ -99,13 +100,13 @@
         error.subject = Some((kind.to_owned(), name.to_owned()));
         error
     }
-    /// 429 with advice.
+    /// 429 with a time after which to retry, in seconds.
     pub fn too_many_requests(message: impl Into<String>, seconds: u32) -> Self {
         let mut error = Self::new(429, "TooManyRequests", message);
         error.retry_after = Some(seconds);
         error
     }
-    /// 503 with advice.
+    /// 503 with a time after which to retry, in seconds.
     pub fn unavailable(message: impl Into<String>, seconds: u32) -> Self {
         let mut error = Self::new(503, "ServiceUnavailable", message);
         error.retry_after = Some(seconds);
@@ -138,15 +139,7 @@
     }
 }
 
-impl std::fmt::Display for ApiError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} {}: {}", self.code, self.reason, self.message)
-    }
-}
-
-impl std::error::Error for ApiError {}
-
-/// The `Status` of a deletion that is done.
+/// The `Status` of a completed deletion.
 pub fn success(plural: &str, name: &str, uid: &str) -> Value {
     json!({"kind": "Status", "apiVersion": "v1", "metadata": {}, "status": "Success",
         "details": {"name": name, "kind": plural, "uid": uid}})
--- a/crates/api/src/task.rs
+++ b/crates/api/src/task.rs
@@ -1,43 +1,43 @@
-//! A Pod in the words of placement. The one place where Pods are read as tasks.
+//! Pods as placement requests. The only place where Pods are read as tasks.
 
 use crate::{Object, meta, names, quantity};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a Pod asks of the planner.
+/// A request to place one Pod, as sent from an edge to a planner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// Uid of the Pod: one request to place.
+    /// Uid of the Pod, which identifies the request.
     pub uid: String,
-    /// Namespace: the tenant.
+    /// Namespace of the Pod, which is the tenant.
     pub tenant: String,
     /// Name of the Pod at nodes.
     pub name: String,
-    /// The service: the owning Job, or the Pod itself.
+    /// The service that the task belongs to: the owning Job, or the Pod itself.
     pub service: String,
-    /// Class of the settings; empty for the first one.
+    /// Class of the settings; empty for the first class.
     pub class: String,
-    /// Cores asked.
+    /// CPU that it requests, in cores.
     pub cores: f64,
-    /// Memory units asked.
+    /// Memory that it requests, in memory units.
     pub memory: f64,
-    /// Expected seconds, where told.
+    /// How long it is expected to run, in seconds.
     #[serde(rename = "life")]
     pub expected_duration: Option<f64>,
-    /// Seconds from now in which the owner waits.
+    /// How long its owner waits for a placement, in seconds from now.
     #[serde(rename = "within")]
     pub timeout: Option<f64>,
-    /// It comes after one that did not stay.
+    /// Whether it comes after a Pod that was rejected, failed or lost.
     #[serde(rename = "returned")]
     pub is_resubmission: bool,
-    /// The same for all repeats of the task.
+    /// The same for all retries of the task.
     #[serde(rename = "key")]
     pub idempotency_key: String,
-    /// The Pod's spec as its owner wrote it, in JSON: what the node is to run.
+    /// The Pod's spec as its owner wrote it, in JSON, for the node.
     pub spec: Arc<str>,
 }
 
-/// Cores and memory units that a Pod's containers ask for.
+/// CPU in cores and memory in memory units that a Pod's containers request.
 pub fn resource_requests(pod: &Object) -> (f64, f64) {
     let containers = meta::value_at(pod, &["spec", "containers"]).as_array();
     let sum = |key: &str| -> f64 {
@@ -48,13 +48,13 @@
     (sum("cpu"), sum("memory") / names::MEMORY_UNIT)
 }
 
-/// Whether a Pod waits for a node.
+/// Whether a Pod is pending and has no node.
 pub fn is_unscheduled(pod: &Object) -> bool {
     meta::text_at(pod, &["spec", "nodeName"]).is_empty()
         && meta::text_at(pod, &["status", "phase"]) == "Pending"
 }
 
-/// Reads a checked Pod.
+/// The placement request of a validated Pod.
 pub fn placement_request(pod: &Object) -> PlacementRequest {
     let (cores, memory) = resource_requests(pod);
     let seconds = |key| meta::annotation(pod, key).and_then(|text| text.parse::<f64>().ok());
@@ -64,11 +64,11 @@
         meta::namespace(pod),
         job.unwrap_or(meta::name(pod))
     );
-    let known_as = meta::annotation(pod, names::ADOPTED_POD_NAME).unwrap_or(meta::name(pod));
+    let name_at_node = meta::annotation(pod, names::ADOPTED_POD_NAME).unwrap_or(meta::name(pod));
     PlacementRequest {
         uid: meta::uid(pod).to_owned(),
         tenant: meta::namespace(pod).to_owned(),
-        name: known_as.to_owned(),
+        name: name_at_node.to_owned(),
         service,
         class: meta::text_at(pod, &["spec", "priorityClassName"]).to_owned(),
         cores,
--- a/crates/api/src/validate.rs
+++ b/crates/api/src/validate.rs
@@ -1,14 +1,21 @@
-//! What a well-typed object must fulfil besides; each fault is a cause of a 422.
+//! What must hold of a well-typed object; each violation is a cause of a 422.
 
 use crate::status::Cause;
 use crate::{ApiError, Object, Resource, fields, meta, names, quantity};
 use serde_json::Value;
 
-/// Names, labels and annotations together may have this many bytes.
-const METADATA_MOST: usize = 256 * 1024;
-/// The most Pods that one Job may run at a time.
+/// Bytes of one annotation's value.
+const MAX_METADATA_BYTES: usize = 256 * 1024;
+/// Pods that one Job may run at a time.
 pub const MAX_PARALLELISM: i64 = 10_000;
 
+/// Bytes of one label's value.
+const MAX_LABEL_BYTES: usize = 63;
+/// Bytes of the key of a label or annotation.
+const MAX_KEY_BYTES: usize = 317;
+/// Longest duration in an annotation, in seconds.
+const MAX_SECONDS: f64 = 1e9;
+
 fn cause(reason: &'static str, field: &str, message: impl Into<String>) -> Cause {
     Cause {
         reason,
@@ -17,25 +24,28 @@
     }
 }
 
-/// A DNS subdomain of at most 253 characters (or, for `label`, a label of 63).
-pub fn dns_name(name: &str, label: bool) -> bool {
-    let most = if label { 63 } else { 253 };
-    let part = |part: &str| {
-        let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-        !part.is_empty()
-            && part.chars().all(plain)
-            && !part.starts_with('-')
-            && !part.ends_with('-')
-    };
-    name.len() <= most
-        && if label {
-            part(name)
-        } else {
-            name.split('.').all(part)
-        }
+/// Whether this is a DNS subdomain of at most 253 characters or, if `is_label`, a DNS label of at most 63 (RFC 1123).
+pub fn is_dns_name(name: &str, is_label: bool) -> bool {
+    let max_bytes = if is_label { 63 } else { 253 };
+    if name.len() > max_bytes {
+        return false;
+    }
+    if is_label {
+        return is_dns_part(name);
+    }
+    name.split('.').all(is_dns_part)
+}
+
+fn is_dns_part(part: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    let has_dash_at_end = part.starts_with('-') || part.ends_with('-');
+    !part.is_empty() && part.chars().all(is_allowed) && !has_dash_at_end
 }
 
-/// Checks an object that is to be created or changed; `old` is what stands.
+/// Checks an object that is to be created or changed; `old` is the present one.
+///
+/// # Errors
+/// 422 with all causes.
 pub fn check(
     resource: &Resource,
     object: &Object,
@@ -43,62 +53,61 @@
     classes: &[String],
 ) -> Result<(), ApiError> {
     let mut causes = Vec::new();
+    check_metadata(resource, object, &mut causes);
+    fields::check(resource, object, &mut causes);
+    match resource.kind {
+        "Pod" => {
+            let spec = meta::value_at(object, &["spec"]);
+            check_pod(spec, object, "spec", classes, &mut causes);
+            if let Some(old) = old {
+                check_unchanged(old, object, &mut causes);
+            }
+        }
+        "Job" => check_job(object, old, classes, &mut causes),
+        _ => {}
+    }
+    if causes.is_empty() {
+        return Ok(());
+    }
+    Err(ApiError::invalid(resource.kind, meta::name(object), causes))
+}
+
+fn check_metadata(resource: &Resource, object: &Object, causes: &mut Vec<Cause>) {
     let name = meta::name(object);
-    if !dns_name(name, resource.kind == "Namespace") {
+    if !is_dns_name(name, resource.kind == "Namespace") {
         let rule = "must be lower case letters, digits, '-' and '.', 253 characters at most (63 for a namespace)";
-        causes.push(cause(
-            "FieldValueInvalid",
-            "metadata.name",
-            format!("{name:?} {rule}"),
-        ));
+        let message = format!("{name:?} {rule}");
+        causes.push(cause("FieldValueInvalid", "metadata.name", message));
     }
-    for (field, most) in [("labels", 63), ("annotations", METADATA_MOST)] {
+    for (field, max_bytes) in [
+        ("labels", MAX_LABEL_BYTES),
+        ("annotations", MAX_METADATA_BYTES),
+    ] {
         let entries = meta::value_at(object, &["metadata", field]).as_object();
         for (key, value) in entries.into_iter().flatten() {
             let value = value.as_str().unwrap_or("");
-            if key.is_empty() || key.len() > 317 || value.len() > most {
-                let at = format!("metadata.{field}");
-                causes.push(cause(
-                    "FieldValueInvalid",
-                    &at,
-                    format!("{key:?} is empty or too long"),
-                ));
+            if key.is_empty() || key.len() > MAX_KEY_BYTES || value.len() > max_bytes {
+                let field = format!("metadata.{field}");
+                let message = format!("{key:?} is empty or too long");
+                causes.push(cause("FieldValueInvalid", &field, message));
             }
         }
     }
-    fields::check(resource, object, &mut causes);
-    match resource.kind {
-        "Pod" => pod(
-            meta::value_at(object, &["spec"]),
-            object,
-            "spec",
-            classes,
-            &mut causes,
-        ),
-        "Job" => job(object, old, classes, &mut causes),
-        _ => {}
-    }
-    if let Some(old) = old.filter(|_| resource.kind == "Pod") {
-        for field in ["containers", "priorityClassName"] {
-            let path = ["spec", field];
-            if meta::value_at(old, &path) != meta::value_at(object, &path) {
-                let at = format!("spec.{field}");
-                causes.push(cause(
-                    "FieldValueForbidden",
-                    &at,
-                    "can't be changed once the Pod stands",
-                ));
-            }
+}
+
+/// Checks that the fields of a Pod that placement has read are unchanged.
+fn check_unchanged(old: &Object, object: &Object, causes: &mut Vec<Cause>) {
+    for field in ["containers", "priorityClassName"] {
+        let path = ["spec", field];
+        if meta::value_at(old, &path) != meta::value_at(object, &path) {
+            let field = format!("spec.{field}");
+            let message = "can't be changed once the Pod stands";
+            causes.push(cause("FieldValueForbidden", &field, message));
         }
     }
-    if causes.is_empty() {
-        Ok(())
-    } else {
-        Err(ApiError::invalid(resource.kind, name, causes))
-    }
 }
 
-fn job(object: &Object, old: Option<&Object>, classes: &[String], causes: &mut Vec<Cause>) {
+fn check_job(object: &Object, old: Option<&Object>, classes: &[String], causes: &mut Vec<Cause>) {
     let spec = meta::value_at(object, &["spec"]);
     let fields = [
         "parallelism",
@@ -108,7 +117,7 @@
         "ttlSecondsAfterFinished",
     ];
     for field in fields {
-        let most = if field == "parallelism" {
+        let max = if field == "parallelism" {
             MAX_PARALLELISM
         } else {
             i64::from(i32::MAX)
@@ -116,14 +125,14 @@
         let Some(number) = spec.get(field).and_then(Value::as_i64) else {
             continue;
         };
-        let least = i64::from(field == "activeDeadlineSeconds");
-        if number < least || number > most {
-            let range = format!("{number} must be from {least} to {most}");
+        let min = i64::from(field == "activeDeadlineSeconds");
+        if number < min || number > max {
+            let range = format!("{number} must be from {min} to {max}");
             causes.push(cause("FieldValueInvalid", &format!("spec.{field}"), range));
         }
     }
     let template = meta::value_at(spec, &["template"]);
-    pod(
+    check_pod(
         meta::value_at(template, &["spec"]),
         template,
         "spec.template.spec",
@@ -148,54 +157,54 @@
     }
 }
 
-fn pod(spec: &Value, owner: &Value, at: &str, classes: &[String], causes: &mut Vec<Cause>) {
+/// Checks the spec of a Pod, or of a Pod template. `owner` has the annotations, `path` is the path of the spec.
+fn check_pod(spec: &Value, owner: &Value, path: &str, classes: &[String], causes: &mut Vec<Cause>) {
     let containers = meta::value_at(spec, &["containers"]).as_array();
     if containers.is_none_or(Vec::is_empty) {
-        causes.push(cause(
-            "FieldValueRequired",
-            &format!("{at}.containers"),
-            "at least one is needed",
-        ));
+        let field = format!("{path}.containers");
+        let message = "at least one is needed";
+        causes.push(cause("FieldValueRequired", &field, message));
     }
-    for (i, container) in containers.into_iter().flatten().enumerate() {
-        if !dns_name(meta::text_at(container, &["name"]), true) {
-            let field = format!("{at}.containers[{i}].name");
-            causes.push(cause("FieldValueInvalid", &field, "must be a DNS label"));
-        }
-        for set in ["requests", "limits"] {
-            let entries = meta::value_at(container, &["resources", set]).as_object();
-            for (key, value) in entries.into_iter().flatten() {
-                if let Err(problem) = quantity::parse(value.as_str().unwrap_or("")) {
-                    let field = format!("{at}.containers[{i}].resources.{set}[{key}]");
-                    causes.push(cause("FieldValueInvalid", &field, problem.0));
-                }
-            }
-        }
+    for (index, container) in containers.into_iter().flatten().enumerate() {
+        check_container(container, &format!("{path}.containers[{index}]"), causes);
     }
     let class = meta::text_at(spec, &["priorityClassName"]);
     if !class.is_empty() && !classes.iter().any(|known| known == class) {
+        let field = format!("{path}.priorityClassName");
         let known = classes.join(", ");
         let message = format!("{class:?} is no class of the settings; use one of {known}");
-        causes.push(cause(
-            "FieldValueNotSupported",
-            &format!("{at}.priorityClassName"),
-            message,
-        ));
+        causes.push(cause("FieldValueNotSupported", &field, message));
+    }
+    check_durations(owner, causes);
+}
+
+fn check_container(container: &Value, path: &str, causes: &mut Vec<Cause>) {
+    if !is_dns_name(meta::text_at(container, &["name"]), true) {
+        let field = format!("{path}.name");
+        causes.push(cause("FieldValueInvalid", &field, "must be a DNS label"));
     }
+    for kind in ["requests", "limits"] {
+        let entries = meta::value_at(container, &["resources", kind]).as_object();
+        for (key, value) in entries.into_iter().flatten() {
+            if let Err(error) = quantity::parse(value.as_str().unwrap_or("")) {
+                let field = format!("{path}.resources.{kind}[{key}]");
+                causes.push(cause("FieldValueInvalid", &field, error.to_string()));
+            }
+        }
+    }
+}
+
+/// Checks the annotations that are durations in seconds.
+fn check_durations(owner: &Value, causes: &mut Vec<Cause>) {
     for key in [names::EXPECTED_SECONDS, names::GIVE_UP_SECONDS] {
         let Some(text) = meta::annotation(owner, key) else {
             continue;
         };
-        if !text
-            .parse::<f64>()
-            .is_ok_and(|seconds| seconds > 0.0 && seconds <= 1e9)
-        {
+        let seconds = text.parse::<f64>();
+        if !seconds.is_ok_and(|seconds| seconds > 0.0 && seconds <= MAX_SECONDS) {
             let field = format!("metadata.annotations[{key}]");
-            causes.push(cause(
-                "FieldValueInvalid",
-                &field,
-                format!("{text:?} must be seconds above 0, 1e9 at most"),
-            ));
+            let message = format!("{text:?} must be seconds above 0, 1e9 at most");
+            causes.push(cause("FieldValueInvalid", &field, message));
         }
     }
 }
