--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -14,7 +14,8 @@
     end_with_parent();
     let config = config(options.shared.config.as_ref())?;
     let ready = |at: &[String]| println!("ready {}", at.join(" "));
-    smol::block_on(tidespur_edge::run(config, options, ready)).map_err(|error| error.to_string())
+    smol::block_on(tidespur_edge::run(config, options, ready))
+        .map_err(|error| tidespur_edge::error_chain(&error))
 }
 
 /// A planner, and how many there are.
--- a/crates/edge/examples/recall.rs
+++ b/crates/edge/examples/restore.rs
@@ -1,4 +1,4 @@
-//! How long an edge takes to come back with so many Pods: `cargo run --release -p tidespur-edge --example recall`.
+//! How long an edge takes to restore so many Pods: `cargo run --release -p tidespur-edge --example restore`.
 
 use serde_json::json;
 use std::time::Instant;
@@ -10,16 +10,16 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!(
         "{:>8} {:>10} {:>12} {:>12}",
-        "pods", "MB", "opened in s", "taken up in s"
+        "pods", "MB", "opened in s", "restored in s"
     );
     for count in [1_000, 10_000, 100_000] {
         let folder = tempfile::tempdir()?;
-        let who = Identity {
+        let owner = Identity {
             role: "edge".into(),
             name: "e".into(),
             cluster: "c".into(),
         };
-        let (mut memory, _) = RecordStore::open(folder.path(), &who)?;
+        let (mut record_store, _) = RecordStore::open(folder.path(), &owner)?;
         let mut batch = Batch::default();
         for i in 0..count {
             let pod = json!({"kind": "Pod", "apiVersion": "v1",
@@ -34,19 +34,19 @@
                 pod.to_string().into_bytes(),
             )?;
         }
-        memory.write(&batch)?;
-        drop(memory);
+        record_store.write(&batch)?;
+        drop(record_store);
         let size = std::fs::metadata(folder.path().join(tidespur_persistence::STORE_FILE))?.len()
             as f64
             / 1e6;
         let start = Instant::now();
-        let (_memory, back) = RecordStore::open(folder.path(), &who)?;
+        let (_record_store, records) = RecordStore::open(folder.path(), &owner)?;
         let opened = start.elapsed().as_secs_f64();
         let config = parse("built-in", DEFAULT_CONFIG)?;
         let mut store = Store::new(Limits::default(), 1, 1_000_000);
-        Core::new(config, 1).recall(0.0, &back, &mut store)?;
-        let taken = start.elapsed().as_secs_f64() - opened;
-        println!("{count:>8} {size:>10.1} {opened:>12.3} {taken:>12.3}");
+        Core::new(config, 1).restore(0.0, &records, &mut store)?;
+        let restored = start.elapsed().as_secs_f64() - opened;
+        println!("{count:>8} {size:>10.1} {opened:>12.3} {restored:>12.3}");
     }
     Ok(())
 }
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -1,219 +1,228 @@
-//! The edge as a state machine over its store: what changed in the store goes to desk and Job controller, what they
-//! say goes back into the store and to planners. No I/O, and no decision of its own.
-
-use crate::desk::{self, Desk, PlannerId};
-use crate::garbage::Garbage;
-use crate::keep::Notes;
-use crate::waits::Waits;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::sync::{Arc, Mutex};
+//! The edge as a state machine over its store, without I/O: changes of the store go to the dispatcher and the Job
+//! controller as events, and their actions are applied to the store or sent to planners. It decides nothing itself. The
+//! server's event loop owns it.
+
+use crate::dispatcher::{self, Dispatcher, PlannerId};
+use crate::garbage_collector::GarbageCollector;
+use crate::pending_status::PendingStatus;
+use crate::snapshot::PendingWrites;
+use parking_lot::Mutex;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
 use tidespur_api::resource::{EVENTS, JOBS, PODS};
 use tidespur_api::{Object, meta};
-use tidespur_config::{Config, RetrySafety};
+use tidespur_config::Config;
 use tidespur_job_controller::{self as controller, Controller};
 use tidespur_pending::PendingRecords;
-use tidespur_planner_protocol::{ToEdge, ToPlanner};
+use tidespur_planner_protocol::ToEdge;
 use tidespur_store::{ChangeReader, Store};
 
+mod apply_actions;
+mod changes;
+mod controller_actions;
+mod input;
 mod nodes;
-mod read;
-mod says;
+mod settings;
 
-use nodes::{node_change, nodes_whole};
+pub use input::{Input, OutgoingMessage};
+use settings::{controller_settings, dispatcher_settings};
 
-/// What the edge is told.
+/// Namespace and name of a Pod.
 #[derive(Clone, Debug)]
-pub enum Input {
-    /// Something may have changed in the store.
-    Kick,
-    /// A planner is here.
-    PlannerUp(PlannerId),
-    /// A planner is lost.
-    PlannerLost(PlannerId),
-    /// A planner says this.
-    Said(PlannerId, ToEdge),
-    /// All Nodes of the register.
-    Nodes(Vec<Object>),
-    /// A Node as it stands, or (true) as it last stood.
-    Node(Object, bool),
-    /// This was put into the queue of inputs at that time: how far the edge is behind its work.
-    Sent(f64),
+pub(crate) struct PodName {
+    pub(crate) namespace: String,
+    pub(crate) name: String,
 }
 
-/// Ended Pods that are kept.
-const ENDED_MOST: usize = 12_500;
-/// Events that are kept.
-const EVENTS_MOST: usize = 5_000;
-/// Changes of the store that are read in one go.
-const BATCH: usize = 1_024;
+/// Pods that have ended and are kept for people to read; the oldest beyond this are deleted.
+const MAX_ENDED_PODS: usize = 12_500;
+/// Events that are kept; the oldest beyond this are deleted.
+const MAX_EVENTS: usize = 5_000;
+/// Changes of the store that are read at a time.
+const MAX_CHANGES_PER_READ: usize = 1_024;
 
-/// The edge.
+/// The state machine of the edge.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) config: Config,
-    pub(crate) desk: Desk,
+    pub(crate) dispatcher: Dispatcher,
     pub(crate) controller: Controller,
-    pub(crate) jobs: ChangeReader,
-    pub(crate) pods: ChangeReader,
-    /// Namespace and name of each Pod that desk or planners know by uid.
-    pub(crate) known: BTreeMap<String, (String, String)>,
-    pub(crate) ended: Garbage,
-    pub(crate) events: Garbage,
-    pub(crate) waits: Waits,
-    /// What a memory beside the store must know, since it last looked.
-    pub(crate) notes: Notes,
-    /// What the first step after a return hands the desk.
-    pub(crate) returning: Vec<desk::Event>,
+    pub(crate) job_changes: ChangeReader,
+    pub(crate) pod_changes: ChangeReader,
+    /// Names of the Pods that the dispatcher or planners know, by uid.
+    pub(crate) pod_names: BTreeMap<String, PodName>,
+    pub(crate) ended_pods: GarbageCollector,
+    pub(crate) events: GarbageCollector,
+    pub(crate) pending_status: PendingStatus,
+    /// What is to be persisted since the last batch.
+    pub(crate) pending_writes: PendingWrites,
+    /// Events for the dispatcher that follow from what was restored; the first step delivers them.
+    pub(crate) restored_events: Vec<dispatcher::Event>,
+}
+
+/// What the handlers of one step share: the store, and the events and messages that follow from what they do.
+pub(crate) struct StepContext<'a> {
+    pub(crate) now: f64,
+    pub(crate) store: &'a mut Store,
+    pub(crate) dispatcher_events: Vec<dispatcher::Event>,
+    pub(crate) controller_events: VecDeque<controller::Event>,
+    pub(crate) messages: &'a mut Vec<OutgoingMessage>,
+}
+
+impl StepContext<'_> {
+    fn has_no_events(&self) -> bool {
+        self.controller_events.is_empty() && self.dispatcher_events.is_empty()
+    }
 }
 
 impl Core {
-    /// The core of an edge that has read nothing of its store yet.
+    /// The core of an edge that has read nothing of its store yet. All its random draws follow from `seed`.
     pub fn new(config: Config, seed: u64) -> Self {
-        let desk = Desk::new(desk::Settings {
-            planner_most: config.edge.max_tasks_per_planner as usize,
-            one_home: config.edge.single_planner_per_service,
-            answer_slack: config.safety_limits.answer_slack / 2.0,
-            locate_for: 3.0,
-            take_within: config.edge.planner_timeout / 2.0,
-        });
-        let guarded: BTreeSet<String> = config
-            .classes
-            .iter()
-            .filter(|(_, c)| c.retry_safety != RetrySafety::Idempotent)
-            .map(|(name, _)| name.clone())
-            .collect();
-        let owner = &config.job_controller;
-        let controller = Controller::new(
-            controller::Settings {
-                pauses: controller::Pauses {
-                    first: owner.initial_backoff,
-                    most: owner.max_backoff,
-                    lost: owner.lost_task_backoff,
-                },
-                settle: owner.outcome_query_delay,
-                guarded,
-                default_class: config.classes.keys().next().cloned().unwrap_or_default(),
-            },
-            seed,
-        );
-        let (jobs, pods) = (ChangeReader::new(JOBS), ChangeReader::new(PODS));
-        let (ended, events) = (
-            Garbage::new(PODS, ENDED_MOST),
-            Garbage::new(EVENTS, EVENTS_MOST),
-        );
         Self {
+            dispatcher: Dispatcher::new(dispatcher_settings(&config)),
+            controller: Controller::new(controller_settings(&config), seed),
             config,
-            desk,
-            controller,
-            jobs,
-            pods,
-            known: BTreeMap::new(),
-            ended,
-            events,
-            waits: Waits::new(),
-            notes: Notes::default(),
-            returning: Vec::new(),
+            job_changes: ChangeReader::new(JOBS),
+            pod_changes: ChangeReader::new(PODS),
+            pod_names: BTreeMap::new(),
+            ended_pods: GarbageCollector::new(PODS, MAX_ENDED_PODS),
+            events: GarbageCollector::new(EVENTS, MAX_EVENTS),
+            pending_status: PendingStatus::new(),
+            pending_writes: PendingWrites::default(),
+            restored_events: Vec::new(),
         }
     }
 
-    /// Tasks without an answer.
-    pub fn open(&self) -> usize {
-        self.desk.open()
+    /// Number of tasks without an answer.
+    pub fn open_tasks(&self) -> usize {
+        self.dispatcher.open_tasks()
     }
 
-    /// The records of what waits.
-    pub fn ledger(&self) -> Arc<Mutex<PendingRecords>> {
-        self.waits.ledger()
+    /// The records of pending work, shared with those who answer queries about it.
+    pub fn pending_records(&self) -> Arc<Mutex<PendingRecords>> {
+        self.pending_status.records()
     }
 
-    /// How often it fell behind its own store's history.
-    pub fn behind(&self) -> u64 {
-        self.jobs.resync_count() + self.pods.resync_count()
+    /// How often the core read its store's history too late and compared all objects instead.
+    pub fn resync_count(&self) -> u64 {
+        self.job_changes.resync_count() + self.pod_changes.resync_count()
     }
 
-    /// Planners that are connected.
-    pub fn planners(&self) -> usize {
-        self.desk.planners()
+    /// Number of connected planners.
+    pub fn connected_planners(&self) -> usize {
+        self.dispatcher.connected_planners()
     }
 
-    /// When to step next though nothing happens.
+    /// When to step next though there is no input, in seconds since 1970.
     pub fn next_wake(&self) -> Option<f64> {
-        [
-            self.desk.next_wake(),
+        let times = [
+            self.dispatcher.next_wake(),
             self.controller.next_wake(),
-            self.waits.next_wake(&self.desk),
-        ]
-        .into_iter()
-        .flatten()
-        .min_by(f64::total_cmp)
+            self.pending_status.next_wake(&self.dispatcher),
+        ];
+        times.into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Takes in what came and all that changed in the store, until nothing more follows from it.
+    /// Handles `inputs` and all changes of the store, until nothing more follows from them. Appends the messages to
+    /// planners.
     pub fn step(
         &mut self,
         now: f64,
         inputs: Vec<Input>,
         store: &mut Store,
-        out: &mut Vec<(PlannerId, ToPlanner)>,
+        messages: &mut Vec<OutgoingMessage>,
     ) {
-        let mut desk_events = std::mem::take(&mut self.returning);
+        let mut context = StepContext {
+            now,
+            store,
+            dispatcher_events: std::mem::take(&mut self.restored_events),
+            controller_events: VecDeque::new(),
+            messages,
+        };
         for input in inputs {
-            match input {
-                Input::Kick => {}
-                Input::PlannerUp(id) => desk_events.push(desk::Event::PlannerUp(id)),
-                Input::PlannerLost(id) => desk_events.push(desk::Event::PlannerLost(id)),
-                Input::Said(id, ToEdge::PendingReasons(words)) => {
-                    self.waits.told(now, id, words, &self.desk)
-                }
-                Input::Said(
-                    _,
-                    ToEdge::StaleToken {
-                        lease,
-                        token,
-                        newest,
-                    },
-                ) => {
-                    tracing::warn!(
-                        lease,
-                        token,
-                        newest,
-                        "a planner refused a word: another acts by now"
-                    );
-                }
-                Input::Said(id, message) => desk_events.push(desk::Event::Said(id, message)),
-                Input::Nodes(list) => nodes_whole(list, store, now),
-                Input::Node(node, deleted) => node_change(node, deleted, store, now),
-                Input::Sent(_) => {}
-            }
+            self.handle_input(input, &mut context);
         }
-        self.waits
-            .look(now, &self.desk, &self.known, store, &mut self.events);
-        let mut owner_events = VecDeque::new();
-        loop {
-            self.read_jobs(store, &mut owner_events);
-            self.read_pods(now, store, &mut owner_events, &mut desk_events);
-            let mut actions = Vec::new();
-            self.desk
-                .step(now, std::mem::take(&mut desk_events), &mut actions);
-            for action in actions {
-                self.desk_says(now, action, store, &mut owner_events, out);
-            }
-            let mut actions = Vec::new();
-            self.controller
-                .step(now, std::mem::take(&mut owner_events).into(), &mut actions);
-            let quiet =
-                actions.is_empty() && self.pods.is_current(store) && self.jobs.is_current(store);
-            for action in actions {
-                self.owner_says(now, action, store, &mut owner_events, &mut desk_events);
+        self.pending_status.update(
+            now,
+            &self.dispatcher,
+            &self.pod_names,
+            context.store,
+            &mut self.events,
+        );
+        while !self.settle(&mut context) {}
+    }
+
+    fn handle_input(&mut self, input: Input, context: &mut StepContext<'_>) {
+        match input {
+            Input::PlannerConnected(planner) => context
+                .dispatcher_events
+                .push(dispatcher::Event::PlannerConnected(planner)),
+            Input::PlannerLost(planner) => context
+                .dispatcher_events
+                .push(dispatcher::Event::PlannerLost(planner)),
+            Input::MessageReceived { planner, message } => {
+                self.handle_message(planner, message, context);
             }
-            if quiet && owner_events.is_empty() && desk_events.is_empty() {
-                return;
+            Input::NodesListed(listed) => nodes::replace_all(listed, context.store, context.now),
+            Input::NodeUpdated(node) => nodes::update(node, context.store, context.now),
+            Input::NodeDeleted(node) => nodes::delete(&node, context.store),
+            Input::StoreChanged | Input::LagProbe { .. } => {}
+        }
+    }
+
+    fn handle_message(
+        &mut self,
+        planner: PlannerId,
+        message: ToEdge,
+        context: &mut StepContext<'_>,
+    ) {
+        match message {
+            ToEdge::PendingReasons(updates) => {
+                self.pending_status
+                    .apply_updates(context.now, planner, updates, &self.dispatcher);
             }
+            ToEdge::StaleToken {
+                lease,
+                token,
+                newest,
+            } => tracing::warn!(
+                planner,
+                lease,
+                token,
+                newest,
+                "a planner rejected a message with a stale fencing token: another edge holds the lease"
+            ),
+            message => context
+                .dispatcher_events
+                .push(dispatcher::Event::MessageReceived { planner, message }),
+        }
+    }
+
+    /// One round of reading changes and applying actions; whether nothing more follows.
+    fn settle(&mut self, context: &mut StepContext<'_>) -> bool {
+        let now = context.now;
+        self.read_job_changes(context);
+        self.read_pod_changes(context);
+        let events = std::mem::take(&mut context.dispatcher_events);
+        let mut actions = Vec::new();
+        self.dispatcher.step(now, events, &mut actions);
+        for action in actions {
+            self.apply_dispatcher_action(action, context);
+        }
+        let events = std::mem::take(&mut context.controller_events);
+        let mut actions = Vec::new();
+        self.controller.step(now, events.into(), &mut actions);
+        let is_quiet = actions.is_empty()
+            && self.pod_changes.is_current(context.store)
+            && self.job_changes.is_current(context.store);
+        for action in actions {
+            self.apply_controller_action(action, context);
         }
+        is_quiet && context.has_no_events()
     }
 }
 
-/// Uid of the controlling owner.
+/// Uid of the controlling owner; "" where there is none.
 pub(crate) fn owner_uid(pod: &Object) -> &str {
     let owners = meta::value_at(pod, &["metadata", "ownerReferences"]).as_array();
     let owner = owners
--- a/crates/edge/src/core/nodes.rs
+++ b/crates/edge/src/core/nodes.rs
@@ -1,37 +1,53 @@
-//! The register's Nodes, shown at the edge.
+//! The edge's copy of the node registry's Nodes, for clients to read.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tidespur_api::resource::NODES;
-use tidespur_api::{Object, meta};
+use tidespur_api::{ApiError, Object, meta};
 use tidespur_store::{Precondition, Store};
 
-pub(super) fn nodes_whole(list: Vec<Object>, store: &mut Store, now: f64) {
-    let listed: BTreeSet<&str> = list.iter().map(meta::name).collect();
-    let gone: Vec<Arc<Object>> = store
+const NOT_FOUND: u16 = 404;
+
+/// Replaces all Nodes by those that the registry listed.
+pub(super) fn replace_all(listed: Vec<Object>, store: &mut Store, now: f64) {
+    let names: BTreeSet<&str> = listed.iter().map(meta::name).collect();
+    let removed: Vec<Arc<Object>> = store
         .iter(NODES, "")
-        .filter(|node| !listed.contains(meta::name(node)))
+        .filter(|node| !names.contains(meta::name(node)))
         .cloned()
         .collect();
-    for node in gone {
-        drop(store.delete(NODES, "", meta::name(&node), &Precondition::default()));
+    for node in removed {
+        delete(&node, store);
+    }
+    for node in listed {
+        update(node, store, now);
     }
-    list.into_iter()
-        .for_each(|node| node_change(node, false, store, now));
 }
 
-pub(super) fn node_change(node: Object, deleted: bool, store: &mut Store, now: f64) {
+/// Creates or updates a Node.
+pub(super) fn update(node: Object, store: &mut Store, now: f64) {
     let name = meta::name(&node).to_owned();
-    let done = match (deleted, store.get(NODES, "", &name).is_some()) {
-        (true, _) => store
-            .delete(NODES, "", &name, &Precondition::default())
-            .map(drop),
-        (false, true) => store
+    let written = if store.get(NODES, "", &name).is_some() {
+        store
             .update(NODES, node, &Precondition::default())
-            .map(drop),
-        (false, false) => store.create(NODES, node, now).map(drop),
+            .map(drop)
+    } else {
+        store.create(NODES, node, now).map(drop)
     };
-    if let Err(problem) = done.or_else(|e| if e.code == 404 { Ok(()) } else { Err(e) }) {
-        tracing::warn!(node = name, %problem, "a Node can't be shown");
+    log_failure(&name, written);
+}
+
+/// Deletes a Node, if it exists.
+pub(super) fn delete(node: &Object, store: &mut Store) {
+    let name = meta::name(node);
+    let deleted = store.delete(NODES, "", name, &Precondition::default());
+    log_failure(name, deleted.map(drop));
+}
+
+fn log_failure(name: &str, result: Result<(), ApiError>) {
+    if let Err(error) = result
+        && error.code != NOT_FOUND
+    {
+        tracing::warn!(node = name, %error, "cannot update the copy of a Node");
     }
 }
--- /dev/null
+++ b/crates/edge/src/error.rs
@@ -0,0 +1,55 @@
+//! Why the edge cannot start or run on.
+
+use crate::restore::RestoreError;
+use std::error::Error;
+use std::path::PathBuf;
+use tidespur_persistence::PersistenceError;
+
+/// Why the edge ended, or did not start.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum RunError {
+    /// An address cannot be listened on.
+    #[error("cannot listen on {address}; name a free address of this machine with --api or --link")]
+    Listen {
+        /// The address.
+        address: String,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The file for recorded traffic cannot be opened.
+    #[error("cannot open the record {path}; name a file that this user may write with --record")]
+    OpenRecord {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The data directory cannot be used.
+    #[error(transparent)]
+    Persistence(#[from] PersistenceError),
+    /// What an earlier process persisted cannot be restored.
+    #[error(transparent)]
+    Restore(#[from] RestoreError),
+    /// The voter of the coordination log cannot start.
+    #[error("cannot start the voter of the coordination log")]
+    StartVoter(#[source] Box<dyn Error + Send + Sync>),
+    /// The edge cannot join its fleet.
+    #[error("cannot join the fleet")]
+    JoinFleet(#[source] Box<dyn Error + Send + Sync>),
+    /// The process was shut down by something that an operator should look at.
+    #[error("shut down")]
+    ShutDown(#[source] Box<dyn Error + Send + Sync>),
+}
+
+/// An error and its causes, in one line.
+pub fn error_chain(error: &dyn Error) -> String {
+    let mut text = error.to_string();
+    let mut cause = error.source();
+    while let Some(error) = cause {
+        text.push_str(": ");
+        text.push_str(&error.to_string());
+        cause = error.source();
+    }
+    text
+}
--- /dev/null
+++ b/crates/edge/src/hooks/health.rs
@@ -0,0 +1,104 @@
+//! Readiness of the edge and its components, and waiting until answers are durable.
+
+use super::EdgeHooks;
+use std::sync::atomic::Ordering;
+use tidespur_api::ApiError;
+
+/// How long an answer waits until what it rests on is durable, in seconds.
+const DURABILITY_TIMEOUT: f64 = 10.0;
+/// Clients may retry after this long while the disk fails, in seconds.
+const DISK_RETRY_AFTER: u32 = 5;
+/// Clients may retry after this long while there is no planner, in seconds.
+const PLANNER_RETRY_AFTER: u32 = 1;
+
+/// A component, with its status or with what it waits for and what an operator can do.
+type ComponentStatus = (&'static str, Result<String, String>);
+
+/// Why the disk cannot be written to, if so.
+fn disk_error(edge: &EdgeHooks) -> Option<String> {
+    edge.storage.as_ref()?.disk.error()
+}
+
+/// Fails while the disk cannot be written to.
+pub(super) fn check_disk(edge: &EdgeHooks) -> Result<(), ApiError> {
+    match disk_error(edge) {
+        None => Ok(()),
+        Some(error) => {
+            let message = format!("nothing can be kept now: {error}");
+            Err(ApiError::unavailable(message, DISK_RETRY_AFTER))
+        }
+    }
+}
+
+pub(super) fn ready(edge: &EdgeHooks) -> Result<String, ApiError> {
+    check_disk(edge)?;
+    match edge.connected_planners.load(Ordering::Relaxed) {
+        0 => Err(ApiError::unavailable(
+            "no planner is connected",
+            PLANNER_RETRY_AFTER,
+        )),
+        planners => Ok(format!("ok, planners: {planners}")),
+    }
+}
+
+/// Status of each component.
+pub(super) fn components(edge: &EdgeHooks) -> Vec<ComponentStatus> {
+    let mut components = vec![planners_status(edge), storage_status(edge)];
+    if let Some(voter) = &edge.voter {
+        components.push(("ledger", voter.readiness()));
+    }
+    components
+}
+
+fn planners_status(edge: &EdgeHooks) -> ComponentStatus {
+    let status = match edge.connected_planners.load(Ordering::Relaxed) {
+        0 => Err(
+            "no planner is connected: nothing is placed; start planners, or look at their --edge or fleet"
+                .into(),
+        ),
+        planners => Ok(planners.to_string()),
+    };
+    ("planners", status)
+}
+
+fn storage_status(edge: &EdgeHooks) -> ComponentStatus {
+    let status = match &edge.storage {
+        None => Ok("none: all ends with this process".into()),
+        Some(storage) => match storage.disk.error() {
+            Some(error) => Err(error),
+            None => Ok(format!("{} syncs", storage.disk.syncs())),
+        },
+    };
+    ("memory", status)
+}
+
+/// Waits until all up to this version is durable. While the disk fails, a read does not wait, but its answer comes with a
+/// warning.
+///
+/// # Errors
+/// 504 for a write that did not become durable in time.
+pub(super) async fn wait_durable(
+    edge: &EdgeHooks,
+    version: u64,
+    is_write: bool,
+) -> Result<Option<String>, ApiError> {
+    let Some(storage) = &edge.storage else {
+        return Ok(None);
+    };
+    let timeout = if is_write || storage.disk.error().is_none() {
+        DURABILITY_TIMEOUT
+    } else {
+        0.0
+    };
+    if storage.wait_durable(version, timeout).await {
+        return Ok(None);
+    }
+    let reason = disk_error(edge).unwrap_or_else(|| "the disk is slow".into());
+    if is_write {
+        let message = format!("the write is not safe yet: {reason}; look later whether it stands");
+        return Err(ApiError::new(504, "Timeout", message));
+    }
+    Ok(Some(format!(
+        "some of this is not safe yet and may be gone after a power loss: {reason}"
+    )))
+}
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,22 +1,32 @@
-//! The program that meets clients.
+//! The edge: the program that clients talk to. It serves the REST API over its store, runs the Job controller, and shares
+//! open tasks out to planners.
 //!
-//! [`desk::Desk`] leads each open task to its one answer and shares the tasks out to planners; [`core::Core`] puts
-//! desk, Job controller and store together; both are state machines without I/O. [`run`] is the loop around them.
+//! [`dispatcher::Dispatcher`] assigns each open task to a planner and keeps its one answer; [`core::Core`] connects
+//! dispatcher, Job controller and store. Both are state machines without I/O. [`run()`] is the program around them.
 
+pub mod admission;
 pub mod core;
-mod count;
-pub mod desk;
-mod garbage;
+pub mod dispatcher;
+mod error;
+mod event_loop;
+mod events;
+mod garbage_collector;
 mod hooks;
-pub mod keep;
-mod links;
-mod memory;
+mod job_status;
 mod metrics;
+mod node_watch;
 mod options;
-mod pods;
-pub mod run;
-mod turn;
-mod waits;
+mod pending_status;
+mod planner_count;
+mod planner_sessions;
+mod pod_status;
+pub mod restore;
+mod run;
+mod server;
+pub mod snapshot;
+mod state;
+mod storage;
 
+pub use error::{RunError, error_chain};
 pub use options::Options;
 pub use run::run;
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -1,7 +1,9 @@
-//! `tidespur-edge`: the program that meets clients.
+//! `tidespur-edge`: the program that clients talk to.
 
 use clap::Parser;
 use std::process::ExitCode;
+use tidespur_config::ConfigError;
+use tidespur_edge::{RunError, error_chain, run};
 
 #[derive(Parser)]
 #[command(
@@ -17,19 +19,28 @@
     log_json: bool,
 }
 
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Run(#[from] RunError),
+}
+
+fn run_edge(arguments: Arguments) -> Result<(), ProgramError> {
+    let config = tidespur_config::load_or_default(arguments.options.shared.config.as_deref())?;
+    let on_ready = |addresses: &[String]| println!("ready {}", addresses.join(" "));
+    smol::block_on(run(config, arguments.options, on_ready))?;
+    Ok(())
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     tidespur_net::init_logging(arguments.log_json);
-    let config = tidespur_config::load_or_default(arguments.options.shared.config.as_deref());
-    let ready = |at: &[String]| println!("ready {}", at.join(" "));
-    let ran = config.map_err(|e| e.to_string()).and_then(|config| {
-        smol::block_on(tidespur_edge::run(config, arguments.options, ready))
-            .map_err(|e| e.to_string())
-    });
-    match ran {
+    match run_edge(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("tidespur-edge: {problem}");
+        Err(error) => {
+            eprintln!("tidespur-edge: {}", error_chain(&error));
             ExitCode::FAILURE
         }
     }
--- a/crates/edge/src/options.rs
+++ b/crates/edge/src/options.rs
@@ -1,6 +1,6 @@
-//! What the program is started with.
+//! Command-line options of the edge.
 
-/// What the program is started with.
+/// Command-line options of the edge.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
     /// Options that edge and planner have in common
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -1,161 +1,169 @@
-//! The loop around the edge: sockets and timers in, sockets and timers out. It decides nothing.
+//! Starts and runs the edge: sockets, storage, voter, membership and tasks. It decides nothing.
 
+use crate::admission::AdmissionControl;
 use crate::core::{Core, Input};
-use crate::desk::PlannerId;
+use crate::error::RunError;
+use crate::event_loop::EventLoop;
 use crate::hooks::EdgeHooks;
-use crate::memory::{self, Disk, Shared};
 use crate::options::Options;
+use crate::server::EdgeServer;
+use crate::state::State;
 use async_channel::Sender;
-use serde_json::json;
+use parking_lot::Mutex;
+use smol::Task;
 use smol::net::TcpListener;
-use std::collections::BTreeMap;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
-use std::sync::{Arc, Mutex};
-use tidespur_api::resource::NAMESPACES;
 use tidespur_config::Config;
 use tidespur_coordination_net::VoterHandle;
-use tidespur_load_shedding::LoadShedder;
+use tidespur_daemon::{report_loop_lag, shutdown_without_membership};
 use tidespur_membership::{MemberMetadata, Role};
-use tidespur_membership_net::{MemberHandle, ShutdownReason, shutdown_signal};
+use tidespur_membership_net::{MemberHandle, ShutdownReason};
 use tidespur_net::routes::Routes;
-use tidespur_net::{Client, Recorder, clock, server};
-use tidespur_planner_protocol::ToPlanner;
+use tidespur_net::{Client, Recorder, server};
+use tidespur_persistence::LoadedRecords;
 use tidespur_rest::{Api, ApiHandler, Limits};
 
-/// Inputs that may wait for the core.
-const INPUTS_MOST: usize = 16_384;
-/// Silence after which the register's watch counts as lost.
-pub(crate) const SILENCE: f64 = 1.6;
+/// Inputs that may wait for the event loop.
+const MAX_QUEUED_INPUTS: usize = 16_384;
+/// Connections to the node registry for writes of Nodes.
+const REGISTRY_CONNECTIONS: usize = 4;
 
-/// A planner that is linked.
-pub(crate) struct Linked {
-    pub(crate) name: String,
-    pub(crate) send: Sender<ToPlanner>,
+/// A socket that is listened on, and its address.
+struct Listener {
+    socket: TcpListener,
+    address: String,
 }
 
-pub(crate) struct Loop {
-    pub(crate) config: Config,
-    pub(crate) options: Options,
-    pub(crate) inputs: Sender<Input>,
-    pub(crate) api: Arc<Api<EdgeHooks>>,
-    pub(crate) planners: Mutex<BTreeMap<PlannerId, Linked>>,
-    pub(crate) recorder: Recorder,
-    pub(crate) disk: Shared,
+/// The edge as a part of its cluster.
+struct Cluster {
+    voter: Option<Arc<VoterHandle>>,
+    member: Option<Arc<MemberHandle>>,
+    metadata: MemberMetadata,
 }
 
-/// Runs the edge until the process ends. `ready` is called with the addresses of API, link and, where it joins a
-/// fleet, of its datagrams.
+/// Runs the edge until the process is shut down. `on_ready` is called with the addresses of the API, of the link to
+/// planners and, where the edge joins a fleet, of its datagrams.
+///
+/// # Errors
+/// [`RunError`]: why it could not start, or an end that an operator should look at.
 pub async fn run(
     config: Config,
     options: Options,
-    ready: impl FnOnce(&[String]),
-) -> Result<(), String> {
-    let bind = async |address: &str| {
-        TcpListener::bind(address)
-            .await
-            .map_err(|e| format!("{address}: can't listen: {e}"))
-    };
-    let (api_listener, link_listener) = (bind(&options.api).await?, bind(&options.link).await?);
-    let address = |l: &TcpListener| {
-        l.local_addr()
-            .map(|a| a.to_string())
-            .map_err(|e| e.to_string())
-    };
-    let (api_address, link_address) = (address(&api_listener)?, address(&link_listener)?);
-    let recorder = match &options.shared.record {
-        Some(path) => Recorder::append_to(path, &options.name)
-            .map_err(|e| format!("{}: {e}", path.display()))?,
-        None => Recorder::default(),
+    on_ready: impl FnOnce(&[String]),
+) -> Result<(), RunError> {
+    let api_listener = listen(&options.api).await?;
+    let link_listener = listen(&options.link).await?;
+    let recorder = open_recorder(&options)?;
+    let state = State::open(&config, &options)?;
+    let api_address = api_listener.address.clone();
+    let link_address = link_listener.address.clone();
+    let cluster = join_cluster(&config, &options, &state, &api_address, &link_address).await?;
+    let member = cluster.member.clone();
+    let metadata = cluster.metadata.clone();
+    let (inputs_sender, inputs) = async_channel::bounded(MAX_QUEUED_INPUTS);
+    let (edge, core) = build_server(config, options, state, cluster, recorder, inputs_sender);
+    // Held until the process ends: dropping them cancels the tasks.
+    let tasks = spawn_tasks(&edge, api_listener, link_listener);
+    tracing::info!(
+        edge = edge.options.name,
+        api = api_address,
+        link = link_address,
+        "started"
+    );
+    let mut addresses = vec![api_address, link_address];
+    addresses.extend(member.as_ref().map(|member| member.address.to_string()));
+    on_ready(&addresses);
+    let shutdown = wait_for_shutdown(&edge, member, metadata);
+    let event_loop = async {
+        EventLoop::new(edge.clone(), core).run(inputs).await;
+        ShutdownReason::Signalled
     };
-    let limits = tidespur_store::Limits {
-        max_history: config.edge.max_history as usize,
-        max_objects: config.edge.max_objects as usize,
-        ..tidespur_store::Limits::default()
+    let reason = smol::future::or(shutdown, event_loop).await;
+    if let Some(storage) = &edge.storage {
+        storage.disk.finish();
+    }
+    drop(tasks);
+    reason
+        .into_result()
+        .map_err(|error| RunError::ShutDown(error.into()))
+}
+
+async fn listen(address: &str) -> Result<Listener, RunError> {
+    let error = |source| RunError::Listen {
+        address: address.to_owned(),
+        source,
     };
-    let remembered = tidespur_daemon::open_store(
-        &config,
-        options.shared.data.as_deref(),
-        "edge",
-        &options.name,
-    )
-    .map_err(|error| error.to_string())?;
-    let mut store = memory::store(
-        limits,
-        options.shared.seed,
-        clock::now(),
-        remembered.as_ref().map(|(_, back)| back),
-    )?;
-    let (memory, back) = remembered.unzip();
-    let incarnation = back
-        .as_ref()
-        .map(tidespur_persistence::LoadedRecords::incarnation);
-    let mut core = Core::new(config.clone(), options.shared.seed);
-    let disk = match (memory, &back) {
-        (Some(memory), Some(back)) => Some(Arc::new(Disk::start(
-            memory,
-            back,
-            clock::now(),
-            &mut core,
-            &mut store,
-        )?)),
-        _ => {
-            core.forgetful();
-            None
-        }
+    let socket = TcpListener::bind(address).await.map_err(error)?;
+    let address = socket.local_addr().map_err(error)?.to_string();
+    Ok(Listener { socket, address })
+}
+
+fn open_recorder(options: &Options) -> Result<Recorder, RunError> {
+    let Some(path) = &options.shared.record else {
+        return Ok(Recorder::default());
     };
-    let spaces = ["default".to_owned()]
-        .into_iter()
-        .chain(config.tenants.keys().cloned());
-    for space in spaces {
-        let object = json!({"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": space},
-            "spec": {}, "status": {"phase": "Active"}});
-        // The second "default" stands already.
-        drop(store.create(NAMESPACES, object, clock::now()));
-    }
+    Recorder::append_to(path, &options.name).map_err(|source| RunError::OpenRecord {
+        path: path.clone(),
+        source,
+    })
+}
+
+/// Starts the voter of the coordination log, and joins the fleet, where the settings and options say so.
+async fn join_cluster(
+    config: &Config,
+    options: &Options,
+    state: &State,
+    api_address: &str,
+    link_address: &str,
+) -> Result<Cluster, RunError> {
+    let disk = state.storage.as_ref().map(|storage| storage.disk.clone());
+    let records = state.records.as_ref();
     let routes = Routes::from_file(options.shared.routes.clone());
-    let voter = VoterHandle::start(
-        &config,
-        &options.name,
-        disk.as_ref().map(|disk| disk.disk.clone()),
-        back.as_ref(),
-        routes,
-    );
-    let voter = voter.await?.map(Arc::new);
-    let facts = MemberMetadata {
-        api: api_address.clone(),
-        link: link_address.clone(),
+    let voter = VoterHandle::start(config, &options.name, disk, records, routes)
+        .await
+        .map_err(|error| RunError::StartVoter(error.into()))?;
+    let metadata = MemberMetadata {
+        api: api_address.to_owned(),
+        link: link_address.to_owned(),
         ..MemberMetadata::for_role(Role::Edge)
     };
     let member = MemberHandle::join(
-        &config,
+        config,
         &options.shared.fleet,
         &options.name,
-        facts.clone(),
+        metadata.clone(),
         options.shared.seed,
-        incarnation,
-    );
-    let member = member.await?;
-    let member = member.map(Arc::new);
-    let (send, receive) = async_channel::bounded(INPUTS_MOST);
+        records.map(LoadedRecords::incarnation),
+    )
+    .await
+    .map_err(|error| RunError::JoinFleet(error.into()))?;
+    Ok(Cluster {
+        voter: voter.map(Arc::new),
+        member: member.map(Arc::new),
+        metadata,
+    })
+}
+
+fn build_server(
+    config: Config,
+    options: Options,
+    state: State,
+    cluster: Cluster,
+    recorder: Recorder,
+    inputs: Sender<Input>,
+) -> (Arc<EdgeServer>, Core) {
     let hooks = EdgeHooks {
-        classes: config.classes.keys().cloned().collect(),
-        open: AtomicUsize::new(0),
-        open_most: config.edge.max_open_tasks as usize,
-        planners: AtomicUsize::new(0),
-        inputs: send.clone(),
-        register: Client::new(&options.shared.register, 4, vec![]),
+        admission: AdmissionControl::from_config(&config),
+        connected_planners: AtomicUsize::new(0),
+        inputs: inputs.clone(),
+        registry: Client::new(&options.shared.register, REGISTRY_CONNECTIONS, vec![]),
         recorder: recorder.clone(),
-        ledger: core.ledger(),
-        behind: AtomicU64::new(0),
-        member: member.clone(),
-        disk: disk.clone(),
-        voter,
-        shedder: Mutex::new(LoadShedder::for_classes(
-            config
-                .classes
-                .values()
-                .map(|class| (class.latency_objective, class.priority_weight)),
-        )),
+        pending_records: state.core.pending_records(),
+        resync_count: AtomicU64::new(0),
+        member: cluster.member,
+        storage: state.storage.clone(),
+        voter: cluster.voter,
     };
     let limits = Limits {
         max_body_bytes: config.edge.max_body_bytes as usize,
@@ -163,54 +171,41 @@
         bookmark_interval: config.edge.bookmark_interval,
         ..Limits::default()
     };
-    let api = Arc::new(Api::new(store, limits, hooks));
-    let served = server::ServerLimits {
-        connections: config.edge.max_connections as usize,
-        head_timeout: config.edge.head_timeout,
-    };
-    let this = Arc::new(Loop {
+    let server = EdgeServer {
         config,
         options,
-        inputs: send,
-        api: api.clone(),
+        inputs,
+        api: Arc::new(Api::new(state.store, limits, hooks)),
         planners: Mutex::default(),
         recorder,
-        disk,
-    });
-    smol::spawn(this.clone().accept(link_listener)).detach();
-    smol::spawn(this.clone().follow_register()).detach();
-    smol::spawn(this.clone().mark()).detach();
-    smol::spawn(this.clone().count_planners()).detach();
-    smol::spawn(
-        async move { server::serve(api_listener, served, Arc::new(ApiHandler(api))).await },
-    )
-    .detach();
-    tracing::info!(
-        edge = this.options.name,
-        api = api_address,
-        link = link_address,
-        "started"
-    );
-    let mut addresses = vec![api_address, link_address];
-    addresses.extend(member.as_ref().map(|member| member.address.to_string()));
-    ready(&addresses);
-    let ended = async {
-        match member {
-            Some(member) => this.clone().keep_fleet(member, facts).await,
-            // What is remembered is closed in order; without a memory nothing is.
-            None if this.disk.is_some() => {
-                shutdown_signal().await.unwrap_or(ShutdownReason::Signalled)
-            }
-            None => std::future::pending().await,
-        }
+        storage: state.storage,
     };
-    let turned = async {
-        this.turn(core, receive).await;
-        ShutdownReason::Signalled
+    (Arc::new(server), state.core)
+}
+
+fn spawn_tasks(edge: &Arc<EdgeServer>, api: Listener, link: Listener) -> Vec<Task<()>> {
+    let limits = server::ServerLimits {
+        connections: edge.config.edge.max_connections as usize,
+        head_timeout: edge.config.edge.head_timeout,
     };
-    let ending = smol::future::or(ended, turned).await;
-    if let Some(disk) = &this.disk {
-        disk.disk.finish();
+    let handler = Arc::new(ApiHandler(edge.api.clone()));
+    let lag_probe = |sent_at| Input::LagProbe { sent_at };
+    vec![
+        smol::spawn(edge.clone().accept_planners(link.socket)),
+        smol::spawn(edge.clone().watch_nodes()),
+        smol::spawn(report_loop_lag(edge.inputs.clone(), lag_probe)),
+        smol::spawn(edge.clone().count_planners()),
+        smol::spawn(async move { server::serve(api.socket, limits, handler).await }),
+    ]
+}
+
+async fn wait_for_shutdown(
+    edge: &EdgeServer,
+    member: Option<Arc<MemberHandle>>,
+    metadata: MemberMetadata,
+) -> ShutdownReason {
+    match member {
+        Some(member) => edge.update_membership(&member, metadata).await,
+        None => shutdown_without_membership(edge.storage.is_some()).await,
     }
-    ending.into_result()
 }
--- /dev/null
+++ b/crates/edge/src/storage.rs
@@ -0,0 +1,104 @@
+//! The edge's storage on disk: restored before anything is served, and waited for by those who must not be told what a
+//! power loss could revert. The server owns it; without a data directory there is none.
+
+use crate::core::Core;
+use crate::error::RunError;
+use crate::restore;
+use event_listener::Event;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use tidespur_persistence::{LoadedRecords, RecordStore};
+use tidespur_store::Store;
+
+/// The storage as all parts of the edge share it; `None` where all state is kept in memory only.
+pub(crate) type SharedStorage = Option<Arc<Storage>>;
+
+/// The disk, and how much of what clients may be told is durable.
+pub(crate) struct Storage {
+    /// Where batches are written.
+    pub(crate) disk: Arc<tidespur_persistence::Disk>,
+    /// Resource versions up to this are durable.
+    durable_version: AtomicU64,
+    version_became_durable: Event,
+}
+
+/// A store that begins above all resource versions that an earlier process may have published.
+///
+/// # Errors
+/// [`RunError::Restore`] where the record of the version cannot be read.
+pub(crate) fn open_object_store(
+    limits: tidespur_store::Limits,
+    seed: u64,
+    now: f64,
+    records: Option<&LoadedRecords>,
+) -> Result<Store, RunError> {
+    let reserved_version = match records {
+        Some(records) => restore::reserved_version(records)?,
+        None => 0,
+    };
+    // Without records, versions begin at the clock in milliseconds: a watch that resumes from an older one gets 410 and
+    // lists again.
+    let first_version = if reserved_version > 0 {
+        reserved_version
+    } else {
+        (now * 1000.0) as u64
+    };
+    let generation = records.map_or(0, |records| records.generation);
+    let seed = seed ^ now.to_bits() ^ generation.rotate_left(32);
+    Ok(Store::new(limits, seed, first_version))
+}
+
+impl Storage {
+    /// Restores what an earlier process persisted into `core` and `store`, and starts to write.
+    ///
+    /// # Errors
+    /// Where a record cannot be read, or the writer cannot be started.
+    pub(crate) fn start(
+        record_store: RecordStore,
+        records: &LoadedRecords,
+        now: f64,
+        core: &mut Core,
+        store: &mut Store,
+    ) -> Result<Self, RunError> {
+        let restored = core.restore(now, records, store)?;
+        tracing::info!(
+            objects = restored.objects,
+            placed = restored.placed,
+            queued = restored.queued,
+            interrupted = restored.interrupted,
+            "restored the state of an earlier process"
+        );
+        let disk = tidespur_persistence::Disk::start(record_store)?;
+        store.track_writes();
+        store.set_visible_version(store.version());
+        Ok(Self {
+            disk: Arc::new(disk),
+            durable_version: AtomicU64::new(store.version()),
+            version_became_durable: Event::new(),
+        })
+    }
+
+    /// All up to this version is durable: those who wait for it may be answered.
+    pub(crate) fn mark_durable(&self, version: u64) {
+        self.durable_version.fetch_max(version, Ordering::Release);
+        self.version_became_durable.notify(usize::MAX);
+    }
+
+    /// Waits until all up to this version is durable, for `timeout` seconds at most. Returns whether it is.
+    pub(crate) async fn wait_durable(&self, version: u64, timeout: f64) -> bool {
+        let is_durable = || self.durable_version.load(Ordering::Acquire) >= version;
+        let wait = async {
+            loop {
+                let became_durable = self.version_became_durable.listen();
+                if is_durable() {
+                    return;
+                }
+                became_durable.await;
+            }
+        };
+        if is_durable() {
+            return true;
+        }
+        tidespur_net::clock::timeout(timeout, wait).await.is_some()
+    }
+}
--- a/crates/edge/tests/compatibility.rs
+++ b/crates/edge/tests/compatibility.rs
@@ -7,7 +7,7 @@
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
-use tidespur_edge::keep::{self, Returned};
+use tidespur_edge::restore::{RestoredState, reserved_version};
 use tidespur_fixtures::{StoredFolder, assert_lines, assert_stored, fixture_path};
 use tidespur_persistence::{Batch, Identity, LoadedRecords};
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
@@ -45,26 +45,26 @@
     }
 
     /// Loads what an earlier process left, as the program does.
-    fn load(recalled: &LoadedRecords) -> (Self, Returned) {
-        let version = keep::version(recalled).unwrap();
+    fn load(records: &LoadedRecords) -> (Self, RestoredState) {
+        let version = reserved_version(records).unwrap();
         let mut edge = Self::new();
         edge.store = Store::new(Limits::default(), 7, version);
-        let returned = edge
+        let restored = edge
             .core
-            .recall(edge.now, recalled, &mut edge.store)
+            .restore(edge.now, records, &mut edge.store)
             .unwrap();
         edge.store.track_writes();
-        (edge, returned)
+        (edge, restored)
     }
 
     fn step(&mut self, inputs: Vec<Input>) -> Vec<ToPlanner> {
         self.now += STEP;
         let mut sent = Vec::new();
         self.core.step(self.now, inputs, &mut self.store, &mut sent);
-        let (batch, problems) = self.core.remember(&mut self.store);
-        assert!(problems.is_empty(), "{problems:?}");
-        self.batch.extend(batch);
-        sent.into_iter().map(|(_, message)| message).collect()
+        let writes = self.core.take_writes(&mut self.store);
+        assert!(writes.errors.is_empty(), "{:?}", writes.errors);
+        self.batch.extend(writes.batch);
+        sent.into_iter().map(|sent| sent.message).collect()
     }
 
     fn create_job(&mut self, name: &str, class: &str) {
@@ -93,9 +93,9 @@
 impl Planner {
     fn answers(&mut self, message: ToPlanner) -> Vec<ToEdge> {
         match message {
-            ToPlanner::Place(ask) => {
-                self.names.insert(ask.uid.clone(), ask.name);
-                vec![ToEdge::Acknowledged { uid: ask.uid }]
+            ToPlanner::Place(request) => {
+                self.names.insert(request.uid.clone(), request.name);
+                vec![ToEdge::Acknowledged { uid: request.uid }]
             }
             ToPlanner::Commit { uid, .. } => self.outcome(uid),
             _ => vec![],
@@ -152,18 +152,23 @@
         .iter()
         .for_each(|name| edge.create_pod(name));
     let mut planner = Planner::default();
-    let mut inputs = vec![Input::PlannerUp(PLANNER)];
+    let mut inputs = vec![Input::PlannerConnected(PLANNER)];
     for _ in 0..ANSWERED_STEPS {
         let sent = edge.step(inputs);
         let answers = sent
             .into_iter()
             .flat_map(|message| planner.answers(message));
-        inputs = answers.map(|answer| Input::Said(PLANNER, answer)).collect();
+        inputs = answers
+            .map(|answer| Input::MessageReceived {
+                planner: PLANNER,
+                message: answer,
+            })
+            .collect();
     }
     edge.step(inputs);
     edge.create_pod("unanswered");
     for _ in 0..UNANSWERED_STEPS {
-        edge.step(vec![Input::Kick]);
+        edge.step(vec![Input::StoreChanged]);
     }
     edge
 }
@@ -207,7 +212,7 @@
 fn objects_are_whole_when_loaded_from_an_earlier_versions_folder() {
     let stored = stored_edge();
 
-    let (edge, returned) = Edge::load(&stored.loaded);
+    let (edge, restored) = Edge::load(&stored.loaded);
 
     let mut loaded: BTreeMap<String, Object> = BTreeMap::new();
     for resource in [NAMESPACES, JOBS, PODS] {
@@ -235,15 +240,18 @@
         expected.len()
     );
     assert_eq!(
-        returned,
-        Returned {
+        restored,
+        RestoredState {
             objects: 12,
             placed: 2,
-            waiting: 2,
-            cut: 1
+            queued: 2,
+            interrupted: 1
         }
     );
-    assert_eq!(keep::version(&stored.loaded).unwrap(), edge.store.version());
+    assert_eq!(
+        reserved_version(&stored.loaded).unwrap(),
+        edge.store.version()
+    );
 }
 
 /// Open requests, slots and strays can't be read from outside: what is sent for them shows that each came back.
@@ -253,7 +261,7 @@
     let (mut edge, _) = Edge::load(&stored.loaded);
 
     let mut lines = Vec::new();
-    let mut inputs = vec![Input::PlannerUp(PLANNER)];
+    let mut inputs = vec![Input::PlannerConnected(PLANNER)];
     for step in 0..300 {
         for (number, message) in edge
             .step(std::mem::take(&mut inputs))
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -1,4 +1,4 @@
-//! The edge's core over its store: nothing that was written is missed, however short the history.
+//! The edge's core over its store: no write is missed, however short the history.
 
 use serde_json::{Value, json};
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
@@ -22,9 +22,9 @@
             ..Limits::default()
         };
         let mut store = Store::new(limits, 1, 1000);
-        let space =
+        let namespace =
             json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
-        store.create(NAMESPACES, space, 0.0).unwrap();
+        store.create(NAMESPACES, namespace, 0.0).unwrap();
         Self {
             core: Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1),
             store,
@@ -32,12 +32,12 @@
     }
 
     fn step(&mut self, now: f64, inputs: Vec<Input>) -> Vec<ToPlanner> {
-        let mut out = Vec::new();
-        self.core.step(now, inputs, &mut self.store, &mut out);
-        out.into_iter().map(|(_, message)| message).collect()
+        let mut messages = Vec::new();
+        self.core.step(now, inputs, &mut self.store, &mut messages);
+        messages.into_iter().map(|sent| sent.message).collect()
     }
 
-    fn make(&mut self, name: &str) -> std::sync::Arc<Object> {
+    fn create_pod(&mut self, name: &str) -> std::sync::Arc<Object> {
         let pod = json!({"metadata": {"name": name, "namespace": "default"},
             "spec": {"containers": [{"name": "m"}]}, "status": {"phase": "Pending"}});
         self.store.create(PODS, pod, 0.0).unwrap()
@@ -48,22 +48,23 @@
     }
 }
 
-fn asked(out: &[ToPlanner]) -> usize {
-    out.iter()
-        .filter(|m| matches!(m, ToPlanner::Place(_)))
+fn placements(messages: &[ToPlanner]) -> usize {
+    messages
+        .iter()
+        .filter(|message| matches!(message, ToPlanner::Place(_)))
         .count()
 }
 
 #[test]
 fn pods_written_faster_than_the_history_holds_are_all_submitted() {
     let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerUp(1)]);
+    world.step(0.0, vec![Input::PlannerConnected(1)]);
     for i in 0..40 {
-        world.make(&format!("p{i}"));
+        world.create_pod(&format!("p{i}"));
     }
-    let out = world.step(0.1, vec![Input::Kick]);
-    assert_eq!(world.core.behind(), 1, "the gap was provoked");
-    assert_eq!(asked(&out), 40);
+    let messages = world.step(0.1, vec![Input::StoreChanged]);
+    assert_eq!(world.core.resync_count(), 1, "the gap was provoked");
+    assert_eq!(placements(&messages), 40);
     // Those that nobody answers are answered at their deadline all the same.
     world.step(60.0, vec![Input::PlannerLost(1)]);
     for i in 0..40 {
@@ -77,9 +78,9 @@
 #[test]
 fn a_pod_deleted_within_a_gap_is_withdrawn_and_one_of_its_name_is_a_new_request() {
     let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerUp(1)]);
-    let (gone, again) = (world.make("gone"), world.make("again"));
-    world.step(0.1, vec![Input::Kick]);
+    world.step(0.0, vec![Input::PlannerConnected(1)]);
+    let (gone, again) = (world.create_pod("gone"), world.create_pod("again"));
+    world.step(0.1, vec![Input::StoreChanged]);
     for name in ["gone", "again"] {
         world
             .store
@@ -87,21 +88,21 @@
             .unwrap();
     }
     for i in 0..20 {
-        world.make(&format!("p{i}"));
+        world.create_pod(&format!("p{i}"));
     }
-    let second = world.make("again");
-    let out = world.step(0.2, vec![Input::Kick]);
+    let second = world.create_pod("again");
+    let messages = world.step(0.2, vec![Input::StoreChanged]);
     for pod in [&gone, &again] {
-        let stop = ToPlanner::Cancel {
+        let cancel = ToPlanner::Cancel {
             uid: meta::uid(pod).to_owned(),
         };
-        assert!(out.contains(&stop), "{out:?}");
+        assert!(messages.contains(&cancel), "{messages:?}");
     }
-    let placed: Vec<&str> = out
+    let placed: Vec<&str> = messages
         .iter()
         .filter_map(|m| {
-            if let ToPlanner::Place(ask) = m {
-                Some(ask.uid.as_str())
+            if let ToPlanner::Place(request) = m {
+                Some(request.uid.as_str())
             } else {
                 None
             }
@@ -121,7 +122,7 @@
             "template": {"spec": {"restartPolicy": "Never", "containers": [{"name": "m"}]}}}, "status": {}})
     };
     world.store.create(JOBS, job("j"), 0.0).unwrap();
-    world.step(0.1, vec![Input::Kick]);
+    world.step(0.1, vec![Input::StoreChanged]);
     assert_eq!(world.store.count(PODS), 2);
     world
         .store
@@ -133,8 +134,8 @@
             .create(JOBS, job(&format!("k{i}")), 0.0)
             .unwrap();
     }
-    world.step(0.2, vec![Input::Kick]);
-    assert!(world.core.behind() > 0);
+    world.step(0.2, vec![Input::StoreChanged]);
+    assert!(world.core.resync_count() > 0);
     assert_eq!(
         world.store.count(PODS),
         40,
@@ -143,57 +144,48 @@
 }
 
 #[test]
-fn a_task_on_its_way_has_no_reason_one_that_lies_has_and_one_that_is_taken_has_it_no_more() {
+fn a_task_has_a_reason_while_its_planner_does_not_acknowledge_it_and_none_before_and_after() {
     let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerUp(1)]);
-    let pod = world.make("p");
-    let ledger = world.core.ledger();
-    let codes = || {
-        ledger
-            .lock()
-            .unwrap()
-            .find("default", "p")
-            .unwrap()
-            .codes
-            .clone()
-    };
+    world.step(0.0, vec![Input::PlannerConnected(1)]);
+    let pod = world.create_pod("p");
+    let records = world.core.pending_records();
+    let codes = || records.lock().find("default", "p").unwrap().codes.clone();
     let mut now = 0.0;
     while now < 0.45 {
         now += 0.05;
-        world.step(now, vec![Input::Kick]);
-        assert_eq!(codes(), [], "at {now}: it was asked just now");
+        world.step(now, vec![Input::StoreChanged]);
+        assert_eq!(codes(), [], "at {now}: it was offered just now");
     }
     while codes().is_empty() {
         now += 0.05;
         world.step(now, vec![]);
-        assert!(now < 1.5, "silence is not told");
+        assert!(now < 1.5, "the silence of the planner is not reported");
     }
     assert_eq!(codes(), [ReasonCode::PlannersSilent]);
-    // The planner speaks, is asked again and takes it.
-    let taken = Input::Said(
-        1,
-        ToEdge::Acknowledged {
+    // The planner sends a message, is offered the task again and acknowledges it.
+    let acknowledged = Input::MessageReceived {
+        planner: 1,
+        message: ToEdge::Acknowledged {
             uid: meta::uid(&pod).to_owned(),
         },
-    );
-    let out = world.step(now, vec![taken.clone()]);
-    let out = if out.iter().any(|m| matches!(m, ToPlanner::Commit { .. })) {
-        out
+    };
+    let messages = world.step(now, vec![acknowledged.clone()]);
+    let messages = if messages
+        .iter()
+        .any(|m| matches!(m, ToPlanner::Commit { .. }))
+    {
+        messages
     } else {
-        world.step(now, vec![taken])
+        world.step(now, vec![acknowledged])
     };
     assert!(
-        out.iter().any(|m| matches!(m, ToPlanner::Commit { .. })),
-        "{out:?}"
+        messages
+            .iter()
+            .any(|m| matches!(m, ToPlanner::Commit { .. })),
+        "{messages:?}"
     );
     assert_eq!(codes(), []);
-    let spans = ledger
-        .lock()
-        .unwrap()
-        .find("default", "p")
-        .unwrap()
-        .spans
-        .clone();
+    let spans = records.lock().find("default", "p").unwrap().spans.clone();
     assert!(
         spans.len() == 1 && spans[0].is_over,
         "the history keeps it: {spans:?}"
--- a/crates/edge/tests/recall.rs
+++ b/crates/edge/tests/restore.rs
@@ -7,7 +7,7 @@
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
-use tidespur_edge::keep;
+use tidespur_edge::restore::reserved_version;
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
@@ -42,10 +42,10 @@
 impl World {
     fn new(now: f64, back: &LoadedRecords) -> Self {
         let config = parse("built-in", DEFAULT_CONFIG).unwrap();
-        let version = keep::version(back).unwrap().max(1_000);
+        let version = reserved_version(back).unwrap().max(1_000);
         let mut store = Store::new(limits(), 7 ^ back.generation, version);
         let mut core = Core::new(config, 3 ^ back.generation);
-        core.recall(now, back, &mut store).unwrap();
+        core.restore(now, back, &mut store).unwrap();
         store.track_writes();
         let space = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
         drop(store.create(NAMESPACES, space, now));
@@ -62,10 +62,10 @@
     fn step(&mut self, inputs: Vec<Input>) -> Vec<ToPlanner> {
         let mut out = Vec::new();
         self.core.step(self.now, inputs, &mut self.store, &mut out);
-        let (batch, problems) = self.core.remember(&mut self.store);
-        assert!(problems.is_empty());
-        let said: Vec<ToPlanner> = out.into_iter().map(|(_, message)| message).collect();
-        self.batches.push((batch, said.clone()));
+        let writes = self.core.take_writes(&mut self.store);
+        assert!(writes.errors.is_empty());
+        let said: Vec<ToPlanner> = out.into_iter().map(|sent| sent.message).collect();
+        self.batches.push((writes.batch, said.clone()));
         said
     }
 
@@ -96,23 +96,22 @@
                         uid: ask.uid.clone(),
                         node,
                     });
-                    match runs {
-                        true => ToEdge::Started { uid: ask.uid },
-                        false => ToEdge::Ended {
+                    if runs {
+                        ToEdge::Started { uid: ask.uid }
+                    } else {
+                        ToEdge::Ended {
                             uid: ask.uid,
                             reason: TerminationReason::NodeLost,
-                        },
+                        }
                     }
                 }
                 ToPlanner::Locate { uid, .. } => {
-                    let found = match truth.running.contains_key(&uid) {
-                        true => Location::At("node-0".into()),
-                        false => Location::NotFound,
+                    let location = if truth.running.contains_key(&uid) {
+                        Location::At("node-0".into())
+                    } else {
+                        Location::NotFound
                     };
-                    ToEdge::Located {
-                        uid,
-                        location: found,
-                    }
+                    ToEdge::Located { uid, location }
                 }
                 ToPlanner::Cancel { uid } => {
                     truth.running.remove(&uid);
@@ -133,7 +132,10 @@
             let inputs = self
                 .pending
                 .drain(..)
-                .map(|message| Input::Said(1, message))
+                .map(|message| Input::MessageReceived {
+                    planner: 1,
+                    message,
+                })
                 .collect();
             let said = self.step(inputs);
             self.hears(said, truth);
@@ -159,7 +161,7 @@
 fn day() -> (World, Vec<Truth>) {
     let (mut world, mut truth) = (World::new(1e9, &LoadedRecords::default()), Truth::default());
     let mut truths = Vec::new();
-    world.step(vec![Input::PlannerUp(1)]);
+    world.step(vec![Input::PlannerConnected(1)]);
     truths.push(truth.clone());
     for i in 0..14 {
         if i == 2 || i == 4 {
@@ -224,7 +226,7 @@
     };
     let before = placed(&world);
     world.run(3, &mut truth);
-    world.step(vec![Input::PlannerUp(1)]);
+    world.step(vec![Input::PlannerConnected(1)]);
     let said = world.batches.last().unwrap().1.clone();
     world.hears(said, &mut truth);
     world.run(300, &mut truth);
@@ -313,7 +315,7 @@
     let mut store = Store::new(limits(), 1, 1);
     let mut core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1);
     let problem = core
-        .recall(0.0, &spoilt, &mut store)
+        .restore(0.0, &spoilt, &mut store)
         .unwrap_err()
         .to_string();
     assert!(
--- a/crates/edge/tests/status_reasons.rs
+++ b/crates/edge/tests/status_reasons.rs
@@ -33,7 +33,7 @@
             store,
             now: 0.0,
         };
-        edge.step(vec![Input::PlannerUp(PLANNER)]);
+        edge.step(vec![Input::PlannerConnected(PLANNER)]);
         edge
     }
 
@@ -44,7 +44,10 @@
     }
 
     fn says(&mut self, message: ToEdge) {
-        self.step(vec![Input::Said(PLANNER, message)]);
+        self.step(vec![Input::MessageReceived {
+            planner: PLANNER,
+            message,
+        }]);
     }
 
     /// The only Pod, as it is now.
@@ -56,7 +59,7 @@
         let pod = json!({"metadata": {"name": "p", "namespace": "default"},
             "spec": {"containers": [{"name": "m"}]}, "status": {"phase": "Pending"}});
         self.store.create(PODS, pod, self.now).unwrap();
-        self.step(vec![Input::Kick]);
+        self.step(vec![Input::StoreChanged]);
     }
 
     /// Creates a Job of one Pod with more in its `spec`.
@@ -71,7 +74,7 @@
             .unwrap()
             .extend(spec.as_object().unwrap().clone());
         self.store.create(JOBS, job, self.now).unwrap();
-        self.step(vec![Input::Kick]);
+        self.step(vec![Input::StoreChanged]);
     }
 
     fn job(&self) -> Object {
@@ -213,7 +216,7 @@
         json!({"activeDeadlineSeconds": 1}),
         &|edge| {
             edge.now += 5.0;
-            edge.step(vec![Input::Kick]);
+            edge.step(vec![Input::StoreChanged]);
         },
     );
     add("pauses", json!({}), &|edge| {
@@ -238,7 +241,7 @@
         edge.store
             .update(JOBS, job, &Precondition::default())
             .unwrap();
-        edge.step(vec![Input::Kick]);
+        edge.step(vec![Input::StoreChanged]);
     });
     fixture::check(PACKAGE, "job_status.txt", lines, Additions::Rejected);
 }
--- a/crates/job-controller/src/job.rs
+++ b/crates/job-controller/src/job.rs
@@ -1,50 +1,24 @@
-//! One Job: its slots, its counts, its end.
+//! One Job: its slots, its counters and its phase. Called by the controller with each event of the Job or its Pods.
 
-use crate::Kept;
-use crate::slot::{Slot, State, Verdict};
-use crate::{Action, JobView, PodEnd, PodPhase, PodView, Settings};
-use rand::Rng;
+use crate::persistence::PersistedSlot;
+use crate::slot::{Slot, SlotOutcome, SlotState};
+use crate::{Action, JobView, PodOutcome, PodPhase, PodView, Settings};
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_planner_protocol::Location;
 
-mod shape;
+mod reconcile;
+mod status;
 
-/// How a Job stands as a whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// At work, or waiting.
-    Open,
-    /// Suspended.
-    Suspended,
-    /// All is done.
-    Complete,
-    /// More runs failed than allowed.
-    BackoffLimitExceeded,
-    /// Its time is over.
-    DeadlineExceeded,
-}
+pub use status::{JobPhase, JobStatus};
 
-/// A Job's status.
-#[derive(Clone, Debug, PartialEq)]
-pub struct JobStatus {
-    /// Pods that wait or run.
-    pub active: u32,
-    /// Pods that run.
-    pub ready: u32,
-    /// Good ends.
-    pub succeeded: u32,
-    /// Failed runs.
-    pub failed: u32,
-    /// Pods that will be asked for again after a pause.
-    pub backing_off: u32,
-    /// Pods that may run though they were answered as unknown: it is being found out.
-    pub settling: u32,
-    /// As a whole.
-    pub phase: Phase,
-    /// When it began.
-    pub started: f64,
-    /// When it ended.
-    pub ended: Option<f64>,
+/// What the handling of one event needs beside the Job itself.
+pub(crate) struct Context<'a> {
+    pub(crate) now: f64,
+    pub(crate) settings: &'a Settings,
+    pub(crate) rng: &'a mut rand_pcg::Pcg32,
+    /// Uid of the Job, by uid of each Pod that occupies a slot.
+    pub(crate) job_of_pod: &'a mut BTreeMap<String, String>,
+    pub(crate) actions: &'a mut Vec<Action>,
 }
 
 #[derive(Debug)]
@@ -54,21 +28,18 @@
     pub(crate) next_slot: u32,
     pub(crate) succeeded: u32,
     pub(crate) failed: u32,
-    pub(crate) phase: Phase,
+    pub(crate) phase: JobPhase,
     started: f64,
     pub(crate) ended: Option<f64>,
-    told: Option<JobStatus>,
-    /// Pods that ended without a run, oldest first; only the last few are kept as objects.
-    pub(crate) leftovers: VecDeque<PodView>,
-    deleted: bool,
-    /// What is kept of slots, and the number below which slots were given out there.
-    pub(crate) kept: BTreeMap<u32, Kept>,
-    pub(crate) kept_next: u32,
+    published_status: Option<JobStatus>,
+    /// Pods that ended without success, oldest first; only the last few are kept as objects.
+    pub(crate) unsuccessful_pods: VecDeque<PodView>,
+    is_deletion_requested: bool,
+    /// What is persisted of slots, and the number below which slots were allocated there.
+    pub(crate) persisted_slots: BTreeMap<u32, PersistedSlot>,
+    pub(crate) persisted_next_slot: u32,
 }
 
-/// Pods that ended without a good end are kept as objects, so many of a Job.
-const LEFTOVERS_MOST: usize = 10;
-
 impl Job {
     pub(crate) fn new(view: JobView, now: f64) -> Self {
         Self {
@@ -77,205 +48,193 @@
             next_slot: 0,
             succeeded: 0,
             failed: 0,
-            phase: Phase::Open,
+            phase: JobPhase::Active,
             started: now,
             ended: None,
-            told: None,
-            leftovers: VecDeque::new(),
-            deleted: false,
-            kept: BTreeMap::new(),
-            kept_next: 0,
+            published_status: None,
+            unsuccessful_pods: VecDeque::new(),
+            is_deletion_requested: false,
+            persisted_slots: BTreeMap::new(),
+            persisted_next_slot: 0,
         }
     }
 
-    pub(crate) fn changed(&mut self, view: JobView) {
+    pub(crate) fn on_updated(&mut self, view: JobView) {
         self.view = view;
     }
 
-    fn guarded(&self, set: &Settings) -> bool {
+    fn is_idempotent(&self, settings: &Settings) -> bool {
         let class = if self.view.class.is_empty() {
-            &set.default_class
+            &settings.default_class
         } else {
             &self.view.class
         };
-        set.guarded.contains(class)
+        !settings.non_idempotent_classes.contains(class)
     }
 
-    fn slot_of(&self, uid: &str) -> Option<u32> {
-        let of = |slot: &Slot| slot.pod().is_some_and(|pod| pod.uid == uid);
+    fn slot_of_pod(&self, uid: &str) -> Option<u32> {
         self.slots
             .iter()
-            .find(|(_, slot)| of(slot))
+            .find(|(_, slot)| slot.pod().is_some_and(|pod| pod.uid == uid))
             .map(|(number, _)| *number)
     }
 
-    pub(crate) fn created(&mut self, number: u32, pod: &PodView) {
+    pub(crate) fn on_pod_created(&mut self, number: u32, pod: &PodView) {
         if let Some(slot) = self.slots.get_mut(&number) {
-            slot.state = State::Active { pod: pod.clone() };
+            slot.state = SlotState::Active { pod: pod.clone() };
         }
     }
 
-    pub(crate) fn not_created(
-        &mut self,
-        now: f64,
-        number: u32,
-        set: &Settings,
-        rng: &mut impl Rng,
-    ) {
-        if let Some(slot) = self.slots.get_mut(&number) {
-            let at = now + set.pauses.draw(slot.troubles, rng);
-            slot.troubles += 1;
-            slot.state = State::Idle {
-                at,
-                returned: slot.troubles > 1,
-                adopt: None,
-            };
-        }
+    pub(crate) fn on_pod_creation_failed(&mut self, number: u32, context: &mut Context<'_>) {
+        let Some(slot) = self.slots.get_mut(&number) else {
+            return;
+        };
+        let backoff = &context.settings.backoff;
+        let at = context.now + backoff.after_failures(slot.failures, context.rng);
+        slot.failures += 1;
+        slot.state = SlotState::Idle {
+            at,
+            is_retry: slot.failures > 1,
+            adoption: None,
+        };
     }
 
-    pub(crate) fn pod(
-        &mut self,
-        now: f64,
-        pod: &PodView,
-        set: &Settings,
-        rng: &mut impl Rng,
-        pods: &mut BTreeMap<String, String>,
-        out: &mut Vec<Action>,
-    ) {
-        let guarded = self.guarded(set);
-        let Some(number) = self.slot_of(&pod.uid) else {
+    pub(crate) fn on_pod_updated(&mut self, pod: &PodView, context: &mut Context<'_>) {
+        let is_idempotent = self.is_idempotent(context.settings);
+        let Some(number) = self.slot_of_pod(&pod.uid) else {
             return;
         };
         let Some(slot) = self.slots.get_mut(&number) else {
             return;
         };
-        if !matches!(slot.state, State::Active { .. }) {
+        if !matches!(slot.state, SlotState::Active { .. }) {
             return;
         }
         match pod.phase {
             PodPhase::Ended(end) => {
-                let verdict = slot.ended(now, pod, end, guarded, set, rng);
-                if end == PodEnd::Unknown && !guarded {
-                    // A second run does no harm, but what nobody waits for must not hold room.
-                    out.push(Action::Reap {
-                        uid: pod.uid.clone(),
-                    });
+                let outcome = slot.on_pod_ended(
+                    context.now,
+                    pod,
+                    end,
+                    is_idempotent,
+                    context.settings,
+                    context.rng,
+                );
+                if end == PodOutcome::Unknown && is_idempotent {
+                    // A second run is harmless, but a Pod that nobody waits for must not occupy capacity.
+                    let uid = pod.uid.clone();
+                    context.actions.push(Action::StopPod { uid });
                 }
-                if end != PodEnd::Succeeded {
-                    self.leftovers.push_back(pod.clone());
+                if end != PodOutcome::Succeeded {
+                    self.unsuccessful_pods.push_back(pod.clone());
                 }
-                self.settle(number, verdict, &pod.uid, pods);
+                self.apply_outcome(number, outcome, &pod.uid, context);
             }
             PodPhase::Running => {
-                slot.troubles = 0;
-                slot.state = State::Active { pod: pod.clone() };
+                slot.failures = 0;
+                slot.state = SlotState::Active { pod: pod.clone() };
+            }
+            PodPhase::Pending | PodPhase::Placed => {
+                slot.state = SlotState::Active { pod: pod.clone() };
             }
-            _ => slot.state = State::Active { pod: pod.clone() },
         }
     }
 
-    #[allow(
-        clippy::too_many_arguments,
-        reason = "one call site; the pieces are borrowed from one owner"
-    )]
-    pub(crate) fn located(
+    pub(crate) fn on_pod_located(
         &mut self,
-        now: f64,
         uid: &str,
-        found: Location,
-        set: &Settings,
-        rng: &mut impl Rng,
-        pods: &mut BTreeMap<String, String>,
-        out: &mut Vec<Action>,
+        location: Location,
+        context: &mut Context<'_>,
     ) {
-        let Some(number) = self.slot_of(uid) else {
+        let Some(number) = self.slot_of_pod(uid) else {
             return;
         };
         let Some(slot) = self.slots.get_mut(&number) else {
             return;
         };
-        let unwanted = matches!(slot.state, State::Settling { unwanted: true, .. });
-        let over = self.ended.is_some();
-        if (over || unwanted) && matches!(found, Location::At(_)) {
-            // The Job is over or the Pod was deleted: what still runs is not wanted.
-            out.push(Action::Reap {
-                uid: uid.to_owned(),
-            });
-            if over {
-                self.settle(number, Verdict::Done, uid, pods);
+        let is_unwanted = matches!(
+            slot.state,
+            SlotState::OutcomeUnknown {
+                is_unwanted: true,
+                ..
+            }
+        );
+        let has_ended = self.ended.is_some();
+        let (now, settings) = (context.now, context.settings);
+        if (has_ended || is_unwanted) && matches!(location, Location::At(_)) {
+            let uid_to_stop = uid.to_owned();
+            context.actions.push(Action::StopPod { uid: uid_to_stop });
+            if has_ended {
+                self.apply_outcome(number, SlotOutcome::Done, uid, context);
             } else {
-                slot.found(now, Location::Unknown, set, rng);
+                // Queried again until the node confirms that it is gone; the slot stays unresolved until then.
+                slot.on_located(now, Location::Unknown, settings, context.rng);
             }
             return;
         }
-        let verdict = slot.found(now, found, set, rng);
-        self.settle(number, verdict, uid, pods);
+        let outcome = slot.on_located(now, location, settings, context.rng);
+        self.apply_outcome(number, outcome, uid, context);
     }
 
-    fn settle(
+    fn apply_outcome(
         &mut self,
         number: u32,
-        verdict: Verdict,
-        uid: &str,
-        pods: &mut BTreeMap<String, String>,
+        outcome: SlotOutcome,
+        pod_uid: &str,
+        context: &mut Context<'_>,
     ) {
-        match verdict {
-            Verdict::Open => return,
-            Verdict::Done => {
+        match outcome {
+            SlotOutcome::Unresolved => return,
+            SlotOutcome::Done => {
                 self.slots.remove(&number);
                 if self.ended.is_none() {
                     self.succeeded += 1;
                 }
             }
-            Verdict::RunFailed => self.failed += 1,
-            Verdict::Again => {}
+            SlotOutcome::RunFailed => self.failed += 1,
+            SlotOutcome::Retry => {}
         }
-        pods.remove(uid);
+        context.job_of_pod.remove(pod_uid);
     }
 
-    /// Somebody deleted the Pod. What runs of it is being stopped by that; of a guarded class a new one is made
-    /// only once no node holds the old one any more. True where the Pod is still to be heard of.
-    pub(crate) fn pod_gone(&mut self, now: f64, pod: &PodView, set: &Settings) -> bool {
-        let guarded = self.guarded(set);
-        let Some(number) = self.slot_of(&pod.uid) else {
+    /// Somebody deleted the Pod, which stops what runs of it. Of a class that is not idempotent the slot gets a new Pod
+    /// only once no node runs the old one any more. Returns whether the Pod still occupies its slot.
+    pub(crate) fn on_pod_deleted(&mut self, now: f64, pod: &PodView, settings: &Settings) -> bool {
+        let is_idempotent = self.is_idempotent(settings);
+        let Some(number) = self.slot_of_pod(&pod.uid) else {
             return false;
         };
         let Some(slot) = self.slots.get_mut(&number) else {
             return false;
         };
         match &slot.state {
-            State::Settling { .. } => return true,
-            State::Active { pod } if guarded && !matches!(pod.phase, PodPhase::Ended(_)) => {
-                let (pod, ask_at) = (pod.clone(), now + set.settle);
-                slot.state = State::Settling {
-                    pod,
-                    ask_at,
-                    asked: false,
-                    unclear: 0,
-                    unwanted: true,
-                };
-                return true;
+            SlotState::OutcomeUnknown { .. } => true,
+            SlotState::Active { pod }
+                if !is_idempotent && !matches!(pod.phase, PodPhase::Ended(_)) =>
+            {
+                let query_at = now + settings.outcome_query_delay;
+                slot.state = SlotState::outcome_unknown(pod.clone(), query_at, true);
+                true
             }
             _ => {
-                slot.state = State::Idle {
-                    at: now,
-                    returned: true,
-                    adopt: None,
-                }
+                slot.state = SlotState::retry_at(now);
+                false
             }
         }
-        false
     }
 
-    /// The Job was deleted, its Pods with it. What may run unknown to the store is handed to `stray`.
-    pub(crate) fn gone(self, pods: &mut BTreeMap<String, String>, stray: &mut dyn FnMut(String)) {
+    /// The Job was deleted, and its Pods with it. Returns the uids of Pods that may still run though the store does not
+    /// know them any more.
+    pub(crate) fn on_deleted(self, job_of_pod: &mut BTreeMap<String, String>) -> Vec<String> {
+        let mut strays = Vec::new();
         for slot in self.slots.into_values() {
             if let Some(pod) = slot.pod() {
-                pods.remove(&pod.uid);
+                job_of_pod.remove(&pod.uid);
             }
-            if let State::Settling { pod, .. } = slot.state {
-                stray(pod.uid);
+            if let SlotState::OutcomeUnknown { pod, .. } = slot.state {
+                strays.push(pod.uid);
             }
         }
+        strays
     }
 }
--- a/crates/job-controller/src/slot.rs
+++ b/crates/job-controller/src/slot.rs
@@ -1,204 +1,213 @@
-//! One Pod's worth of work, and at most one Pod that may run for it.
+//! The state machine of one slot: one Pod's worth of work, for which at most one Pod may run at any time.
 
-use crate::{PodEnd, PodPhase, PodView, Settings};
+use crate::{PodOutcome, PodPhase, PodView, Settings};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use tidespur_planner_protocol::{Location, TerminationReason};
 
-/// Names a slot.
+/// Identifies a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotId {
     /// Uid of the Job.
     pub job: String,
-    /// Number in the Job.
+    /// Number within the Job.
     pub number: u32,
 }
 
-/// What runs already at a node and is to be taken over.
+/// A process that runs at a node already and is taken over by a new Pod.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Adopt {
-    /// The node.
+pub struct Adoption {
+    /// Name of the node.
     pub node: String,
-    /// What it is called there.
+    /// Name of the Pod at that node.
     pub name: String,
 }
 
-/// How far a slot is.
+/// State of a slot.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum State {
-    /// A Pod is due at this time.
+pub(crate) enum SlotState {
+    /// A Pod is to be created at this time.
     Idle {
         at: f64,
-        returned: bool,
-        adopt: Option<Adopt>,
+        is_retry: bool,
+        adoption: Option<Adoption>,
     },
-    /// A Pod is being made.
-    Making,
-    /// This Pod stands for it.
+    /// The creation of a Pod was asked for.
+    Creating,
+    /// This Pod waits, runs or is about to.
     Active { pod: PodView },
-    /// This Pod may run though it was answered as unknown or lost; nothing may be sent before that is settled.
-    Settling {
+    /// This Pod may still run, though it was reported as unknown or lost; no other may be created until that is known.
+    OutcomeUnknown {
         pod: PodView,
-        ask_at: f64,
-        asked: bool,
-        unclear: u32,
-        unwanted: bool,
+        query_at: f64,
+        is_query_sent: bool,
+        unknown_answers: u32,
+        is_unwanted: bool,
     },
 }
 
+impl SlotState {
+    pub(crate) fn retry_at(at: f64) -> Self {
+        Self::Idle {
+            at,
+            is_retry: true,
+            adoption: None,
+        }
+    }
+
+    pub(crate) fn outcome_unknown(pod: PodView, query_at: f64, is_unwanted: bool) -> Self {
+        Self::OutcomeUnknown {
+            pod,
+            query_at,
+            is_query_sent: false,
+            unknown_answers: 0,
+            is_unwanted,
+        }
+    }
+}
+
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
-    pub(crate) state: State,
-    /// Troubles in a row.
-    pub(crate) troubles: u32,
+    pub(crate) state: SlotState,
+    /// Failures in a row.
+    pub(crate) failures: u32,
 }
 
-/// What the end of a slot's Pod comes to.
+/// What the end of a Pod means for its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// The slot's work is done.
+pub(crate) enum SlotOutcome {
+    /// The work of the slot is done.
     Done,
-    /// Its program failed: that counts against the Job, and it is tried again.
+    /// The program failed: this counts against the Job, and the slot is retried.
     RunFailed,
-    /// It is asked for again.
-    Again,
-    /// Not settled yet.
-    Open,
+    /// The slot is retried.
+    Retry,
+    /// It is not known yet whether the Pod runs.
+    Unresolved,
 }
 
-/// The longest pause between two questions about a Pod that stays unclear.
-const UNCLEAR_MOST: f64 = 30.0;
+/// Upper bound of the delay between two queries about a Pod whose outcome stays unknown, in seconds.
+const MAX_OUTCOME_QUERY_DELAY: f64 = 30.0;
+/// Lower bound of the step by which that delay grows, in seconds.
+const MIN_OUTCOME_QUERY_DELAY: f64 = 0.1;
 
 impl Slot {
     pub(crate) fn new(now: f64) -> Self {
         Self {
-            state: State::Idle {
+            state: SlotState::Idle {
                 at: now,
-                returned: false,
-                adopt: None,
+                is_retry: false,
+                adoption: None,
             },
-            troubles: 0,
+            failures: 0,
         }
     }
 
-    /// The Pod that stands for it.
+    /// The Pod that occupies the slot.
     pub(crate) fn pod(&self) -> Option<&PodView> {
         match &self.state {
-            State::Active { pod } | State::Settling { pod, .. } => Some(pod),
-            _ => None,
+            SlotState::Active { pod } | SlotState::OutcomeUnknown { pod, .. } => Some(pod),
+            SlotState::Idle { .. } | SlotState::Creating => None,
         }
     }
 
-    /// The slot's Pod came to an end. Of guarded classes one that may run is settled first; the same wait follows
-    /// the loss of a node, as one that is only cut off runs on.
-    pub(crate) fn ended(
+    /// The slot's Pod has ended. Of a class that is not idempotent, a Pod that may still run is located first; so is one
+    /// whose node was lost, since a node that is only partitioned keeps running it.
+    pub(crate) fn on_pod_ended(
         &mut self,
         now: f64,
         pod: &PodView,
-        end: PodEnd,
-        guarded: bool,
-        set: &Settings,
+        end: PodOutcome,
+        is_idempotent: bool,
+        settings: &Settings,
         rng: &mut impl Rng,
-    ) -> Verdict {
-        let pause = match end {
-            PodEnd::Succeeded => return Verdict::Done,
-            PodEnd::Unknown | PodEnd::Lost if guarded => {
-                let (pod, ask_at) = (pod.clone(), now + set.settle);
-                self.state = State::Settling {
-                    pod,
-                    ask_at,
-                    asked: false,
-                    unclear: 0,
-                    unwanted: false,
-                };
-                return Verdict::Open;
+    ) -> SlotOutcome {
+        let backoff = match end {
+            PodOutcome::Succeeded => return SlotOutcome::Done,
+            PodOutcome::Unknown | PodOutcome::NodeLost if !is_idempotent => {
+                let query_at = now + settings.outcome_query_delay;
+                self.state = SlotState::outcome_unknown(pod.clone(), query_at, false);
+                return SlotOutcome::Unresolved;
             }
-            PodEnd::Lost | PodEnd::Moved => set.pauses.draw_lost(rng),
-            _ => set.pauses.draw(self.troubles, rng),
+            PodOutcome::NodeLost | PodOutcome::Migrated => settings.backoff.after_node_loss(rng),
+            PodOutcome::Failed
+            | PodOutcome::Rejected
+            | PodOutcome::Unknown
+            | PodOutcome::Evicted => settings.backoff.after_failures(self.failures, rng),
         };
-        self.troubles += 1;
-        self.state = State::Idle {
-            at: now + pause,
-            returned: true,
-            adopt: None,
-        };
-        if end == PodEnd::Failed {
-            Verdict::RunFailed
+        self.retry_at(now + backoff);
+        if end == PodOutcome::Failed {
+            SlotOutcome::RunFailed
         } else {
-            Verdict::Again
+            SlotOutcome::Retry
         }
     }
 
-    /// What was found of a Pod that was being settled. Only a clear word ends the settling: a slot of a guarded
-    /// class waits for as long as a node that may hold its Pod can't be heard. Harm: a node that is cut off for
-    /// good and stays listed holds the slot until it leaves the list.
-    pub(crate) fn found(
+    /// The planners have answered where the slot's Pod is. Only a definite answer resolves the slot: one of a class that
+    /// is not idempotent waits for as long as a node that may run its Pod is unreachable. A node that is partitioned for
+    /// good but stays listed blocks the slot until it is removed from the list.
+    pub(crate) fn on_located(
         &mut self,
         now: f64,
-        found: Location,
-        set: &Settings,
+        location: Location,
+        settings: &Settings,
         rng: &mut impl Rng,
-    ) -> Verdict {
-        let State::Settling {
+    ) -> SlotOutcome {
+        let SlotState::OutcomeUnknown {
             pod,
-            ask_at,
-            asked,
-            unclear,
+            query_at,
+            is_query_sent,
+            unknown_answers,
             ..
         } = &mut self.state
         else {
-            return Verdict::Open;
+            return SlotOutcome::Unresolved;
         };
-        match found {
+        match location {
             Location::At(node) => {
-                let adopt = Some(Adopt {
-                    node,
-                    name: pod.known_as.clone(),
-                });
-                self.state = State::Idle {
+                let name = pod.name_at_node.clone();
+                self.state = SlotState::Idle {
                     at: now,
-                    returned: true,
-                    adopt,
+                    is_retry: true,
+                    adoption: Some(Adoption { node, name }),
                 };
-                Verdict::Again
+                SlotOutcome::Retry
             }
-            Location::Ended(TerminationReason::Succeeded) => Verdict::Done,
+            Location::Ended(TerminationReason::Succeeded) => SlotOutcome::Done,
             Location::Ended(TerminationReason::Failed) => {
-                self.again(now + set.pauses.draw(self.troubles, rng));
-                Verdict::RunFailed
+                self.retry_at(now + settings.backoff.after_failures(self.failures, rng));
+                SlotOutcome::RunFailed
             }
             Location::Ended(_) | Location::NotFound => {
-                self.again(now + set.pauses.draw_lost(rng));
-                Verdict::Again
+                self.retry_at(now + settings.backoff.after_node_loss(rng));
+                SlotOutcome::Retry
             }
             Location::Unknown => {
-                *asked = false;
-                *unclear += 1;
-                let pause = (set.settle.max(0.1) * f64::from(*unclear)).min(UNCLEAR_MOST);
-                *ask_at = now + pause * rng.random_range(0.5..=1.0);
-                Verdict::Open
+                *is_query_sent = false;
+                *unknown_answers += 1;
+                let step = settings.outcome_query_delay.max(MIN_OUTCOME_QUERY_DELAY);
+                let delay = (step * f64::from(*unknown_answers)).min(MAX_OUTCOME_QUERY_DELAY);
+                *query_at = now + delay * rng.random_range(0.5..=1.0);
+                SlotOutcome::Unresolved
             }
         }
     }
 
-    fn again(&mut self, at: f64) {
-        self.troubles += 1;
-        self.state = State::Idle {
-            at,
-            returned: true,
-            adopt: None,
-        };
+    /// Counts a failure and schedules the next attempt.
+    fn retry_at(&mut self, at: f64) {
+        self.failures += 1;
+        self.state = SlotState::retry_at(at);
     }
 
-    /// In which order slots are given up when a Job shrinks: what has not begun first. One that is being settled
-    /// or made can't be given up.
-    pub(crate) fn keep_rank(&self) -> Option<u32> {
+    /// Rank in the order in which slots are removed when a Job shrinks: those that have made the least progress first.
+    /// `None` where the slot must not be removed, since its Pod is being created, located or adopted.
+    pub(crate) fn removal_rank(&self) -> Option<u32> {
         match &self.state {
-            State::Idle { adopt: None, .. } => Some(0),
-            State::Active { pod } if pod.phase == PodPhase::Waiting => Some(1),
-            State::Active { pod } if pod.phase == PodPhase::Placed => Some(2),
-            State::Active { .. } => Some(3),
-            _ => None,
+            SlotState::Idle { adoption: None, .. } => Some(0),
+            SlotState::Active { pod } if pod.phase == PodPhase::Pending => Some(1),
+            SlotState::Active { pod } if pod.phase == PodPhase::Placed => Some(2),
+            SlotState::Active { .. } => Some(3),
+            SlotState::Idle { .. } | SlotState::Creating | SlotState::OutcomeUnknown { .. } => None,
         }
     }
 }
--- a/crates/job-controller/src/view.rs
+++ b/crates/job-controller/src/view.rs
@@ -1,9 +1,12 @@
-//! Jobs and Pods as the controller reads them. The one place where it looks into objects.
+//! The parts of Job and Pod objects that the controller uses. No other module of it looks into objects.
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::{Object, meta, names};
 
-/// What a Job's owner wants.
+/// Failed runs that a Job tolerates where it sets no limit, as in the published API.
+const DEFAULT_BACKOFF_LIMIT: u32 = 6;
+
+/// The specification of a Job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobView {
     /// Uid.
@@ -12,86 +15,87 @@
     pub namespace: String,
     /// Name.
     pub name: String,
-    /// Class of its Pods, "" for the default.
+    /// Priority class of its Pods, "" for the default.
     pub class: String,
-    /// Pods at a time.
+    /// Pods that run at the same time.
     pub parallelism: u32,
-    /// Good ends wanted; `None`: one is enough, and no new Pods after it.
+    /// Pods that have to succeed; `None`: one is enough, and no new Pods are created after it.
     pub completions: Option<u32>,
-    /// Runs that may fail.
+    /// Failed runs that it tolerates.
     pub backoff_limit: u32,
-    /// The Job's time from its start.
+    /// It fails once it has been active for this long, in seconds.
     pub active_deadline: Option<f64>,
-    /// It is deleted so long after its end.
-    pub ttl: Option<f64>,
-    /// Nothing of it may run.
-    pub suspend: bool,
-    /// It is being deleted.
-    pub deleting: bool,
+    /// It is deleted this long after its end, in seconds.
+    pub time_to_live: Option<f64>,
+    /// None of its Pods may run.
+    pub is_suspended: bool,
+    /// It has a deletion timestamp.
+    pub is_being_deleted: bool,
 }
 
 impl JobView {
-    /// Reads a checked Job.
+    /// Reads a validated Job.
     pub fn read(job: &Object) -> Self {
         let spec = meta::value_at(job, &["spec"]);
         let number = |key: &str| {
-            spec.get(key)
-                .and_then(|v| v.as_i64())
-                .map(|n| n.max(0) as u32)
+            let value = spec.get(key)?.as_i64()?;
+            Some(value.max(0) as u32)
         };
+        let default_completions = || number("parallelism").is_none().then_some(1);
+        let is_suspended = spec.get("suspend").and_then(|value| value.as_bool());
         Self {
             uid: meta::uid(job).to_owned(),
             namespace: meta::namespace(job).to_owned(),
             name: meta::name(job).to_owned(),
             class: meta::text_at(spec, &["template", "spec", "priorityClassName"]).to_owned(),
             parallelism: number("parallelism").unwrap_or(1),
-            completions: number("completions")
-                .or_else(|| number("parallelism").is_none().then_some(1)),
-            backoff_limit: number("backoffLimit").unwrap_or(6),
+            completions: number("completions").or_else(default_completions),
+            backoff_limit: number("backoffLimit").unwrap_or(DEFAULT_BACKOFF_LIMIT),
             active_deadline: number("activeDeadlineSeconds").map(f64::from),
-            ttl: number("ttlSecondsAfterFinished").map(f64::from),
-            suspend: spec
-                .get("suspend")
-                .and_then(|v| v.as_bool())
-                .unwrap_or(false),
-            deleting: !meta::value_at(job, &["metadata", "deletionTimestamp"]).is_null(),
+            time_to_live: number("ttlSecondsAfterFinished").map(f64::from),
+            is_suspended: is_suspended.unwrap_or(false),
+            is_being_deleted: !meta::value_at(job, &["metadata", "deletionTimestamp"]).is_null(),
         }
     }
 }
 
 /// How a Pod ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PodEnd {
-    /// Its program finished.
+pub enum PodOutcome {
+    /// Its program succeeded.
     Succeeded,
     /// Its program failed.
     Failed,
     /// It was not placed and never ran.
-    Refused,
-    /// It may have run, or run still.
+    #[serde(rename = "Refused")]
+    Rejected,
+    /// It may have run, or may still run.
     Unknown,
-    /// It was evicted, pushed out or sent away.
+    /// It was evicted, preempted or drained.
     Evicted,
-    /// It was lost with its node.
-    Lost,
-    /// It was moved.
-    Moved,
+    /// Its node was lost.
+    #[serde(rename = "Lost")]
+    NodeLost,
+    /// It was stopped to be placed at another node.
+    #[serde(rename = "Moved")]
+    Migrated,
 }
 
-/// How far a Pod is.
+/// Phase of a Pod.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PodPhase {
-    /// No answer yet.
-    Waiting,
-    /// A node took it.
+    /// It is not placed yet.
+    #[serde(rename = "Waiting")]
+    Pending,
+    /// A node has accepted it.
     Placed,
     /// It runs.
     Running,
     /// It has ended.
-    Ended(PodEnd),
+    Ended(PodOutcome),
 }
 
-/// A Pod.
+/// The parts of a Pod that the controller uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PodView {
     /// Uid.
@@ -100,45 +104,52 @@
     pub namespace: String,
     /// Name.
     pub name: String,
-    /// Its name at nodes: another where it took over what an earlier Pod had started.
-    pub known_as: String,
-    /// How far it is.
+    /// Its name at nodes: another one where it took over what an earlier Pod had started.
+    #[serde(rename = "known_as")]
+    pub name_at_node: String,
+    /// Its phase.
     pub phase: PodPhase,
 }
 
-/// Reasons in the status of failed Pods, and what they mean to the owner.
-pub const REASONS: [(&str, PodEnd); 8] = [
-    (names::PLACEMENT_REFUSED, PodEnd::Refused),
-    (names::PLACEMENT_UNKNOWN, PodEnd::Unknown),
-    ("Evicted", PodEnd::Evicted),
-    ("Preempting", PodEnd::Evicted),
-    ("NodeShutdown", PodEnd::Evicted),
-    ("Terminated", PodEnd::Evicted),
-    ("NodeLost", PodEnd::Lost),
-    ("Moved", PodEnd::Moved),
+/// Reasons in the status of failed Pods, and the outcome that each stands for. Any other reason is a failed program.
+pub const POD_FAILURE_REASONS: [(&str, PodOutcome); 8] = [
+    (names::PLACEMENT_REFUSED, PodOutcome::Rejected),
+    (names::PLACEMENT_UNKNOWN, PodOutcome::Unknown),
+    ("Evicted", PodOutcome::Evicted),
+    ("Preempting", PodOutcome::Evicted),
+    ("NodeShutdown", PodOutcome::Evicted),
+    ("Terminated", PodOutcome::Evicted),
+    ("NodeLost", PodOutcome::NodeLost),
+    ("Moved", PodOutcome::Migrated),
 ];
 
+fn failure_outcome(reason: &str) -> PodOutcome {
+    POD_FAILURE_REASONS
+        .iter()
+        .find(|(name, _)| *name == reason)
+        .map_or(PodOutcome::Failed, |(_, outcome)| *outcome)
+}
+
 impl PodView {
     /// Reads a Pod.
     pub fn read(pod: &Object) -> Self {
-        let reason = meta::text_at(pod, &["status", "reason"]);
         let phase = match meta::text_at(pod, &["status", "phase"]) {
-            "Succeeded" => PodPhase::Ended(PodEnd::Succeeded),
+            "Succeeded" => PodPhase::Ended(PodOutcome::Succeeded),
             "Failed" => {
-                let known = REASONS.iter().find(|(name, _)| *name == reason);
-                PodPhase::Ended(known.map_or(PodEnd::Failed, |(_, end)| *end))
+                let reason = meta::text_at(pod, &["status", "reason"]);
+                PodPhase::Ended(failure_outcome(reason))
             }
             "Running" => PodPhase::Running,
-            _ if meta::text_at(pod, &["spec", "nodeName"]).is_empty() => PodPhase::Waiting,
+            _ if meta::text_at(pod, &["spec", "nodeName"]).is_empty() => PodPhase::Pending,
             _ => PodPhase::Placed,
         };
+        let name = meta::name(pod);
+        let name_at_node = meta::annotation(pod, names::ADOPTED_POD_NAME).unwrap_or(name);
         Self {
             uid: meta::uid(pod).to_owned(),
             namespace: meta::namespace(pod).to_owned(),
-            name: meta::name(pod).to_owned(),
-            known_as: meta::annotation(pod, names::ADOPTED_POD_NAME)
-                .unwrap_or(meta::name(pod))
-                .to_owned(),
+            name: name.to_owned(),
+            name_at_node: name_at_node.to_owned(),
             phase,
         }
     }
--- a/crates/job-controller/tests/interface_compatibility.rs
+++ b/crates/job-controller/tests/interface_compatibility.rs
@@ -5,7 +5,7 @@
 
 use fixture::Additions;
 use tidespur_api::Object;
-use tidespur_job_controller::{PodEnd, PodPhase, PodView};
+use tidespur_job_controller::{PodOutcome, PodPhase, PodView};
 
 const REASONS: [&str; 10] = [
     "Error",
@@ -22,12 +22,12 @@
 
 fn meaning(phase: &PodPhase) -> &'static str {
     match phase {
-        PodPhase::Ended(PodEnd::Failed) => "its program failed",
-        PodPhase::Ended(PodEnd::Refused) => "not placed",
-        PodPhase::Ended(PodEnd::Unknown) => "may have run",
-        PodPhase::Ended(PodEnd::Evicted) => "evicted",
-        PodPhase::Ended(PodEnd::Lost) => "lost with its node",
-        PodPhase::Ended(PodEnd::Moved) => "stopped to be placed anew",
+        PodPhase::Ended(PodOutcome::Failed) => "its program failed",
+        PodPhase::Ended(PodOutcome::Rejected) => "not placed",
+        PodPhase::Ended(PodOutcome::Unknown) => "may have run",
+        PodPhase::Ended(PodOutcome::Evicted) => "evicted",
+        PodPhase::Ended(PodOutcome::NodeLost) => "lost with its node",
+        PodPhase::Ended(PodOutcome::Migrated) => "stopped to be placed anew",
         other => panic!("a failed Pod is read as {other:?}"),
     }
 }
