--- a/crates/edge/tests/compatibility.rs
+++ b/crates/edge/tests/compatibility/main.rs
@@ -1,145 +1,25 @@
 //! The data folder of an edge: what an earlier version wrote comes back whole and is carried on with, and this version
 //! writes the same records.
 
+mod edge;
+
+use edge::{Edge, Planner};
 use serde_json::json;
 use std::collections::BTreeMap;
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS, RESOURCES};
 use tidespur_api::{Object, meta};
-use tidespur_config::{DEFAULT_CONFIG, parse};
-use tidespur_edge::core::{Core, Input};
+use tidespur_edge::core::Input;
 use tidespur_edge::restore::{RestoredState, reserved_version};
 use tidespur_fixtures::{StoredFolder, assert_lines, assert_stored, fixture_path};
-use tidespur_persistence::{Batch, Identity, LoadedRecords};
-use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
-use tidespur_store::{Limits, Store};
+use tidespur_persistence::Identity;
 
 const PLANNER: u64 = 1;
-const START: f64 = 1_000_000_000.0;
-const FIRST_VERSION: u64 = 1_000;
-const STEP: f64 = 0.1;
 /// Steps in which the planner answers, and steps after that.
 const ANSWERED_STEPS: usize = 10;
 const UNANSWERED_STEPS: usize = 3;
 /// All kinds of records that an edge writes but for the end in order, which is the disk's.
 const KINDS: [&str; 6] = ["job", "object", "open", "slot", "stray", "version"];
 
-/// An edge's core over its store, without I/O.
-struct Edge {
-    core: Core,
-    store: Store,
-    now: f64,
-    batch: Batch,
-}
-
-impl Edge {
-    fn new() -> Self {
-        let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 3);
-        let mut store = Store::new(Limits::default(), 7, FIRST_VERSION);
-        store.track_writes();
-        Self {
-            core,
-            store,
-            now: START,
-            batch: Batch::default(),
-        }
-    }
-
-    /// Loads what an earlier process left, as the program does.
-    fn load(records: &LoadedRecords) -> (Self, RestoredState) {
-        let version = reserved_version(records).unwrap();
-        let mut edge = Self::new();
-        edge.store = Store::new(Limits::default(), 7, version);
-        let restored = edge
-            .core
-            .restore(edge.now, records, &mut edge.store)
-            .unwrap();
-        edge.store.track_writes();
-        (edge, restored)
-    }
-
-    fn step(&mut self, inputs: Vec<Input>) -> Vec<ToPlanner> {
-        self.now += STEP;
-        let mut sent = Vec::new();
-        self.core.step(self.now, inputs, &mut self.store, &mut sent);
-        let writes = self.core.take_writes(&mut self.store);
-        assert!(writes.errors.is_empty(), "{:?}", writes.errors);
-        self.batch.extend(writes.batch);
-        sent.into_iter().map(|sent| sent.message).collect()
-    }
-
-    fn create_job(&mut self, name: &str, class: &str) {
-        let pod_spec = json!({"priorityClassName": class, "restartPolicy": "Never", "containers": [{"name": "m"}]});
-        let spec = json!({"parallelism": 2, "completions": 2, "backoffLimit": 6, "template": {"spec": pod_spec}});
-        let metadata = json!({"name": name, "namespace": "default"});
-        let job = json!({"kind": "Job", "apiVersion": "batch/v1", "metadata": metadata, "spec": spec, "status": {}});
-        self.store.create(JOBS, job, self.now).unwrap();
-    }
-
-    fn create_pod(&mut self, name: &str) {
-        let pod = json!({"kind": "Pod", "apiVersion": "v1", "metadata": {"name": name, "namespace": "default"},
-            "spec": {"priorityClassName": "slot-abgleich", "containers": [{"name": "m"}]},
-            "status": {"phase": "Pending"}});
-        self.store.create(PODS, pod, self.now).unwrap();
-    }
-}
-
-/// A planner that answers each task by the task's name.
-#[derive(Default)]
-struct Planner {
-    names: BTreeMap<String, String>,
-    guarded: usize,
-}
-
-impl Planner {
-    fn answers(&mut self, message: ToPlanner) -> Vec<ToEdge> {
-        match message {
-            ToPlanner::Place(request) => {
-                self.names.insert(request.uid.clone(), request.name);
-                vec![ToEdge::Acknowledged { uid: request.uid }]
-            }
-            ToPlanner::Commit { uid, .. } => self.outcome(uid),
-            _ => vec![],
-        }
-    }
-
-    fn outcome(&mut self, uid: String) -> Vec<ToEdge> {
-        let placed = ToEdge::Placed {
-            uid: uid.clone(),
-            node: "node-0".into(),
-        };
-        let failed = ToEdge::Failed {
-            uid: uid.clone(),
-            reason: "no answer".into(),
-        };
-        let name = &self.names[&uid];
-        if name.starts_with("web") {
-            return vec![placed, ToEdge::Started { uid }];
-        }
-        if name == "done" {
-            return vec![
-                placed,
-                ToEdge::Ended {
-                    uid,
-                    reason: TerminationReason::Succeeded,
-                },
-            ];
-        }
-        if name == "stray" {
-            return vec![failed];
-        }
-        if name.starts_with("guarded") {
-            self.guarded += 1;
-            let refused = ToEdge::Rejected {
-                uid,
-                reason: "no room".into(),
-                retry_after: 0.0,
-            };
-            return vec![if self.guarded == 1 { failed } else { refused }];
-        }
-        vec![]
-    }
-}
-
 /// Runs an edge until there are records of each kind: Jobs with Pods that run, that may run and that were refused; Pods
 /// that ended, that may have been offered, that were not offered yet, and that nobody owns.
 fn run_edge() -> Edge {
--- a/crates/edge/tests/status_reasons.rs
+++ b/crates/edge/tests/status_reasons.rs
@@ -15,6 +15,20 @@
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const PLANNER: u64 = 1;
 
+/// How a Pod may end.
+const ENDS: [(&str, TerminationReason); 7] = [
+    ("succeeded", TerminationReason::Succeeded),
+    ("failed", TerminationReason::Failed),
+    ("evicted for memory", TerminationReason::Evicted),
+    (
+        "pushed out by a higher priority",
+        TerminationReason::Preempted,
+    ),
+    ("sent away by a draining node", TerminationReason::Drained),
+    ("lost with its node", TerminationReason::NodeLost),
+    ("stopped", TerminationReason::Stopped),
+];
+
 /// An edge with one planner, without I/O.
 struct Edge {
     core: Core,
@@ -25,9 +39,9 @@
 impl Edge {
     fn new() -> Self {
         let mut store = Store::new(Limits::default(), 1, 1000);
-        let space =
+        let namespace =
             json!({"metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
-        store.create(NAMESPACES, space, 0.0).unwrap();
+        store.create(NAMESPACES, namespace, 0.0).unwrap();
         let mut edge = Self {
             core: Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1),
             store,
@@ -43,7 +57,7 @@
             .step(self.now, inputs, &mut self.store, &mut Vec::new());
     }
 
-    fn says(&mut self, message: ToEdge) {
+    fn receive(&mut self, message: ToEdge) {
         self.step(vec![Input::MessageReceived {
             planner: PLANNER,
             message,
@@ -81,25 +95,25 @@
         (**self.store.get(JOBS, "default", "j").expect("a Job")).clone()
     }
 
-    fn take(&mut self) -> String {
+    fn acknowledge(&mut self) -> String {
         let uid = meta::uid(&self.pod()).to_owned();
-        self.says(ToEdge::Acknowledged { uid: uid.clone() });
+        self.receive(ToEdge::Acknowledged { uid: uid.clone() });
         uid
     }
 
     fn run(&mut self) -> String {
-        let uid = self.take();
-        self.says(ToEdge::Placed {
+        let uid = self.acknowledge();
+        self.receive(ToEdge::Placed {
             uid: uid.clone(),
             node: "n".into(),
         });
-        self.says(ToEdge::Started { uid: uid.clone() });
+        self.receive(ToEdge::Started { uid: uid.clone() });
         uid
     }
 
-    fn end(&mut self, end: TerminationReason) {
+    fn end(&mut self, reason: TerminationReason) {
         let uid = self.run();
-        self.says(ToEdge::Ended { uid, reason: end });
+        self.receive(ToEdge::Ended { uid, reason });
     }
 
     /// Reasons of all Events.
@@ -107,7 +121,7 @@
         let event = |event: &Object| format!("{} {}", event["type"], event["reason"]);
         self.store
             .iter(EVENTS, "default")
-            .map(|one| event(one))
+            .map(|object| event(object))
             .collect()
     }
 }
@@ -154,8 +168,8 @@
     };
     add("created", &|_| {});
     add("placed", &|edge| {
-        let uid = edge.take();
-        edge.says(ToEdge::Placed {
+        let uid = edge.acknowledge();
+        edge.receive(ToEdge::Placed {
             uid,
             node: "n".into(),
         });
@@ -164,32 +178,21 @@
         edge.run();
     });
     add("refused", &|edge| {
-        let uid = edge.take();
-        edge.says(ToEdge::Rejected {
+        let uid = edge.acknowledge();
+        edge.receive(ToEdge::Rejected {
             uid,
             reason: "full".into(),
             retry_after: 0.0,
         });
     });
     add("may have run", &|edge| {
-        let uid = edge.take();
-        edge.says(ToEdge::Failed {
+        let uid = edge.acknowledge();
+        edge.receive(ToEdge::Failed {
             uid,
             reason: "silence".into(),
         });
     });
-    for (case, end) in [
-        ("succeeded", TerminationReason::Succeeded),
-        ("failed", TerminationReason::Failed),
-        ("evicted for memory", TerminationReason::Evicted),
-        (
-            "pushed out by a higher priority",
-            TerminationReason::Preempted,
-        ),
-        ("sent away by a draining node", TerminationReason::Drained),
-        ("lost with its node", TerminationReason::NodeLost),
-        ("stopped", TerminationReason::Stopped),
-    ] {
+    for (case, end) in ENDS {
         add(case, &|edge| edge.end(end));
     }
     fixture::check(PACKAGE, "pod_status.txt", lines, Additions::Rejected);
@@ -220,16 +223,16 @@
         },
     );
     add("pauses", json!({}), &|edge| {
-        let uid = edge.take();
-        edge.says(ToEdge::Rejected {
+        let uid = edge.acknowledge();
+        edge.receive(ToEdge::Rejected {
             uid,
             reason: "full".into(),
             retry_after: 0.0,
         });
     });
     add("looks for what may run", json!({}), &|edge| {
-        let uid = edge.take();
-        edge.says(ToEdge::Failed {
+        let uid = edge.acknowledge();
+        edge.receive(ToEdge::Failed {
             uid,
             reason: "silence".into(),
         });
