--- a/crates/edge/src/error.rs
+++ b/crates/edge/src/error.rs
@@ -3,6 +3,8 @@
 use crate::restore::RestoreError;
 use std::error::Error;
 use std::path::PathBuf;
+use tidespur_coordination_net::StartError;
+use tidespur_membership_net::{JoinError, ReplacedError};
 use tidespur_persistence::PersistenceError;
 
 /// Why the edge ended, or did not start.
@@ -32,14 +34,14 @@
     #[error(transparent)]
     Restore(#[from] RestoreError),
     /// The voter of the coordination log cannot start.
-    #[error("cannot start the voter of the coordination log")]
-    StartVoter(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    StartVoter(#[from] StartError),
     /// The edge cannot join its fleet.
-    #[error("cannot join the fleet")]
-    JoinFleet(#[source] Box<dyn Error + Send + Sync>),
-    /// The process was shut down by something that an operator should look at.
-    #[error("shut down")]
-    ShutDown(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    JoinFleet(#[from] JoinError),
+    /// A newer process took this one's place.
+    #[error(transparent)]
+    Replaced(#[from] ReplacedError),
 }
 
 /// An error and its causes, in one line.
--- a/crates/edge/src/hooks/health.rs
+++ b/crates/edge/src/hooks/health.rs
@@ -45,7 +45,11 @@
 pub(super) fn components(edge: &EdgeHooks) -> Vec<ComponentStatus> {
     let mut components = vec![planners_status(edge), storage_status(edge)];
     if let Some(voter) = &edge.voter {
-        components.push(("ledger", voter.readiness()));
+        let readiness = voter.readiness();
+        let status = readiness
+            .map(|ready| ready.to_string())
+            .map_err(|reason| reason.to_string());
+        components.push(("ledger", status));
     }
     components
 }
--- a/crates/edge/src/pending_status.rs
+++ b/crates/edge/src/pending_status.rs
@@ -13,6 +13,7 @@
 use tidespur_api::{Object, meta, task::PlacementRequest};
 use tidespur_pending::{PendingRecord, PendingRecords, ReasonUpdate, Settings, StatusUpdate};
 use tidespur_store::{Precondition, Store};
+use tidespur_units::Resources;
 
 /// How often the reasons of tasks that no planner has are updated, in seconds.
 const UPDATE_INTERVAL: f64 = 0.25;
@@ -47,7 +48,7 @@
             pod: pod.to_owned(),
             service: request.service.clone(),
             class: request.class.clone(),
-            requested: [request.cores, request.memory],
+            requested: Resources::new(request.cores, request.memory),
             since: now,
             updated_at: now,
             codes: vec![],
--- a/crates/edge/src/planner_count.rs
+++ b/crates/edge/src/planner_count.rs
@@ -71,7 +71,7 @@
                         let planner = link;
                         self.send_to_planner(OutgoingMessage { planner, message });
                     } else {
-                        planner_count.unsaid(link);
+                        planner_count.notification_failed(link);
                     }
                 }
             }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -84,9 +84,7 @@
         storage.disk.finish();
     }
     drop(tasks);
-    reason
-        .into_result()
-        .map_err(|error| RunError::ShutDown(error.into()))
+    Ok(reason.into_result()?)
 }
 
 async fn listen(address: &str) -> Result<Listener, RunError> {
@@ -120,9 +118,7 @@
     let disk = state.storage.as_ref().map(|storage| storage.disk.clone());
     let records = state.records.as_ref();
     let routes = Routes::from_file(options.shared.routes.clone());
-    let voter = VoterHandle::start(config, &options.name, disk, records, routes)
-        .await
-        .map_err(|error| RunError::StartVoter(error.into()))?;
+    let voter = VoterHandle::start(config, &options.name, disk, records, routes).await?;
     let metadata = MemberMetadata {
         api: api_address.to_owned(),
         link: link_address.to_owned(),
@@ -136,8 +132,7 @@
         options.shared.seed,
         records.map(LoadedRecords::incarnation),
     )
-    .await
-    .map_err(|error| RunError::JoinFleet(error.into()))?;
+    .await?;
     Ok(Cluster {
         voter: voter.map(Arc::new),
         member: member.map(Arc::new),
--- a/crates/edge/tests/restore/main.rs
+++ b/crates/edge/tests/restore/main.rs
@@ -9,7 +9,7 @@
 use tidespur_api::{Object, meta};
 use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
-use tidespur_persistence::{Batch, LoadedRecords};
+use tidespur_persistence::{Batch, LoadedRecords, RecordKey};
 use tidespur_store::Store;
 use world::{NodeState, PLANNER, World, limits};
 
@@ -189,7 +189,7 @@
 fn the_malformed_record_and_what_to_do_are_named_when_it_cannot_be_restored() {
     let (world, _) = run_edge();
     let mut records = records(&world.batches);
-    let record = ("open".into(), "x".into());
+    let record = RecordKey::new("open", "x");
     records.records.insert(record, b"{".to_vec());
     let mut store = Store::new(limits(), 1, 1);
     let mut core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 1);
