--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,122 +1,134 @@
-//! Actions of the policy, carried out.
+//! Carries out the policy's actions: offers, rejections, migrations and timers.
 
-use super::*;
+use super::attempts::attempt_ended_event;
+use super::{Gateway, Output};
+use crate::message::{Message, MessageKind, RequestId, cause, code};
+use crate::request_table::{Attempt, Request, RequestState, micros};
+use tidespur_policy::interface::{Action, AttemptOutcome, Event, MachineId, Seconds, TaskId};
 
 impl Gateway {
-    pub(super) fn carry_out(&mut self, now: Seconds, action: Action, out: &mut Vec<Output>) {
+    /// Carries out one action of the policy.
+    pub(super) fn carry_out(&mut self, now: Seconds, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::Offer {
                 task,
                 machine,
                 timeout: wait,
-            } => self.send(now, task, machine, wait, out),
+            } => self.send_offer(now, task, machine, wait, outputs),
             Action::Reject { task, .. } => {
-                self.counts.refused += 1;
-                self.finish(now, task, cause::FULL, out);
+                self.counts.rejected += 1;
+                self.reject_request(now, task, cause::FULL, outputs);
             }
             Action::Fail(task) => {
                 self.counts.failed += 1;
-                self.finish(now, task, cause::FAILED, out);
+                self.reject_request(now, task, cause::FAILED, outputs);
             }
-            Action::Migrate(task) => {
-                let Some(id) = self.table.id(task) else {
-                    return;
-                };
-                if self
-                    .table
-                    .get(id)
-                    .is_some_and(|r| matches!(r.stage, Stage::Standing { .. }))
-                {
-                    self.reply(id, Message::new(Kind::Move, id).bytes(), out);
-                    self.end_at_machine(now, id, out);
-                }
-            }
-            // The board is followed all the time: there is nothing to ask for.
+            Action::Migrate(task) => self.migrate(now, task, outputs),
+            // The discovery stream is followed all the time: there is nothing to subscribe to.
             Action::SubscribeEndpoints => self.events.push(Event::EndpointsChanged(Vec::new())),
             Action::SetTimer { after, token } => {
                 self.timers.insert((micros(now + after), token));
             }
-            // The platform has no way to ask for a load alone, and none to other schedulers that is used here.
+            // The platform has no message that polls a load, and its schedulers don't gossip.
             Action::PollLoad(machine) => self.events.push(Event::LoadPolled {
                 machine,
                 report: None,
             }),
             Action::Gossip(_) => {}
-            Action::Log(line) => out.push(Output::Log(line)),
+            Action::Log(line) => outputs.push(Output::Log(line)),
+        }
+    }
+
+    /// Asks the owner of a placed task to come again, and releases the task at its machine.
+    fn migrate(&mut self, now: Seconds, task: TaskId, outputs: &mut Vec<Output>) {
+        let Some(id) = self.requests.id_of_task(task) else {
+            return;
+        };
+        let state = self.requests.get(id).map(|request| request.state);
+        if let Some(RequestState::Placed { .. }) = state {
+            self.reply(id, Message::new(MessageKind::Move, id).encode(), outputs);
+            self.release_at_machine(now, id, outputs);
         }
     }
 
-    pub(super) fn finish(&mut self, now: Seconds, task: TaskId, word: u8, out: &mut Vec<Output>) {
-        let Some(id) = self.table.id(task) else {
+    /// Answers a pending request with a release of this cause, and forgets it.
+    pub(super) fn reject_request(
+        &mut self,
+        now: Seconds,
+        task: TaskId,
+        release_cause: u8,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(id) = self.requests.id_of_task(task) else {
             return;
         };
-        let Some((client, Stage::Open { .. })) = self.table.get(id).map(|r| (r.client, r.stage))
+        let Some((client, RequestState::Pending { .. })) =
+            self.requests.get(id).map(|r| (r.client, r.state))
         else {
             return;
         };
-        self.reply(id, Message::release(id, word).bytes(), out);
-        self.downstreams.count_open(now, client, false);
-        self.table.remove(id);
+        self.reply(id, Message::release(id, release_cause).encode(), outputs);
+        self.downstreams.count_pending(now, client, false);
+        self.requests.remove(id);
     }
 
-    pub(super) fn send(
+    /// Offers a task to a machine. The machine is told how long this attempt lasts in place of the owner's wait.
+    pub(super) fn send_offer(
         &mut self,
         now: Seconds,
         task: TaskId,
         machine: MachineId,
         wait: Seconds,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(id) = self.table.id(task) else {
+        let Some(id) = self.requests.id_of_task(task) else {
             return;
         };
-        let number = self.table.sends(id);
-        let Some(request) = self.table.get(id) else {
+        let number = self.requests.count_attempt(id);
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Stage::Open { may_have_run, .. } = request.stage else {
+        let RequestState::Pending { may_have_run, .. } = request.state else {
             return;
         };
-        let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
-        let mut set_up = Message::new(Kind::SetUp, id);
-        for (code, value) in &request.passed {
-            set_up = set_up.with(
-                *code,
-                if *code == code::WAIT {
-                    milliseconds.as_bytes()
-                } else {
-                    value
-                },
-            );
-        }
+        let set_up = offer_message(id, request, wait);
         self.counts.offers += 1;
-        match self.on_pool(out, |pool, acts| {
-            pool.offer(now, machine, id, set_up.bytes(), acts)
-        }) {
-            Some(line) => {
-                let attempt = Some(Attempt {
-                    number,
-                    line,
-                    until: now + wait,
-                });
-                self.table.put(
-                    id,
-                    Stage::Open {
-                        attempt,
-                        may_have_run,
-                    },
-                );
-            }
-            None => {
-                self.counts.unsent += 1;
-                self.events.push(event((
-                    task,
-                    number,
-                    AttemptOutcome::ConnectFailed,
-                    false,
-                    None,
-                )));
-            }
-        }
+        let upstream = self.with_pool(outputs, |pool, actions| {
+            pool.offer(now, machine, id, set_up.encode(), actions)
+        });
+        let Some(upstream) = upstream else {
+            self.counts.unsent += 1;
+            let outcome = AttemptOutcome::ConnectFailed;
+            self.events
+                .push(attempt_ended_event(task, number, outcome, false, None));
+            return;
+        };
+        let attempt = Some(Attempt {
+            number,
+            upstream,
+            deadline: now + wait,
+        });
+        self.requests.set_state(
+            id,
+            RequestState::Pending {
+                attempt,
+                may_have_run,
+            },
+        );
+    }
+}
+
+/// The set-up that a machine is sent: the owner's parameters in their order, with the attempt's wait in milliseconds.
+fn offer_message(id: RequestId, request: &Request, wait: Seconds) -> Message {
+    let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
+    let mut set_up = Message::new(MessageKind::SetUp, id);
+    for (code, value) in &request.forwarded {
+        let value = if *code == code::WAIT {
+            milliseconds.as_bytes()
+        } else {
+            value
+        };
+        set_up = set_up.with(*code, value);
     }
+    set_up
 }
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,194 +1,64 @@
-//! What clients say: set-ups, hand-overs, cancels, releases.
+//! Messages of clients: set-ups, cancels, acknowledgements and health checks.
 
-use super::*;
+use super::{Gateway, Output};
+use crate::DownstreamId;
+use crate::message::{Message, MessageKind, RequestId, code};
+use crate::request_table::RequestState;
+use tidespur_policy::interface::Seconds;
 
 impl Gateway {
-    pub(super) fn client_said(
+    /// Handles a message of a client, and closes its connection if too many came that are of no use.
+    pub(super) fn downstream_message(
         &mut self,
         now: Seconds,
         client: DownstreamId,
         message: Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let id = message.id;
-        let too_often = match message.kind {
-            Kind::SetUp => return self.set_up(now, client, message, out),
-            Kind::Test => {
-                let tested = Message::new(Kind::Tested, id).with(code::CAUSE, &[1]);
-                out.push(Output::Downstream(client, tested.bytes()));
-                self.downstreams.free(now, client)
+        let is_over_limit = match message.kind {
+            MessageKind::SetUp => return self.handle_set_up(now, client, message, outputs),
+            MessageKind::Test => {
+                let reply = Message::new(MessageKind::Tested, message.id).with(code::CAUSE, &[1]);
+                outputs.push(Output::WriteDownstream(client, reply.encode()));
+                self.downstreams.record_free_message(now, client)
             }
-            Kind::Release => match self
-                .table
-                .get(id)
-                .map(|request| (request.client, request.stage))
-            {
-                Some((by, Stage::Open { .. })) if by == client => {
-                    self.counts.cancelled += 1;
-                    self.cancel_request(now, id, out);
-                    false
-                }
-                // Another's set-up that waits is not touched.
-                Some((_, Stage::Open { .. })) => self.downstreams.useless(now, client),
-                Some((_, Stage::Standing { .. })) => {
-                    out.push(Output::Downstream(
-                        client,
-                        Message::new(Kind::Heard, id).bytes(),
-                    ));
-                    self.end_at_machine(now, id, out);
-                    false
-                }
-                None => self.downstreams.useless(now, client),
-            },
-            Kind::Heard => self.downstreams.heard(now, client),
-            Kind::Progress => self.downstreams.free(now, client),
-            Kind::Answer | Kind::Tested | Kind::Note | Kind::Move => {
-                self.downstreams.useless(now, client)
+            MessageKind::Release => self.handle_release(now, client, message.id, outputs),
+            MessageKind::Heard => self.downstreams.release_acknowledged(now, client),
+            MessageKind::Progress => self.downstreams.record_free_message(now, client),
+            MessageKind::Answer | MessageKind::Tested | MessageKind::Note | MessageKind::Move => {
+                self.downstreams.record_malformed(now, client)
             }
         };
-        if too_often {
-            self.counts.useless += 1;
-            self.close_client(now, client, out);
+        if is_over_limit {
+            self.close_malformed_client(now, client, outputs);
         }
     }
 
-    /// A set-up came: it is taken, handed over, turned away, or looked into.
-    pub(super) fn set_up(
+    /// Cancels a pending request of this client, or releases a placed task, by whichever connection its owner asks for
+    /// it. A pending request of another client stays. Returns whether the client sent too many malformed messages.
+    fn handle_release(
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        message: Message,
-        out: &mut Vec<Output>,
-    ) {
-        let id = message.id;
-        if id == Id::default() {
-            // No id at all: an answer to it could be anybody's.
-            self.counts.useless += 1;
-            self.close_client(now, client, out);
-            return;
-        }
-        if let Some(known) = self.table.get(id).map(|request| request.client) {
-            let own = known == client;
-            if !own {
-                self.claim(
-                    Claim {
-                        known,
-                        client,
-                        message,
-                    },
-                    out,
-                );
-            } else if !ask::is_handed(&message) {
-                // Two requests of one number: neither answer could be told from the other.
-                self.counts.useless += 1;
-                self.close_client(now, client, out);
-            }
-            return;
-        }
-        let mut ask = match ask::read(&self.site, now, &message) {
-            Ok(ask) => ask,
-            Err(problem) => return self.turn_away(now, client, id, problem, out),
+        id: RequestId,
+        outputs: &mut Vec<Output>,
+    ) -> bool {
+        let Some(request) = self.requests.get(id) else {
+            return self.downstreams.record_malformed(now, client);
         };
-        let from = self.downstreams.from(client);
-        let task = self.table.number();
-        ask.task.id = task;
-        let passed = ask::passed(message);
-        let stage = Stage::Open {
-            attempt: None,
-            may_have_run: false,
-        };
-        let class_index = ask.task.class;
-        let mut request = Request {
-            task,
-            client,
-            from,
-            stage,
-            class_index,
-            passed,
-            sends: 0,
-            began: None,
-        };
-        if let Some(at) = &ask.at {
-            let machine = discovery::machine_id(at);
-            // The list may tell of the machine only later; until it counts as failed, it is waited for.
-            let ended = self.table.has_ended(id);
-            let room = self.table.count() < REQUESTS_MOST;
-            if ended.is_some() || !room || !self.pool.expect(now, machine) {
-                let cause = ended
-                    .filter(|&cause| cause != cause::ENDED)
-                    .unwrap_or(cause::FAILED);
-                out.push(Output::Downstream(
-                    client,
-                    Message::release(id, cause).bytes(),
-                ));
-                return;
+        match request.state {
+            RequestState::Pending { .. } if request.client == client => {
+                self.counts.cancelled += 1;
+                self.cancel_request(now, id, outputs);
+                false
+            }
+            RequestState::Pending { .. } => self.downstreams.record_malformed(now, client),
+            RequestState::Placed { .. } => {
+                let heard = Message::new(MessageKind::Heard, id);
+                outputs.push(Output::WriteDownstream(client, heard.encode()));
+                self.release_at_machine(now, id, outputs);
+                false
             }
-            self.known
-                .entry(machine)
-                .or_insert_with(|| (at.clone(), None));
-            self.counts.in_place += 1;
-            self.downstreams.proves(now, client);
-            request.stage = Stage::Standing {
-                machine,
-                attempt: 0,
-                since: now,
-            };
-            request.sends = 1;
-            self.table.add(id, request);
-            self.pool.hold(now, machine, true);
-            self.downstreams.count_standing(client, true);
-            self.events.push(Event::TaskAdopted(ask.task, machine));
-            return;
-        }
-        if !self.downstreams.is_there(client) {
-            // Nobody waits for the answer.
-            self.counts.cancelled += 1;
-            return;
-        }
-        let shed = !self.shedder.admit(ask.task.class);
-        self.counts.shed += u64::from(shed);
-        if shed
-            || self.ends()
-            || self.downstreams.open(client) >= OPEN_MOST
-            || self.table.waiting() >= OPEN_MOST_ALL
-        {
-            // It never reached the policy: asking again does no harm.
-            self.counts.refused += 1;
-            self.downstreams.proves(now, client);
-            out.push(Output::Downstream(
-                client,
-                Message::release(id, cause::CONGESTED).bytes(),
-            ));
-            return;
-        }
-        self.counts.taken += 1;
-        self.downstreams.proves(now, client);
-        self.downstreams.count_open(now, client, true);
-        self.table.add(id, request);
-        self.events.push(Event::TaskSubmitted(ask.task));
-    }
-
-    /// A set-up that can't be used is told so at once.
-    pub(super) fn turn_away(
-        &mut self,
-        now: Seconds,
-        client: DownstreamId,
-        id: Id,
-        problem: ask::AskError,
-        out: &mut Vec<Output>,
-    ) {
-        self.counts.useless += 1;
-        if self.counts.useless < 20 {
-            out.push(Output::Log(format!(
-                "request {id} can't be used: {problem}"
-            )));
-        }
-        out.push(Output::Downstream(
-            client,
-            Message::release(id, cause::CONTENT).bytes(),
-        ));
-        if self.downstreams.useless(now, client) {
-            self.close_client(now, client, out);
         }
     }
 }
