--- a/fuzz/fuzz_targets/parsers.rs
+++ b/fuzz/fuzz_targets/parsers.rs
@@ -16,15 +16,15 @@
     // In two parts, as a socket may bring it.
     let (a, b) = data.split_at(data.len() / 2);
     decoder.feed(a);
-    let _ = decoder.message::<T>();
+    let _ = decoder.next_message::<T>();
     decoder.feed(b);
-    while let Ok(Some(message)) = decoder.message::<T>() {
+    while let Ok(Some(message)) = decoder.next_message::<T>() {
         let Ok(bytes) = encode(&message) else {
             continue;
         };
         let mut again = Decoder::default();
         again.feed(&bytes);
-        assert!(matches!(again.message::<T>(), Ok(Some(_))));
+        assert!(matches!(again.next_message::<T>(), Ok(Some(_))));
     }
 }
 
@@ -32,7 +32,7 @@
     let mut decoder = tidespur_gateway::message::Decoder::default();
     let (a, b) = data.split_at(data.len() / 2);
     decoder.feed(a);
-    let first = decoder.message();
+    let first = decoder.next_message();
     decoder.feed(b);
     if first.is_err() {
         return;
@@ -42,7 +42,7 @@
         .flatten()
         .flat_map(|message| message.bytes())
         .collect();
-    while let Ok(Some(message)) = decoder.message() {
+    while let Ok(Some(message)) = decoder.next_message() {
         read.extend(message.bytes());
     }
     assert!(data.starts_with(&read));
@@ -63,9 +63,11 @@
         }
         4 => platform(data),
         5 => {
-            let mut events = tidespur_gateway::discovery::Events::default();
+            let mut events = tidespur_gateway::discovery::EventStreamDecoder::default();
             for line in data.split(|&byte| byte == b'\n') {
-                let Ok(event) = events.line(line) else { return };
+                let Ok(event) = events.push_line(line) else {
+                    return;
+                };
                 assert!(event.is_none_or(|event| !event.is_empty()));
             }
         }
