--- a/fuzz/fuzz_targets/parsers.rs
+++ b/fuzz/fuzz_targets/parsers.rs
@@ -40,10 +40,10 @@
     let mut read: Vec<u8> = first
         .into_iter()
         .flatten()
-        .flat_map(|message| message.bytes())
+        .flat_map(|message| message.encode())
         .collect();
     while let Ok(Some(message)) = decoder.next_message() {
-        read.extend(message.bytes());
+        read.extend(message.encode());
     }
     assert!(data.starts_with(&read));
 }
