--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -12,14 +12,16 @@
 pub enum DiscoveryError {
     /// The data of an event is no JSON of the expected form.
     #[error(
-        "the discovery stream tells what can't be read: {0}; look at the notice board's edition"
+        "an event of the discovery stream can't be parsed: {0}; compare the platform's version with this program's"
     )]
     Malformed(#[from] serde_json::Error),
     /// A line is no UTF-8.
-    #[error("the discovery stream is no text: {0}; look at who listens at its address")]
+    #[error("the discovery stream is no UTF-8: {0}; check which program listens at its address")]
     NotUtf8(#[from] std::str::Utf8Error),
     /// An event is too long.
-    #[error("the discovery stream tells an event without end; look at the notice board")]
+    #[error(
+        "an event of the discovery stream is longer than 1 MiB; check the program that sends it"
+    )]
     TooLong,
 }
 
--- a/crates/gateway/src/task_request.rs
+++ b/crates/gateway/src/task_request.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskRequestError {
     /// A field is not there.
-    #[error("{0} is missing or no text; whoever sent it speaks another edition of the protocol")]
+    #[error("{0} is missing or no text; its sender may use another version of the protocol")]
     Missing(&'static str),
     /// A class that the settings do not have.
     #[error("a class that is not known; compare the owner's classes with the settings")]
@@ -26,7 +26,7 @@
     #[error("a tenant that is not known; compare the owner's tenants with the settings")]
     UnknownTenant,
     /// A field holds no number, or no finite one.
-    #[error("{0}: no finite number; look at the owner's program")]
+    #[error("{0}: no finite number; check the owner's program")]
     NotANumber(&'static str),
     /// A number that nothing here can serve.
     #[error(
@@ -34,14 +34,14 @@
     )]
     OutOfRange(&'static str),
     /// A name without a letter.
-    #[error("an empty name; look at the owner's program")]
+    #[error("an empty name; check the owner's program")]
     EmptyName,
 }
 
 /// What a set-up asks for.
 #[derive(Clone, Debug)]
 pub struct TaskRequest {
-    /// What the policy is told; its id is the caller's to give.
+    /// The task as the policy knows it; its id is assigned by the caller.
     pub task: Task,
     /// The machine that holds the task already.
     pub placed_at: Option<String>,
