--- a/crates/config/src/scheduler_settings.rs
+++ b/crates/config/src/scheduler_settings.rs
@@ -32,7 +32,7 @@
             requires_subscription: true,
             lists_unclaimed: nodes.lists_unclaimed,
             load_reports: if nodes.load_reports {
-                policy::LoadReportSource::WithAnswers
+                policy::LoadReportSource::OutcomesAndPolls
             } else {
                 policy::LoadReportSource::None
             },
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -81,7 +81,7 @@
     /// There are none.
     None,
     /// Outcomes and polls.
-    WithAnswers,
+    OutcomesAndPolls,
     /// Polls alone.
     PollsOnly,
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -45,7 +45,7 @@
         confirm_when_running: false,
         requires_subscription: false,
         lists_unclaimed: true,
-        load_reports: LoadReportSource::WithAnswers,
+        load_reports: LoadReportSource::OutcomesAndPolls,
         reports_measured_usage: true,
         allows_load_polls: false,
         allows_gossip: false,
--- a/crates/site-settings/src/settings_object.rs
+++ b/crates/site-settings/src/settings_object.rs
@@ -204,7 +204,7 @@
 
 fn load_report_source(report: &ReportInfo) -> LoadReportSource {
     match report.via.as_str() {
-        "answers" => LoadReportSource::WithAnswers,
+        "answers" => LoadReportSource::OutcomesAndPolls,
         "probe" => LoadReportSource::PollsOnly,
         _ => LoadReportSource::None,
     }
--- a/crates/site-settings/tests/compatibility.rs
+++ b/crates/site-settings/tests/compatibility.rs
@@ -52,7 +52,7 @@
     assert!(settings.confirm_when_running);
     assert!(settings.requires_subscription);
     assert!(settings.lists_unclaimed);
-    assert_eq!(settings.load_reports, LoadReportSource::WithAnswers);
+    assert_eq!(settings.load_reports, LoadReportSource::OutcomesAndPolls);
     assert!(settings.reports_measured_usage);
     assert!(settings.allows_load_polls);
     assert!(settings.allows_gossip);
