--- a/crates/gateway-net/src/connection.rs
+++ b/crates/gateway-net/src/connection.rs
@@ -5,7 +5,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
 use std::rc::Rc;
-use tidespur_gateway::input_queue::Sequence;
+use tidespur_gateway::input_queue::StepNumber;
 use tidespur_gateway::message::Decoder;
 use tidespur_net::clock;
 
@@ -25,7 +25,7 @@
     /// Whether its end or malformed bytes were read: nothing more is read.
     pub ended: Cell<bool>,
     /// The last input of this connection in the queue.
-    pub last_input: Cell<Sequence>,
+    pub last_input: Cell<StepNumber>,
 }
 
 impl Connection {
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
-use tidespur_gateway::input_queue::{InputQueue, Sequence};
+use tidespur_gateway::input_queue::{InputQueue, StepNumber};
 use tidespur_gateway::{DownstreamId, Gateway, Input, Limits, UpstreamId};
 use tidespur_net::clock;
 use upstream::Upstream;
@@ -74,7 +74,7 @@
         executor: Rc<LocalExecutor<'static>>,
         signals: Signals,
     ) -> Result<Rc<Self>, StartError> {
-        let limits = Limits::of(config.sockets);
+        let limits = Limits::for_descriptors(config.sockets);
         let this = Rc::new(Self {
             gateway: RefCell::new(Gateway::new(config.site, limits, config.seed)?),
             executor,
@@ -146,7 +146,7 @@
 
     /// Adds an input to the queue. It is handled with all others that arrive meanwhile, as the reactor wakes readers before
     /// the queue is handled.
-    fn enqueue(&self, input: Input) -> Sequence {
+    fn enqueue(&self, input: Input) -> StepNumber {
         // The channel holds one signal; if it is full, the queue is handled anyway.
         let _ = self.input_signal.0.try_send(());
         self.queue.borrow_mut().push(input)
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -6,7 +6,7 @@
 use async_io::Async;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use tidespur_gateway::input_queue::Sequence;
+use tidespur_gateway::input_queue::StepNumber;
 use tidespur_gateway::{DownstreamId, Input, PeerCheck};
 use tidespur_net::clock;
 
@@ -43,7 +43,7 @@
                 Ok((stream, from)) => {
                     let sequence = self.accept_client(stream, from);
                     // Other connections have their turn after each one that is accepted, also in a flood of them.
-                    while !self.queue.borrow().is_step_past(sequence) {
+                    while !self.queue.borrow().are_completions_taken(sequence) {
                         futures_lite::future::yield_now().await;
                     }
                 }
@@ -70,7 +70,7 @@
         self.listening.borrow_mut().take();
     }
 
-    fn accept_client(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> Sequence {
+    fn accept_client(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> StepNumber {
         let client = DownstreamId(self.next_client.replace(self.next_client.get() + 1));
         let connection = Connection::new(stream);
         self.downstreams
--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Downstream {
-    from: IpAddr,
+    address: IpAddr,
     opened_at: Seconds,
     used_at: Seconds,
     /// Whether it has sent a set-up that could be used.
@@ -73,9 +73,9 @@
     }
 
     /// Adds a connection.
-    pub fn opened(&mut self, now: Seconds, id: DownstreamId, from: IpAddr) {
+    pub fn opened(&mut self, now: Seconds, id: DownstreamId, address: IpAddr) {
         let made = Downstream {
-            from,
+            address,
             opened_at: now,
             used_at: now,
             has_valid_set_up: false,
@@ -179,13 +179,13 @@
         }
     }
 
-    /// A connection to the owner that was connected as `id` from the address `from`: that one, else the one used last
+    /// A connection to the owner that was connected as `id` from `address`: that one, else the one used last
     /// from the same address, else the one used last of any owner. Connections of clients without a placed task don't
     /// count, as a client that is no owner may have the same address.
     pub fn route_to_owner(
         &self,
         id: Option<DownstreamId>,
-        from: Option<IpAddr>,
+        address: Option<IpAddr>,
     ) -> Option<DownstreamId> {
         if let Some(id) = id.filter(|id| self.is_reachable(*id)) {
             return Some(id);
@@ -195,7 +195,7 @@
                 .iter()
                 .filter(|(_, client)| client.is_owner && !client.peer_closed)
         };
-        let same_address = owners().filter(|(_, client)| Some(client.from) == from);
+        let same_address = owners().filter(|(_, client)| Some(client.address) == address);
         let newest = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
             a.1.used_at.total_cmp(&b.1.used_at)
         };
@@ -206,8 +206,8 @@
     }
 
     /// The address of a client.
-    pub fn from(&self, id: DownstreamId) -> Option<IpAddr> {
-        self.downstreams.get(&id).map(|client| client.from)
+    pub fn address(&self, id: DownstreamId) -> Option<IpAddr> {
+        self.downstreams.get(&id).map(|client| client.address)
     }
 
     /// Marks the clients that have sent no valid set-up for too long, and returns them.
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -17,7 +17,7 @@
         };
         match self
             .downstreams
-            .route_to_owner(Some(request.client), request.from)
+            .route_to_owner(Some(request.client), request.client_address)
         {
             Some(client) => {
                 self.downstreams.release_sent(client);
@@ -27,15 +27,16 @@
                 if self.pending_releases.len() >= MAX_PENDING_RELEASES {
                     self.pending_releases.pop_front();
                 }
-                self.pending_releases.push_back((request.from, bytes));
+                self.pending_releases
+                    .push_back((request.client_address, bytes));
             }
         }
     }
 
     /// Sends the releases that were held back, in their order, as far as there are connections to their owners.
     pub(super) fn send_pending_releases(&mut self, outputs: &mut Vec<Output>) {
-        while let Some((from, _)) = self.pending_releases.front() {
-            let Some(client) = self.downstreams.route_to_owner(None, *from) else {
+        while let Some((address, _)) = self.pending_releases.front() {
+            let Some(client) = self.downstreams.route_to_owner(None, *address) else {
                 return;
             };
             let Some((_, bytes)) = self.pending_releases.pop_front() else {
--- a/crates/gateway/src/gateway/id_conflicts.rs
+++ b/crates/gateway/src/gateway/id_conflicts.rs
@@ -64,8 +64,8 @@
         if request.client == holder && !self.downstreams.is_reachable(holder) {
             self.downstreams.record_valid_set_up(now, claimant);
             self.downstreams.task_placed(claimant);
-            let from = self.downstreams.from(claimant);
-            self.requests.rebind_client(id, claimant, from);
+            let address = self.downstreams.address(claimant);
+            self.requests.rebind_client(id, claimant, address);
         }
     }
 }
--- a/crates/gateway/src/gateway/inputs.rs
+++ b/crates/gateway/src/gateway/inputs.rs
@@ -60,8 +60,8 @@
 
     fn handle_downstream_input(&mut self, now: Seconds, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::DownstreamOpened(client, from) => {
-                self.downstream_opened(now, client, from, outputs);
+            Input::DownstreamOpened(client, address) => {
+                self.downstream_opened(now, client, address, outputs);
             }
             Input::DownstreamMessage(client, message) if self.downstreams.contains(client) => {
                 self.downstream_message(now, client, message, outputs);
@@ -115,10 +115,10 @@
         &mut self,
         now: Seconds,
         client: DownstreamId,
-        from: IpAddr,
+        address: IpAddr,
         outputs: &mut Vec<Output>,
     ) {
-        self.downstreams.opened(now, client, from);
+        self.downstreams.opened(now, client, address);
         self.close_surplus(now, outputs);
     }
 
@@ -170,7 +170,7 @@
         }
         // Machines come and go without end: what is kept of one is forgotten with its last connection.
         let pool = &self.pool;
-        self.machines.retain(|machine, _| pool.knows(*machine));
+        self.machines.retain(|machine, _| pool.contains(*machine));
         self.send_pending_releases(outputs);
         self.recheck_closing_clients(outputs);
     }
--- a/crates/gateway/src/gateway/io.rs
+++ b/crates/gateway/src/gateway/io.rs
@@ -22,11 +22,11 @@
     /// Divides a limit on descriptors: up to 24 for the program itself, the discovery stream and connections that are
     /// closing; a third for owners, who open no more by the platform's rule, and an eighth for other clients; the rest
     /// for machines, so that as many as possible have a connection of their own.
-    pub fn of(sockets: usize) -> Self {
-        let own = 24.min(sockets / 4);
-        let downstreams = sockets / 3 + sockets / 8;
+    pub fn for_descriptors(descriptors: usize) -> Self {
+        let own = 24.min(descriptors / 4);
+        let downstreams = descriptors / 3 + descriptors / 8;
         Self {
-            upstreams: (sockets - own).saturating_sub(downstreams).max(2),
+            upstreams: (descriptors - own).saturating_sub(downstreams).max(2),
             downstreams: downstreams.max(1),
             closing: own / 4,
         }
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -45,7 +45,7 @@
     ) {
         let mut pool_events = Vec::new();
         self.with_pool(outputs, |pool, actions| {
-            pool.malformed(now, upstream, actions, &mut pool_events)
+            pool.abort(now, upstream, actions, &mut pool_events)
         });
         self.handle_pool_events(now, pool_events, outputs);
     }
--- a/crates/gateway/src/gateway/set_ups.rs
+++ b/crates/gateway/src/gateway/set_ups.rs
@@ -36,7 +36,7 @@
         let request = Request {
             task,
             client,
-            from: self.downstreams.from(client),
+            client_address: self.downstreams.address(client),
             state: RequestState::Pending {
                 attempt: None,
                 may_have_run: false,
@@ -89,7 +89,7 @@
         let client = request.client;
         let end_cause = self.requests.unknown_end_cause(id);
         let has_capacity = self.requests.count() < MAX_REQUESTS;
-        if end_cause.is_some() || !has_capacity || !self.pool.expect_machine(now, machine) {
+        if end_cause.is_some() || !has_capacity || !self.pool.add_unlisted_machine(now, machine) {
             let release_cause = end_cause
                 .filter(|&end_cause| end_cause != cause::ENDED)
                 .unwrap_or(cause::FAILED);
@@ -157,7 +157,7 @@
         if self.counts.malformed < MAX_LOGGED_MALFORMED {
             outputs.push(Output::Log(format!("request {id} can't be used: {error}")));
         }
-        release_client(client, id, cause::CONTENT, outputs);
+        release_client(client, id, cause::INVALID_CONTENT, outputs);
         if self.downstreams.record_malformed(now, client) {
             self.close_client(now, client, outputs);
         }
--- a/crates/gateway/src/gateway/upstream_messages.rs
+++ b/crates/gateway/src/gateway/upstream_messages.rs
@@ -105,7 +105,7 @@
         let outcome = match message.cause() {
             Some(cause::FULL) => AttemptOutcome::Rejected(failure),
             Some(cause::ERROR) => AttemptOutcome::Failed,
-            Some(cause::MOOT) => AttemptOutcome::NeverSent,
+            Some(cause::NEVER_SENT) => AttemptOutcome::NeverSent,
             _ => AttemptOutcome::Interrupted(failure),
         };
         match outcome {
--- a/crates/gateway/src/input_queue.rs
+++ b/crates/gateway/src/input_queue.rs
@@ -18,7 +18,7 @@
 
 /// The step before which an input was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Sequence(u64);
+pub struct StepNumber(u64);
 
 /// The inputs of one connection that wait, in their order.
 #[derive(Debug, Default)]
@@ -43,8 +43,8 @@
 }
 
 impl InputQueue {
-    /// Adds an input. [`InputQueue::is_drained`] and [`InputQueue::is_step_past`] tell when it was taken.
-    pub fn push(&mut self, input: Input) -> Sequence {
+    /// Adds an input. [`InputQueue::is_drained`] and [`InputQueue::are_completions_taken`] tell when it was taken.
+    pub fn push(&mut self, input: Input) -> StepNumber {
         let client = match &input {
             Input::DownstreamMessage(client, _)
             | Input::DownstreamMalformed(client)
@@ -62,32 +62,32 @@
         }
         backlog.set_ups.extend(set_up_id(&input));
         backlog.inputs.push_back(input);
-        Sequence(self.steps)
+        StepNumber(self.steps)
     }
 
     /// A cancel waits for its set-up if that one waits; any other release is a completion.
-    fn push_release(&mut self, client: DownstreamId, message: Message) -> Sequence {
+    fn push_release(&mut self, client: DownstreamId, message: Message) -> StepNumber {
         match self.requests.get_mut(&client) {
             Some(backlog) if backlog.set_ups.contains(&message.id) => {
                 backlog.cancels.insert(message.id, message);
-                Sequence(self.steps)
+                StepNumber(self.steps)
             }
             _ => self.push_completion(Input::DownstreamMessage(client, message)),
         }
     }
 
-    fn push_completion(&mut self, input: Input) -> Sequence {
+    fn push_completion(&mut self, input: Input) -> StepNumber {
         self.completions.push(input);
-        Sequence(self.steps)
+        StepNumber(self.steps)
     }
 
     /// Whether all that was added for this connection until `until` was taken, so that more can be read from it.
-    pub fn is_drained(&self, client: DownstreamId, until: Sequence) -> bool {
-        self.is_step_past(until) && !self.requests.contains_key(&client)
+    pub fn is_drained(&self, client: DownstreamId, until: StepNumber) -> bool {
+        self.are_completions_taken(until) && !self.requests.contains_key(&client)
     }
 
     /// Whether the completions that were added until `until` were taken.
-    pub fn is_step_past(&self, until: Sequence) -> bool {
+    pub fn are_completions_taken(&self, until: StepNumber) -> bool {
         self.steps > until.0
     }
 
--- a/crates/gateway/src/message/codes.rs
+++ b/crates/gateway/src/message/codes.rs
@@ -43,7 +43,7 @@
     /// An error of the machine.
     pub const ERROR: u8 = 47;
     /// Rejected: the request is malformed or can never be met.
-    pub const CONTENT: u8 = 100;
+    pub const INVALID_CONTENT: u8 = 100;
     /// Never sent.
-    pub const MOOT: u8 = 102;
+    pub const NEVER_SENT: u8 = 102;
 }
--- a/crates/gateway/src/pool/endpoints.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -92,13 +92,13 @@
     }
 
     /// Whether a machine is listed, or has connections, messages or placed tasks here.
-    pub fn knows(&self, machine: MachineId) -> bool {
+    pub fn contains(&self, machine: MachineId) -> bool {
         self.peers.contains_key(&machine)
     }
 
     /// Makes the machine of an adopted task known, which may be listed only later. Returns false if there are too many
     /// such machines.
-    pub fn expect_machine(&mut self, now: Seconds, machine: MachineId) -> bool {
+    pub fn add_unlisted_machine(&mut self, now: Seconds, machine: MachineId) -> bool {
         if self.peers.contains_key(&machine) {
             return true;
         }
--- a/crates/gateway/src/pool/lifecycle.rs
+++ b/crates/gateway/src/pool/lifecycle.rs
@@ -106,7 +106,7 @@
     }
 
     /// Closes a connection on which nothing more can be read, such as one with malformed bytes.
-    pub fn malformed(
+    pub fn abort(
         &mut self,
         now: Seconds,
         id: UpstreamId,
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -49,7 +49,7 @@
         let mut timed_out = self.upstreams_where(is_dial_late);
         timed_out.extend(self.upstreams_where(is_check_late));
         for id in timed_out {
-            self.malformed(now, id, actions, events);
+            self.abort(now, id, actions, events);
         }
     }
 
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -145,12 +145,12 @@
     }
 
     /// Records that the owner of a placed task came back on another connection.
-    pub fn rebind_client(&mut self, id: RequestId, client: DownstreamId, from: Option<IpAddr>) {
+    pub fn rebind_client(&mut self, id: RequestId, client: DownstreamId, address: Option<IpAddr>) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(request.state, RequestState::Placed { .. })
         {
             request.client = client;
-            request.from = from.or(request.from);
+            request.client_address = address.or(request.client_address);
         }
     }
 
--- a/crates/gateway/src/request_table/request.rs
+++ b/crates/gateway/src/request_table/request.rs
@@ -44,7 +44,7 @@
     /// The connection of the set-up, or on which its owner came back; it may have ended.
     pub client: DownstreamId,
     /// The address of that connection.
-    pub from: Option<IpAddr>,
+    pub client_address: Option<IpAddr>,
     /// Its present state.
     pub state: RequestState,
     /// The class's index in the settings.
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -45,7 +45,7 @@
         assert_eq!(told.len(), 1, "{message:?}");
         assert_eq!(
             (told[0].id, told[0].cause()),
-            (RequestId(5), Some(cause::CONTENT))
+            (RequestId(5), Some(cause::INVALID_CONTENT))
         );
         assert!(p.dials().is_empty(), "{message:?}");
     }
--- a/crates/gateway/tests/common/world.rs
+++ b/crates/gateway/tests/common/world.rs
@@ -90,7 +90,7 @@
             .unwrap()
             .into_site()
             .unwrap();
-        let gateway = Gateway::new(site, Limits::of(784), 7).unwrap();
+        let gateway = Gateway::new(site, Limits::for_descriptors(784), 7).unwrap();
         let mut world = Self {
             gateway,
             now: 1000.0,
--- a/crates/gateway/tests/compatibility.rs
+++ b/crates/gateway/tests/compatibility.rs
@@ -112,8 +112,8 @@
         ("cause FAILED", cause::FAILED),
         ("cause CONGESTED", cause::CONGESTED),
         ("cause ERROR", cause::ERROR),
-        ("cause CONTENT", cause::CONTENT),
-        ("cause MOOT", cause::MOOT),
+        ("cause CONTENT", cause::INVALID_CONTENT),
+        ("cause MOOT", cause::NEVER_SENT),
     ];
     let encoded: Vec<(&str, String)> = numbers
         .into_iter()
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -210,7 +210,7 @@
             if taken {
                 vec![]
             } else {
-                vec![release(5, cause::CONTENT)]
+                vec![release(5, cause::INVALID_CONTENT)]
             }
         );
         let dialled = p.dials();
--- a/crates/gateway/tests/input_queue.rs
+++ b/crates/gateway/tests/input_queue.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tidespur_gateway::input_queue::{InputQueue, Sequence};
+use tidespur_gateway::input_queue::{InputQueue, StepNumber};
 use tidespur_gateway::message::{MessageKind, RequestId, cause};
 use tidespur_gateway::{Input, UpstreamId};
 
@@ -35,7 +35,7 @@
 #[test]
 fn messages_of_one_client_keep_their_order_and_none_is_lost() {
     let mut queue = InputQueue::default();
-    let mut last = Sequence::default();
+    let mut last = StepNumber::default();
     for id in 1..=200 {
         last = queue.push(Input::DownstreamMessage(OWNER, set_up(id, "web")));
     }
