--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -40,7 +40,7 @@
     /// Seed of the policy's random numbers.
     pub seed: u64,
     /// Bound on descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Address of the discovery stream.
     pub discovery_address: String,
     /// The stream's events up to now.
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// Fails if it can't be read or parsed, or if a setting can't be used.
-pub fn read(text: &str) -> Result<Config, StartError> {
+pub fn parse(text: &str) -> Result<Config, StartError> {
     let wire: Wire = serde_json::from_str(text)?;
     let site = wire.settings.into_site()?;
     let known = wire
@@ -78,7 +78,7 @@
         name: wire.name,
         listen: wire.listen,
         seed,
-        sockets: wire.limits.sockets,
+        max_descriptors: wire.limits.sockets,
         discovery_address: wire.board,
         watch_events: known,
         site,
@@ -91,6 +91,6 @@
 /// Fails if it can't be read or parsed, or if a setting can't be used.
 pub fn load() -> Result<Config, StartError> {
     let path = path()?;
-    let text = std::fs::read_to_string(&path).map_err(|e| StartError::Unreadable(path, e))?;
-    read(&text)
+    let text = std::fs::read_to_string(&path).map_err(|e| StartError::ConfigUnreadable(path, e))?;
+    parse(&text)
 }
--- a/crates/gateway-net/src/error.rs
+++ b/crates/gateway-net/src/error.rs
@@ -16,12 +16,12 @@
     ConfigNotSet,
     /// The configuration is not there.
     #[error("{0:?}: {1}; look at the path and at who may read it")]
-    Unreadable(PathBuf, std::io::Error),
+    ConfigUnreadable(PathBuf, std::io::Error),
     /// It is not of the platform's form.
     #[error(
         "the configuration can't be read: {0}; write it anew, whole, and send SIGHUP or start again"
     )]
-    Malformed(#[from] serde_json::Error),
+    ConfigMalformed(#[from] serde_json::Error),
     /// A field of the settings object has a value that can't be used.
     #[error("{0}; correct that field of the settings")]
     SiteSettings(#[from] tidespur_site_settings::SiteSettingsError),
@@ -30,7 +30,7 @@
     Gateway(#[from] tidespur_gateway::GatewayError),
     /// The address is none.
     #[error("listen: {0:?} is no address; it has to be IP:PORT")]
-    Address(String),
+    InvalidAddress(String),
     /// Nobody can connect there.
     #[error("{0} can't be listened on: {1}; end who holds it, or give another address")]
     Bind(SocketAddr, std::io::Error),
--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -74,7 +74,7 @@
         executor: Rc<LocalExecutor<'static>>,
         signals: Signals,
     ) -> Result<Rc<Self>, StartError> {
-        let limits = Limits::of(config.sockets);
+        let limits = Limits::of(config.max_descriptors);
         let this = Rc::new(Self {
             gateway: RefCell::new(Gateway::new(config.site, limits, config.seed)?),
             executor,
@@ -101,9 +101,11 @@
                 .collect(),
         );
         let listen = config.listen;
-        let address: SocketAddr = listen.parse().map_err(|_| StartError::Address(listen))?;
+        let address: SocketAddr = listen
+            .parse()
+            .map_err(|_| StartError::InvalidAddress(listen))?;
         this.listener.replace(Some(Rc::new(bind::bind(address)?)));
-        tracing::info!(scheduler = this.name, %address, sockets = config.sockets, "started");
+        tracing::info!(scheduler = this.name, %address, sockets = config.max_descriptors, "started");
         this.spawn(this.clone().handle_queue());
         this.spawn(this.clone().measure_lag());
         this.listening
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -123,7 +123,7 @@
 
     /// Reads once, and adds the complete messages to the queue.
     fn read_client(&self, client: DownstreamId, connection: &Connection) -> ReadOutcome {
-        let read = match connection.socket.read_now(&self.buffer) {
+        let read = match connection.socket.try_read(&self.buffer) {
             Ok(None) => return ReadOutcome::Empty,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
--- a/crates/gateway-net/src/run/upstream.rs
+++ b/crates/gateway-net/src/run/upstream.rs
@@ -44,7 +44,7 @@
                 let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, Some(id)));
                 };
-                let wrote = socket.offer(&bytes);
+                let wrote = socket.try_write(&bytes);
                 if wrote.0 == WriteOutcome::Blocked {
                     let _ = self.handle_write(upstream, Some(id), socket, wrote);
                     return Some(Input::UpstreamBlocked(upstream, id, bytes));
@@ -169,7 +169,7 @@
 
     /// Reads once, and adds the complete messages to the queue; returns whether there was something to read.
     fn read_upstream_once(&self, upstream: UpstreamId, connection: &Connection) -> bool {
-        let read = match connection.socket.read_now(&self.buffer) {
+        let read = match connection.socket.try_read(&self.buffer) {
             Ok(None) => return false,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
--- a/crates/gateway-net/src/socket.rs
+++ b/crates/gateway-net/src/socket.rs
@@ -75,7 +75,7 @@
     }
 
     /// Writes only if the peer accepts at least a part at once; also returns whether the caller has to drain.
-    pub fn offer(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
+    pub fn try_write(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         if !self.unsent.borrow().is_empty() {
             return (WriteOutcome::Blocked, false);
         }
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// The connection has ended.
-    pub fn read_now(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<Option<usize>> {
+    pub fn try_read(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<Option<usize>> {
         loop {
             match self.stream.get_ref().read(&mut buffer.borrow_mut()) {
                 Ok(n) => return Ok(Some(n)),
@@ -180,7 +180,7 @@
     pub async fn read(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<usize> {
         loop {
             self.readable().await?;
-            if let Some(n) = self.read_now(buffer)? {
+            if let Some(n) = self.try_read(buffer)? {
                 return Ok(n);
             }
         }
--- a/crates/gateway-net/tests/socket.rs
+++ b/crates/gateway-net/tests/socket.rs
@@ -51,7 +51,7 @@
 fn a_set_up_for_a_peer_that_does_not_read_stays_here() {
     let (socket, peer) = pair();
     let sent = fill(&socket);
-    let (wrote, drain) = socket.offer(b"set-up");
+    let (wrote, drain) = socket.try_write(b"set-up");
     assert_eq!(
         (wrote, drain),
         (WriteOutcome::Blocked, false),
@@ -59,7 +59,7 @@
     );
     let reader = read_all(peer);
     smol::block_on(socket.drain()).expect("all of it leaves");
-    assert_eq!(socket.offer(b"after").0, WriteOutcome::Accepted);
+    assert_eq!(socket.try_write(b"after").0, WriteOutcome::Accepted);
     socket.half_close();
     let read = reader
         .join()
@@ -73,7 +73,7 @@
     let (socket, _peer) = pair();
     // Set-ups as large as can be, until one does not go whole.
     let told = (0..)
-        .map(|_| socket.offer(&[7; 16 * 1024]).0)
+        .map(|_| socket.try_write(&[7; 16 * 1024]).0)
         .find(|wrote| *wrote != WriteOutcome::Accepted);
     assert!(
         matches!(
@@ -83,7 +83,7 @@
         "{told:?}"
     );
     assert_eq!(socket.is_flushed(), told == Some(WriteOutcome::Blocked));
-    assert_eq!(socket.offer(b"next").0, WriteOutcome::Blocked);
+    assert_eq!(socket.try_write(b"next").0, WriteOutcome::Blocked);
 }
 
 #[test]
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -88,7 +88,7 @@
         );
         let timeouts = ConnectionTimeouts {
             connect: site.connect_timeout,
-            idle: site.connection_idle,
+            idle: site.idle_connection_timeout,
         };
         Ok(Self {
             policy,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,17 +3,17 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use tidespur_simulator_adapter::wire::Host;
+use tidespur_simulator_adapter::wire::SchedulerHost;
 
 fn main() -> ExitCode {
-    let mut host = Host::default();
+    let mut host = SchedulerHost::default();
     let mut output = io::BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
         let answered = line
             .map_err(|e| e.to_string())
             .and_then(|line| match line.trim() {
                 "" => Ok(None),
-                text => host.line(text),
+                text => host.handle_line(text),
             });
         let written = match answered {
             Ok(Some(reply)) => writeln!(output, "{reply}").and_then(|()| output.flush()),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -287,14 +287,14 @@
 
 /// All instances that one process hosts. They share the numbered lists of machines and nothing else.
 #[derive(Default)]
-pub struct Host {
+pub struct SchedulerHost {
     pages: BTreeMap<u32, Vec<Member>>,
     instances: BTreeMap<String, Instance>,
 }
 
-impl Host {
+impl SchedulerHost {
     /// Answers one line of input. `Ok(None)` never happens for a whole batch; an error is told in plain words.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>, String> {
+    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>, String> {
         let batch: Batch = serde_json::from_str(text)
             .map_err(|e| format!("a batch with `atTimeS` and `arrivals` was expected: {e}"))?;
         if !batch.at_time_s.is_finite() {
--- a/crates/simulator-adapter/tests/compatibility.rs
+++ b/crates/simulator-adapter/tests/compatibility.rs
@@ -7,17 +7,21 @@
 use fixtures::assert_encoded;
 use serde_json::Value;
 use std::collections::BTreeSet;
-use tidespur_simulator_adapter::wire::Host;
+use tidespur_simulator_adapter::wire::SchedulerHost;
 
 const INPUT: &str = include_str!("fixtures/conversation.input.jsonl");
 /// What the operators' simulator is told of this program's wire: the names of messages, fields and states.
 const WIRE: &str = include_str!("../../../deploy/sites/archiv-sued/wire.json");
 
 fn replies(input: &str) -> Vec<String> {
-    let mut host = Host::default();
+    let mut host = SchedulerHost::default();
     input
         .lines()
-        .map(|line| host.line(line).expect("a readable line").expect("a reply"))
+        .map(|line| {
+            host.handle_line(line)
+                .expect("a readable line")
+                .expect("a reply")
+        })
         .collect()
 }
 
@@ -147,7 +151,7 @@
 
 /// Whether the conversation ends in an error once the first message of this name lacks this key.
 fn is_refused_without(message: &str, key: &str) -> bool {
-    let mut host = Host::default();
+    let mut host = SchedulerHost::default();
     for line in INPUT.lines() {
         let mut line: Value = serde_json::from_str(line).expect("a line is JSON");
         let arrivals = line["arrivals"].as_array_mut().expect("a list of messages");
@@ -161,7 +165,7 @@
                     .remove(key)
                     .expect("the key stands there")
             });
-        let answer = host.line(&line.to_string());
+        let answer = host.handle_line(&line.to_string());
         if removed.is_some() {
             return answer.is_err();
         }
--- a/crates/site-settings/src/settings_object.rs
+++ b/crates/site-settings/src/settings_object.rs
@@ -27,7 +27,7 @@
     /// How long establishing a connection may take.
     pub connect_timeout: Seconds,
     /// After how long machines close an idle connection; infinite where the settings do not say.
-    pub connection_idle: Seconds,
+    pub idle_connection_timeout: Seconds,
 }
 
 /// The settings object as the operators write it. Unknown keys are ignored.
@@ -102,7 +102,7 @@
     pub fn into_site(self) -> Result<Site, SiteSettingsError> {
         let positive = |seconds: &Seconds| *seconds > 0.0;
         let connect_timeout = self.limits.connect_timeout_s.filter(positive);
-        let connection_idle = self.limits.conn_idle_s.filter(positive);
+        let idle_connection_timeout = self.limits.conn_idle_s.filter(positive);
         Ok(Site {
             classes: self
                 .services
@@ -113,7 +113,7 @@
             machine_types: self.kinds.clone(),
             zones: self.zones.clone(),
             connect_timeout: connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            connection_idle: connection_idle.unwrap_or(f64::INFINITY),
+            idle_connection_timeout: idle_connection_timeout.unwrap_or(f64::INFINITY),
             settings: self.into_settings()?,
         })
     }
--- a/crates/site-settings/tests/compatibility.rs
+++ b/crates/site-settings/tests/compatibility.rs
@@ -37,7 +37,7 @@
     assert_eq!(site.machine_types, ["std", "big"]);
     assert_eq!(site.zones, ["east", "west", "north"]);
     assert_eq!(site.connect_timeout, 0.3125);
-    assert_eq!(site.connection_idle, 19.5);
+    assert_eq!(site.idle_connection_timeout, 19.5);
 }
 
 #[test]
