--- a/crates/daemon/src/lag.rs
+++ b/crates/daemon/src/lag_probe.rs
@@ -9,7 +9,7 @@
 
 /// Sends the current time through a loop's channel of inputs again and again, until the channel is closed. The loop
 /// compares it with the time at which it takes the input: the difference is its lag. `input` wraps the time.
-pub async fn report_loop_lag<T>(inputs: Sender<T>, input: impl Fn(Seconds) -> T) {
+pub async fn send_lag_probes<T>(inputs: Sender<T>, input: impl Fn(Seconds) -> T) {
     while inputs.send(input(clock::now())).await.is_ok() {
         clock::sleep(LAG_PROBE_INTERVAL).await;
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,13 +3,13 @@
 //! decides nothing.
 
 mod batch;
-mod lag;
+mod lag_probe;
 mod options;
 mod shutdown;
 mod store;
 
 pub use batch::receive_batch;
-pub use lag::report_loop_lag;
+pub use lag_probe::send_lag_probes;
 pub use options::SharedOptions;
-pub use shutdown::shutdown_without_membership;
+pub use shutdown::wait_for_shutdown_without_membership;
 pub use store::open_store;
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -10,8 +10,8 @@
     #[arg(long)]
     pub config: Option<PathBuf>,
     /// Address of the register of nodes
-    #[arg(long)]
-    pub register: String,
+    #[arg(long = "register", value_name = "REGISTER")]
+    pub registry: String,
     /// Seed of the program's random numbers
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -4,7 +4,7 @@
 
 /// Waits for the reason to shut down of a process that has not joined a fleet. One with a store waits for SIGTERM and
 /// then closes it in order; one without a store has nothing to close, so SIGTERM ends it at once as the system does.
-pub async fn shutdown_without_membership(has_store: bool) -> ShutdownReason {
+pub async fn wait_for_shutdown_without_membership(has_store: bool) -> ShutdownReason {
     if !has_store {
         return std::future::pending().await;
     }
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -5,7 +5,7 @@
 use crate::dispatcher::{self, Dispatcher, PlannerId};
 use crate::garbage_collector::GarbageCollector;
 use crate::pending_status::PendingStatus;
-use crate::snapshot::PendingWrites;
+use crate::persisted_records::PendingWrites;
 use parking_lot::Mutex;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/edge/src/event_loop.rs
+++ b/crates/edge/src/event_loop.rs
@@ -2,8 +2,8 @@
 //! shown to clients. It owns the core.
 
 use crate::core::{Core, Input, OutgoingMessage};
+use crate::persisted_records::CollectedWrites;
 use crate::server::EdgeServer;
-use crate::snapshot::CollectedWrites;
 use crate::storage::Storage;
 use async_channel::Receiver;
 use std::sync::Arc;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -17,13 +17,13 @@
 mod node_watch;
 mod options;
 mod pending_status;
+pub mod persisted_records;
 mod planner_count;
 mod planner_sessions;
 mod pod_status;
 pub mod restore;
 mod run;
 mod server;
-pub mod snapshot;
 mod state;
 mod storage;
 
--- a/crates/edge/src/node_watch.rs
+++ b/crates/edge/src/node_watch.rs
@@ -18,7 +18,7 @@
 impl EdgeServer {
     /// Lists and watches Nodes, again and again.
     pub(crate) async fn watch_nodes(self: Arc<Self>) {
-        let register = &self.options.shared.register;
+        let register = &self.options.shared.registry;
         let to_input = |event| match event {
             ListWatchEvent::Listed(nodes) => Input::NodesListed(nodes),
             ListWatchEvent::Updated(node) => Input::NodeUpdated(node),
--- a/crates/edge/src/restore.rs
+++ b/crates/edge/src/restore.rs
@@ -1,9 +1,9 @@
-//! Restoring the edge after a restart, from the records of [`crate::snapshot`]: its objects, the request of each Pod and
+//! Restoring the edge after a restart, from the records of [`crate::persisted_records`]: its objects, the request of each Pod and
 //! the slots of each Job. No I/O; called once, before the first step.
 
 use crate::core::{Core, PodName, owner_uid};
 use crate::dispatcher;
-use crate::snapshot::{OBJECT_KIND, OPEN_REQUEST_KIND, OpenRequest, VERSION_KIND};
+use crate::persisted_records::{OBJECT_KIND, OPEN_REQUEST_KIND, OpenRequest, VERSION_KIND};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_api::resource::{JOBS, PODS, RESOURCES};
@@ -44,7 +44,7 @@
 
 /// Counts of what was restored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RestoredState {
+pub struct RestoredCounts {
     /// Objects.
     pub objects: usize,
     /// Pods that a node had accepted.
@@ -101,10 +101,10 @@
         now: f64,
         records: &LoadedRecords,
         store: &mut Store,
-    ) -> Result<RestoredState, RestoreError> {
-        let mut restored = RestoredState {
+    ) -> Result<RestoredCounts, RestoreError> {
+        let mut restored = RestoredCounts {
             objects: restore_objects(records, store)?,
-            ..RestoredState::default()
+            ..RestoredCounts::default()
         };
         let mut open_requests: BTreeMap<&str, OpenRequest> = BTreeMap::new();
         for (uid, bytes) in records.records_of_kind(OPEN_REQUEST_KIND) {
@@ -140,7 +140,7 @@
         pod: &Object,
         view: PodView,
         open_request: Option<OpenRequest>,
-        restored: &mut RestoredState,
+        restored: &mut RestoredCounts,
     ) {
         let request = task::placement_request(pod);
         let terms = self.placement_terms(&request);
--- a/crates/edge/src/restore/jobs.rs
+++ b/crates/edge/src/restore/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::{PodsByJob, RestoreError, malformed_key, read};
 use crate::core::Core;
-use crate::snapshot::{JOB_KIND, SLOT_KIND, STRAY_POD_KIND};
+use crate::persisted_records::{JOB_KIND, SLOT_KIND, STRAY_POD_KIND};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use tidespur_api::resource::JOBS;
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 use tidespur_config::Config;
 use tidespur_coordination_net::VoterHandle;
-use tidespur_daemon::{report_loop_lag, shutdown_without_membership};
+use tidespur_daemon::{send_lag_probes, wait_for_shutdown_without_membership};
 use tidespur_membership::{MemberMetadata, Role};
 use tidespur_membership_net::{MemberHandle, ShutdownReason};
 use tidespur_net::routes::Routes;
@@ -152,7 +152,7 @@
         admission: AdmissionControl::from_config(&config),
         connected_planners: AtomicUsize::new(0),
         inputs: inputs.clone(),
-        registry: Client::new(&options.shared.register, REGISTRY_CONNECTIONS, vec![]),
+        registry: Client::new(&options.shared.registry, REGISTRY_CONNECTIONS, vec![]),
         recorder: recorder.clone(),
         pending_records: state.core.pending_records(),
         resync_count: AtomicU64::new(0),
@@ -188,7 +188,7 @@
     vec![
         smol::spawn(edge.clone().accept_planners(link.socket)),
         smol::spawn(edge.clone().watch_nodes()),
-        smol::spawn(report_loop_lag(edge.inputs.clone(), lag_probe)),
+        smol::spawn(send_lag_probes(edge.inputs.clone(), lag_probe)),
         smol::spawn(edge.clone().count_planners()),
         smol::spawn(async move { server::serve(api.socket, limits, handler).await }),
     ]
@@ -201,6 +201,6 @@
 ) -> ShutdownReason {
     match member {
         Some(member) => edge.update_membership(&member, metadata).await,
-        None => shutdown_without_membership(edge.storage.is_some()).await,
+        None => wait_for_shutdown_without_membership(edge.storage.is_some()).await,
     }
 }
--- a/crates/edge/tests/compatibility/edge.rs
+++ b/crates/edge/tests/compatibility/edge.rs
@@ -5,7 +5,7 @@
 use tidespur_api::resource::{JOBS, PODS};
 use tidespur_config::{DEFAULT_CONFIG, parse};
 use tidespur_edge::core::{Core, Input};
-use tidespur_edge::restore::{RestoredState, reserved_version};
+use tidespur_edge::restore::{RestoredCounts, reserved_version};
 use tidespur_persistence::{Batch, LoadedRecords};
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 use tidespur_store::{Limits, Store};
@@ -36,7 +36,7 @@
     }
 
     /// Loads what an earlier process left, as the program does.
-    pub fn load(records: &LoadedRecords) -> (Self, RestoredState) {
+    pub fn load(records: &LoadedRecords) -> (Self, RestoredCounts) {
         let version = reserved_version(records).unwrap();
         let mut edge = Self::new();
         edge.store = Store::new(Limits::default(), 7, version);
--- a/crates/edge/tests/compatibility/main.rs
+++ b/crates/edge/tests/compatibility/main.rs
@@ -9,7 +9,7 @@
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS, RESOURCES};
 use tidespur_api::{Object, meta};
 use tidespur_edge::core::Input;
-use tidespur_edge::restore::{RestoredState, reserved_version};
+use tidespur_edge::restore::{RestoredCounts, reserved_version};
 use tidespur_fixtures::{StoredFolder, assert_lines, assert_stored, fixture_path};
 use tidespur_persistence::Identity;
 
@@ -122,7 +122,7 @@
     );
     assert_eq!(
         restored,
-        RestoredState {
+        RestoredCounts {
             objects: 12,
             placed: 2,
             queued: 2,
--- a/crates/planner/src/node_watches.rs
+++ b/crates/planner/src/node_watches.rs
@@ -84,7 +84,7 @@
 
     /// Lists the Nodes and watches the list until the watch ends.
     pub(crate) async fn watch_node_list(&self) {
-        let client = self.client(&self.options.shared.register);
+        let client = self.client(&self.options.shared.registry);
         let read = |event| self.read_node_event(event);
         let reason = list_and_watch(
             &client,
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use tidespur_config::Config;
 use tidespur_coordination::Fence;
-use tidespur_daemon::{open_store, report_loop_lag, shutdown_without_membership};
+use tidespur_daemon::{open_store, send_lag_probes, wait_for_shutdown_without_membership};
 use tidespur_membership::{MemberMetadata, Role};
 use tidespur_membership_net::{JoinError, MemberHandle, ReplacedError, ShutdownReason};
 use tidespur_net::Recorder;
@@ -82,14 +82,14 @@
     for address in &process.options.edges {
         connections.open_static(&process, address);
     }
-    let _lag_probes = smol::spawn(report_loop_lag(process.inputs.clone(), Input::LagProbe));
+    let _lag_probes = smol::spawn(send_lag_probes(process.inputs.clone(), Input::LagProbe));
     process.recorder.record("started", || json!({}));
     tracing::info!(planner = process.name, "started");
 
     let shutdown = async {
         match member {
             Some(member) => process.follow_membership(&member, &mut connections).await,
-            None => shutdown_without_membership(disk.is_some()).await,
+            None => wait_for_shutdown_without_membership(disk.is_some()).await,
         }
     };
     let event_loop = async {
