--- a/crates/policy/src/backoff.rs
+++ b/crates/policy/src/backoff.rs
@@ -1,11 +1,11 @@
-//! The exponential backoff of circuit breakers, attempts and endpoint list requests.
+//! Exponential backoff for circuit breakers, offer timeouts and endpoint list requests.
 
 use crate::interface::Seconds;
 
-/// Failures in a row that are counted; above this many the backoff is at its upper bound anyway.
+/// The highest count of consecutive failures. Backoffs reach their upper bound before it.
 pub(crate) const MAX_COUNTED_FAILURES: i32 = 16;
 
-/// A time that doubles with each failure in a row, up to a bound.
+/// A delay that doubles with each consecutive failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
     pub(crate) initial: Seconds,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// The same time after each failure.
+    /// A delay that is the same after each failure.
     pub(crate) const fn constant(duration: Seconds) -> Self {
         Self {
             initial: duration,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The time after this many failures in a row before the last one, in seconds.
+    /// The delay after the last failure, in seconds, if `failures` consecutive failures preceded it.
     pub(crate) fn after(self, failures: i32) -> Seconds {
         (self.initial * 2f64.powi(failures)).min(self.max)
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,7 @@
 //! The types through which a [`Scheduler`](crate::Scheduler) is driven: settings, events, actions.
 //!
-//! All times are seconds on one monotonic clock, whose zero the caller chooses. The caller assigns ids: one id means
-//! one task (or machine, service) for the life of a `Scheduler`.
+//! All times are in seconds on one monotonic clock; the caller chooses its origin. The caller also assigns the ids: an
+//! id refers to the same task, machine or service for the lifetime of a `Scheduler`.
 
 mod actions;
 mod events;
@@ -21,15 +21,15 @@
 
 pub use tidespur_units::{Resources, Seconds};
 
-/// One request to place a task. Never reused: a task that is submitted again has a new id.
+/// Identifies one request to place a task. Never reused: a resubmitted task gets a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub u64);
 
-/// A machine. It keeps its id over restarts, and all schedulers are given the same id for it, for instance a hash
-/// of its address.
+/// Identifies a machine. The id survives restarts of the machine and is the same at all schedulers, for example a
+/// hash of its address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineId(pub u64);
 
-/// The service that a task belongs to; all schedulers are given the same id for it.
+/// Identifies the service that a task belongs to. The id is the same at all schedulers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u64);
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,73 +1,74 @@
-//! What a scheduler is notified of.
+//! The input of a scheduler: events, and the data they carry.
 
 use super::{MachineId, Resources, Seconds, ServiceId, TaskId};
 
 /// A task as its owner describes it.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// The request.
+    /// Identifies this request to place the task.
     pub id: TaskId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// The service that it belongs to.
+    /// The service that the task belongs to.
     pub service: ServiceId,
-    /// The time at which the owner gives up on this request; may be infinite.
+    /// When the owner gives up on this request; may be infinite.
     pub deadline: Seconds,
-    /// Roughly how long it is expected to run, in seconds.
+    /// An estimate of the run time, in seconds; `None` if the owner gave none.
     pub expected_duration: Option<Seconds>,
-    /// The CPU and memory that it requests.
+    /// The CPU and memory that the task requests.
     pub request: Resources,
-    /// It was submitted before, and came back after a rejection, failure, migration or loss.
+    /// Whether the owner resubmits the task after a rejection, failure, migration or loss.
     pub is_resubmission: bool,
 }
 
 /// The state of a machine in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes tasks.
+    /// The machine accepts tasks.
     Ready,
-    /// It finishes its tasks and must get no new ones.
+    /// The machine finishes its tasks and must not get new ones.
     Draining,
-    /// It was removed.
+    /// The machine was removed.
     Gone,
 }
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The machine.
+    /// The machine that the entry describes.
     pub machine: MachineId,
     /// Index into [`Settings::machine_types`](super::Settings::machine_types).
     pub machine_type: usize,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: usize,
-    /// Its zone.
+    /// The number of its zone.
     pub zone: usize,
-    /// Whether it takes tasks.
+    /// Whether it accepts tasks.
     pub status: EndpointStatus,
-    /// When it last started; `None` if that is long ago.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<Seconds>,
-    /// CPU and memory that no accepted task requested a while ago; below 0 where more was accepted.
+    /// CPU and memory that were not requested by accepted tasks, as of a short time ago. Negative if the machine is
+    /// overcommitted.
     pub unclaimed: Resources,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The task has finished.
+    /// The task finished.
     Finished,
     /// The machine returned an error; the task may have run.
     Failed,
-    /// The machine rejected the task, which never ran.
+    /// The machine rejected the offer; the task never ran.
     Rejected(FailureCause),
-    /// No answer came in time; the task may have run.
+    /// No response arrived in time; the task may have run.
     TimedOut,
-    /// No connection could be made; the task never ran.
+    /// No connection could be established; the task never ran.
     ConnectFailed,
-    /// Before the confirmation: the answer was cut short, and the task may have run. After it: the task was evicted,
-    /// sent away or lost.
+    /// Before the confirmation: the response was cut off, and the task may have run. After it: the task was evicted,
+    /// drained or lost.
     Interrupted(FailureCause),
     /// The task was cancelled or migrated; it may have run unless it was confirmed.
     Cancelled,
@@ -75,109 +76,110 @@
     NeverSent,
 }
 
-/// The cause that came with an outcome.
+/// The cause that a machine reports with an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// None was given.
+    /// No cause was reported.
     Unspecified,
-    /// Too few cores are left.
+    /// Not enough cores are left.
     InsufficientCpu,
-    /// Too little memory is left.
+    /// Not enough memory is left.
     InsufficientMemory,
-    /// Too many offers wait at the machine.
+    /// The queue of offers at the machine is full.
     QueueFull,
-    /// The machine has another type or is leaving, the offer came too late, or the task is there already.
+    /// The machine has another type or is draining, the offer arrived too late, or the machine already has the task.
     NotEligible,
     /// The task was evicted to free memory.
     Evicted,
-    /// A task of higher priority took its place.
+    /// The task was preempted by one of higher priority.
     Preempted,
-    /// The machine is leaving and sent the task away.
+    /// The machine is draining and stopped the task.
     Drained,
 }
 
-/// The load of a machine some time ago; `None` for what the machine does not report.
+/// The load of a machine as of a short time ago; `None` for what the machine does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Cores that are not in use, or not requested: see
+    /// Cores that are not in use or not requested, depending on
     /// [`Settings::reports_measured_usage`](super::Settings::reports_measured_usage).
     pub free_cpu: Option<f64>,
-    /// Memory, likewise.
+    /// Memory that is not in use or not requested, as for `free_cpu`.
     pub free_memory: Option<f64>,
-    /// Offers and starts that wait.
+    /// The number of queued offers and task starts.
     pub queued: Option<f64>,
-    /// The fraction of the cores that is busy.
+    /// The fraction of the cores that are busy.
     pub cpu_utilization: Option<f64>,
 }
 
 /// The progress of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptProgress {
-    /// The task runs now.
+    /// The task is now running.
     Started,
-    /// The cores that it uses now.
+    /// The number of cores that the task uses now.
     CpuUsage(f64),
-    /// The memory that it uses now.
+    /// The memory that the task uses now.
     MemoryUsage(f64),
-    /// The fraction of full service that it gets.
+    /// The fraction of full service that the task gets.
     ServiceLevel(f64),
     /// The fraction of its machine's memory that is in use.
     MachineMemoryUtilization(f64),
 }
 
-/// What a scheduler is notified of. Events of one step share its time and stand in the order of their arrival.
+/// An event that a scheduler is notified of. Events of one step share its time and are in order of arrival.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A task is to be placed. Exactly one final answer is owed.
+    /// A task is to be placed. The scheduler owes it exactly one final answer.
     TaskSubmitted(Task),
-    /// This scheduler is now responsible for a task that already runs on a machine. Attempt 0 counts as made.
+    /// This scheduler takes over a task that already runs on a machine. The run counts as attempt 0.
     TaskAdopted(Task, MachineId),
-    /// This attempt has placed the task, which is the final answer. An `AttemptEnded` event tells its end.
+    /// A machine has accepted the task, which is its final answer. An `AttemptEnded` event follows at the end of the
+    /// attempt.
     AttemptConfirmed {
-        /// The request.
+        /// The task that was accepted.
         task: TaskId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt that has no outcome yet has made progress.
+    /// Progress of an attempt that has no outcome yet.
     AttemptProgressed {
-        /// The request.
+        /// The task of the attempt.
         task: TaskId,
-        /// The progress.
+        /// What has changed.
         progress: AttemptProgress,
     },
-    /// An attempt has ended. Each attempt has one such event.
+    /// An attempt has ended. Sent exactly once for each attempt.
     AttemptEnded {
-        /// The request.
+        /// The task of the attempt.
         task: TaskId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The request is closed; if not, a final answer may still be owed.
+        /// Whether the request is closed. If not, a final answer may still be owed.
         closed: bool,
-        /// The load of the machine, where it was reported with the outcome.
+        /// The load of the machine, if it came with the outcome.
         report: Option<LoadReport>,
     },
-    /// The request is over; no answer is owed.
+    /// The request was cancelled; no final answer is owed.
     TaskCancelled(TaskId),
     /// The timer with this token has fired.
     TimerFired(u64),
-    /// These lines of the endpoint list have changed.
+    /// These entries of the endpoint list have changed.
     EndpointsChanged(Vec<Endpoint>),
-    /// The complete endpoint list; machines that are absent are gone.
+    /// The complete endpoint list. Machines that are missing from it are gone.
     EndpointsListed(Vec<Endpoint>),
-    /// A subscription or a request for the endpoint list failed or broke.
+    /// The subscription to the endpoint list, or a request for it, failed.
     EndpointListFailed,
-    /// A load poll was answered.
+    /// A load poll completed.
     LoadPolled {
-        /// The machine.
+        /// The machine that was polled.
         machine: MachineId,
         /// Its load; `None` if the poll failed.
         report: Option<LoadReport>,
     },
-    /// A gossip message of another scheduler, which may be late. Some are lost.
+    /// A gossip message from another scheduler. Messages may be delayed or lost.
     GossipReceived(Vec<u8>),
-    /// From now on this many schedulers share the slow-start budget, this one included.
+    /// The number of schedulers that share the slow-start budget, this one included, has changed.
     SchedulerCountChanged(usize),
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,74 +1,74 @@
-//! What a scheduler is started with.
+//! The configuration of a scheduler.
 
 use super::{Resources, Seconds};
 
-/// The machines that a deduplication domain or a spread rule speaks of.
+/// The scope of request deduplication or of a spread limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum FailureDomain {
     /// All machines together.
     All,
     /// One zone.
     Zone,
-    /// One cell: a handful of machines that belong together.
+    /// One cell: a small group of related machines.
     Cell,
     /// A single machine.
     Machine,
 }
 
-/// What a second run of a task does.
+/// Whether an attempt that may have run can be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
-    /// No harm: the task may be repeated at will.
+    /// The task may be repeated any number of times.
     Idempotent,
-    /// No harm while an idempotency key protects it: machines of one domain drop repeats for a while after the first
-    /// attempt that may have run.
+    /// The task may be repeated while its idempotency key is remembered: the machines of one domain drop duplicates
+    /// for some time after the first attempt that may have run.
     IdempotencyKeyed {
-        /// The domain in which repeats are dropped.
+        /// The domain in which duplicates are dropped.
         domain: FailureDomain,
-        /// For how long they are dropped, in seconds.
+        /// How long they are dropped, in seconds.
         window: Seconds,
     },
-    /// Harm: the task is not sent again unless all earlier attempts are known not to have run.
+    /// The task is not sent again unless all earlier attempts are known not to have run.
     NonIdempotent,
 }
 
-/// A class of tasks.
+/// A class of tasks: their objectives, weights and constraints.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A first start within this many seconds earns its full worth.
+    /// A task that first starts within this many seconds earns the full `start_weight`.
     pub latency_objective: Seconds,
-    /// How long owners wait for a placement, in seconds.
+    /// How long an owner waits for a placement, in seconds.
     pub deadline: Seconds,
-    /// What a second run does.
+    /// Whether an attempt that may have run can be repeated.
     pub retry_safety: RetrySafety,
-    /// The worth of one second of full service.
+    /// The value of one second of full service, relative to other classes.
     pub priority_weight: f64,
-    /// The seconds of full service that a timely start is worth.
+    /// The value of a timely start, in seconds of full service.
     pub start_weight: Seconds,
-    /// The fraction of the machine's cores in use up to which the class gets full service.
+    /// The CPU utilization of a machine up to which the class gets full service, as a fraction.
     pub full_service_utilization: f64,
-    /// Service falls to nothing over this much more.
+    /// The further utilization over which service falls linearly to zero.
     pub degradation_range: f64,
-    /// The machine type that the class needs, if any: index into [`Settings::machine_types`].
+    /// The machine type that the class requires, if any: index into [`Settings::machine_types`].
     pub machine_type: Option<usize>,
-    /// Tasks of a higher priority go first.
+    /// Tasks of higher priority take precedence over those of lower priority.
     pub priority: u32,
-    /// The domain in which `max_per_spread_domain` counts; `None` where tasks need not be spread.
+    /// The domain to which `max_per_spread_domain` applies; `None` if tasks need not be spread.
     pub spread_domain: Option<FailureDomain>,
-    /// The most tasks of one service in one such domain.
+    /// The maximum number of tasks of one service in one such domain.
     pub max_per_spread_domain: u32,
 }
 
-/// A tenant.
+/// The quota of a tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its fraction of the service.
+    /// The fraction of the service that the tenant is entitled to.
     pub quota_fraction: f64,
-    /// New tasks per second within its quota, over all schedulers.
+    /// The number of new tasks per second within its quota, over all schedulers.
     pub quota_per_second: f64,
 }
 
-/// A type of machine.
+/// The properties that all machines of one type share.
 #[derive(Clone, Debug)]
 pub struct MachineType {
     /// The CPU and memory of a machine.
@@ -78,53 +78,55 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// There are none.
+    /// There are no load reports.
     None,
-    /// Outcomes and polls.
+    /// Reports come with outcomes and with polls.
     OutcomesAndPolls,
-    /// Polls alone.
+    /// Reports come with polls only.
     PollsOnly,
 }
 
-/// The figures of the five rules.
+/// The limits that the five safety rules enforce.
 #[derive(Clone, Debug)]
 pub struct SafetyLimits {
-    /// A final answer counts until this many seconds after the deadline.
+    /// A final answer is in time until this many seconds after the deadline.
     pub answer_slack: Seconds,
-    /// Without a subscription the endpoint list must be polled at least this often, in seconds.
+    /// The longest interval between polls of the endpoint list without a subscription, in seconds.
     pub max_poll_interval: Seconds,
-    /// A machine in slow start starts tasks at this fraction of its pace, or above.
+    /// A machine in slow start starts tasks at this fraction of its normal rate, or faster.
     pub slow_start_speed: f64,
-    /// Slow start is over no later than this many seconds after the machine came up.
+    /// Slow start ends at most this many seconds after the machine started.
     pub slow_start_duration: Seconds,
-    /// The offers within `overload_window`, of all schedulers together, that a machine in slow start can always take.
+    /// The number of offers within `overload_window`, from all schedulers together, that never overloads a machine in
+    /// slow start.
     pub slow_start_offers: f64,
-    /// Offers to a draining machine must stop within this many seconds after the notification.
+    /// Offers to a draining machine must stop within this many seconds of the notification.
     pub drain_grace: Seconds,
-    /// More than this multiple of its present capacity, for `overload_window`, overloads a machine in slow start.
+    /// A machine in slow start is overloaded when it gets more than this multiple of its current capacity for
+    /// `overload_window`.
     pub overload_ratio: f64,
-    /// The window of `overload_ratio` and `slow_start_offers`, in seconds.
+    /// The window over which `overload_ratio` and `slow_start_offers` are measured, in seconds.
     pub overload_window: Seconds,
 }
 
-/// What the result is charged for, in points.
+/// Prices of scheduling activity and of idle machines, in points of the score.
 #[derive(Clone, Debug, Default)]
 pub struct CostModel {
-    /// All machines in use beyond those needed.
+    /// The price of keeping all machines in use that are not needed.
     pub idle_machines: f64,
-    /// One rejected offer for each task.
+    /// The price of one rejected offer per task.
     pub rejected_offer: f64,
-    /// One migration for each task.
+    /// The price of one migration per task.
     pub migration: f64,
-    /// The number of migrations that one eviction counts as.
+    /// The price of one eviction, in migrations.
     pub eviction_in_migrations: f64,
-    /// One load poll for each task.
+    /// The price of one load poll per task.
     pub load_poll: f64,
-    /// One full gossip message for each task.
+    /// The price of one gossip message of maximum length per task.
     pub gossip_message: f64,
 }
 
-/// What a scheduler is started with.
+/// The configuration of a scheduler.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of this scheduler, from 0.
@@ -133,38 +135,39 @@
     pub scheduler_count: usize,
     /// The zone that this scheduler is in.
     pub zone: usize,
-    /// The classes; tasks name theirs by index.
+    /// The classes of tasks. Tasks refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants. Tasks refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// The types of machines.
+    /// The types of machines. Endpoints and classes refer to them by index.
     pub machine_types: Vec<MachineType>,
-    /// Machines accept tasks until these request this multiple of their CPU, or of their memory.
+    /// Machines admit tasks up to this multiple of their CPU and memory.
     pub overcommit: Resources,
-    /// The tasks of a service come to one scheduler while that is up (else to any).
+    /// Whether all tasks of a service go to one scheduler while it is up. If not, any scheduler may get them.
     pub single_scheduler_per_service: bool,
-    /// `AttemptConfirmed` arrives when the task runs (else when it is accepted).
+    /// Whether `AttemptConfirmed` means that the task runs. If not, it means that the machine has accepted the task.
     pub confirm_when_running: bool,
-    /// The endpoint list must be subscribed to (else changes arrive unasked).
+    /// Whether updates of the endpoint list require a subscription. If not, they arrive without one.
     pub requires_subscription: bool,
-    /// Endpoints carry their unclaimed resources.
+    /// Whether entries of the endpoint list carry [`Endpoint::unclaimed`](super::Endpoint::unclaimed).
     pub lists_unclaimed: bool,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
-    /// Load reports tell the resources that are not in use (else those that are not requested).
+    /// Whether load reports give the resources that are not in use. If not, they give those that are not requested.
     pub reports_measured_usage: bool,
-    /// Load polls are permitted.
+    /// Whether load polls are permitted.
     pub allows_load_polls: bool,
-    /// Gossip between schedulers is permitted.
+    /// Whether gossip between schedulers is permitted.
     pub allows_gossip: bool,
-    /// The most attempts of one request.
+    /// The maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// The longest advice not to retry that is followed, in seconds; 0 if none is.
+    /// The longest [`Action::Reject::retry_after`](super::Action::Reject::retry_after) that owners honor, in seconds; 0
+    /// if they ignore it.
     pub max_retry_after: Seconds,
-    /// The worth of a task beyond its tenant's quota, as a fraction.
+    /// The value of a task beyond its tenant's quota, as a fraction of its value within the quota.
     pub over_quota_weight: f64,
-    /// The figures of the five rules.
+    /// The limits that the five safety rules enforce.
     pub safety_limits: SafetyLimits,
-    /// What is charged.
+    /// Prices of scheduling activity and of idle machines.
     pub costs: CostModel,
 }
--- a/crates/policy/src/interface/validation.rs
+++ b/crates/policy/src/interface/validation.rs
@@ -1,17 +1,17 @@
-//! The validation of settings, before a scheduler is started with them.
+//! Validation of settings when a scheduler is created.
 
 use super::{Class, Resources, RetrySafety, Seconds, Settings};
 
-/// A setting that a scheduler can't work with. Messages name it as the operators' settings do.
+/// An invalid setting. Messages use the names of the operators' settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// No class is given.
+    /// There is no class.
     #[error("settings: classes: the list is empty; name at least one class")]
     NoClasses,
-    /// No machine type is given.
+    /// There is no machine type.
     #[error("settings: kinds: the list is empty; name at least one machine type")]
     NoMachineTypes,
-    /// A machine type has no cores or no memory.
+    /// The capacity of a machine type is not above 0.
     #[error(
         "settings: kinds: machine type {machine_type} has {} cores and {} of memory; \
          give it more than 0 of both", .capacity.cpu, .capacity.memory
@@ -19,10 +19,10 @@
     EmptyMachineType {
         /// Index into [`Settings::machine_types`].
         machine_type: usize,
-        /// What is given.
+        /// The rejected capacity.
         capacity: Resources,
     },
-    /// This scheduler is not one of the schedulers.
+    /// The ordinal of this scheduler is not below the number of schedulers.
     #[error(
         "settings: schedulers: this scheduler has the ordinal {ordinal} of {scheduler_count} schedulers; \
          count from 0, and give a number of schedulers above the ordinal"
@@ -30,20 +30,20 @@
     OrdinalOutOfRange {
         /// The number of this scheduler, from 0.
         ordinal: usize,
-        /// The number of all schedulers.
+        /// The number of schedulers that share the machines.
         scheduler_count: usize,
     },
-    /// A figure of a class is negative or not a number.
+    /// A value of a class is negative or not a number.
     #[error("settings: classes: {name} of class {class} is {value}; give 0 or more")]
     InvalidClassValue {
         /// Index into [`Settings::classes`].
         class: usize,
         /// The field of [`Class`].
         name: &'static str,
-        /// What is given.
+        /// The rejected value.
         value: f64,
     },
-    /// A class needs a machine type that does not exist.
+    /// A class requires a machine type that does not exist.
     #[error(
         "settings: classes: class {class} needs machine type {machine_type}, of {machine_type_count} types \
          counted from 0; add the type or change the class"
@@ -61,7 +61,7 @@
     InvalidSafetyLimit {
         /// The field of [`SafetyLimits`](super::SafetyLimits).
         name: &'static str,
-        /// What is given.
+        /// The rejected value.
         value: f64,
     },
     /// An overcommit ratio is negative or not a number.
@@ -70,13 +70,13 @@
          give 0 or more for both", .overcommit.cpu, .overcommit.memory
     )]
     InvalidOvercommit {
-        /// What is given.
+        /// The rejected ratios.
         overcommit: Resources,
     },
 }
 
 impl SettingsError {
-    /// The part of the operators' settings that the message begins with.
+    /// The section of the operators' settings that the message names first.
     #[must_use]
     pub const fn field(&self) -> &'static str {
         match self {
@@ -92,10 +92,10 @@
 }
 
 impl Settings {
-    /// Checks whether a scheduler can work with these settings.
+    /// Checks that all values are valid and consistent.
     ///
     /// # Errors
-    /// The first setting that it can't work with.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -123,8 +123,8 @@
         if self.machine_types.is_empty() {
             return Err(SettingsError::NoMachineTypes);
         }
-        for (machine_type, described) in self.machine_types.iter().enumerate() {
-            let capacity = described.capacity;
+        for (machine_type, properties) in self.machine_types.iter().enumerate() {
+            let capacity = properties.capacity;
             let has_both = capacity.cpu > 0.0 && capacity.memory > 0.0;
             if !has_both {
                 return Err(SettingsError::EmptyMachineType {
@@ -189,7 +189,7 @@
     }
 }
 
-/// The time in which repeats of a task are dropped, in seconds; 0 for a class without idempotency keys.
+/// How long duplicates of a task are dropped, in seconds; 0 for a class without idempotency keys.
 const fn deduplication_window(class: &Class) -> Seconds {
     match class.retry_safety {
         RetrySafety::IdempotencyKeyed { window, .. } => window,
--- a/crates/policy/src/running_mean.rs
+++ b/crates/policy/src/running_mean.rs
@@ -1,12 +1,12 @@
-//! Running means of what was observed, of one quantity and of one for each resource.
+//! Running means of one quantity or of one quantity per resource.
 
 use crate::interface::Resources;
 
-/// Observations that an assumed initial value counts as.
+/// The number of observations that an assumed initial value counts as.
 const PRIOR_OBSERVATIONS: f64 = 3.0;
 
-/// An arithmetic mean of the first observations, and an exponentially weighted moving average once the
-/// weight of one observation would fall below the smallest weight that the caller gives.
+/// A mean that starts as the arithmetic mean of all observations, and becomes an exponentially weighted moving average
+/// once the weight of one observation would fall below the minimum that the caller gives.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
     value: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RunningMean {
-    /// A mean that starts at an assumed value.
+    /// Creates a mean with an assumed initial value.
     pub(crate) const fn with_prior(value: f64) -> Self {
         Self {
             value,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds an observation, which moves the mean by `min_weight` of the difference or more.
+    /// Adds an observation with a weight of at least `min_weight`.
     pub(crate) fn record(&mut self, observed: f64, min_weight: f64) {
         self.observations += 1.0;
         let weight = (1.0 / self.observations).max(min_weight);
@@ -52,7 +52,7 @@
 }
 
 impl ResourceMeans {
-    /// Means that start at assumed values.
+    /// Creates means with assumed initial values.
     pub(crate) const fn with_prior(value: Resources) -> Self {
         Self {
             cpu: RunningMean::with_prior(value.cpu),
@@ -66,12 +66,12 @@
         self.memory.record(observed.memory, min_weight);
     }
 
-    /// The means; 0 for what was not observed yet.
+    /// The means; 0 for a resource without observations.
     pub(crate) const fn value(&self) -> Resources {
         Resources::new(self.cpu.value(), self.memory.value())
     }
 
-    /// The means, or those of `default` for what was not observed yet.
+    /// The means, with the value of `default` for a resource without observations.
     pub(crate) fn value_or(&self, default: Resources) -> Resources {
         Resources::new(
             self.cpu.value_or(default.cpu),
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,11 +1,11 @@
-//! The scheduler: all decisions of tidespur. It does no I/O and reads no clock; the types that it is driven
-//! through are in [`interface`](crate::interface).
+//! The scheduler, which makes all placement decisions of tidespur. It does no I/O and reads no clock; its input and
+//! output types are in [`interface`](crate::interface).
 //!
-//! A step takes in events (`observations` and the modules that it calls), then places pending tasks (`placement`).
-//! For each of them `candidates` filters machines (`filters`: the five rules, circuit breakers, capacity), keeps
-//! those that lose least (`loss`: a late start, crowding, a machine kept in use), and lets Dice choose (`dice`;
-//! Xie, Hyytiä, Righter, "Size-Aware Dispatching to Fluid Queues"). What can't be placed is rejected or fails.
-//! Last, the step polls, gossips and sets a timer.
+//! A step processes events (`observations` and the modules it calls), then places pending tasks (`placement`). For each
+//! task, `candidates` filters machines (`filters`: the five rules, circuit breakers, capacity), keeps those with the
+//! least loss (`loss`: a late start, contention, a machine kept in use), and lets Dice choose among them (`dice`; Xie,
+//! Hyytiä, Righter, "Size-Aware Dispatching to Fluid Queues"). Tasks that can't be placed are rejected or failed.
+//! Finally, the step polls loads, sends gossip and sets a timer.
 
 mod attempts;
 mod candidate_cache;
@@ -50,7 +50,7 @@
 use slow_start::SlowStartBudget;
 use task_record::TaskTable;
 
-/// Places tasks on machines. It knows only what its events contain.
+/// Places tasks on machines. It learns about them only from its events.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -65,16 +65,16 @@
     estimates: Estimates,
     slow_start: SlowStartBudget,
     idle_capacity: IdleCapacity,
-    /// When the timer that was asked for last fires; infinite if none is set.
+    /// When the last requested timer fires; infinite if none is set.
     next_wakeup_at: Seconds,
     machines_examined: u64,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet. All its random draws follow from `seed`.
+    /// Creates a scheduler without machines and tasks. `seed` determines all its random draws.
     ///
     /// # Errors
-    /// The first setting that it can't work with.
+    /// Returns the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -95,12 +95,12 @@
         })
     }
 
-    /// Takes in `events`, all of time `now`, and appends what is to be done to `actions`.
+    /// Processes `events`, which all happened at `now`, and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Seconds, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.step_observed(now, events, actions, &mut NoObserver);
     }
 
-    /// As [`Self::step`], with an observer of each choice of a machine.
+    /// Like [`Self::step`], but calls `observer` before and after each choice of a machine.
     pub fn step_observed(
         &mut self,
         now: Seconds,
@@ -126,13 +126,14 @@
         self.set_timer(now, actions);
     }
 
-    /// Machines that were examined so far, for one task or for many: the work of choosing.
+    /// The number of machines examined so far, where an examination may serve many tasks: a measure of the work of
+    /// placement.
     #[must_use]
     pub const fn machines_examined(&self) -> u64 {
         self.machines_examined
     }
 
-    /// Tasks that found no machine and wait for the next retry.
+    /// The number of pending tasks for which no machine was found, and which wait for the next retry.
     #[must_use]
     pub const fn unplaced_tasks(&self) -> usize {
         self.pending.unplaced_count()
