--- a/crates/policy/src/scheduler/attempts.rs
+++ b/crates/policy/src/scheduler/attempts.rs
@@ -1,11 +1,11 @@
-//! Observations of an attempt that goes on: its confirmation, its start, and what the task uses.
+//! Handlers for events of an attempt in progress: its confirmation, its start, and the resources it uses.
 
 use super::Scheduler;
 use super::estimates::TASK_WEIGHT;
 use super::task_record::TaskState;
 use crate::interface::{AttemptProgress, Seconds, TaskId};
 
-/// What a task uses is recorded from this many seconds after its offer on: its memory grows at first.
+/// Usage of a task is recorded only this many seconds after its offer, as its memory grows at first.
 const WARM_UP_DURATION: Seconds = 4.0;
 
 /// The largest ratio of use to request that is recorded for one task.
@@ -20,7 +20,7 @@
             return;
         }
         record.state = TaskState::Placed;
-        let answer_time = now - record.sent_at;
+        let response_time = now - record.sent_at;
         if let Some(machine) = self.machines.get_mut(&record.machine) {
             if let Some(reservation) = machine.reservations.get_mut(&id) {
                 reservation.is_confirmed = true;
@@ -32,7 +32,7 @@
         if self.settings.confirm_when_running {
             self.task_started(now, id);
         } else {
-            self.estimates.answer_time.record(answer_time);
+            self.estimates.response_time.record(response_time);
         }
     }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The task runs: how long its start took is recorded, unless other starts were before it.
+    /// Marks the task as running and records its start time, unless it was queued behind other starts.
     fn task_started(&mut self, now: Seconds, id: TaskId) {
         let Some(record) = self.tasks.get(&id) else {
             return;
--- a/crates/policy/src/scheduler/circuit_breakers.rs
+++ b/crates/policy/src/scheduler/circuit_breakers.rs
@@ -1,7 +1,7 @@
-//! The circuit breakers of one machine: which traffic it gets no offers of after failures, and until when.
+//! The circuit breakers of one machine, which block offers of some traffic after failures.
 //!
-//! A breaker opens with each failure, for a time that doubles with failures in a row. After that time it is half
-//! open: one task at a time is let through until one succeeds. Owned by the state of the machine, asked by the
+//! Each failure opens a breaker for a time that doubles with consecutive failures. After that time the breaker is half
+//! open: it lets one task at a time through until one succeeds. Owned by the state of the machine, queried by the
 //! filters, and updated from outcomes and confirmations.
 
 use super::task_record::TrafficClass;
@@ -9,10 +9,10 @@
 use crate::interface::Seconds;
 use std::collections::BTreeMap;
 
-/// A time before every time at which a breaker may have opened: from it on all breakers count, half open too.
+/// Precedes the time at which any breaker opened. Breakers open after this time include half open ones.
 const BEFORE_ANY_FAILURE: Seconds = -1.0;
 
-/// What a breaker keeps from the machine.
+/// The traffic that a breaker blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum BreakerScope {
     /// All tasks.
@@ -21,10 +21,12 @@
     Traffic(TrafficClass),
 }
 
-/// Failures in a row, and until when no task is let through.
+/// The state of one breaker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Breaker {
+    /// Consecutive failures, halved by each success.
     failures: i32,
+    /// Until when all tasks are blocked.
     open_until: Seconds,
 }
 
@@ -35,14 +37,14 @@
 }
 
 impl CircuitBreakers {
-    /// Counts a failure and opens the breaker of `scope` for the time of the backoff.
+    /// Counts a failure and opens the breaker of `scope` for the duration of the backoff.
     pub(super) fn record_failure(&mut self, now: Seconds, scope: BreakerScope, backoff: Backoff) {
         let breaker = self.breakers.entry(scope).or_default();
         breaker.open_until = now + backoff.after(breaker.failures);
         breaker.failures = (breaker.failures + 1).min(MAX_COUNTED_FAILURES);
     }
 
-    /// Takes back the last failure of `scope`, which was not the machine's fault.
+    /// Undoes the last failure of `scope`, which the machine did not cause.
     pub(super) fn retract_failure(&mut self, scope: BreakerScope) {
         if let Some(breaker) = self.breakers.get_mut(&scope) {
             breaker.failures -= 1;
@@ -51,14 +53,14 @@
         self.remove_closed();
     }
 
-    /// Halves the failures of all breakers that concern this traffic, and makes them half open.
+    /// Halves the failure counts of all breakers that apply to this traffic, and makes the breakers half open.
     pub(super) fn record_success(&mut self, traffic: TrafficClass) {
         for (scope, breaker) in &mut self.breakers {
-            let concerns = match scope {
+            let applies = match scope {
                 BreakerScope::AllTraffic => true,
                 BreakerScope::Traffic(failed) => *failed == traffic,
             };
-            if concerns {
+            if applies {
                 breaker.failures /= 2;
                 breaker.open_until = 0.0;
             }
@@ -66,8 +68,8 @@
         self.remove_closed();
     }
 
-    /// Whether a task of this class and tenant may be offered. While an offer is unconfirmed a half open breaker
-    /// counts as open.
+    /// Whether a task of this class and tenant may be offered. A half open breaker blocks while an offer is
+    /// unconfirmed.
     pub(super) fn allows(
         &self,
         now: Seconds,
@@ -80,17 +82,17 @@
         !has_unconfirmed_offers || !self.blocks(traffic, BEFORE_ANY_FAILURE)
     }
 
-    /// The time at which the last breaker becomes half open, or `now` where none is open.
+    /// When the last breaker becomes half open; `now` if none is open.
     pub(super) fn open_until(&self, now: Seconds) -> Seconds {
         let times = self.breakers.values().map(|breaker| breaker.open_until);
         times.fold(now, f64::max)
     }
 
-    /// Whether the breakers that are open after this time keep this traffic away.
+    /// Whether the breakers that are open after this time block this traffic.
     ///
-    /// Failures of several classes or tenants count for all traffic that shares what these have in common. This
-    /// protects from a tenant that is throttled, a class that fails, a machine that hangs, and mixtures of them.
-    /// The cost: two independent faults at once look like one that concerns all traffic.
+    /// Failures of several classes or tenants block all traffic that shares what they have in common. This covers a
+    /// throttled tenant, a failing class, a hung machine, and combinations of these. The cost is that two independent
+    /// faults at the same time look like a fault of the whole machine.
     fn blocks(&self, traffic: TrafficClass, after: Seconds) -> bool {
         let mut first: Option<TrafficClass> = None;
         let mut is_one_class = true;
--- a/crates/policy/src/scheduler/endpoint_subscription.rs
+++ b/crates/policy/src/scheduler/endpoint_subscription.rs
@@ -1,30 +1,30 @@
-//! The subscription to the endpoint list: whether it stands, which call is in flight, and when the next one may
-//! go after failures. Owned by the scheduler.
+//! The subscription to the endpoint list: whether it is established, whether a request is in flight, and when to retry
+//! after failures. Owned by the scheduler.
 
 use crate::backoff::{Backoff, MAX_COUNTED_FAILURES};
 use crate::interface::{SafetyLimits, Seconds};
 use rand::Rng;
 
-/// The longest backoff after the first failure, in seconds; the real one is drawn from its upper half.
+/// The backoff after the first failure, in seconds, before jitter shortens it by up to half.
 const INITIAL_BACKOFF: Seconds = 0.8;
 
-/// A call that has brought no list for this many seconds has failed.
+/// A request that brings no list within this many seconds has failed.
 const REQUEST_TIMEOUT: Seconds = 6.0;
 
-/// A wakeup for the timeout comes this many seconds after it, so that it is surely over then.
+/// The wakeup for a request timeout is this many seconds after it, so that the timeout has surely elapsed.
 const TIMEOUT_WAKEUP_MARGIN: Seconds = 0.01;
 
 /// The state of the subscription.
 #[derive(Debug)]
 pub(super) struct EndpointSubscription {
-    /// Changes arrive only after a subscription (else unasked).
+    /// Whether updates require a subscription. If not, they arrive without one.
     is_required: bool,
     is_subscribed: bool,
-    /// When the call that is in flight was made.
+    /// When the request in flight was sent, if there is one.
     requested_at: Option<Seconds>,
-    /// The next call is made no earlier than this.
+    /// The earliest time of the next request.
     retry_at: Seconds,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: i32,
 }
 
@@ -39,13 +39,13 @@
         }
     }
 
-    /// A list or a change of it has arrived.
+    /// Records that a list or an update has arrived.
     pub(super) const fn record_success(&mut self) {
         self.requested_at = None;
         self.failures = 0;
     }
 
-    /// A call failed, or the subscription broke.
+    /// Records that a request or the subscription failed.
     pub(super) fn record_failure(
         &mut self,
         now: Seconds,
@@ -63,7 +63,7 @@
         self.failures = (self.failures + 1).min(MAX_COUNTED_FAILURES);
     }
 
-    /// Whether to subscribe now. If so, the call counts as made.
+    /// Returns whether to send a request now, and if so records it as in flight.
     pub(super) fn start_request(&mut self, now: Seconds) -> bool {
         if self
             .requested_at
@@ -81,7 +81,7 @@
         true
     }
 
-    /// When it next needs a step; infinite if nothing is to be done.
+    /// When the next step is needed; infinite if none is.
     pub(super) fn next_wakeup(&self) -> Seconds {
         if let Some(requested_at) = self.requested_at {
             return requested_at + REQUEST_TIMEOUT + TIMEOUT_WAKEUP_MARGIN;
--- a/crates/policy/src/scheduler/endpoints.rs
+++ b/crates/policy/src/scheduler/endpoints.rs
@@ -1,14 +1,14 @@
-//! Observations of the endpoint list: which machines there are, their state, and what is unclaimed on them.
+//! Handlers for updates of the endpoint list.
 
 use super::Scheduler;
 use super::machine_state::MachineState;
 use crate::interface::{Endpoint, EndpointStatus, Seconds};
 
-/// What is known of machines that are gone is kept for their return, until more than this many are gone.
+/// The state of machines that are gone is kept, as they may return, until there are more than this many.
 const MAX_GONE_MACHINES: usize = 100;
 
 impl Scheduler {
-    /// Takes in a complete list: what is absent is gone.
+    /// Processes a complete list. Machines that are missing from it are gone.
     pub(super) fn endpoints_listed(&mut self, now: Seconds, endpoints: Vec<Endpoint>) {
         for machine in self.machines.values_mut() {
             machine.is_leaving = true;
@@ -16,7 +16,7 @@
         self.endpoints_changed(now, endpoints);
     }
 
-    /// Takes in changes of the list.
+    /// Processes changed entries of the list.
     pub(super) fn endpoints_changed(&mut self, now: Seconds, endpoints: Vec<Endpoint>) {
         self.endpoint_subscription.record_success();
         for endpoint in endpoints {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whether the machine has left the list and no task of this scheduler is there.
+/// Whether the machine is no longer listed and has no task of this scheduler.
 fn is_gone(machine: &MachineState) -> bool {
     machine.is_leaving && machine.reservations.is_empty() && !machine.is_draining()
 }
--- a/crates/policy/src/scheduler/estimates.rs
+++ b/crates/policy/src/scheduler/estimates.rs
@@ -1,52 +1,52 @@
-//! Estimates from what was observed: how long tasks run, what they request and use, how often they arrive, how
-//! long machines take to answer and to start a task. Owned by the scheduler.
+//! Estimates learned from observations: run times of tasks, the resources they request and use, their arrival rate,
+//! and the times that machines take to respond and to start a task. Owned by the scheduler.
 
 use crate::interface::{Resources, Seconds, Task};
 use crate::running_mean::{ResourceMeans, RunningMean};
 
-/// The least weight of one task in the means over tasks, and of one report in those over machines.
+/// The minimum weight of one task in means over tasks, and of one load report in means over machines.
 pub(super) const TASK_WEIGHT: f64 = 0.01;
 
-/// The least weight of one answer or start in their means.
-const ANSWER_WEIGHT: f64 = 0.05;
+/// The minimum weight of one response time or start time in their means.
+const LATENCY_WEIGHT: f64 = 0.05;
 
-/// The ratio of use to requests before any was observed.
+/// The initial ratio of used to requested resources.
 const INITIAL_USAGE: Resources = Resources::new(0.6, 0.75);
 
-/// The time to an answer before one was observed, in seconds.
-const INITIAL_ANSWER_TIME: Seconds = 0.05;
+/// The initial response time, in seconds.
+const INITIAL_RESPONSE_TIME: Seconds = 0.05;
 
-/// An offer has timed out after the mean time to an answer and this many mean deviations.
+/// The offer timeout is the mean response time plus this many mean deviations.
 const TIMEOUT_DEVIATIONS: f64 = 5.0;
 
-/// The shortest timeout of an offer, in seconds: a machine that is busy for a moment is not taken for dead.
+/// The shortest offer timeout, in seconds, so that a briefly busy machine is not considered dead.
 const MIN_OFFER_TIMEOUT: Seconds = 0.2;
 
-/// The time of a start with a cached program before one was observed, in seconds.
+/// The initial start time with a cached program, in seconds.
 const INITIAL_START_TIME: Seconds = 0.2;
 
-/// How many times as long a start without it takes, before one was observed.
+/// The initial ratio of the start time without a cached program to that with one.
 const INITIAL_UNCACHED_FACTOR: f64 = 6.0;
 
-/// The shortest start that is recorded, in seconds, so that ratios of start times stay finite.
+/// The shortest start time that is recorded, in seconds, so that ratios of start times stay finite.
 const MIN_START_TIME: Seconds = 1e-3;
 
-/// The arrival rate is taken over about this many seconds.
+/// The time constant of the arrival rate, in seconds.
 const ARRIVAL_RATE_WINDOW: Seconds = 5.0;
 
 /// All estimates of a scheduler.
 #[derive(Debug)]
 pub(super) struct Estimates {
-    /// How long tasks run, in seconds.
+    /// The run time of tasks, in seconds.
     pub(super) duration: RunningMean,
-    /// Their work: duration times requested cores.
+    /// The work of tasks: run time multiplied by requested cores.
     pub(super) work: RunningMean,
-    /// What they request.
+    /// The resources that tasks request.
     pub(super) request: ResourceMeans,
-    /// The ratio of use to requests, over all machines.
+    /// The ratio of used to requested resources, over all machines.
     pub(super) usage: ResourceMeans,
     pub(super) arrivals: ArrivalRate,
-    pub(super) answer_time: AnswerTime,
+    pub(super) response_time: ResponseTime,
     pub(super) start_time: StartTime,
 }
 
@@ -58,12 +58,12 @@
             request: ResourceMeans::default(),
             usage: ResourceMeans::with_prior(INITIAL_USAGE),
             arrivals: ArrivalRate::default(),
-            answer_time: AnswerTime::new(),
+            response_time: ResponseTime::new(),
             start_time: StartTime::new(),
         }
     }
 
-    /// Takes in a task that was submitted or adopted.
+    /// Records a task that was submitted or adopted.
     pub(super) fn record_task(&mut self, now: Seconds, task: &Task) {
         let duration = self.duration_of(task);
         self.duration.record(duration, TASK_WEIGHT);
@@ -72,12 +72,12 @@
         self.arrivals.record(now);
     }
 
-    /// How long the task is expected to run, in seconds.
+    /// The expected run time of the task, in seconds.
     pub(super) fn duration_of(&self, task: &Task) -> Seconds {
         task.expected_duration.unwrap_or(self.duration.value())
     }
 
-    /// The work of the task: its duration times requested cores; the mean work where no duration is given.
+    /// The expected work of the task, in core seconds; the mean work if its run time is not given.
     pub(super) fn work_of(&self, task: &Task) -> f64 {
         match task.expected_duration {
             Some(duration) => duration * task.request.cpu,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tasks that arrive per second, as an exponentially weighted moving average.
+/// The arrival rate of tasks, as an exponentially weighted moving average.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRate {
     per_second: f64,
@@ -106,28 +106,29 @@
     }
 }
 
-/// The time to the answer to an offer, and its deviation from the mean.
+/// The response time to offers.
 #[derive(Debug)]
-pub(super) struct AnswerTime {
+pub(super) struct ResponseTime {
     mean: RunningMean,
+    /// The mean absolute deviation from `mean`.
     deviation: RunningMean,
 }
 
-impl AnswerTime {
+impl ResponseTime {
     const fn new() -> Self {
         Self {
-            mean: RunningMean::with_prior(INITIAL_ANSWER_TIME),
-            deviation: RunningMean::with_prior(INITIAL_ANSWER_TIME / 2.0),
+            mean: RunningMean::with_prior(INITIAL_RESPONSE_TIME),
+            deviation: RunningMean::with_prior(INITIAL_RESPONSE_TIME / 2.0),
         }
     }
 
-    pub(super) fn record(&mut self, answer_time: Seconds) {
-        let deviation = (answer_time - self.mean.value()).abs();
-        self.deviation.record(deviation, ANSWER_WEIGHT);
-        self.mean.record(answer_time, ANSWER_WEIGHT);
+    pub(super) fn record(&mut self, response_time: Seconds) {
+        let deviation = (response_time - self.mean.value()).abs();
+        self.deviation.record(deviation, LATENCY_WEIGHT);
+        self.mean.record(response_time, LATENCY_WEIGHT);
     }
 
-    /// How long to wait for the answer to a first attempt, in seconds.
+    /// The timeout of the first offer of a task, in seconds.
     pub(super) fn timeout(&self) -> Seconds {
         let timeout = self.mean.value() + TIMEOUT_DEVIATIONS * self.deviation.value();
         timeout.max(MIN_OFFER_TIMEOUT)
@@ -149,32 +150,32 @@
         }
     }
 
-    /// The time of a start with a cached program, in seconds.
+    /// The start time with a cached program, in seconds.
     pub(super) const fn cached(&self) -> Seconds {
         self.cached.value()
     }
 
-    /// The work of a start without a cached program, in starts with one.
+    /// The cost of a start without a cached program, as a multiple of one with it.
     pub(super) fn uncached_work(&self) -> f64 {
         self.uncached.value() / self.cached.value()
     }
 
-    /// Takes in a start that had no other start before it.
+    /// Records a start that was not queued behind other starts of this scheduler.
     ///
-    /// Where the program was not known to be cached, the start counts to the kind that it is nearer to, by their
-    /// geometric mean. One that had the program counts for no more than that mean: what is longer was spent behind
-    /// starts of other schedulers.
+    /// If the program was not known to be cached, the start is classified as cached or uncached by comparison with the
+    /// geometric mean of both times. A start with a known cached program is capped at that mean, as a longer one was
+    /// queued behind starts of other schedulers.
     pub(super) fn record(&mut self, start_time: Seconds, had_cached_program: bool) {
         let geometric_mean = (self.cached.value() * self.uncached.value()).sqrt();
         if had_cached_program {
             let start_time = start_time.min(geometric_mean).max(MIN_START_TIME);
-            self.cached.record(start_time, ANSWER_WEIGHT);
+            self.cached.record(start_time, LATENCY_WEIGHT);
         } else if start_time > geometric_mean {
             let start_time = start_time.max(MIN_START_TIME);
-            self.uncached.record(start_time, ANSWER_WEIGHT);
+            self.uncached.record(start_time, LATENCY_WEIGHT);
         } else {
             let start_time = start_time.max(MIN_START_TIME);
-            self.cached.record(start_time, ANSWER_WEIGHT);
+            self.cached.record(start_time, LATENCY_WEIGHT);
         }
     }
 }
--- a/crates/policy/src/scheduler/load_polling.rs
+++ b/crates/policy/src/scheduler/load_polling.rs
@@ -1,15 +1,15 @@
-//! Load polling: asks machines for their load when the last report is old, as often as the price allows.
+//! Load polling: requests the load of machines whose last report is old, as often as the price allows.
 
 use super::Scheduler;
 use crate::interface::{Action, LoadReportSource, Seconds};
 
-/// The part of the result, in points, that polls may cost.
+/// The most that polls may cost, in points of the score.
 const MAX_POLL_COST: f64 = 0.001;
 
-/// The shortest interval between polls of one machine, in seconds: a younger report is good enough.
+/// The shortest interval between polls of one machine, in seconds; a more recent report is fresh enough.
 pub(super) const MIN_POLL_INTERVAL: Seconds = 1.0;
 
-/// The smallest rate of polls over all machines that is divided by, in polls per second.
+/// Lower bound of the poll rate over all machines, in polls per second, so that the interval stays finite.
 const MIN_POLL_RATE: f64 = 0.1;
 
 impl Scheduler {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The time between two polls of one machine, in seconds.
+    /// The interval between polls of one machine, in seconds.
     fn poll_interval(&self) -> Seconds {
         let price = self.settings.costs.load_poll;
         let polls_per_task = if price > 0.0 {
--- a/crates/policy/src/scheduler/load_reports.rs
+++ b/crates/policy/src/scheduler/load_reports.rs
@@ -1,4 +1,4 @@
-//! Observations of load: reports that come with outcomes and polls, and what they say of requests and use.
+//! Handlers for load reports, which come with outcomes and polls.
 
 use super::Scheduler;
 use super::estimates::TASK_WEIGHT;
@@ -6,7 +6,7 @@
 use crate::interface::{LoadReport, MachineId, Seconds};
 
 impl Scheduler {
-    /// Takes in the answer to a poll; `None` where it failed.
+    /// Processes the result of a poll; `None` if it failed.
     pub(super) fn load_polled(&mut self, now: Seconds, id: MachineId, report: Option<LoadReport>) {
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
--- a/crates/policy/src/scheduler/machine_health.rs
+++ b/crates/policy/src/scheduler/machine_health.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: what the outcome of an attempt says of the health of its machine. Updates the circuit breakers
-//! of machines. Called when an attempt has ended.
+//! Outlier detection: updates the circuit breakers of a machine from the outcomes of attempts. Called when an attempt
+//! has ended.
 
 use super::Scheduler;
 use super::circuit_breakers::BreakerScope;
@@ -7,28 +7,28 @@
 use crate::backoff::Backoff;
 use crate::interface::{AttemptOutcome, FailureCause, MachineId, Seconds};
 
-/// The shortest time for which a failure opens a breaker, in seconds.
+/// The shortest initial backoff after a failure, in seconds.
 const MIN_FAILURE_BACKOFF: Seconds = 1.0;
 
-/// The longest time for which failures open a breaker, in seconds.
+/// The longest backoff after failures, in seconds.
 const MAX_FAILURE_BACKOFF: Seconds = 12.0;
 
-/// For how long a rejection tells that a machine is full, in seconds.
+/// How long a machine counts as full after a rejection, in seconds.
 const REJECTION_BACKOFF: Backoff = Backoff {
     initial: 0.5,
     max: 4.0,
 };
 
-/// An eviction or preemption tells that a machine is full for about this many seconds.
+/// How long a machine counts as full after an eviction or preemption, in seconds.
 const EVICTION_BACKOFF: Backoff = Backoff::constant(0.5);
 
-/// A full queue of offers at a machine lasts for about this many seconds.
+/// How long the offer queue of a machine counts as full after a rejection for that reason, in seconds.
 const QUEUE_FULL_BACKOFF: Backoff = Backoff::constant(0.05);
 
-/// The smallest arrival rate that is divided by, in tasks per second.
+/// Lower bound of the arrival rate, in tasks per second, to avoid a division by zero.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
 
-/// The attempt that ended, by the record of its task before that.
+/// An attempt that ended, as recorded before its end.
 pub(super) struct EndedAttempt {
     pub(super) state: TaskState,
     pub(super) machine: MachineId,
@@ -37,23 +37,23 @@
     pub(super) scope: BreakerScope,
     /// The machine at which an attempt of the task first returned an error.
     pub(super) first_error_at: Option<MachineId>,
-    /// Two machines have returned an error.
+    /// Whether two machines have returned an error for the task.
     pub(super) is_faulty_task: bool,
 }
 
 impl Scheduler {
-    /// For how long failures open a breaker. The first time must outlast that to the next visit of the same machine,
-    /// or nothing is learned from it.
+    /// The backoff after failures. The initial backoff must exceed the time between two offers to the same machine, or
+    /// the breaker would have no effect.
     pub(super) fn failure_backoff(&self) -> Backoff {
         let arrival_rate = self.estimates.arrivals.per_second().max(MIN_ARRIVAL_RATE);
-        let visit_interval = self.machines.len() as f64 / arrival_rate;
+        let offer_interval = self.machines.len() as f64 / arrival_rate;
         Backoff {
-            initial: visit_interval.clamp(MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF),
+            initial: offer_interval.clamp(MIN_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF),
             max: MAX_FAILURE_BACKOFF,
         }
     }
 
-    /// Updates the circuit breakers by what the outcome says of the machine.
+    /// Updates the circuit breakers of the machine according to the outcome.
     pub(super) fn record_machine_health(
         &mut self,
         now: Seconds,
@@ -69,14 +69,15 @@
             AttemptOutcome::Rejected(FailureCause::QueueFull) => {
                 breakers.record_failure(now, all, QUEUE_FULL_BACKOFF);
             }
-            // The machine is full, or leaves before the list tells. The cost: one that has room again waits.
+            // The machine is full, or is draining before the endpoint list shows it. The cost is that a machine with
+            // free capacity again has to wait.
             AttemptOutcome::Rejected(
                 FailureCause::InsufficientCpu | FailureCause::InsufficientMemory,
             )
             | AttemptOutcome::Interrupted(FailureCause::Drained) => {
                 breakers.record_failure(now, all, REJECTION_BACKOFF);
             }
-            // The cause is none of the machine's: it counts for this class and tenant.
+            // The machine is not the cause, so the rejection counts only for this class and tenant.
             AttemptOutcome::Rejected(_) => {
                 breakers.record_failure(now, ended.scope, REJECTION_BACKOFF);
             }
@@ -84,7 +85,7 @@
                 breakers.record_failure(now, all, EVICTION_BACKOFF);
             }
             AttemptOutcome::Failed => self.record_error(now, ended, failure_backoff),
-            // Silence, or an answer that was cut short. Only this class and tenant is known to be concerned.
+            // No response, or one that was cut off. Only this class and tenant are known to be affected.
             AttemptOutcome::TimedOut => {
                 breakers.record_failure(now, ended.scope, failure_backoff);
             }
@@ -98,11 +99,11 @@
         }
     }
 
-    /// An error counts against the machine for this class and tenant.
+    /// Counts an error against the machine, for this class and tenant.
     ///
-    /// One that the task meets at a second machine too is the task's own: it counts against neither. This protects
-    /// from owners of tasks that no machine can start. The cost: the task's first error counts against its machine
-    /// for a while, and where most machines fail some are found later.
+    /// If the task fails at a second machine too, the task itself is faulty, and the error counts against neither. This
+    /// protects machines from tasks that none of them can start. The cost is that the first error of such a task counts
+    /// against its machine for a while, and that when most machines fail, some are detected later.
     fn record_error(&mut self, now: Seconds, ended: &EndedAttempt, backoff: Backoff) {
         if ended.is_faulty_task {
             return;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// The machine has died or is cut off. The list tells that late, so it counts as in slow start from now on, and
-    /// as without programs.
+    /// Handles a machine that has died or is unreachable. The endpoint list shows that late, so the machine is treated
+    /// as in slow start and without cached programs from now on.
     fn record_machine_death(&mut self, now: Seconds, id: MachineId) {
         let machine = self.machines.entry(id).or_default();
         machine.slow_start_until = now + self.settings.safety_limits.slow_start_duration;
--- a/crates/policy/src/scheduler/machine_state.rs
+++ b/crates/policy/src/scheduler/machine_state.rs
@@ -1,5 +1,6 @@
-//! What is known of one machine: its line of the endpoint list, what tasks request and use there, and its circuit
-//! breakers. Owned by the scheduler; updated by observations and placements, read by filters and loss estimates.
+//! The state of one machine: its entry in the endpoint list, the resources that tasks request and use on it, and its
+//! circuit breakers. Owned by the scheduler; updated by event handlers and placement, read by filters and the loss
+//! estimate.
 
 use super::circuit_breakers::CircuitBreakers;
 use crate::interface::{
@@ -8,40 +9,41 @@
 use crate::running_mean::ResourceMeans;
 use std::collections::BTreeMap;
 
-/// Endpoint lists and load reports describe a moment about this many seconds ago.
+/// The approximate age of the information in endpoint lists and load reports, in seconds.
 pub(super) const OBSERVATION_LAG: Seconds = 1.0;
 
-/// The least weight of one observation in means that must follow the state of a machine.
+/// The minimum weight of one observation in means that track the state of a machine.
 const USAGE_WEIGHT: f64 = 0.25;
 
-/// Where tasks request less than this fraction of a machine, the ratio of use to requests is too uncertain.
+/// The ratio of used to requested resources is recorded only if tasks request more than this fraction of the machine,
+/// as it is too uncertain otherwise.
 const MIN_REQUESTED_FRACTION: f64 = 0.1;
 
-/// The smallest ratio of use to requests that is recorded for a machine.
+/// Lower bound of the recorded ratio of used to requested resources of a machine.
 const MIN_USAGE_RATIO: f64 = 0.1;
 
-/// The largest ratio of use to requests that is recorded for a machine.
+/// Upper bound of the recorded ratio of used to requested resources of a machine.
 const MAX_USAGE_RATIO: f64 = 2.0;
 
 /// All machines, in order of their ids.
 pub(super) type MachineTable = BTreeMap<MachineId, MachineState>;
 
-/// What an offered or placed task of this scheduler requests of its machine, and how far it has come.
+/// The resources reserved on a machine for an offered or placed task of this scheduler, and the progress of the task.
 #[derive(Debug)]
 pub(super) struct Reservation {
     pub(super) request: Resources,
-    /// When its expected duration is over.
+    /// When the task is expected to end.
     pub(super) expected_end: Seconds,
     pub(super) sent_at: Seconds,
     pub(super) is_confirmed: bool,
     pub(super) is_running: bool,
-    /// The work of its start, in starts with a cached program.
+    /// The work of the start, in units of one start with a cached program.
     pub(super) start_work: f64,
-    /// No other start of this scheduler was under way on the machine when it was sent.
+    /// Whether no other start of this scheduler was in progress on the machine when the offer was sent.
     pub(super) starts_alone: bool,
 }
 
-/// Amounts as reported; `None` for a resource that the report leaves out.
+/// Reported amounts of resources; `None` for a resource that is not reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PartialResources {
     pub(super) cpu: Option<f64>,
@@ -49,7 +51,7 @@
 }
 
 impl PartialResources {
-    /// The result of `function` for each resource that is reported, with the amount of `other`.
+    /// Applies `function` to each reported amount and the corresponding amount of `other`.
     pub(super) fn zip_with(self, other: Resources, function: impl Fn(f64, f64) -> f64) -> Self {
         Self {
             cpu: self.cpu.map(|amount| function(amount, other.cpu)),
@@ -67,67 +69,67 @@
     }
 }
 
-/// A machine as this scheduler knows it.
+/// The state of a machine as known to this scheduler.
 #[derive(Debug, Default)]
 pub(super) struct MachineState {
-    /// Its line of the endpoint list.
+    /// The last entry of the endpoint list for this machine.
     pub(super) endpoint: Option<Endpoint>,
-    /// It drains, or is gone from the list.
+    /// Whether the machine is draining or gone from the list.
     pub(super) is_leaving: bool,
     pub(super) capacity: Resources,
-    /// A machine that was seen to die is in slow start until this time, whatever the list says.
+    /// After a detected failure the machine is in slow start until this time, whatever the list shows.
     pub(super) slow_start_until: Seconds,
-    /// The tasks of this scheduler that are offered or placed there.
+    /// Offered and placed tasks of this scheduler on the machine.
     pub(super) reservations: BTreeMap<TaskId, Reservation>,
-    /// What these tasks request.
+    /// The total requests of `reservations`.
     own_requests: Resources,
-    /// What these tasks request as an observation that lags would show it, and the time of this figure.
+    /// `own_requests` as a lagging observation would show it, at the time `observable_at`.
     observable_own_requests: Resources,
     observable_at: Seconds,
-    /// What tasks of other schedulers request.
+    /// The total requests of tasks of other schedulers.
     pub(super) other_requests: Resources,
-    /// The ratio of use to requests.
+    /// The ratio of used to requested resources.
     pub(super) usage: ResourceMeans,
     pub(super) circuit_breakers: CircuitBreakers,
-    /// The last offer during slow start.
+    /// When the last offer during slow start was made.
     pub(super) last_slow_start_offer_at: Seconds,
     pub(super) last_report_at: Seconds,
     pub(super) last_poll_at: Seconds,
-    /// It is not needed for what runs now, where machines in use are charged.
+    /// Whether the machine is not needed for the current usage. Only set if idle machines have a price.
     pub(super) is_idle_capacity: bool,
 }
 
 impl MachineState {
-    /// Whether the list shows it as ready.
+    /// Whether the endpoint list shows the machine as ready.
     pub(super) fn is_ready(&self) -> bool {
         self.endpoint.is_some() && !self.is_leaving
     }
 
-    /// Whether the list shows it as draining.
+    /// Whether the endpoint list shows the machine as draining.
     pub(super) fn is_draining(&self) -> bool {
         let status = self.endpoint.as_ref().map(|endpoint| endpoint.status);
         status == Some(EndpointStatus::Draining)
     }
 
-    /// Whether it has come up a short time ago, so that it starts tasks more slowly.
+    /// Whether the machine started recently, and so starts tasks more slowly.
     pub(super) fn is_in_slow_start(&self, limits: &SafetyLimits, now: Seconds) -> bool {
         let started_at = self.endpoint.as_ref().and_then(|e| e.started_at);
         started_at.is_some_and(|started_at| now < started_at + limits.slow_start_duration)
             || now < self.slow_start_until
     }
 
-    /// What all tasks on it request, those of other schedulers included.
+    /// The total requests of all tasks on the machine, those of other schedulers included.
     pub(super) fn requested(&self) -> Resources {
         self.own_requests + self.other_requests
     }
 
-    /// Offers of this scheduler that the machine has not confirmed.
+    /// The number of offers of this scheduler that the machine has not confirmed.
     pub(super) fn unconfirmed_offers(&self) -> usize {
         let unconfirmed = |reservation: &&Reservation| !reservation.is_confirmed;
         self.reservations.values().filter(unconfirmed).count()
     }
 
-    /// Changes what the tasks of this scheduler request, after the lagging figure has followed until now.
+    /// Adds `change` to the requests of this scheduler, after updating the lagging amount until now.
     pub(super) fn change_own_requests(&mut self, now: Seconds, change: Resources) {
         let elapsed = (now - self.observable_at).max(0.0);
         let unobserved_fraction = (-elapsed / OBSERVATION_LAG).exp();
@@ -141,14 +143,14 @@
         self.observable_at = now;
     }
 
-    /// Takes `request` from other schedulers' requests: the list counted an adopted task among them.
+    /// Subtracts the request of an adopted task from those of other schedulers, as the endpoint list included it there.
     pub(super) fn adopt_request(&mut self, request: Resources) {
         self.observable_own_requests = self.own_requests;
         self.other_requests = (self.other_requests - request).max(Resources::ZERO);
     }
 
-    /// Takes in what all tasks on the machine requested a while ago. What goes beyond those of this scheduler
-    /// belongs to other schedulers.
+    /// Records the observed total requests on the machine. The part that exceeds the requests of this scheduler is
+    /// attributed to other schedulers.
     pub(super) fn record_requested(&mut self, now: Seconds, observed: PartialResources) {
         self.change_own_requests(now, Resources::ZERO);
         let others = observed.zip_with(self.observable_own_requests, |all, own| {
@@ -160,13 +162,13 @@
         );
     }
 
-    /// What all tasks on it requested at the time of which an observation that arrives now tells.
+    /// The total requests on the machine at the time that an observation arriving now describes.
     pub(super) fn observable_requests(&mut self, now: Seconds) -> Resources {
         self.change_own_requests(now, Resources::ZERO);
         self.observable_own_requests + self.other_requests
     }
 
-    /// Takes in what the tasks on it use of what they request. Returns the ratios that were recorded.
+    /// Records the used resources as a ratio of the requested ones. Returns the recorded ratios.
     pub(super) fn record_usage(
         &mut self,
         used: PartialResources,
--- a/crates/policy/src/scheduler/observations.rs
+++ b/crates/policy/src/scheduler/observations.rs
@@ -1,4 +1,4 @@
-//! Observations: each event is taken in by one handler. Handlers change what is known and decide nothing.
+//! Dispatches each event to its handler. Handlers update the state and make no placement decisions.
 
 use super::Scheduler;
 use super::task_record::{TaskRecord, TaskState};
--- a/crates/policy/src/scheduler/outcomes.rs
+++ b/crates/policy/src/scheduler/outcomes.rs
@@ -1,5 +1,4 @@
-//! Observations of the end of an attempt: what becomes of the task. What it says of the machine is in
-//! `machine_health`.
+//! Handles the end of an attempt with regard to the task. `machine_health` handles it with regard to the machine.
 
 use super::Scheduler;
 use super::circuit_breakers::BreakerScope;
@@ -8,8 +7,8 @@
 use crate::interface::{AttemptOutcome, Seconds, TaskId};
 
 impl Scheduler {
-    /// Takes in the end of an attempt; one that is not the task's last is ignored. Where the request is not closed
-    /// and no machine had confirmed it, the task is pending again.
+    /// Processes the end of an attempt. Any attempt but the latest of the task is ignored. If the request is not closed
+    /// and the attempt was not confirmed, the task becomes pending again.
     pub(super) fn attempt_ended(
         &mut self,
         now: Seconds,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// The task is pending again.
+    /// Makes the task pending again.
     fn requeue(&mut self, id: TaskId, ended: &EndedAttempt, outcome: AttemptOutcome) {
         let Some(record) = self.tasks.get_mut(&id) else {
             return;
@@ -62,7 +61,7 @@
     }
 }
 
-/// Whether a task may have run in an attempt that ended so before its confirmation.
+/// Whether the task may have run in an attempt that ended with this outcome before its confirmation.
 const fn may_have_run(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Failed
--- a/crates/policy/src/scheduler/placement.rs
+++ b/crates/policy/src/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: in each step the pending tasks are offered to machines, kept for a retry, or ended.
+//! Placement: each step offers pending tasks to machines, keeps them for a retry, or ends their requests.
 
 use super::Scheduler;
 use super::candidate_cache::CandidateCache;
@@ -8,7 +8,7 @@
 use crate::interface::{Action, MachineId, RetrySafety, Seconds, TaskId};
 
 impl Scheduler {
-    /// Places the tasks that are due, those of the highest priority weight first.
+    /// Places the tasks that are due, in descending order of priority weight.
     pub(super) fn place(
         &mut self,
         now: Seconds,
@@ -39,7 +39,7 @@
         self.machines_examined += cache.machines_examined;
     }
 
-    /// The tasks to place now: by priority weight, then by id.
+    /// The tasks to place now, in descending order of priority weight, then by id.
     fn due_tasks(&mut self, now: Seconds) -> Vec<TaskId> {
         let due = self.pending.take_due(now);
         let mut weighted: Vec<(f64, TaskId)> = due
@@ -56,13 +56,13 @@
         })
     }
 
-    /// Removes from the cache what an offer to this machine rules out for the tasks after it.
+    /// Removes the machine from the cache where the offer just made excludes it for subsequent tasks.
     fn update_cache(&self, now: Seconds, id: MachineId, cache: &mut CandidateCache) {
         let Some(machine) = self.machines.get(&id) else {
             return;
         };
         if self.is_in_slow_start(now, machine) {
-            // The offer was taken from the budget of all machines in slow start.
+            // The offer has reduced the shared budget of all machines in slow start.
             cache.clear_eligible();
             return;
         }
@@ -97,8 +97,8 @@
         });
     }
 
-    /// How long to wait for the answer to the next attempt, in seconds: the usual time, doubled with each attempt.
-    /// Where a timeout ends the request, or confirmation means that the task runs, half the deadline.
+    /// The timeout of the next offer, in seconds. It is estimated from response times and doubles with each attempt. If
+    /// a timeout ends the request, or a confirmation means that the task runs, it is half the deadline of the class.
     fn offer_timeout(&self, now: Seconds, id: TaskId) -> Option<Seconds> {
         let record = self.tasks.get(&id)?;
         let class = &self.settings.classes[record.task.class];
@@ -108,7 +108,7 @@
             class.deadline / 2.0
         } else {
             let timeout = Backoff {
-                initial: self.estimates.answer_time.timeout(),
+                initial: self.estimates.response_time.timeout(),
                 max: class.deadline,
             };
             timeout.after(record.attempts as i32)
@@ -116,7 +116,7 @@
         Some(timeout.min(record.task.deadline - now - FINAL_ANSWER_MARGIN / 2.0))
     }
 
-    /// Ends a request that was not placed: as rejected where that does no harm, else as failed.
+    /// Ends a request that was not placed: as rejected if it can be resubmitted safely, otherwise as failed.
     fn finish(&mut self, id: TaskId, actions: &mut Vec<Action>) {
         let Some(record) = self.tasks.remove(&id) else {
             return;
--- a/crates/policy/src/scheduler/placement_counts.rs
+++ b/crates/policy/src/scheduler/placement_counts.rs
@@ -1,10 +1,10 @@
-//! How many tasks of a service this scheduler has offered to or placed on each machine. The spread rule counts by
-//! it, and a machine with such a task has the service's program. Owned by the scheduler.
+//! The number of tasks of each service that this scheduler has offered to or placed on each machine. Used by the spread
+//! rule, and to infer that a machine has the service's program. Owned by the scheduler.
 
 use crate::interface::{MachineId, ServiceId};
 use std::collections::BTreeMap;
 
-/// Offers in flight and placed tasks by service and machine; never 0.
+/// Offers in flight and placed tasks by service and machine. Entries are never 0.
 #[derive(Debug, Default)]
 pub(super) struct PlacementCounts {
     counts: BTreeMap<(ServiceId, MachineId), u32>,
@@ -19,7 +19,7 @@
         *self.counts.entry((service, machine)).or_default() += 1;
     }
 
-    /// Counts one less. Returns whether it was the last one.
+    /// Decrements the count. Returns whether it reached 0.
     pub(super) fn decrement(&mut self, service: ServiceId, machine: MachineId) -> bool {
         let Some(count) = self.counts.get_mut(&(service, machine)) else {
             return false;
@@ -32,7 +32,7 @@
         true
     }
 
-    /// The tasks of a service on all machines for which `predicate` holds.
+    /// The number of tasks of a service on all machines for which `predicate` holds.
     pub(super) fn count_where(
         &self,
         service: ServiceId,
--- a/crates/policy/src/scheduler/program_cache.rs
+++ b/crates/policy/src/scheduler/program_cache.rs
@@ -1,19 +1,19 @@
-//! Which machines have the program of a service in their cache though no task of this scheduler runs it there: as
-//! remembered, or as other schedulers gossip. Owned by the scheduler.
+//! Cached programs on machines where no task of this scheduler runs them: those of its own earlier tasks, and those
+//! that other schedulers announce by gossip. Owned by the scheduler.
 //!
-//! A gossip message is a sequence of announcements of eight bytes: the low 32 bits of the service's id, then the
-//! low 31 bits of the machine's id with the highest bit set where the last task has ended; both little-endian.
+//! A gossip message is a sequence of 8-byte announcements: the low 32 bits of the service id, then the low 31 bits of
+//! the machine id with the highest bit set if the last task has ended. Both are little-endian.
 
 use crate::interface::{MachineId, Seconds, ServiceId};
 use std::collections::BTreeMap;
 
-/// A machine is trusted to keep a program for this many seconds after its last task.
+/// How long a machine is assumed to keep a program after its last task, in seconds.
 const CACHED_AFTER_LAST_TASK: Seconds = 3.0;
 
-/// An announcement of a program in use holds for this many seconds.
+/// How long an announcement of a program in use is valid, in seconds.
 const ANNOUNCEMENT_LIFETIME: Seconds = 30.0;
 
-/// With more programs known than this, those that have expired are removed, which bounds the memory.
+/// Expired programs are removed when more than this many are known, to bound memory.
 const MAX_PROGRAMS: usize = 10_000;
 
 /// The longest gossip message, in bytes.
@@ -22,10 +22,10 @@
 /// The length of an announcement, in bytes.
 const ANNOUNCEMENT_BYTES: usize = 8;
 
-/// The bit of an announcement's machine that tells the end of the last task.
+/// The bit of an announced machine that is set if the last task has ended.
 const LAST_TASK_ENDED: u32 = 1 << 31;
 
-/// The program of a service at a machine, as announcements name it.
+/// The program of a service on a machine, identified as in announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProgramLocation {
     service: u32,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Known programs, and announcements that are to be sent.
+/// Known cached programs, and announcements to send.
 #[derive(Debug, Default)]
 pub(super) struct ProgramCache {
     cached_until: BTreeMap<ProgramLocation, Seconds>,
@@ -86,7 +86,7 @@
 }
 
 impl ProgramCache {
-    /// Whether the machine is believed to have the service's program.
+    /// Whether the machine is believed to have the service's program in its cache.
     pub(super) fn contains(&self, now: Seconds, service: ServiceId, machine: MachineId) -> bool {
         let cached_until = self
             .cached_until
@@ -94,7 +94,7 @@
         cached_until.is_some_and(|&until| now < until)
     }
 
-    /// A task of this scheduler was sent there.
+    /// Records that a task of this scheduler was offered to the machine.
     pub(super) fn record_use(&mut self, service: ServiceId, machine: MachineId) {
         self.announcements.push(Announcement {
             location: ProgramLocation::new(service, machine),
@@ -102,7 +102,7 @@
         });
     }
 
-    /// The last task of this scheduler there has ended.
+    /// Records that the last task of this scheduler on the machine has ended.
     pub(super) fn record_last_end(&mut self, now: Seconds, service: ServiceId, machine: MachineId) {
         let location = ProgramLocation::new(service, machine);
         self.announcements.push(Announcement {
@@ -113,14 +113,14 @@
             .insert(location, now + CACHED_AFTER_LAST_TASK);
     }
 
-    /// The machine has lost all its programs.
+    /// Removes all programs of a machine, which has lost its cache.
     pub(super) fn forget_machine(&mut self, machine: MachineId) {
         let machine = announced_machine(machine);
         self.cached_until
             .retain(|location, _| location.machine != machine);
     }
 
-    /// Takes in a gossip message of another scheduler. An incomplete announcement at its end is ignored.
+    /// Processes a gossip message from another scheduler. An incomplete announcement at its end is ignored.
     pub(super) fn record_gossip(&mut self, now: Seconds, message: &[u8]) {
         let (announcements, _incomplete) = message.as_chunks::<ANNOUNCEMENT_BYTES>();
         for bytes in announcements {
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Discards the announcements that were not sent.
+    /// Discards all announcements that were not sent.
     pub(super) fn discard_announcements(&mut self) {
         self.announcements.clear();
     }
 
-    /// The gossip messages with all announcements since the last call.
+    /// Returns gossip messages with all announcements since the last call.
     pub(super) fn take_messages(&mut self) -> Vec<Vec<u8>> {
         let announcements = std::mem::take(&mut self.announcements);
         let bytes: Vec<u8> = announcements
@@ -153,7 +153,7 @@
             .collect()
     }
 
-    /// Removes what has expired where too many programs are known.
+    /// Removes expired programs if too many are known.
     pub(super) fn remove_expired(&mut self, now: Seconds) {
         if self.cached_until.len() > MAX_PROGRAMS {
             self.cached_until.retain(|_, until| now < *until);
--- a/crates/policy/src/scheduler/reservations.rs
+++ b/crates/policy/src/scheduler/reservations.rs
@@ -1,5 +1,5 @@
-//! Reservations: what an offered or placed task counts for at its machine, in the spread rule, and in the program
-//! cache. Called by placement and observations.
+//! Accounting of offered and placed tasks in the state of their machine, the placement counts and the program cache.
+//! Called by placement and event handlers.
 
 use super::Scheduler;
 use super::machine_state::Reservation;
@@ -7,7 +7,7 @@
 use crate::interface::{Seconds, TaskId};
 
 impl Scheduler {
-    /// Counts an offered or adopted task at its machine.
+    /// Reserves resources for an offered or adopted task on its machine.
     pub(super) fn reserve(&mut self, now: Seconds, id: TaskId) {
         let Some(record) = self.tasks.get(&id) else {
             return;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes back what [`Self::reserve`] counted.
+    /// Releases what [`Self::reserve`] reserved.
     pub(super) fn release(&mut self, now: Seconds, id: TaskId) {
         let Some(record) = self.tasks.get(&id) else {
             return;
--- a/crates/policy/src/scheduler/task_record.rs
+++ b/crates/policy/src/scheduler/task_record.rs
@@ -1,16 +1,15 @@
-//! The record of a task for which this scheduler is responsible: its state, its attempts, and until when it may
-//! be offered. Owned by the scheduler, from submission or adoption until the end of the request.
+//! The record of a task for which this scheduler is responsible: its state, its attempts, and the deadline for further
+//! offers. Owned by the scheduler, from submission or adoption until the end of the request.
 
 use crate::interface::{
     Class, FailureDomain, MachineId, RetryBlocker, RetrySafety, Seconds, Task, TaskId,
 };
 use std::collections::BTreeMap;
 
-/// Final answers that nothing forces earlier are given this long before the deadline, in seconds, so that they
-/// arrive in time.
+/// Final answers are given at least this many seconds before the deadline, so that they arrive in time.
 pub(super) const FINAL_ANSWER_MARGIN: Seconds = 0.03;
 
-/// The class and the tenant of a task. What is decided for one task of it holds for all.
+/// The class and tenant of a task. Filters treat all tasks with the same class and tenant alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TrafficClass {
     pub(super) class: usize,
@@ -26,47 +25,47 @@
     }
 }
 
-/// Where a task is on its way to a machine.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum TaskState {
-    /// Waits for a machine.
+    /// The task waits for a machine.
     #[default]
     Pending,
     /// An offer is in flight.
     Offered,
-    /// A machine has confirmed it.
+    /// A machine has confirmed the task.
     Placed,
-    /// No answer is owed any more, and the outcome of an attempt is still to come.
+    /// No final answer is owed, but the outcome of an attempt is outstanding.
     Finished,
 }
 
-/// The first attempt that may have run.
+/// The first attempt in which the task may have run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PossibleRun {
     pub(super) sent_at: Seconds,
     pub(super) machine: MachineId,
 }
 
-/// All records by task.
+/// The records of all tasks.
 pub(super) type TaskTable = BTreeMap<TaskId, TaskRecord>;
 
-/// A task and what has become of it so far.
+/// A task and the history of its attempts.
 #[derive(Debug, Default)]
 pub(super) struct TaskRecord {
     pub(super) task: Task,
     pub(super) state: TaskState,
-    /// Attempts made.
+    /// The number of attempts made.
     pub(super) attempts: u32,
-    /// The time of the last attempt; before the first, of the submission.
+    /// The time of the last attempt; that of the submission before the first attempt.
     pub(super) sent_at: Seconds,
     /// The machine of the last attempt.
     pub(super) machine: MachineId,
     pub(super) possible_run: Option<PossibleRun>,
-    /// The machine that first returned an error.
+    /// The first machine that returned an error for the task.
     pub(super) first_error_at: Option<MachineId>,
-    /// A second machine returned an error too: the cause is in the task itself.
+    /// Whether a second machine returned an error too, so that the task itself is the cause.
     pub(super) is_faulty: bool,
-    /// The machine of the last attempt had the program in its cache, as far as was known.
+    /// Whether the machine of the last attempt was believed to have the program in its cache.
     pub(super) had_cached_program: bool,
 }
 
@@ -75,7 +74,7 @@
         TrafficClass::of(&self.task)
     }
 
-    /// The time until which one more attempt is permitted, were a machine found.
+    /// The time until which another attempt is permitted; 0 or less if none is.
     pub(super) fn send_deadline(&self, class: &Class, max_attempts: u32) -> Seconds {
         let retry_deadline = self.retry_deadline(class.retry_safety, max_attempts);
         self.task.deadline.min(retry_deadline) - FINAL_ANSWER_MARGIN
@@ -95,7 +94,7 @@
         }
     }
 
-    /// What forbids one more attempt on any machine at this time.
+    /// What forbids another attempt on any machine at this time, if anything.
     pub(super) fn retry_blocker(
         &self,
         now: Seconds,
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Whether it may end as rejected: its owner may ask again and does no harm.
+    /// Whether the request may end as rejected, since it is safe for the owner to resubmit the task.
     pub(super) fn can_be_rejected(&self, class: &Class) -> bool {
         if self.possible_run.is_none() {
             return true;
--- a/crates/policy/src/scheduler/wakeups.rs
+++ b/crates/policy/src/scheduler/wakeups.rs
@@ -1,17 +1,17 @@
-//! Wakeups: asks for a timer for the earliest time at which a step is needed though no event may come.
+//! Wakeups: requests a timer for the earliest time at which a step is needed even without events.
 
 use super::Scheduler;
 use super::load_polling::MIN_POLL_INTERVAL;
 use crate::interface::{Action, Seconds};
 
-/// The shortest timer, in seconds.
+/// The shortest delay of a timer, in seconds.
 const MIN_TIMER: Seconds = 0.001;
 
-/// The tokens of timers count microseconds.
+/// Timer tokens are wakeup times in microseconds.
 const TOKENS_PER_SECOND: f64 = 1e6;
 
 impl Scheduler {
-    /// Asks for a timer unless one that fires early enough is set already.
+    /// Requests a timer unless one that fires early enough is already set.
     pub(super) fn set_timer(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         let poll_at = if self.settings.allows_load_polls {
             now + MIN_POLL_INTERVAL / 2.0
