--- a/crates/policy/src/scheduler/candidate_cache.rs
+++ b/crates/policy/src/scheduler/candidate_cache.rs
@@ -1,45 +1,46 @@
-//! What pending tasks of one step share when machines are examined for them.
+//! Caches the examination of machines for the pending tasks of one step.
 //!
-//! While tasks are placed in a step machines only fill. So machines that are eligible for one task are examined
-//! once for all tasks of its class and tenant, and a task finds no machine where one like it that requests no more
-//! found none. Without this a walk over all machines for each pending task costs more time than an overloaded
-//! scheduler has. Owned by the placement of one step.
+//! While a step places tasks, the free capacity of machines only shrinks. Therefore eligible machines are determined
+//! once for all tasks of a class and tenant, and a task can't be placed if a similar task that requests no more could
+//! not be placed. Without the cache, an overloaded scheduler spends more time than it has on iterating over all
+//! machines for each pending task. Owned by the placement of one step.
 
 use super::task_record::TrafficClass;
 use crate::interface::{MachineId, Resources, ServiceId};
 use std::collections::BTreeMap;
 
-/// What decides, besides the requested resources, whether a task finds a machine.
+/// The constraints, besides the requested resources, that determine whether a task can be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlacementConstraints {
     pub(super) traffic: TrafficClass,
-    /// The service, where the spread rule counts its tasks.
+    /// The service, if the spread rule applies to its tasks.
     pub(super) spread_service: Option<ServiceId>,
 }
 
-/// The cache of one step.
+/// The cached results of one step.
 #[derive(Debug, Default)]
 pub(super) struct CandidateCache {
-    /// Machines that pass all filters that are the same for a class and tenant, in order of their ids.
+    /// Machines that pass all filters of a class and tenant, in order of their ids.
     eligible: BTreeMap<TrafficClass, Vec<MachineId>>,
-    /// Requests that no machine had room for.
+    /// Requests that no machine had capacity for.
     unplaceable: BTreeMap<PlacementConstraints, Vec<Resources>>,
-    /// Machines that were examined, for one task or for many.
+    /// The number of machines examined, where an examination may serve many tasks.
     pub(super) machines_examined: u64,
 }
 
 impl CandidateCache {
-    /// Whether a task with these constraints that requests no more found no machine.
+    /// Whether a task with the same constraints that requests no more could not be placed.
     pub(super) fn is_unplaceable(
         &self,
         constraints: &PlacementConstraints,
         request: Resources,
     ) -> bool {
         let unplaceable = self.unplaceable.get(constraints);
-        unplaceable.is_some_and(|requests| requests.iter().any(|known| known.fits_in(request)))
+        unplaceable
+            .is_some_and(|requests| requests.iter().any(|unplaced| unplaced.fits_in(request)))
     }
 
-    /// Notes that no machine had room for a task.
+    /// Records that no machine had capacity for a task.
     pub(super) fn mark_unplaceable(
         &mut self,
         constraints: PlacementConstraints,
@@ -51,8 +52,8 @@
             .push(request);
     }
 
-    /// The machines that are eligible for a class and tenant. `find` examines all `machine_count` machines if they
-    /// are not known yet.
+    /// The machines that are eligible for a class and tenant. If they are not cached, `find` determines them from all
+    /// `machine_count` machines.
     pub(super) fn eligible(
         &mut self,
         traffic: TrafficClass,
@@ -68,12 +69,12 @@
         eligible
     }
 
-    /// Forgets all eligible machines.
+    /// Discards the eligible machines of all classes and tenants.
     pub(super) fn clear_eligible(&mut self) {
         self.eligible.clear();
     }
 
-    /// Removes a machine for each class and tenant for which it `is_filtered` now.
+    /// Removes a machine from the eligible machines of each class and tenant for which `is_filtered` returns true.
     pub(super) fn remove_filtered(
         &mut self,
         machine: MachineId,
--- a/crates/policy/src/scheduler/candidates.rs
+++ b/crates/policy/src/scheduler/candidates.rs
@@ -1,5 +1,5 @@
-//! The choice of a machine for one attempt: the machines that pass the filters become candidates, those that lose
-//! least are kept, and Dice chooses among these. Called by the placement for each pending task.
+//! Chooses a machine for one attempt: machines that pass the filters become candidates, those with the least loss are
+//! kept, and Dice chooses among them. Called by the placement for each pending task.
 
 use super::Scheduler;
 use super::candidate_cache::{CandidateCache, PlacementConstraints};
@@ -11,21 +11,21 @@
 use super::task_record::{TaskRecord, TaskState, TrafficClass};
 use crate::interface::{MachineId, RetrySafety, Seconds, ServiceId, TaskId};
 
-/// Candidates within this many seconds of full service of the least loss are alike.
+/// Candidates whose loss exceeds the least loss by at most this many seconds of full service are kept.
 const MAX_EXCESS_LOSS: Seconds = 1.3;
 
 /// A machine that passes all filters.
 pub(super) struct Candidate<'a> {
     id: MachineId,
     machine: &'a MachineState,
-    /// Its place in the order of preference of the task's service; less is earlier.
+    /// Rank in the order of preference of the task's service; lower is preferred.
     preference_rank: f64,
-    /// Infinite where the task would not be admitted.
+    /// The estimated loss; infinite if the machine would not admit the task.
     loss: f64,
 }
 
 impl Scheduler {
-    /// The machine for the next attempt of a pending task, if there is one.
+    /// Chooses the machine for the next attempt of a pending task; `None` if no machine can take it.
     pub(super) fn pick(
         &mut self,
         now: Seconds,
@@ -45,8 +45,8 @@
         let eligible = cache.eligible(traffic, self.machines.len(), || {
             self.eligible_machines(now, traffic)
         });
-        if !self.has_room(record, eligible) {
-            // A task that is bound to a deduplication domain says nothing of others, which may go elsewhere.
+        if !self.has_capacity(record, eligible) {
+            // Other tasks may still be placed outside the deduplication domain that this one is bound to.
             if !self.is_bound_to_domain(record) {
                 cache.mark_unplaceable(constraints, request);
             }
@@ -89,8 +89,8 @@
         eligible
     }
 
-    /// Whether one of the machines has room for the task and passes its own filters.
-    fn has_room(&self, record: &TaskRecord, eligible: &[MachineId]) -> bool {
+    /// Whether one of the machines has capacity for the task and passes the filters of the task itself.
+    fn has_capacity(&self, record: &TaskRecord, eligible: &[MachineId]) -> bool {
         self.known_machines(eligible).any(|(id, machine)| {
             self.filter_capacity(&record.task, machine).is_none()
                 && self.filter_task(record, id, machine).is_none()
@@ -105,10 +105,11 @@
             .filter_map(|id| Some((*id, self.machines.get(id)?)))
     }
 
-    /// The candidates in order of preference: needed machines before idle capacity, then by the service.
+    /// The candidates in order of preference: needed machines before idle capacity, then by the rank for the service.
     ///
-    /// Where programs of other schedulers are not seen, all schedulers thus prefer the same few machines for a
-    /// service, and the next takes the place of one that is filtered. The cost: a popular service fills its machines.
+    /// If schedulers don't know the programs of each other, they thus all prefer the same few machines for a service;
+    /// a filtered machine is replaced by the next in order. The cost is that a popular service fills its preferred
+    /// machines.
     fn candidates<'a>(
         &'a self,
         now: Seconds,
@@ -134,8 +135,8 @@
         candidates
     }
 
-    /// The place of a machine in the order of preference. A machine in slow start has no programs, and all schedulers
-    /// must not choose the same one: there the order is another one for each task and scheduler.
+    /// The rank of a machine in the order of preference. Machines in slow start have no cached programs, and schedulers
+    /// must not all choose the same one, so there the order differs by task and scheduler.
     fn candidate_preference_rank(
         &self,
         now: Seconds,
@@ -152,15 +153,15 @@
         preference_rank(service, id, machine.capacity.cpu)
     }
 
-    /// Fills in the losses of candidates that are in order of preference.
+    /// Sets the losses of candidates, which must be in order of preference.
     fn estimate_losses(&self, now: Seconds, record: &TaskRecord, candidates: &mut [Candidate<'_>]) {
         let mut unknown_cached_probability = if self.knows_all_programs() {
             0.0
         } else {
             CACHED_PROBABILITY
         };
-        for (place, candidate) in candidates.iter_mut().enumerate() {
-            if place >= PREFERRED_MACHINES {
+        for (position, candidate) in candidates.iter_mut().enumerate() {
+            if position >= PREFERRED_MACHINES {
                 unknown_cached_probability *= CACHED_PROBABILITY_DECAY;
             }
             let machine = candidate.machine;
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Keeps the candidates that lose least; of these only the preferred machines where programs are not known.
+    /// Keeps the candidates with the least loss, and of these only the preferred machines if the programs of other
+    /// schedulers are not known.
     fn keep_least_loss(&self, candidates: &mut Vec<Candidate<'_>>) {
         let losses = candidates.iter().map(|candidate| candidate.loss);
         let least = losses.fold(f64::INFINITY, f64::min);
@@ -190,7 +192,8 @@
         }
     }
 
-    /// The backlogs of the candidates. One without a task of this scheduler, or in slow start, counts at the mean.
+    /// The backlogs of the candidates. Machines in slow start, and those without a task of this scheduler, get the
+    /// mean.
     fn backlogs(&self, now: Seconds, candidates: &[Candidate<'_>]) -> Vec<f64> {
         let mut backlogs: Vec<f64> = candidates
             .iter()
--- a/crates/policy/src/scheduler/diagnosis.rs
+++ b/crates/policy/src/scheduler/diagnosis.rs
@@ -1,11 +1,11 @@
-//! Why a task is pending: the reasons for which each machine is filtered, by the predicates that decide.
+//! Diagnoses of pending tasks, from the same filters that decide about placement.
 
 use super::Scheduler;
 use super::task_record::{TaskRecord, TaskState};
 use crate::interface::{FilterReason, MachineId, PendingDiagnosis, Seconds, TaskId};
 
 impl Scheduler {
-    /// Tells why a task is pending; `None` if it is unknown or not pending. Changes nothing.
+    /// Explains why a task is pending; `None` if it is unknown or not pending.
     #[must_use]
     pub fn explain(&self, now: Seconds, id: TaskId) -> Option<PendingDiagnosis> {
         let record = self.tasks.get(&id)?;
@@ -25,7 +25,7 @@
         })
     }
 
-    /// The machines that would not take the task, and why.
+    /// The machines that can't take the task, each with the reason.
     fn rejections(&self, now: Seconds, record: &TaskRecord) -> Vec<(MachineId, FilterReason)> {
         let mut rejections = Vec::new();
         for (&id, machine) in &self.machines {
--- a/crates/policy/src/scheduler/dice.rs
+++ b/crates/policy/src/scheduler/dice.rs
@@ -1,41 +1,41 @@
-//! Dice, the dispatching rule by which one of the best candidates is chosen.
+//! Dice, the dispatching rule that chooses among the candidates with the least loss.
 //!
-//! Source: Xie, Hyytiä, Righter, "Size-Aware Dispatching to Fluid Queues". Short work goes to the least backlog
-//! while backlog plus work is under a threshold; longer work goes to the longest backlog among a few, which keeps
-//! other machines free for short work. What differs from the paper is in `docs/design.md`.
+//! Source: Xie, Hyytiä, Righter, "Size-Aware Dispatching to Fluid Queues". A task goes to the shortest backlog while
+//! backlog plus work is below a threshold. Otherwise it goes to the longest backlog of a small random sample, which
+//! keeps other machines free for short tasks. `docs/design.md` lists the differences from the paper.
 
 use rand::Rng;
 
-/// Backlog plus work is short under this many mean works, as in the paper.
-const THRESHOLD: f64 = 6.0;
+/// The threshold of backlog plus work, in multiples of the mean work. The value is that of the paper.
+const SHORT_BACKLOG_THRESHOLD: f64 = 6.0;
 
-/// Backlogs within this many mean works of the best are alike, and one of them is drawn.
-const MARGIN: f64 = 0.15;
+/// Backlogs that differ from the best by at most this multiple of the mean work are tied.
+const TIE_MARGIN: f64 = 0.15;
 
-/// Longer work considers this many machines, which are drawn.
+/// The number of machines that are sampled for a task above the threshold.
 const SAMPLE_SIZE: usize = 4;
 
-/// Chooses an index of `backlogs` for a task of this `work`; 0 where there are none. All are in the same unit of
-/// work.
+/// Chooses an index into `backlogs` for a task of this `work`, with ties broken at random; 0 if `backlogs` is empty.
+/// All amounts are in the same unit of work.
 pub(super) fn choose(backlogs: &[f64], work: f64, mean_work: f64, rng: &mut impl Rng) -> usize {
-    let margin = MARGIN * mean_work;
+    let margin = TIE_MARGIN * mean_work;
     let least = backlogs.iter().copied().fold(f64::INFINITY, f64::min);
-    let mut alike: Vec<usize> = (0..backlogs.len()).collect();
-    if least + work < THRESHOLD * mean_work {
-        alike.retain(|&i| backlogs[i] <= least + margin);
+    let mut tied: Vec<usize> = (0..backlogs.len()).collect();
+    if least + work < SHORT_BACKLOG_THRESHOLD * mean_work {
+        tied.retain(|&i| backlogs[i] <= least + margin);
     } else {
-        draw_sample(&mut alike, rng);
-        let longest = alike.iter().map(|&i| backlogs[i]).fold(0.0, f64::max);
-        alike.retain(|&i| backlogs[i] >= longest - margin);
+        draw_sample(&mut tied, rng);
+        let longest = tied.iter().map(|&i| backlogs[i]).fold(0.0, f64::max);
+        tied.retain(|&i| backlogs[i] >= longest - margin);
     }
-    if alike.is_empty() {
+    if tied.is_empty() {
         0
     } else {
-        alike[rng.random_range(0..alike.len())]
+        tied[rng.random_range(0..tied.len())]
     }
 }
 
-/// Keeps [`SAMPLE_SIZE`] random elements: the first steps of a Fisher-Yates shuffle.
+/// Keeps [`SAMPLE_SIZE`] random elements, by a partial Fisher-Yates shuffle.
 fn draw_sample(indices: &mut Vec<usize>, rng: &mut impl Rng) {
     for i in 0..SAMPLE_SIZE.min(indices.len()) {
         let j = rng.random_range(i..indices.len());
--- a/crates/policy/src/scheduler/filters.rs
+++ b/crates/policy/src/scheduler/filters.rs
@@ -1,7 +1,7 @@
-//! The filters: what keeps a task from a machine, by the five rules, by circuit breakers, and by the capacity.
+//! Filters that exclude machines for a task: the five rules, circuit breakers, and capacity.
 //!
-//! Filters that are the same for a class and tenant are apart from those of one task, so that the first are
-//! evaluated once for many tasks. Called by the choice of a candidate, by the loss estimate, and by `explain`.
+//! Filters that depend only on class and tenant are separate from those of a single task, so that they are evaluated
+//! once for many tasks. Called when candidates are chosen, by the loss estimate, and by `explain`.
 
 use super::Scheduler;
 use super::loss::PLANNED_ADMISSION_FRACTION;
@@ -12,11 +12,12 @@
 };
 use std::cmp::Ordering;
 
-/// Offers of this scheduler that may wait at a machine for an answer.
+/// The maximum number of unconfirmed offers of this scheduler at one machine.
 const MAX_UNCONFIRMED_OFFERS: usize = 4;
 
 impl Scheduler {
-    /// The first reason, in the order of [`FilterReason`], for which a task must not be sent to a machine.
+    /// The first reason, in declaration order of [`FilterReason`], why the task must not be sent to the machine.
+    /// Capacity is not included.
     pub(super) fn filter(
         &self,
         now: Seconds,
@@ -33,7 +34,7 @@
         reasons.into_iter().flatten().min_by(order)
     }
 
-    /// The filters that are the same for all tasks of a class and tenant.
+    /// Applies the filters that are the same for all tasks of a class and tenant.
     pub(super) fn filter_traffic(
         &self,
         now: Seconds,
@@ -68,7 +69,7 @@
         None
     }
 
-    /// The filters of one task: where it may have run, and how its service is spread.
+    /// Applies the filters of a single task: its deduplication domain and the spread limit.
     pub(super) fn filter_task(
         &self,
         record: &TaskRecord,
@@ -80,10 +81,10 @@
         }
         let class = &self.settings.classes[record.task.class];
         let domain = class.spread_domain?;
-        let is_near = |other| self.is_same_failure_domain(domain, id, machine, other);
+        let is_in_domain = |other| self.is_same_failure_domain(domain, id, machine, other);
         let count = self
             .placement_counts
-            .count_where(record.task.service, is_near);
+            .count_where(record.task.service, is_in_domain);
         (count >= class.max_per_spread_domain).then_some(FilterReason::SpreadLimit(domain))
     }
 
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The resource of which the machine lacks more to admit the task, as far as is known.
+    /// Returns the scarcer resource if the machine, as far as is known, lacks the capacity to admit the task.
     pub(super) fn filter_capacity(
         &self,
         task: &Task,
@@ -147,13 +148,13 @@
         })
     }
 
-    /// Whether the machine has come up a short time ago.
+    /// Whether the machine started recently, and so starts tasks more slowly.
     pub(super) fn is_in_slow_start(&self, now: Seconds, machine: &MachineState) -> bool {
         machine.is_in_slow_start(&self.settings.safety_limits, now)
     }
 }
 
-/// What all tasks on the machine would request with this one, as a fraction of its capacity.
+/// The total requests on the machine if the task is added, as a fraction of its capacity.
 pub(super) fn requested_fraction(task: &Task, machine: &MachineState) -> Resources {
     (machine.requested() + task.request) / machine.capacity
 }
--- a/crates/policy/src/scheduler/idle_capacity.rs
+++ b/crates/policy/src/scheduler/idle_capacity.rs
@@ -1,34 +1,34 @@
-//! Which machines are idle capacity: not needed for what tasks use now. Where machines in use are charged, the
-//! loss estimate keeps tasks away from them, so that they run empty. Owned by the scheduler.
+//! Determines which machines are idle capacity, that is not needed for the current usage. If machines in use have a
+//! price, the loss estimate steers tasks away from them, so that they become empty. Owned by the scheduler.
 
-use super::loss::{COMFORTABLE_USE, PLANNED_ADMISSION_FRACTION};
+use super::loss::{PLANNED_ADMISSION_FRACTION, TARGET_UTILIZATION};
 use super::machine_state::{MachineState, MachineTable, OBSERVATION_LAG};
 use crate::interface::{MachineId, Resources, Seconds, Settings};
 use crate::running_mean::ResourceMeans;
 
-/// Needed machines are filled up to this fraction of comfortable use.
+/// Needed machines are filled up to this fraction of their target utilization.
 const FILL_FRACTION: f64 = 0.9;
 
-/// The required capacity falls by this factor at each update at most: lost tasks come again.
+/// The required capacity falls at most by this factor per update, as lost tasks are resubmitted.
 const REQUIRED_DECAY: f64 = 0.98;
 
-/// Needed machines count as fuller by this fraction, so that the set changes rarely.
+/// Machines that were needed before are ranked as fuller by this fraction, so that the set changes rarely.
 const NEEDED_BONUS: f64 = 0.2;
 
-/// The time between two updates, in seconds: observations tell nothing new before.
+/// The time between two updates, in seconds; no newer observations are available earlier.
 const UPDATE_INTERVAL: Seconds = OBSERVATION_LAG / 2.0;
 
-/// What tasks need of machines, and when the marks are updated next.
+/// The required capacity, and when machines are marked next.
 #[derive(Debug, Default)]
 pub(super) struct IdleCapacity {
-    /// Cores and memory that all tasks use, with a slow decay.
+    /// The resources that all tasks use, with a slow decay.
     required: Resources,
     next_update_at: Seconds,
 }
 
 impl IdleCapacity {
-    /// Marks the machines that are not needed, the emptiest first, so that the same ones run empty at all
-    /// schedulers. `mean_usage` is the ratio of use to requests over all machines.
+    /// Marks machines that are not needed, starting with the emptiest, so that all schedulers mark the same ones.
+    /// `mean_usage` is the ratio of used to requested resources over all machines.
     pub(super) fn update(
         &mut self,
         now: Seconds,
@@ -40,7 +40,7 @@
             return;
         }
         self.next_update_at = now + UPDATE_INTERVAL;
-        self.required = used_by_all(machines, mean_usage).max(self.required * REQUIRED_DECAY);
+        self.required = total_usage(machines, mean_usage).max(self.required * REQUIRED_DECAY);
         let usable_fraction = usable_fraction(settings, mean_usage);
         let mut unmet = self.required;
         for id in fullest_first(machines) {
@@ -55,8 +55,8 @@
     }
 }
 
-/// What the tasks on all listed machines use.
-fn used_by_all(machines: &MachineTable, mean_usage: &ResourceMeans) -> Resources {
+/// The resources that tasks use on all listed machines.
+fn total_usage(machines: &MachineTable, mean_usage: &ResourceMeans) -> Resources {
     let mut total = Resources::ZERO;
     for machine in machines.values().filter(|m| m.endpoint.is_some()) {
         total += machine.requested() * machine.usage.value_or(mean_usage.value());
@@ -64,14 +64,14 @@
     total
 }
 
-/// The fraction of a machine that is planned to be in use: up to comfort, and no more than admission lets in where
-/// tasks use much less than they request.
+/// The fraction of a machine's capacity that tasks are planned to use: the target utilization, or less if admission
+/// limits it because tasks use much less than they request.
 fn usable_fraction(settings: &Settings, mean_usage: &ResourceMeans) -> Resources {
     let admitted_use = settings.overcommit * PLANNED_ADMISSION_FRACTION * mean_usage.value();
-    COMFORTABLE_USE.min(admitted_use) * FILL_FRACTION
+    TARGET_UTILIZATION.min(admitted_use) * FILL_FRACTION
 }
 
-/// The listed machines by how full they are, then by their ids.
+/// The listed machines in descending order of fullness, then by id.
 fn fullest_first(machines: &MachineTable) -> Vec<MachineId> {
     let mut order: Vec<(f64, MachineId)> = machines
         .iter()
--- a/crates/policy/src/scheduler/observer.rs
+++ b/crates/policy/src/scheduler/observer.rs
@@ -1,7 +1,7 @@
-//! A read-only view of each choice of a machine: what it rests on, and what it gives.
+//! A read-only view of the inputs and the result of each choice of a machine.
 //!
-//! Tests compare the choices of a scheduler, random draws included, with those of a reference implementation that
-//! examines all machines anew for each task. An observer can't change a decision.
+//! Tests use it to compare the choices of a scheduler, random draws included, with those of a reference implementation
+//! that examines all machines for each task. An observer can't change a decision.
 
 use super::Scheduler;
 use super::dice;
@@ -13,16 +13,16 @@
 /// The random number generator of a scheduler.
 pub type SchedulerRng = rand_pcg::Pcg32;
 
-/// Is called before and after each choice of a machine.
+/// Callbacks before and after each choice of a machine.
 pub trait PlacementObserver {
-    /// A machine is going to be chosen for a task.
+    /// Called before a machine is chosen for a task.
     fn before_pick(&mut self, inputs: &PickInputs<'_>);
 
-    /// A machine was chosen, or none, which has left the random number generator in this state.
+    /// Called after the choice, with the chosen machine, if any, and the state of the random number generator.
     fn after_pick(&mut self, task: TaskId, picked: Option<MachineId>, rng: &SchedulerRng);
 }
 
-/// Observes nothing.
+/// An observer that does nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
@@ -32,7 +32,7 @@
     fn after_pick(&mut self, _: TaskId, _: Option<MachineId>, _: &SchedulerRng) {}
 }
 
-/// What the choice of a machine for one task rests on, at the moment of the choice.
+/// The inputs of the choice of a machine for one task, at the time of the choice.
 #[derive(Clone, Copy, Debug)]
 pub struct PickInputs<'a> {
     scheduler: &'a Scheduler,
@@ -59,7 +59,7 @@
         &self.record.task
     }
 
-    /// Whether the task is pending and one more attempt is permitted.
+    /// Whether the task is pending and another attempt is permitted.
     #[must_use]
     pub fn can_be_sent(&self) -> bool {
         let settings = &self.scheduler.settings;
@@ -68,25 +68,25 @@
         self.record.state == TaskState::Pending && self.now < send_deadline
     }
 
-    /// Whether the scheduler knows the programs of all schedulers.
+    /// Whether the scheduler knows where programs of all schedulers are cached.
     #[must_use]
     pub fn knows_all_programs(&self) -> bool {
         self.scheduler.knows_all_programs()
     }
 
-    /// The expected work of the task, in cores times seconds.
+    /// The expected work of the task, in core seconds.
     #[must_use]
     pub fn work(&self) -> f64 {
         self.scheduler.estimates.work_of(&self.record.task)
     }
 
-    /// The mean work of tasks, in cores times seconds.
+    /// The mean work of tasks, in core seconds.
     #[must_use]
     pub const fn mean_work(&self) -> f64 {
         self.scheduler.estimates.work.value()
     }
 
-    /// The state of the random number generator.
+    /// A copy of the random number generator in its current state.
     #[must_use]
     pub fn rng(&self) -> SchedulerRng {
         self.scheduler.rng.clone()
@@ -104,7 +104,7 @@
     }
 }
 
-/// What the choice rests on for one machine.
+/// The inputs of the choice for one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineInputs<'a> {
     inputs: PickInputs<'a>,
@@ -113,13 +113,13 @@
 }
 
 impl MachineInputs<'_> {
-    /// The machine.
+    /// The id of the machine.
     #[must_use]
     pub const fn id(&self) -> MachineId {
         self.id
     }
 
-    /// The first filter that keeps the task from the machine; its capacity is not among them.
+    /// The first filter that excludes the machine, if any. Capacity is not included.
     #[must_use]
     pub fn filter(&self) -> Option<FilterReason> {
         let PickInputs {
@@ -130,7 +130,7 @@
         scheduler.filter(now, record, self.id, self.machine)
     }
 
-    /// Whether it has come up a short time ago.
+    /// Whether the machine started recently.
     #[must_use]
     pub fn is_in_slow_start(&self) -> bool {
         self.inputs
@@ -138,13 +138,13 @@
             .is_in_slow_start(self.inputs.now, self.machine)
     }
 
-    /// Whether it is not needed for what runs now.
+    /// Whether the machine is not needed for the current usage.
     #[must_use]
     pub const fn is_idle_capacity(&self) -> bool {
         self.machine.is_idle_capacity
     }
 
-    /// Whether it is believed to have the program of the task's service in its cache.
+    /// Whether the machine is believed to have the program of the task's service in its cache.
     #[must_use]
     pub fn has_cached_program(&self) -> bool {
         let service = self.inputs.record.task.service;
@@ -153,20 +153,20 @@
             .has_cached_program(self.inputs.now, service, self.id)
     }
 
-    /// Whether a task of this scheduler is offered to it or placed there.
+    /// Whether a task of this scheduler is offered to the machine or placed on it.
     #[must_use]
     pub fn has_reservations(&self) -> bool {
         !self.machine.reservations.is_empty()
     }
 
-    /// Its place in the order of preferred machines of a service; less is earlier.
+    /// The rank of the machine in the order of preference of a service; lower is preferred.
     #[must_use]
     pub fn preference_rank(&self, service: ServiceId) -> f64 {
         preference_rank(service, self.id, self.machine.capacity.cpu)
     }
 
-    /// What placing the task there is expected to cost, in seconds of its full service; `None` if the machine would
-    /// not admit it.
+    /// The expected cost of placing the task on the machine, in seconds of its full service; `None` if the machine
+    /// would not admit the task.
     #[must_use]
     pub fn loss(&self, cached_probability: f64) -> Option<f64> {
         let PickInputs {
@@ -177,14 +177,14 @@
         scheduler.loss(now, record, self.machine, cached_probability)
     }
 
-    /// The backlog that Dice sees there.
+    /// The backlog of the machine as input to Dice.
     #[must_use]
     pub fn backlog(&self) -> f64 {
         self.inputs.scheduler.backlog(self.inputs.now, self.machine)
     }
 }
 
-/// Chooses an index of `backlogs` by Dice, for a task of this `work`.
+/// Chooses an index into `backlogs` by Dice, for a task of this `work`.
 #[must_use]
 pub fn dice(backlogs: &[f64], work: f64, mean_work: f64, rng: &mut SchedulerRng) -> usize {
     dice::choose(backlogs, work, mean_work, rng)
--- a/crates/policy/src/scheduler/pending_queue.rs
+++ b/crates/policy/src/scheduler/pending_queue.rs
@@ -1,23 +1,23 @@
-//! The queue of pending tasks: those to place in this step, and those that found no machine and wait for the next
-//! retry. Owned by the scheduler.
+//! The queue of pending tasks: those to place in this step, and those that wait for the next retry because no machine
+//! was found. Owned by the scheduler.
 
 use super::task_record::FINAL_ANSWER_MARGIN;
 use crate::interface::{Seconds, TaskId};
 
-/// Pending tasks are retried after this many seconds where few wait.
+/// The retry interval of a short queue, in seconds.
 const RETRY_INTERVAL: Seconds = 0.05;
 
-/// The retry interval doubles with each this many pending tasks, as each retry costs CPU time.
+/// The number of waiting tasks for which the retry interval grows by `RETRY_INTERVAL`, as each retry costs CPU time.
 const TASKS_PER_INTERVAL: f64 = 200.0;
 
 /// Pending tasks, by their ids.
 #[derive(Debug)]
 pub(super) struct PendingQueue {
-    /// To be placed in this step.
+    /// Tasks to place in this step.
     ready: Vec<TaskId>,
-    /// Found no machine.
+    /// Tasks for which no machine was found.
     unplaced: Vec<TaskId>,
-    /// When these are retried; infinite where there are none.
+    /// When `unplaced` tasks are retried; infinite if there are none.
     retry_at: Seconds,
 }
 
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Adds a task to be placed in this step.
+    /// Adds a task to place in this step.
     pub(super) fn push(&mut self, task: TaskId) {
         self.ready.push(task);
     }
 
-    /// Takes all tasks that are to be placed now.
+    /// Removes and returns all tasks that are to be placed now.
     pub(super) fn take_due(&mut self, now: Seconds) -> Vec<TaskId> {
         let mut due = std::mem::take(&mut self.ready);
         if now >= self.retry_at {
@@ -45,7 +45,7 @@
         due
     }
 
-    /// Keeps a task that found no machine until the next retry, which comes in time for its deadline.
+    /// Keeps a task for which no machine was found. The next retry is early enough for its deadline.
     pub(super) fn defer(&mut self, now: Seconds, task: TaskId, deadline: Seconds) {
         let interval = RETRY_INTERVAL * (1.0 + self.unplaced.len() as f64 / TASKS_PER_INTERVAL);
         self.retry_at = self
@@ -55,12 +55,12 @@
         self.unplaced.push(task);
     }
 
-    /// When pending tasks are retried; infinite where there are none.
+    /// When waiting tasks are retried; infinite if there are none.
     pub(super) const fn retry_at(&self) -> Seconds {
         self.retry_at
     }
 
-    /// Tasks that wait for the next retry.
+    /// The number of tasks that wait for the next retry.
     pub(super) const fn unplaced_count(&self) -> usize {
         self.unplaced.len()
     }
--- a/crates/policy/src/scheduler/slow_start.rs
+++ b/crates/policy/src/scheduler/slow_start.rs
@@ -1,26 +1,26 @@
-//! The slow-start budget: how many offers this scheduler may make to machines that have just come up.
+//! The slow-start budget, which limits the offers of this scheduler to machines that started recently.
 //!
-//! A token bucket for all such machines together, and for each of them a shortest interval between offers and, in
-//! large fleets of schedulers, turns. The bound on the offers of all schedulers, and its proof, are in
-//! `docs/platform.md`. Owned by the scheduler; refilled at each step, asked by the filters.
+//! It consists of a token bucket for all such machines together, a minimum interval between offers to each of them,
+//! and, with many schedulers, turns in which they may make offers. The bound on the offers of all schedulers and its
+//! proof are in `docs/platform.md`. Owned by the scheduler; refilled at each step, queried by the filters.
 
 use super::machine_state::MachineState;
 use crate::interface::{SafetyLimits, Seconds, Settings};
 use rand::Rng;
 
-/// The interval between offers is planned with an overload window that is this much longer than the real one.
+/// The factor by which the overload window is lengthened when the offer interval is derived from it.
 const WINDOW_MARGIN: f64 = 1.25;
 
-/// The shortest overload window that is divided by, in seconds.
+/// Lower bound of the overload window, in seconds, to avoid a division by zero.
 const MIN_OVERLOAD_WINDOW: Seconds = 1e-3;
 
 /// The token bucket, in offers.
 #[derive(Debug)]
 pub(super) struct SlowStartBudget {
-    /// Offers that may yet be made; `None` while no machine is in slow start.
+    /// The offers that may still be made; `None` while no machine is in slow start.
     available_offers: Option<f64>,
     refilled_at: Seconds,
-    /// The first step of this scheduler. Until then a predecessor may have spent the same budget.
+    /// The time of the first step. A previous instance of this scheduler may have spent the budget until then.
     first_step_at: Seconds,
 }
 
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Notes that this scheduler acts at this time.
+    /// Records the time of a step.
     pub(super) const fn record_step(&mut self, now: Seconds) {
         self.first_step_at = self.first_step_at.min(now);
     }
 
-    /// Adds what has become available since the last call. The budget starts at a random part of its size, since
-    /// schedulers can't agree on one: otherwise all of them would make their offers at once.
+    /// Adds the tokens accrued since the last call. The bucket starts at a random level, as otherwise all schedulers,
+    /// which don't coordinate, would make their offers at once.
     pub(super) fn refill(
         &mut self,
         now: Seconds,
@@ -69,11 +69,11 @@
         self.available_offers = self.available_offers.map(|available| available - 1.0);
     }
 
-    /// Whether one more offer to this machine, which is in slow start, keeps within the budget.
+    /// Whether the budget allows another offer to this machine, which must be in slow start.
     ///
-    /// Where more schedulers share the machine than chance may add to what it can take, they take turns in groups,
-    /// and the order of the groups differs from machine to machine. An overload window overlaps two turns at most, so a
-    /// machine gets no more offers in it than two groups have members.
+    /// If there are more schedulers than offers permitted within an overload window, they take turns in groups, and the
+    /// order of the groups differs by machine. An overload window overlaps at most two turns, so a machine gets at most
+    /// as many offers within it as two groups have members.
     pub(super) fn allows_offer(
         &self,
         now: Seconds,
@@ -100,12 +100,12 @@
     limits.overload_window.max(MIN_OVERLOAD_WINDOW)
 }
 
-/// Offers that one machine in slow start can always take within an overload window.
+/// The number of offers within an overload window that never overloads a machine in slow start.
 fn safe_offers(limits: &SafetyLimits) -> f64 {
     limits.slow_start_offers.max(1.0)
 }
 
-/// The shortest time between two offers of one scheduler to one machine in slow start, in seconds.
+/// The minimum interval between offers of one scheduler to one machine in slow start, in seconds.
 fn offer_interval(settings: &Settings) -> Seconds {
     let limits = &settings.safety_limits;
     let quota = safe_offers(limits) / settings.scheduler_count as f64;
@@ -115,7 +115,7 @@
 /// The number of groups of schedulers that take turns at a machine in slow start.
 fn scheduler_groups(settings: &Settings) -> u64 {
     let safe_offers = safe_offers(&settings.safety_limits);
-    // Chance may add two standard deviations and two offers to what the machine can take.
+    // Random variation may add two standard deviations and two offers to the safe number.
     let max_offers = (safe_offers + 2.0 * safe_offers.sqrt() + 2.0) as u64;
     let schedulers = settings.scheduler_count as u64;
     if schedulers > max_offers {
