--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,9 @@
-//! Settings, events and a scheduler whose rules are checked from outside. No model of machines.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part")]
+//! Helpers for settings and events, and a scheduler whose rules are checked. Machines are not simulated.
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test file uses only some helpers"
+)]
 
 mod observed_task;
 mod rule_checker;
@@ -12,7 +16,7 @@
     ServiceId, Settings, Task, TaskId,
 };
 
-/// A class without spread and of any machine type.
+/// A class without a spread limit, for any machine type.
 pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
         latency_objective: 0.7,
@@ -71,7 +75,7 @@
     settings(vec![class(RetrySafety::Idempotent)])
 }
 
-/// A ready machine that came up long ago and is nearly empty.
+/// A ready machine that started long ago and has most of its capacity free.
 pub fn endpoint(machine: u64) -> Endpoint {
     Endpoint {
         machine: MachineId(machine),
@@ -84,7 +88,7 @@
     }
 }
 
-/// The complete list of this many such machines.
+/// An event with the complete list of `machines` such machines.
 pub fn endpoints_listed(machines: u64) -> Event {
     Event::EndpointsListed((0..machines).map(endpoint).collect())
 }
@@ -103,12 +107,12 @@
     }
 }
 
-/// A task of the first class is submitted.
+/// An event for the submission of a task of the first class.
 pub fn submitted(id: u64, deadline: Seconds) -> Event {
     Event::TaskSubmitted(task(id, 0, deadline))
 }
 
-/// The first attempt of a task is confirmed.
+/// An event for the confirmation of the first attempt of a task.
 pub fn confirmed(id: u64) -> Event {
     Event::AttemptConfirmed {
         task: TaskId(id),
@@ -116,7 +120,7 @@
     }
 }
 
-/// A task has started.
+/// An event for the start of a task.
 pub fn started(id: u64) -> Event {
     Event::AttemptProgressed {
         task: TaskId(id),
@@ -124,7 +128,7 @@
     }
 }
 
-/// An attempt has ended, and its request is not closed.
+/// An event for the end of an attempt whose request is not closed.
 pub fn ended(task: u64, attempt: u32, outcome: AttemptOutcome) -> Event {
     Event::AttemptEnded {
         task: TaskId(task),
@@ -135,7 +139,7 @@
     }
 }
 
-/// The tasks that are offered, and to which machines.
+/// The offered tasks and the machines that they are offered to.
 pub fn offers(actions: &[Action]) -> Vec<(TaskId, MachineId)> {
     let offer = |action: &Action| match action {
         Action::Offer { task, machine, .. } => Some((*task, *machine)),
--- a/crates/policy/tests/common/observed_task.rs
+++ b/crates/policy/tests/common/observed_task.rs
@@ -1,4 +1,4 @@
-//! A task as the events and actions of its scheduler tell of it.
+//! The state of a task, derived from the events and actions of its scheduler.
 
 use tidespur_policy::interface::{AttemptOutcome, MachineId, Seconds, Task};
 
@@ -7,12 +7,12 @@
 pub struct ObservedTask {
     pub task: Task,
     pub attempts: Vec<Attempt>,
-    /// The final answer was given, or none is owed any more.
+    /// Whether the final answer was given or is no longer owed.
     pub answered: bool,
     pub confirmed: bool,
 }
 
-/// An offer of a task.
+/// One offer of a task and its outcome.
 #[derive(Debug)]
 pub struct Attempt {
     pub machine: MachineId,
@@ -58,19 +58,19 @@
         }
     }
 
-    /// The first attempt that may have run.
+    /// The first attempt in which the task may have run.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// The number of the last attempt, if it has no outcome yet.
+    /// The number of the last attempt if it has no outcome yet.
     pub fn open_attempt(&self) -> Option<u32> {
         let last = self.attempts.last()?;
         let attempt = self.attempts.len() as u32 - 1;
         last.outcome.is_none().then_some(attempt)
     }
 
-    /// The one final answer is given.
+    /// Records the final answer, of which there must be only one.
     pub fn answer(&mut self) {
         assert!(!self.answered, "{:?} was answered twice", self.task.id);
         self.answered = true;
--- a/crates/policy/tests/common/rule_checker.rs
+++ b/crates/policy/tests/common/rule_checker.rs
@@ -1,4 +1,4 @@
-//! A scheduler whose five rules are checked from outside: each step asserts them, from its events and actions alone.
+//! A scheduler with independent checks of the five rules: each step asserts them using only its events and actions.
 
 use super::observed_task::{Attempt, ObservedTask};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
     Settings, TaskId,
 };
 
-/// A scheduler and what its events and actions told.
+/// A scheduler, and the state of tasks and machines derived from its events and actions.
 pub struct CheckedScheduler {
     pub scheduler: Scheduler,
     settings: Settings,
@@ -42,7 +42,7 @@
             let is_late = now > task.task.deadline + self.settings.safety_limits.answer_slack;
             assert!(
                 task.answered || !is_late,
-                "{id:?} had no answer by {now}: {task:?}"
+                "{id:?} has no final answer at {now}: {task:?}"
             );
         }
         actions
@@ -95,7 +95,7 @@
             Action::Offer { task, machine, .. } => self.check_offer(now, *task, *machine),
             Action::Reject { task, .. } => {
                 let observed = self.tasks.get_mut(task).unwrap();
-                let is_harmless = match self.settings.classes[observed.task.class].retry_safety {
+                let is_safe = match self.settings.classes[observed.task.class].retry_safety {
                     RetrySafety::Idempotent => true,
                     RetrySafety::IdempotencyKeyed {
                         domain: FailureDomain::All,
@@ -104,7 +104,7 @@
                     _ => observed.first_possible_run().is_none(),
                 };
                 observed.answer();
-                assert!(is_harmless, "{task:?} may have run and was rejected");
+                assert!(is_safe, "{task:?} may have run and was rejected");
             }
             Action::Fail(task) => self.tasks.get_mut(task).unwrap().answer(),
             _ => {}
@@ -115,9 +115,15 @@
         let endpoint = self.endpoints.get(&machine);
         let endpoint = endpoint.unwrap_or_else(|| panic!("{machine:?} is not listed"));
         let is_ready = endpoint.status == EndpointStatus::Ready;
-        assert!(is_ready, "{id:?} was sent to a leaving machine");
+        assert!(
+            is_ready,
+            "{id:?} was offered to a machine that is not ready"
+        );
         let observed = &self.tasks[&id];
-        assert!(!observed.answered, "{id:?} was sent after its end");
+        assert!(
+            !observed.answered,
+            "{id:?} was offered after its final answer"
+        );
         let has_open_attempt = observed.attempts.iter().any(|a| a.outcome.is_none());
         assert!(!has_open_attempt, "two attempts of {id:?} are in flight");
         let class = &self.settings.classes[observed.task.class];
@@ -139,7 +145,7 @@
         });
     }
 
-    /// No double effect: the first attempt may have run.
+    /// Checks that the task takes no effect twice, where `first` may have run.
     fn check_repeat(
         &self,
         now: Seconds,
@@ -150,12 +156,18 @@
     ) {
         match class.retry_safety {
             RetrySafety::Idempotent => {}
-            RetrySafety::NonIdempotent => panic!("{id:?} may have run and was sent again"),
+            RetrySafety::NonIdempotent => panic!("{id:?} may have run and was offered again"),
             RetrySafety::IdempotencyKeyed { domain, window } => {
                 let is_in_window = now < first.sent_at + window;
-                assert!(is_in_window, "{id:?} was sent again outside its window");
+                assert!(
+                    is_in_window,
+                    "{id:?} was offered again outside its deduplication window"
+                );
                 let is_in_domain = self.is_in_domain(domain, first.machine, endpoint);
-                assert!(is_in_domain, "{id:?} was sent again outside its domain");
+                assert!(
+                    is_in_domain,
+                    "{id:?} was offered again outside its deduplication domain"
+                );
             }
         }
     }
@@ -172,21 +184,21 @@
                 .filter(|attempt| self.is_in_domain(domain, attempt.machine, endpoint))
                 .count();
         }
-        let is_spread = in_domain < class.max_per_spread_domain as usize;
-        assert!(is_spread, "{id:?} breaks the spread");
+        let is_within_limit = in_domain < class.max_per_spread_domain as usize;
+        assert!(is_within_limit, "{id:?} exceeds the spread limit");
     }
 
-    fn is_in_domain(&self, domain: FailureDomain, machine: MachineId, near: &Endpoint) -> bool {
+    fn is_in_domain(&self, domain: FailureDomain, machine: MachineId, other: &Endpoint) -> bool {
         let endpoint = self.endpoints.get(&machine);
         match domain {
             FailureDomain::All => true,
-            FailureDomain::Machine => machine == near.machine,
-            FailureDomain::Cell => endpoint.is_some_and(|e| e.cell == near.cell),
-            FailureDomain::Zone => endpoint.is_some_and(|e| e.zone == near.zone),
+            FailureDomain::Machine => machine == other.machine,
+            FailureDomain::Cell => endpoint.is_some_and(|e| e.cell == other.cell),
+            FailureDomain::Zone => endpoint.is_some_and(|e| e.zone == other.zone),
         }
     }
 
-    /// A machine in slow start gets this scheduler's part of the offers of a window.
+    /// Checks that a machine in slow start gets no more offers within a window than the share of this scheduler.
     fn check_slow_start(&mut self, now: Seconds, machine: MachineId) {
         self.slow_start_offers.push((now, machine));
         let limits = &self.settings.safety_limits;
@@ -197,7 +209,7 @@
         let is_within_quota = offers <= quota.max(1.0);
         assert!(
             is_within_quota,
-            "a machine in slow start gets {offers} offers"
+            "a machine in slow start gets {offers} offers of {quota}"
         );
     }
 }
--- a/crates/policy/tests/decision_files.rs
+++ b/crates/policy/tests/decision_files.rs
@@ -1,18 +1,18 @@
-//! What an audit of the decision files rests on: `deploy/balancer.toml` names all of them, each is short, and none
-//! can reach anything outside the events that it is given.
+//! Properties that audits of the decision files rely on: `deploy/balancer.toml` lists all of them, each is short, and
+//! none accesses anything but its events.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Lines that one decision file may have.
+/// The maximum number of lines of a decision file.
 const MAX_LINES: usize = 250;
 
-/// Modules of the package that decide nothing: the types of the interface.
-const NOT_DECISIONS: [&str; 3] = ["lib.rs", "interface.rs", "interface"];
+/// Modules of the package without decisions: the types of the interface.
+const INTERFACE_MODULES: [&str; 3] = ["lib.rs", "interface.rs", "interface"];
 
-/// Names of clocks, sockets, files, threads, environment variables, unordered maps and foreign random sources. A
-/// decision that uses one would differ between two runs of the same events.
-const FORBIDDEN: [&str; 15] = [
+/// Names of clocks, sockets, files, threads, environment variables, unordered maps and other random sources. A decision
+/// that uses one could differ between two runs with the same events.
+const FORBIDDEN_NAMES: [&str; 15] = [
     "HashMap",
     "HashSet",
     "SystemTime",
@@ -34,18 +34,18 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files that `deploy/balancer.toml` names under `policy`.
-fn named_files() -> BTreeSet<String> {
+/// The files that `deploy/balancer.toml` lists under `policy`.
+fn listed_files() -> BTreeSet<String> {
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
     let line = text
         .lines()
         .find(|line| line.starts_with("policy"))
-        .expect("a key 'policy'");
+        .expect("key `policy` is missing");
     let names = line.split('"').skip(1).step_by(2);
     names.map(str::to_owned).collect()
 }
 
-/// The decision files of the package, as paths from the root of the project.
+/// The decision files of the package, as paths relative to the root of the repository.
 fn decision_files() -> BTreeSet<String> {
     let mut files = BTreeSet::new();
     collect(
@@ -56,11 +56,11 @@
     files
 }
 
-fn collect(folder: &Path, name: &str, files: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(folder).unwrap() {
+fn collect(directory: &Path, name: &str, files: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(directory).unwrap() {
         let entry = entry.unwrap();
         let file = entry.file_name().into_string().unwrap();
-        if NOT_DECISIONS.contains(&file.as_str()) {
+        if INTERFACE_MODULES.contains(&file.as_str()) {
             continue;
         }
         let path = format!("{name}/{file}");
@@ -73,30 +73,30 @@
 }
 
 #[test]
-fn every_decision_file_is_named_in_the_deploy_file() {
+fn the_deploy_file_lists_every_decision_file() {
     let files = decision_files();
     assert!(!files.is_empty());
-    assert_eq!(named_files(), files);
+    assert_eq!(listed_files(), files);
 }
 
 #[test]
-fn every_decision_file_stays_short() {
+fn decision_files_are_short() {
     for file in decision_files() {
         let text = std::fs::read_to_string(root().join(&file)).unwrap();
         let lines = text.lines().count();
         assert!(
             lines <= MAX_LINES,
-            "{file} has {lines} lines, {MAX_LINES} are allowed"
+            "{file} has {lines} lines, but at most {MAX_LINES} are allowed"
         );
     }
 }
 
 #[test]
-fn no_decision_file_names_a_clock_a_socket_or_an_unordered_map() {
+fn decision_files_use_no_forbidden_names() {
     for file in decision_files() {
         let text = std::fs::read_to_string(root().join(&file)).unwrap();
         for (number, line) in text.lines().enumerate() {
-            for name in FORBIDDEN {
+            for name in FORBIDDEN_NAMES {
                 assert!(!line.contains(name), "{file}:{}: {name}", number + 1);
             }
         }
--- a/crates/policy/tests/deploy.rs
+++ b/crates/policy/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file: its keys, and that all it names is there.
+//! Checks of the deploy file: its keys are stable, and the files, packages and programs that it names exist.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -16,7 +16,7 @@
     std::fs::read_to_string(root().join(path)).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
-/// Keys and values of a file of plain `key = value` lines.
+/// Keys and values of a file that consists of `key = value` lines.
 fn entries(text: &str) -> Vec<(&str, &str)> {
     let lines = text
         .lines()
@@ -24,25 +24,25 @@
     lines
         .map(|line| {
             line.split_once(" = ")
-                .unwrap_or_else(|| panic!("no key and value: {line}"))
+                .unwrap_or_else(|| panic!("line is not `key = value`: {line}"))
         })
         .collect()
 }
 
 fn value<'a>(text: &'a str, key: &str) -> &'a str {
     let found = entries(text).into_iter().find(|(name, _)| *name == key);
-    found.unwrap_or_else(|| panic!("no key {key}")).1
+    found.unwrap_or_else(|| panic!("key {key} is missing")).1
 }
 
-/// The strings of a list, or the one string.
+/// The strings in a list, or a single string.
 fn strings(value: &str) -> Vec<&str> {
     value.split('"').skip(1).step_by(2).collect()
 }
 
 #[test]
-fn keys_of_the_deploy_file_stay_as_they_are() {
+fn deploy_file_keys_are_stable() {
     let text = read("deploy/balancer.toml");
-    let form = |value: &str| {
+    let value_type = |value: &str| {
         if value.starts_with('[') {
             "list"
         } else {
@@ -51,12 +51,12 @@
     };
     let keys = entries(&text)
         .into_iter()
-        .map(|(key, value)| format!("{key}: {}", form(value)));
+        .map(|(key, value)| format!("{key}: {}", value_type(value)));
     fixture::check(PACKAGE, "deploy_keys.txt", keys, Additions::Rejected);
 }
 
 #[test]
-fn files_and_folders_that_the_deploy_file_names_are_there() {
+fn paths_in_the_deploy_file_exist() {
     let text = read("deploy/balancer.toml");
     let (policy, node) = (
         strings(value(&text, "policy")),
@@ -64,20 +64,17 @@
     );
     assert!(!policy.is_empty() && !node.is_empty());
     for file in policy {
-        assert!(
-            root().join(file).is_file(),
-            "policy names {file}, which is no file"
-        );
+        assert!(root().join(file).is_file(), "policy: {file} is not a file");
     }
-    for folder in node {
+    for directory in node {
         assert!(
-            root().join(folder).join("Cargo.toml").is_file(),
-            "node names {folder}, which is no package"
+            root().join(directory).join("Cargo.toml").is_file(),
+            "node: {directory} is not a package"
         );
     }
 }
 
-/// Names of the packages of the workspace.
+/// The names of all packages of the workspace.
 fn packages() -> Vec<String> {
     let mut names = Vec::new();
     for entry in std::fs::read_dir(root().join("crates")).unwrap() {
@@ -92,7 +89,7 @@
 }
 
 #[test]
-fn programs_that_the_deploy_file_starts_are_built_by_it() {
+fn the_deploy_file_builds_the_programs_that_it_starts() {
     let text = read("deploy/balancer.toml");
     let build: Vec<&str> = strings(value(&text, "build"))[0].split(' ').collect();
     let built: Vec<&str> = build
@@ -114,7 +111,7 @@
         let program = command
             .split(' ')
             .find_map(|word| word.strip_prefix("target/release/"));
-        // A package of a program has the program's name.
+        // Programs have the names of their packages.
         assert!(
             program.is_some_and(|name| built.contains(&name)),
             "{key}: {command}"
@@ -123,7 +120,7 @@
 }
 
 #[test]
-fn site_folders_hold_their_variants() {
+fn site_directories_contain_all_variants() {
     let mut files = Vec::new();
     for site in std::fs::read_dir(root().join("deploy/sites")).unwrap() {
         let site = site.unwrap();
--- a/crates/policy/tests/explain.rs
+++ b/crates/policy/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` changes nothing, and tells of pending tasks alone.
+//! `explain` has no side effects, and explains only pending tasks.
 
 mod common;
 
@@ -7,8 +7,8 @@
     Action, Class, Event, FailureDomain, RetryBlocker, RetrySafety, TaskId,
 };
 
-/// The actions of a run with or without questions in between.
-fn actions_when(explains: bool) -> Vec<Action> {
+/// The actions of a run, with or without calls of `explain` between the steps.
+fn run(calls_explain: bool) -> Vec<Action> {
     let spread = Class {
         spread_domain: Some(FailureDomain::Cell),
         max_per_spread_domain: 1,
@@ -22,7 +22,7 @@
         let now = 0.1 + last as f64 * 0.05;
         let events = vec![submitted(last, now + 6.0), Event::TimerFired(0)];
         actions.extend(checked.step(now, events));
-        if explains {
+        if calls_explain {
             for id in 0..=last {
                 drop(checked.scheduler.explain(now, TaskId(id)));
             }
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn explaining_changes_nothing() {
-    assert_eq!(actions_when(true), actions_when(false));
+fn explain_has_no_side_effects() {
+    assert_eq!(run(true), run(false));
 }
 
 #[test]
@@ -44,16 +44,20 @@
     checked.step(0.0, vec![Event::EndpointsListed(vec![endpoint(0)])]);
     checked.step(0.1, vec![submitted(1, 6.0)]);
     let explain = |id| checked.scheduler.explain(0.1, TaskId(id));
-    assert_eq!(explain(1), None, "an offer is in flight: it is not pending");
-    assert_eq!(explain(9), None, "the task is unknown");
+    assert_eq!(
+        explain(1),
+        None,
+        "the task is not pending, as an offer is in flight"
+    );
+    assert_eq!(explain(9), None, "unknown task");
 }
 
 #[test]
-fn a_blocker_names_what_keeps_a_task_from_all_machines() {
+fn the_blocker_is_what_prevents_any_attempt() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(0.0, vec![submitted(1, 6.0)]);
     let diagnosis = checked.scheduler.explain(0.01, TaskId(1)).unwrap();
-    // With nothing listed a task is pending, and no machine was examined.
+    // Without listed machines the task is pending, but no machine was examined.
     assert_eq!(
         (
             diagnosis.machine_count,
--- a/crates/policy/tests/explain_random_events.rs
+++ b/crates/policy/tests/explain_random_events.rs
@@ -1,4 +1,4 @@
-//! `explain` tells the truth: a machine that it rejects is not chosen, and a pending task is rejected by all machines.
+//! `explain` agrees with placement: rejected machines are not chosen, and all machines are rejected for a pending task.
 
 mod common;
 
@@ -36,15 +36,18 @@
     settings(classes.to_vec())
 }
 
-/// What all runs have compared.
+/// Counters over all runs.
 #[derive(Default)]
 struct Totals {
+    /// The names of all reasons for which machines were rejected.
     reasons: BTreeSet<String>,
+    /// Choices of a machine that were compared with a diagnosis.
     choices: usize,
+    /// Diagnoses of tasks that stayed pending after a retry.
     waits: usize,
 }
 
-/// A run on crowded machines, so that tasks wait for one reason or another.
+/// A run on overloaded machines, so that tasks wait for various reasons.
 struct Run<'a> {
     seed: u64,
     rng: Pcg32,
@@ -70,12 +73,12 @@
         }
     }
 
-    fn play(&mut self) {
+    fn execute(&mut self) {
         let endpoints = (0..self.machines).map(endpoint).collect();
         let mut events = vec![Event::EndpointsListed(endpoints)];
         while self.now < END {
             self.checked.step(self.now, events);
-            // Time passes and nothing else happens: what is rejected at this time must not be chosen now.
+            // Nothing but the time changes, so a machine that is rejected before the step must not be chosen in it.
             self.now += self.rng.random_range(0.01..0.12);
             let before = self.diagnoses();
             let actions = self.checked.step(self.now, vec![Event::TimerFired(0)]);
@@ -93,7 +96,7 @@
             .collect()
     }
 
-    /// The first choice went to a machine that was not rejected.
+    /// Checks that the first offer went to a machine that was not rejected.
     fn check_choice(&mut self, before: &[(TaskId, PendingDiagnosis)], actions: &[Action]) {
         let sent = offers(actions);
         let Some((task, machine)) = sent.first() else {
@@ -104,16 +107,16 @@
         };
         self.totals.choices += 1;
         let rejection = diagnosis.rejections.iter().find(|(id, _)| id == machine);
-        // The slow-start budget grows within the step itself.
+        // The slow-start budget is refilled within the step itself.
         let is_permitted = rejection.is_none_or(|(_, reason)| *reason == FilterReason::SlowStart);
         assert!(
             is_permitted,
-            "seed {}: {task:?} went to {rejection:?}",
+            "seed {}: {task:?} was offered to a rejected machine: {rejection:?}",
             self.seed
         );
     }
 
-    /// Where tasks were retried, what still waits is rejected by all machines.
+    /// Checks that all machines are rejected for tasks that are still pending after a retry.
     fn check_waits(&mut self, before: &[(TaskId, PendingDiagnosis)]) {
         let is_retried = before
             .iter()
@@ -134,7 +137,7 @@
             let is_rejected_by_all = diagnosis.rejections.len() == diagnosis.machine_count;
             assert!(
                 is_rejected_by_all || diagnosis.blocker.is_some(),
-                "seed {}: {id:?} waits though a machine would take it: {diagnosis:?}",
+                "seed {}: {id:?} is pending, but not all machines are rejected: {diagnosis:?}",
                 self.seed
             );
         }
@@ -199,10 +202,10 @@
 }
 
 #[test]
-fn what_is_rejected_is_not_chosen_and_what_waits_is_rejected_by_all_machines() {
+fn diagnoses_agree_with_placement() {
     let mut totals = Totals::default();
     for seed in 0..60 {
-        Run::new(seed, &mut totals).play();
+        Run::new(seed, &mut totals).execute();
     }
     let Totals {
         reasons,
@@ -212,7 +215,7 @@
     println!("{choices} choices, {waits} waits");
     assert!(
         choices > 300 && waits > 5000,
-        "{choices} choices and {waits} waits test nothing"
+        "too few cases: {choices} choices, {waits} waits"
     );
     for reason in [
         "Draining",
@@ -226,7 +229,7 @@
     ] {
         assert!(
             reasons.contains(reason),
-            "{reason} never came up: {reasons:?}"
+            "{reason} never occurred: {reasons:?}"
         );
     }
 }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of schedulers that know nothing of each other, and what they offer to machines in slow start.
+//! A fleet of schedulers that don't communicate, and their offers to machines in slow start.
 
 use crate::common::{class, endpoint, settings, task};
 use rand::{Rng, SeedableRng};
@@ -10,16 +10,16 @@
     Seconds, Settings, Task, TaskId,
 };
 
-/// A scheduler and the events of its next step.
+/// A scheduler and the events for its next step.
 type Member = (Scheduler, Vec<Event>);
 
-/// What a run shows.
+/// The result of a run.
 pub struct RunResult {
-    /// The most offers that a machine got in any window.
+    /// The most offers that any machine got within any overload window.
     pub max_in_window: usize,
-    /// The offers that it may get.
+    /// The maximum permitted number of these offers.
     pub allowed: f64,
-    /// All offers.
+    /// The number of all offers.
     pub total: usize,
 }
 
@@ -29,14 +29,14 @@
     pub settings: Settings,
     endpoints: Vec<Endpoint>,
     pub members: Vec<Member>,
-    /// The times of offers by machine.
+    /// The times of all offers, by machine.
     offers: BTreeMap<MachineId, Vec<Seconds>>,
     attempts: BTreeMap<TaskId, u32>,
     last_task: u64,
 }
 
 impl Fleet {
-    /// A fleet with random machines and limits.
+    /// Creates a fleet with random machines and limits.
     pub fn new(schedulers: usize, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut settings = settings(vec![
@@ -65,7 +65,7 @@
         fleet
     }
 
-    /// Starts a scheduler anew.
+    /// Creates a new scheduler with this ordinal.
     pub fn start(&mut self, ordinal: usize) -> Member {
         let settings = Settings {
             ordinal,
@@ -78,19 +78,19 @@
         )
     }
 
-    /// Starts all schedulers anew.
+    /// Creates new schedulers for all ordinals.
     pub fn start_all(&mut self) -> Vec<Member> {
         (0..self.settings.scheduler_count)
             .map(|ordinal| self.start(ordinal))
             .collect()
     }
 
-    /// All offers so far.
+    /// The number of offers so far.
     pub fn total(&self) -> usize {
         self.offers.values().map(Vec::len).sum()
     }
 
-    /// Submits up to three tasks to a scheduler.
+    /// Submits up to three tasks to a scheduler, for its next step.
     pub fn submit_tasks(&mut self, member: usize, now: Seconds) {
         for _ in 0..self.rng.random_range(0..4) {
             self.last_task += 1;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Lets a scheduler act.
+    /// Steps a scheduler and responds to its offers.
     pub fn step(&mut self, member: usize, now: Seconds) {
         let (scheduler, events) = &mut self.members[member];
         let mut actions = Vec::new();
@@ -112,13 +112,13 @@
         for action in actions {
             if let Action::Offer { task, machine, .. } = action {
                 self.offers.entry(machine).or_default().push(now);
-                self.answer(member, task);
+                self.respond(member, task);
             }
         }
     }
 
-    /// Answers by the next step and ends soon, so that nothing but slow start holds offers back.
-    fn answer(&mut self, member: usize, task: TaskId) {
+    /// Responds to an offer by the next step, and ends accepted tasks at once, so that only slow start limits offers.
+    fn respond(&mut self, member: usize, task: TaskId) {
         let attempt = *self
             .attempts
             .entry(task)
@@ -141,7 +141,7 @@
         }
     }
 
-    /// What the run shows.
+    /// Summarizes the run.
     pub fn result(&self) -> RunResult {
         let window = self.settings.safety_limits.overload_window;
         let safe_offers = self.settings.safety_limits.slow_start_offers;
@@ -157,7 +157,7 @@
     }
 }
 
-/// The most of these ascending times in any window.
+/// The maximum number of `times`, which must be ascending, within any window of this length.
 pub fn max_in_window(times: &[Seconds], window: Seconds) -> usize {
     let in_window = |start: usize| {
         let end = times[start] + window;
--- a/crates/policy/tests/idle_capacity.rs
+++ b/crates/policy/tests/idle_capacity.rs
@@ -1,4 +1,4 @@
-//! Where machines in use are charged, tasks are kept together, on as many machines as admit them.
+//! If machines in use have a price, tasks are packed onto as few machines as can admit them.
 
 mod common;
 
@@ -8,7 +8,7 @@
     AttemptProgress, Endpoint, Event, MachineId, Resources, ServiceId, Task, TaskId,
 };
 
-/// Ten machines are as full as admission permits, two nearly, twelve have room.
+/// Ten machines are full by the admission limit, two are almost full, and twelve have free capacity.
 fn partly_full(machine: u64) -> Endpoint {
     let requested_fraction = match machine {
         0..10 => 1.16,
@@ -21,10 +21,10 @@
     }
 }
 
-/// Machines kept in use must be able to admit what they are kept for, also where tasks use much less than they request:
-/// once only what is in use had been counted, the few of them with room drew all tasks of all schedulers.
+/// Needed machines must be able to admit the tasks they are needed for, even if tasks use much less than they request.
+/// When only usage was counted, all schedulers sent all tasks to the few needed machines with free capacity.
 #[test]
-fn the_needed_machines_are_as_many_as_admission_asks() {
+fn enough_machines_are_needed_for_admission() {
     let mut settings = idempotent_settings();
     settings.overcommit.memory = 1.2;
     settings.costs.idle_machines = 0.2;
@@ -33,7 +33,7 @@
     checked.step(1.0, vec![Event::EndpointsListed(endpoints)]);
     let adopted = (0..20).map(|id| Event::TaskAdopted(task(id, 0, 99.0), MachineId(id % 10)));
     checked.step(1.0, adopted.collect());
-    // Tasks use a good third of what they request.
+    // Tasks use 0.3 of the memory that they request.
     let usage = |id| Event::AttemptProgressed {
         task: TaskId(id),
         progress: AttemptProgress::MemoryUsage(0.6),
--- a/crates/policy/tests/outlier_detection.rs
+++ b/crates/policy/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Machines that reject, fail, are full of offers, or have gone.
+//! Offers to machines that reject or fail, have a full queue, or are gone.
 
 mod common;
 
@@ -10,9 +10,9 @@
     AttemptOutcome, Endpoint, EndpointStatus, Event, FailureCause, Resources, Task, TaskId,
 };
 
-/// A machine that rejects everything, for whatever reason, gets offers ever more rarely.
+/// A machine that rejects all offers gets them at increasing intervals, whatever the cause.
 #[test]
-fn a_machine_that_goes_on_rejecting_gets_offers_rarely() {
+fn machines_that_keep_rejecting_get_few_offers() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(1.0, vec![endpoints_listed(1)]);
     let mut now = 1.0;
@@ -36,9 +36,9 @@
     assert!((3..20).contains(&total), "{total} offers in 20 s");
 }
 
-/// A burst must not overrun the queue of offers of one machine.
+/// A burst of tasks must not overflow the offer queue of a machine.
 #[test]
-fn a_burst_waits_for_the_queue_of_a_machine() {
+fn bursts_do_not_overflow_the_offer_queue() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     let mut events = vec![endpoints_listed(1)];
     events.extend((0..40).map(|id| submitted(id, 7.0)));
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn an_error_of_the_tasks_own_counts_against_no_machine() {
-    // Owners whose tasks no machine can start: each is answered by errors, wherever it is sent.
+fn errors_of_faulty_tasks_count_against_no_machine() {
+    // Faulty tasks return an error on every machine.
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     let mut now = 1.0;
     checked.step(now, vec![endpoints_listed(4)]);
@@ -64,13 +64,13 @@
             attempt += 1;
         }
     }
-    // A good one finds machines at once, well before the shortest backoff of one second is over.
-    let good = checked.step(now + 0.01, vec![submitted(99, now + 6.0)]);
-    assert_eq!(offers(&good).len(), 1, "{good:?}");
+    // A task without fault is placed at once, well before the minimum backoff of one second has elapsed.
+    let actions = checked.step(now + 0.01, vec![submitted(99, now + 6.0)]);
+    assert_eq!(offers(&actions).len(), 1, "{actions:?}");
 }
 
 #[test]
-fn machines_that_have_gone_are_forgotten() {
+fn the_state_of_gone_machines_is_bounded() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     for id in 0..1_000 {
         let gone = Endpoint {
@@ -89,7 +89,7 @@
     let diagnosis = checked
         .scheduler
         .explain(2_001.0, TaskId(2))
-        .expect("no machine takes it");
+        .expect("the task is pending");
     assert!(
         diagnosis.machine_count < 200,
         "{} machines are still known",
--- a/crates/policy/tests/program_cache.rs
+++ b/crates/policy/tests/program_cache.rs
@@ -1,5 +1,5 @@
-//! Programs in caches: what schedulers gossip of them, the preferred machines of a service, and the times of starts
-//! with and without a cached program.
+//! Cached programs: gossip between schedulers, the preferred machines of a service, and start times with and without a
+//! cached program.
 
 mod common;
 
@@ -19,9 +19,9 @@
     }
 }
 
-/// Starts without the program were mostly late: what another scheduler gossips of a program draws its tasks.
+/// Starts without a cached program were mostly late, so programs that other schedulers announce attract tasks.
 #[test]
-fn programs_of_other_schedulers_draw_tasks() {
+fn programs_announced_by_gossip_attract_tasks() {
     let mut settings = idempotent_settings();
     settings.allows_gossip = true;
     let adopted = Event::TaskAdopted(task_of(7, 1, 9.0), MachineId(9));
@@ -33,7 +33,7 @@
     });
     let mut receiver = CheckedScheduler::new(settings.clone(), 2);
     receiver.step(1.0, vec![endpoints_listed(12)]);
-    let message = message.expect("the program is announced");
+    let message = message.expect("the program was not announced");
     let mut events = vec![Event::GossipReceived(message)];
     events.extend((2..5).map(|id| Event::TaskSubmitted(task_of(7, id, 9.0))));
     let sent = offers(&receiver.step(1.1, events));
@@ -41,12 +41,12 @@
     assert_eq!(machines, [MachineId(9); 3]);
 
     settings.allows_gossip = false;
-    let mut silent = CheckedScheduler::new(settings, 1);
-    let actions = silent.step(1.0, vec![endpoints_listed(12), adopted]);
+    let mut without_gossip = CheckedScheduler::new(settings, 1);
+    let actions = without_gossip.step(1.0, vec![endpoints_listed(12), adopted]);
     assert!(!actions.iter().any(|a| matches!(a, Action::Gossip(_))));
 }
 
-/// Without gossip, schedulers with other seeds agree on a few machines for a service.
+/// Without gossip, schedulers with different seeds choose from the same few machines for a service.
 #[test]
 fn schedulers_agree_on_preferred_machines() {
     let mut machines = BTreeSet::new();
@@ -71,10 +71,10 @@
     );
 }
 
-/// The times of starts with and without the program are learned apart, however near they come: once they had been
-/// mixed, programs counted for nothing and tasks went anywhere.
+/// Start times with and without a cached program are learned separately, however similar they are. When they were
+/// mixed, cached programs had no effect on the choice of a machine.
 #[test]
-fn programs_go_on_counting_after_many_quick_starts() {
+fn cached_programs_are_preferred_after_many_fast_starts() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(1.0, vec![endpoints_listed(12)]);
     let mut now = 1.0;
@@ -92,14 +92,14 @@
     assert!(sent.iter().all(|offer| offer.1 == MachineId(3)), "{sent:?}");
 }
 
-/// Submits a task every 10 s and lets it start after a given time.
-struct Starts {
+/// Submits a task every 10 s, with a given start time.
+struct StartSequence {
     checked: CheckedScheduler,
     now: Seconds,
 }
 
-impl Starts {
-    /// Returns the machine of the task.
+impl StartSequence {
+    /// Submits and starts one task. Returns its machine.
     fn start(&mut self, id: u64, service: u64, start_time: Seconds) -> MachineId {
         self.now += 10.0;
         let submitted = Event::TaskSubmitted(task_of(service, id, self.now + 6.0));
@@ -110,14 +110,15 @@
     }
 }
 
-/// Starts that wait behind those of other schedulers tell nothing of what a start takes: once they had been learned as
-/// usual, a start without the program seemed no dearer, tasks went anywhere, and their starts kept all machines busy.
+/// Starts that are queued behind those of other schedulers must not count as normal start times. When they did, a start
+/// without a cached program seemed no more expensive, tasks were placed on any machine, and their starts kept all
+/// machines busy.
 #[test]
-fn programs_go_on_counting_after_starts_that_others_held_up() {
+fn cached_programs_are_preferred_after_starts_delayed_by_other_schedulers() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(1.0, vec![endpoints_listed(12)]);
-    let mut starts = Starts { checked, now: 1.0 };
-    // Usual starts, without the program and with it.
+    let mut starts = StartSequence { checked, now: 1.0 };
+    // Normal starts, without and with a cached program.
     for id in 0..20 {
         starts.start(id, id, 1.4);
         starts.start(100 + id, id, 0.1);
@@ -128,20 +129,20 @@
     for id in 300..340 {
         starts.start(id, id, 1.4);
     }
-    // All machines but one are a little crowded: less dear than a start without the program.
-    let crowded = |id| Endpoint {
+    // All machines but one have slight contention, which costs less than a start without a cached program.
+    let contended = |id| Endpoint {
         unclaimed: Resources::new(30.0, if id == 0 { 64.0 } else { -3.1 }),
         ..endpoint(id)
     };
-    let endpoints = (0..12).map(crowded).collect();
+    let endpoints = (0..12).map(contended).collect();
     starts
         .checked
         .step(1_002.0, vec![Event::EndpointsListed(endpoints)]);
-    let away = (400..424)
+    let displaced = (400..424)
         .filter(|&id| starts.start(id, id, 1.4) == MachineId(0))
         .count();
     assert!(
-        away <= 8,
-        "{away} of 24 left the preferred machines of their services"
+        displaced <= 8,
+        "{displaced} of 24 tasks left the preferred machines of their services"
     );
 }
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Seeded random event sequences; [`CheckedScheduler`] asserts all five rules from outside.
+//! The five rules hold on seeded random event sequences. [`CheckedScheduler`] asserts them.
 
 mod common;
 
@@ -72,7 +72,7 @@
         }
     }
 
-    fn play(&mut self) {
+    fn execute(&mut self) {
         let endpoints = (0..self.machines).map(endpoint).collect();
         let mut events = vec![Event::EndpointsListed(endpoints)];
         while self.now < END {
@@ -95,7 +95,7 @@
         self.actions.extend(actions);
     }
 
-    /// Moves on in time, up to the next timer.
+    /// Advances the time, at most to the next timer.
     fn advance(&mut self) -> Option<Event> {
         let due = self.timers.iter().copied().fold(f64::INFINITY, f64::min);
         let next = self.now + self.rng.random_range(0.001..0.1);
@@ -177,7 +177,7 @@
 
 fn run(seed: u64) -> Vec<Action> {
     let mut run = Run::new(seed);
-    run.play();
+    run.execute();
     assert!(run.checked.tasks.values().all(|task| task.answered));
     run.actions
 }
@@ -186,10 +186,7 @@
 fn rules_hold_on_random_sequences() {
     let sent: usize = (0..30).map(|seed| offers(&run(seed)).len()).sum();
     println!("{sent} offers");
-    assert!(
-        sent > 1500,
-        "only {sent} offers: the sequences test nothing"
-    );
+    assert!(sent > 1500, "too few cases: {sent} offers");
 }
 
 #[test]
--- a/crates/policy/tests/reference/mod.rs
+++ b/crates/policy/tests/reference/mod.rs
@@ -1,5 +1,5 @@
-//! A reference implementation of the choice of a machine: all machines are examined anew for each task. The
-//! scheduler shares that work between the tasks of a step, and must choose the same.
+//! A reference implementation of the choice of a machine, which examines all machines for each task. The scheduler
+//! shares that work between the tasks of a step, and must make the same choices.
 
 use rand_pcg::Pcg32;
 use tidespur_policy::interface::{MachineId, Seconds, ServiceId, TaskId};
@@ -8,13 +8,13 @@
 /// The number of preferred machines of a service.
 const PREFERRED_MACHINES: usize = 2;
 
-/// The probability that a preferred machine, or one that is known to have the program, has it.
+/// The probability that a preferred machine, or one that is believed to have the program, has it in its cache.
 const CACHED_PROBABILITY: f64 = 0.9;
 
-/// The factor by which the probability falls with each machine after the preferred ones.
+/// The factor by which this probability falls with each machine after the preferred ones.
 const CACHED_PROBABILITY_DECAY: f64 = 0.7;
 
-/// Candidates within this many seconds of full service of the least loss are alike.
+/// Candidates whose loss exceeds the least loss by at most this many seconds of full service are kept.
 const MAX_EXCESS_LOSS: Seconds = 1.3;
 
 struct Candidate<'a> {
@@ -23,7 +23,8 @@
     loss: f64,
 }
 
-/// The machine for the task, and the random number generator after the choice. `seed` is the scheduler's.
+/// Returns the machine for the task, if any, and the random number generator after the choice. `seed` is that of the
+/// scheduler.
 fn reference_pick(inputs: &PickInputs<'_>, seed: u64) -> (Option<MachineId>, Pcg32) {
     let mut rng = inputs.rng();
     let mut candidates = candidates(inputs, seed);
@@ -78,8 +79,8 @@
     } else {
         CACHED_PROBABILITY
     };
-    for (place, candidate) in candidates.iter_mut().enumerate() {
-        unknown_cached_probability *= if place < PREFERRED_MACHINES {
+    for (position, candidate) in candidates.iter_mut().enumerate() {
+        unknown_cached_probability *= if position < PREFERRED_MACHINES {
             1.0
         } else {
             CACHED_PROBABILITY_DECAY
@@ -96,7 +97,7 @@
     }
 }
 
-/// The backlogs of the candidates; one without a task of the scheduler, or in slow start, counts at the mean.
+/// The backlogs of the candidates. Machines in slow start, and those without a task of the scheduler, get the mean.
 fn backlogs(candidates: &[Candidate<'_>]) -> Vec<f64> {
     let known: Vec<f64> = candidates
         .iter()
@@ -112,16 +113,16 @@
     backlogs
 }
 
-/// Asserts that each choice of a scheduler, and its random draws, are those of the reference implementation.
+/// Asserts that each choice of a scheduler, random draws included, matches the reference implementation.
 pub struct ReferenceCheck {
     seed: u64,
     expected: Option<(TaskId, Option<MachineId>, Pcg32)>,
-    /// Choices that were compared.
+    /// The number of compared choices.
     pub compared: usize,
 }
 
 impl ReferenceCheck {
-    /// A check for the scheduler with this seed.
+    /// Creates a check for the scheduler with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -133,7 +134,10 @@
 
 impl PlacementObserver for ReferenceCheck {
     fn before_pick(&mut self, inputs: &PickInputs<'_>) {
-        assert!(self.expected.is_none(), "a choice was not observed");
+        assert!(
+            self.expected.is_none(),
+            "`after_pick` was not called for the previous choice"
+        );
         let (machine, rng) = reference_pick(inputs, self.seed);
         self.expected = Some((inputs.task().id, machine, rng));
     }
--- a/crates/policy/tests/reference_implementation.rs
+++ b/crates/policy/tests/reference_implementation.rs
@@ -1,5 +1,5 @@
-//! The scheduler examines machines once for all tasks of a step. Each choice, random draws included, must be that
-//! of a reference implementation which examines all machines for each task.
+//! The scheduler examines machines once for all tasks of a step. Each choice, random draws included, must match that of
+//! a reference implementation that examines all machines for each task.
 
 mod common;
 mod reference;
@@ -19,7 +19,7 @@
 const MACHINES: u64 = 24;
 const STEPS: usize = 400;
 
-/// One class of each kind of retry safety, and few resources.
+/// One class for each kind of retry safety, and machines with few resources.
 fn random_settings(rng: &mut Pcg32) -> Settings {
     let domains = [
         FailureDomain::All,
@@ -99,7 +99,7 @@
     }
 }
 
-/// The outcome of an attempt in this step, if it ends.
+/// The outcome of an attempt, or `None` if it doesn't end in this step.
 fn random_outcome(draw: u32, is_placed: bool) -> Option<AttemptOutcome> {
     match draw {
         3 => Some(AttemptOutcome::Rejected(FailureCause::InsufficientCpu)),
@@ -114,7 +114,7 @@
     }
 }
 
-/// An attempt's state, as the scheduler knows it after a step.
+/// The state of an attempt after a step.
 #[derive(Clone, Copy, PartialEq)]
 enum AttemptState {
     Offered,
@@ -122,7 +122,7 @@
     Ended,
 }
 
-/// The last attempt of each task that was offered.
+/// The last attempt of each offered task.
 #[derive(Default)]
 struct Attempts(BTreeMap<TaskId, (u32, AttemptState)>);
 
@@ -136,7 +136,7 @@
         self.0.entry(task).and_modify(next).or_insert(first);
     }
 
-    /// Random events for all attempts, those that have ended included: such events must be ignored or borne.
+    /// Random events for all attempts, including those that have ended, which the scheduler must tolerate.
     fn random_events(&mut self, rng: &mut Pcg32) -> Vec<Event> {
         let mut events = Vec::new();
         for (&task, (attempt, state)) in &mut self.0 {
@@ -163,16 +163,17 @@
     }
 }
 
-/// What a run has compared.
+/// Counters over all runs.
 #[derive(Default)]
 struct Totals {
     offers: usize,
-    /// Tasks that waited, summed over all steps.
-    waited: usize,
+    /// Unplaced tasks, summed over all steps.
+    unplaced: usize,
+    /// Choices that were compared.
     compared: usize,
 }
 
-/// A run on small machines with more work than they can take: most tasks wait.
+/// Runs a scheduler on small machines with more work than they can take, so that most tasks wait.
 fn run(seed: u64, totals: &mut Totals) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut scheduler = Scheduler::new(random_settings(&mut rng), seed).expect("valid settings");
@@ -191,7 +192,7 @@
                 totals.offers += 1;
             }
         }
-        totals.waited += scheduler.unplaced_tasks();
+        totals.unplaced += scheduler.unplaced_tasks();
         now += rng.random_range(0.001..0.06);
         for _ in 0..rng.random_range(0..6) {
             events.push(Event::TaskSubmitted(random_task(&mut rng, next_task, now)));
@@ -209,21 +210,21 @@
 }
 
 #[test]
-fn one_walk_for_all_that_wait_picks_what_a_walk_for_each_does_draws_included() {
+fn choices_match_the_reference_implementation() {
     let mut totals = Totals::default();
     for seed in 0..30 {
         run(seed, &mut totals);
     }
     assert!(
-        totals.offers > 5_000 && totals.waited > 50_000,
-        "{} offers, {} waited: the runs compare nothing",
+        totals.offers > 5_000 && totals.unplaced > 50_000,
+        "too few cases: {} offers, {} unplaced",
         totals.offers,
-        totals.waited
+        totals.unplaced
     );
-    // Each offer was chosen in front of the observer.
+    // The observer has seen the choice of each offer.
     assert!(totals.compared >= totals.offers);
     println!(
-        "{} choices compared, {} offers, {} waited",
-        totals.compared, totals.offers, totals.waited
+        "{} choices compared, {} offers, {} unplaced",
+        totals.compared, totals.offers, totals.unplaced
     );
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Scripted events: a test for each of the five rules, and for each outcome by retry safety.
+//! Tests of each of the five rules, and of each outcome by retry safety, with scripted events.
 
 mod common;
 
@@ -17,7 +17,7 @@
 };
 
 #[test]
-fn no_task_is_lost_without_machines() {
+fn tasks_without_machines_are_rejected() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     assert!(offers(&checked.step(1.0, vec![submitted(1, 3.0)])).is_empty());
     let actions = checked.step(2.98, vec![Event::TimerFired(0)]);
@@ -35,7 +35,7 @@
     );
 }
 
-/// What becomes of a task after the end of its first attempt.
+/// What happens to a task after its first attempt has ended.
 #[derive(Debug, PartialEq)]
 enum Consequence {
     Retried,
@@ -57,7 +57,7 @@
 const INTERRUPTED: AttemptOutcome = AttemptOutcome::Interrupted(FailureCause::Unspecified);
 
 #[test]
-fn tasks_are_retried_where_that_does_no_harm() {
+fn idempotent_and_keyed_tasks_are_retried() {
     for retry_safety in [RetrySafety::Idempotent, KEYED] {
         for outcome in [
             AttemptOutcome::Rejected(FailureCause::QueueFull),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn tasks_that_are_not_idempotent_are_retried_only_if_they_did_not_run() {
+fn non_idempotent_tasks_are_retried_only_if_they_did_not_run() {
     for (outcome, expected) in [
         (
             AttemptOutcome::Rejected(FailureCause::InsufficientMemory),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_keyed_task_is_not_sent_again_after_its_window() {
+fn keyed_tasks_are_not_retried_after_the_deduplication_window() {
     let mut checked = CheckedScheduler::new(settings(vec![class(KEYED)]), 1);
     checked.step(1.0, vec![endpoints_listed(8), submitted(1, 7.0)]);
     let actions = checked.step(4.5, vec![ended(1, 0, AttemptOutcome::TimedOut)]);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_drain_learned_in_this_step_binds_its_sends() {
+fn drains_apply_to_offers_of_the_same_step() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(1.0, vec![endpoints_listed(2)]);
     let draining = Endpoint {
@@ -121,7 +121,7 @@
     );
 }
 
-/// Offers of one scheduler to machines that have just come up: at once, and in all within 6 s.
+/// The number of offers of one scheduler to machines that started a second ago: in the first step, and within 6 s.
 fn slow_start_offers(schedulers: usize, machines: u64, seed: u64) -> (usize, usize) {
     let mut settings = idempotent_settings();
     settings.scheduler_count = schedulers;
@@ -133,44 +133,44 @@
     let endpoints = (0..machines).map(restarted).collect();
     let mut events = vec![Event::EndpointsListed(endpoints)];
     events.extend((0..40).map(|id| submitted(id, 109.0)));
-    let at_once = offers(&checked.step(100.0, events)).len();
+    let in_first_step = offers(&checked.step(100.0, events)).len();
     let mut total = 0;
     for step in 1..60 {
         let actions = checked.step(100.0 + f64::from(step) * 0.1, vec![]);
         total += offers(&actions).len();
     }
-    (at_once, total)
+    (in_first_step, total)
 }
 
-/// All schedulers learn of a restart together: offers to machines in slow start begin spread out and stay within a
-/// part of what these can take, on one machine and on all of them.
+/// All schedulers are notified of a restart at the same time. Their offers to machines in slow start must be staggered
+/// and stay within the budget, for one machine and for many.
 #[test]
-fn machines_in_slow_start_get_their_budget_and_no_more() {
+fn offers_to_machines_in_slow_start_stay_within_budget() {
     for (schedulers, machines) in [(2, 1), (2, 4), (100, 1), (100, 30)] {
-        let mut at_once = 0;
+        let mut in_first_step = 0;
         let mut total = 0;
         for seed in 0..10 {
             let sent = slow_start_offers(schedulers, machines, seed);
-            at_once += sent.0;
+            in_first_step += sent.0;
             total += sent.1;
         }
-        let at_once = at_once as f64 / 10.0;
+        let in_first_step = in_first_step as f64 / 10.0;
         let total = total as f64 / 10.0;
-        // Of 8 offers a second and machine, half is used by all schedulers together.
+        // A machine takes 8 offers per second from all schedulers together.
         let quota = 8.0 * machines as f64 / schedulers as f64;
         assert!(
             total <= 6.0 * quota + 1.0 && (total >= 1.0 || quota < 0.3),
-            "{schedulers}, {machines}: {total} in 6 s"
+            "{schedulers} schedulers, {machines} machines: {total} offers in 6 s"
         );
         assert!(
-            at_once <= quota.max(0.5),
-            "{schedulers}, {machines}: {at_once} at once"
+            in_first_step <= quota.max(0.5),
+            "{schedulers} schedulers, {machines} machines: {in_first_step} offers in the first step"
         );
     }
 }
 
 #[test]
-fn spread_counts_placed_tasks_and_attempts() {
+fn the_spread_limit_counts_placed_tasks_and_attempts() {
     let spread = Class {
         spread_domain: Some(FailureDomain::Cell),
         max_per_spread_domain: 2,
@@ -188,7 +188,8 @@
     assert_eq!(sent.len(), 1);
 }
 
-/// A list that came before adopted tasks counted them too: counted twice, nothing fitted.
+/// The endpoint list may already count tasks that are adopted later. When they were counted twice, machines seemed
+/// full.
 #[test]
 fn adopted_tasks_are_not_counted_twice() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start over a whole fleet: schedulers that know nothing of each other, against one endpoint list.
+//! The slow-start limit over a fleet of schedulers that don't communicate and share one endpoint list.
 
 mod common;
 mod fleet;
@@ -11,25 +11,25 @@
     Action, AttemptOutcome, Endpoint, Event, Resources, Seconds, Settings, Task,
 };
 
-/// The runs of each test.
+/// The number of runs of each check.
 const SEEDS: u64 = 150;
 
 /// The times of a run, in seconds.
 const START: Seconds = 1001.0;
 const END: Seconds = 1008.0;
 
-/// Runs this many schedulers under more tasks than machines in slow start can take. The list is the same for all, the
-/// times at which they act are not. With `restarts`, one after the other is started anew, and once all are.
+/// Runs this many schedulers with more tasks than machines in slow start can take. They share the endpoint list, but
+/// act at different times. With `restarts`, schedulers are restarted at random, and once all at the same time.
 fn run(schedulers: usize, seed: u64, restarts: bool) -> RunResult {
     let mut fleet = Fleet::new(schedulers, seed);
     let mut now = START;
-    // What a scheduler may save while it has nothing to place must not come out of all of them at once.
+    // Schedulers must not all spend at once the budget that they accrue while they have no tasks.
     let idle_until = if fleet.rng.random_bool(0.5) {
         now + fleet.rng.random_range(1.0..5.0)
     } else {
         now
     };
-    // Right after the first offers: what the fleet has used up is forgotten then.
+    // All schedulers restart after the first offers, and so lose track of the budget they have spent.
     let mut restart_all = restarts;
     let safe_offers = fleet.settings.safety_limits.slow_start_offers as usize;
     while now < END {
@@ -58,14 +58,17 @@
         let max_in_window = result.max_in_window as f64;
         assert!(
             max_in_window <= result.allowed,
-            "{schedulers} schedulers, seed {seed}: {max_in_window} of {:.1}",
+            "{schedulers} schedulers, seed {seed}: {max_in_window} offers in a window, {:.1} allowed",
             result.allowed
         );
         highest = highest.max(max_in_window / result.allowed);
         total += result.total;
     }
-    println!("{schedulers} schedulers: at most {highest:.2} of what is allowed, {total} offers");
-    assert!(total > 150 * 10, "slow start is not used: {total} offers");
+    println!("{schedulers} schedulers: at most {highest:.2} of the allowed offers, {total} offers");
+    assert!(
+        total > 150 * 10,
+        "too few offers during slow start: {total}"
+    );
 }
 
 #[test]
@@ -89,13 +92,13 @@
 }
 
 #[test]
-fn a_fleet_that_restarts_keeps_the_slow_start_limit() {
+fn restarted_schedulers_keep_the_slow_start_limit() {
     for schedulers in [1, 3, 16, 30] {
         check_runs(schedulers, true);
     }
 }
 
-/// The times of the offers of a scheduler that counts itself among `ordinal + 1` schedulers, and hears of sixteen.
+/// The offer times of a scheduler that starts with a count of `ordinal + 1` schedulers and is notified of sixteen.
 fn offers_after_count_change(settings: Settings) -> Vec<Seconds> {
     let ordinal = settings.ordinal;
     let restarted = Endpoint {
@@ -137,9 +140,9 @@
     times
 }
 
-/// Sixteen schedulers, each counted alone at first, hear of all at drawn moments: from the last of these on the sum holds.
+/// Once all of sixteen schedulers are notified of the others, their offers together stay within the limit.
 #[test]
-fn schedulers_that_hear_of_more_take_a_smaller_part_each() {
+fn a_higher_scheduler_count_reduces_the_budget_of_each() {
     let mut settings = idempotent_settings();
     settings.safety_limits.slow_start_offers = 16.0;
     let mut times = Vec::new();
@@ -152,6 +155,6 @@
     let max_in_window = max_in_window(&times, settings.safety_limits.overload_window);
     assert!(
         (16..=26).contains(&max_in_window),
-        "{max_in_window} of 26 offers in a window: sixteen schedulers, one each"
+        "{max_in_window} offers in a window of sixteen schedulers, 16 to 26 expected"
     );
 }
--- a/crates/policy/tests/unusual_inputs.rs
+++ b/crates/policy/tests/unusual_inputs.rs
@@ -1,4 +1,4 @@
-//! Settings that a scheduler rejects, and unusual events that it must take.
+//! Invalid settings, which a scheduler rejects, and unusual events, which it must handle.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn errors_name_the_invalid_setting() {
     assert_eq!(error(settings(vec![])).field(), "classes");
     let negative = Class {
         latency_objective: -1.0,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_settings_error_tells_the_value_and_what_to_give() {
+fn settings_errors_show_the_value_and_the_valid_range() {
     let mut settings = idempotent_settings();
     settings.ordinal = 2;
     assert_eq!(
@@ -53,9 +53,9 @@
     actions
 }
 
-/// Legal oddities: nothing panics, and what is owed is answered.
+/// Unusual but valid events: nothing panics, and tasks get their final answers.
 #[test]
-fn unusual_events_are_taken() {
+fn unusual_events_are_handled() {
     let mut checked = CheckedScheduler::new(idempotent_settings(), 1);
     checked.step(
         1.0,
@@ -71,7 +71,7 @@
         ..task(1, 0, 3.0)
     };
     let past_deadline = task(2, 0, 0.5);
-    let brief = Task {
+    let zero_duration = Task {
         expected_duration: Some(0.0),
         ..task(3, 0, f64::INFINITY)
     };
@@ -79,7 +79,7 @@
         endpoints_listed(2),
         Event::TaskSubmitted(too_large),
         Event::TaskSubmitted(past_deadline),
-        Event::TaskSubmitted(brief),
+        Event::TaskSubmitted(zero_duration),
     ];
     let rejected = |id| Action::Reject {
         task: TaskId(id),
