--- a/crates/policy/examples/cost.rs
+++ b/crates/policy/examples/cost.rs
@@ -1,6 +1,6 @@
-//! What a look at all that waits, an event and a decision cost, by machines and by tasks that wait. Wall time of one
-//! thread in microseconds, the least of five; to be read as ratios between builds on one machine:
-//! `cargo run --release -p tidespur-policy --example cost`.
+//! Measures how long a retry of all pending tasks, an event and a placement take, by number of machines and of pending
+//! tasks. Prints the minimum wall time of five runs on one thread, in microseconds. Meaningful only as a ratio between
+//! builds on one machine: `cargo run --release -p tidespur-policy --example cost`.
 
 use std::time::Instant;
 use tidespur_policy::Scheduler;
@@ -12,7 +12,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-/// Two classes that wait for ever, one of them spread.
+/// Two classes whose tasks stay pending indefinitely, one of them with a spread limit.
 fn settings() -> Settings {
     let class = Class {
         latency_objective: 1e6,
@@ -25,12 +25,12 @@
         max_per_spread_domain: 2,
         ..class.clone()
     };
-    let set = common::settings(vec![class, spread]);
+    let base = common::settings(vec![class, spread]);
     Settings {
         scheduler_count: 16,
         reports_measured_usage: false,
         max_attempts: 1_000,
-        ..set
+        ..base
     }
 }
 
@@ -56,58 +56,60 @@
     }
 }
 
-/// The least time of five, in microseconds.
-fn least(mut act: impl FnMut(usize)) -> f64 {
-    let times = (0..5).map(|n| {
-        let began = Instant::now();
-        act(n);
-        began.elapsed().as_secs_f64() * 1e6
+/// The minimum time of five runs of `function`, in microseconds.
+fn min_time(mut function: impl FnMut(usize)) -> f64 {
+    let times = (0..5).map(|run| {
+        let started_at = Instant::now();
+        function(run);
+        started_at.elapsed().as_secs_f64() * 1e6
     });
     times.fold(f64::INFINITY, f64::min)
 }
 
 fn main() {
-    println!("machines  waiting  a look us  an event us  a decision us");
+    println!("machines  pending   retry us     event us   placement us");
     for machines in [72, 400, 5_000] {
-        for waiting in [0, 500, 5_000] {
-            // All machines are full but for the one that the decisions go to.
-            let mut scheduler = Scheduler::new(settings(), 1).expect("settings are sound");
-            let list = (0..machines).map(|m| endpoint(m, -45.9)).collect();
+        for pending in [0, 500, 5_000] {
+            // All machines are full, except for the one that is freed before each placement.
+            let mut scheduler = Scheduler::new(settings(), 1).expect("valid settings");
+            let endpoints = (0..machines).map(|m| endpoint(m, -45.9)).collect();
             let mut now = 1000.0;
-            let mut step = |scheduler: &mut Scheduler, after: f64, events: Vec<Event>| {
-                now += after;
-                let mut out = Vec::new();
-                scheduler.step(now, events, &mut out);
-                out
+            let mut step = |scheduler: &mut Scheduler, elapsed: f64, events: Vec<Event>| {
+                now += elapsed;
+                let mut actions = Vec::new();
+                scheduler.step(now, events, &mut actions);
+                actions
             };
-            step(&mut scheduler, 0.0, vec![Event::EndpointsListed(list)]);
-            let submits = (0..waiting)
+            step(&mut scheduler, 0.0, vec![Event::EndpointsListed(endpoints)]);
+            let submissions = (0..pending)
                 .map(|id| Event::TaskSubmitted(task(id)))
                 .collect();
-            step(&mut scheduler, 0.1, submits);
-            let look = least(|_| drop(step(&mut scheduler, 5.0, vec![Event::TimerFired(0)])));
-            let note = Event::AttemptProgressed {
+            step(&mut scheduler, 0.1, submissions);
+            let retry = min_time(|_| drop(step(&mut scheduler, 5.0, vec![Event::TimerFired(0)])));
+            let progressed = Event::AttemptProgressed {
                 task: TaskId(0),
                 progress: AttemptProgress::ServiceLevel(1.0),
             };
-            let event = least(|_| drop(step(&mut scheduler, 1e-6, vec![note.clone()])));
-            let decision = least(|n| {
-                // Too large for what is free elsewhere, and a service of its own.
-                let id = TaskId(1_000_000 + n as u64);
-                let one = Task {
+            let event = min_time(|_| drop(step(&mut scheduler, 1e-6, vec![progressed.clone()])));
+            let placement = min_time(|run| {
+                // Only the freed machine has capacity for the task, whose service has no other tasks.
+                let id = TaskId(1_000_000 + run as u64);
+                let task = Task {
                     id,
                     service: ServiceId(99),
                     ..task(1)
                 };
-                let free = Event::EndpointsChanged(vec![endpoint(n as u64, 30.0)]);
-                let out = step(&mut scheduler, 1e-6, vec![free, Event::TaskSubmitted(one)]);
+                let freed = Event::EndpointsChanged(vec![endpoint(run as u64, 30.0)]);
+                let events = vec![freed, Event::TaskSubmitted(task)];
+                let actions = step(&mut scheduler, 1e-6, events);
                 assert!(
-                    out.iter()
+                    actions
+                        .iter()
                         .any(|action| matches!(action, Action::Offer { .. })),
-                    "nothing was sent"
+                    "no offer was made"
                 );
             });
-            println!("{machines:8}  {waiting:7}  {look:9.1}  {event:11.2}  {decision:13.1}");
+            println!("{machines:8}  {pending:7}  {retry:9.1}  {event:11.2}  {placement:13.1}");
         }
     }
 }
