--- a/crates/policy/src/scheduler/attempts.rs
+++ b/crates/policy/src/scheduler/attempts.rs
@@ -5,7 +5,7 @@
 use super::task_record::TaskState;
 use crate::interface::{AttemptProgress, Seconds, TaskId};
 
-/// Usage of a task is recorded only this many seconds after its offer, as its memory grows at first.
+/// The usage of a task is recorded once its offer is more than this many seconds old, as its memory grows at first.
 const WARM_UP_DURATION: Seconds = 4.0;
 
 /// The largest ratio of use to request that is recorded for one task.
--- a/crates/policy/src/scheduler/task_record.rs
+++ b/crates/policy/src/scheduler/task_record.rs
@@ -6,7 +6,8 @@
 };
 use std::collections::BTreeMap;
 
-/// Final answers are given at least this many seconds before the deadline, so that they arrive in time.
+/// A task that is still pending gets its final answer this many seconds before the deadline, so that it arrives in
+/// time.
 pub(super) const FINAL_ANSWER_MARGIN: Seconds = 0.03;
 
 /// The class and tenant of a task. Filters treat all tasks with the same class and tenant alike.
