--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,8 +1,8 @@
-//! The pool of connections to machines: which one carries an offer, what the end of one means, and when a machine has
-//! failed.
+//! Pool of connections to machines: chooses the connection for an offer, interprets the end of a connection, and
+//! detects failed machines.
 //!
 //! Owned by the gateway, which carries out its actions and handles its events. A connection carries one pending offer
-//! while capacity allows it, as nothing more can be read on it after a malformed answer. While a machine holds a placed
+//! while capacity allows it, as nothing can be read on it after a malformed answer. While a machine holds a placed
 //! task, one connection to it is kept open and health-checked, as a machine that vanished sends nothing.
 
 mod action;
@@ -20,58 +20,60 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tidespur_policy::interface::{MachineId, Seconds};
 
-/// A connection on which nothing was received for this long carries no new offer: another is dialled, and if that fails
-/// nothing can have run. Guards against machines that died or hang unnoticed, and against an offer that crosses the
-/// machine's close of an idle connection, as it is at most half of that idle time. Costs a handshake.
+/// A connection on which nothing was received for this long carries no new offer. Another one is dialled; if that
+/// fails, the task certainly did not run. Guards against machines that died or hang unnoticed, and against an offer
+/// that crosses a machine's close of an idle connection, as the limit is at most half of the machine's idle timeout.
+/// Costs a handshake.
 const FRESH_CONNECTION_TIMEOUT: Seconds = 0.5;
 /// A connection whose last message was read within this time after a stall of the event loop is checked before it
-/// carries an offer: the message may be old, and a close behind it unread. At other times a message that is read has
-/// just arrived; a check of every connection would cost a tenth of all placements under full load.
+/// carries an offer, as the message may be old and followed by an unread close. At other times a message that is read
+/// has just arrived; checking each connection would cost a tenth of the placements under full load.
 const STALL_RECHECK_TIMEOUT: Seconds = 0.05;
-/// A machine that holds a placed task and was silent for this long gets a health check.
+/// A machine that holds a placed task and sent nothing for this long gets a health check.
 const HEALTH_CHECK_INTERVAL: Seconds = 1.0;
-/// A connection whose health check is not answered within this time is closed.
+/// A connection on which a health check is not answered within this time is closed.
 const HEALTH_CHECK_TIMEOUT: Seconds = 1.5;
-/// A machine that was silent for this long and can't be dialled has failed, and so have the tasks placed on it. The
-/// platform allows 8 s from the failure, which came after the last message: this leaves time for a late tick. If it were
-/// shorter, a zone that is cut off for some seconds would lose all its tasks at every scheduler; its cost is that owners
-/// learn of a vanished machine so much later.
+/// A machine that sent nothing for this long and can't be dialled has failed, and the tasks placed on it are lost. The
+/// platform allows 8 s from the failure, which is later than the last message; the difference covers a late tick. With
+/// a shorter timeout, a zone that is partitioned for some seconds would lose all its tasks at every scheduler. With a
+/// longer one, owners learn later of a machine that vanished.
 const MACHINE_FAILURE_TIMEOUT: Seconds = 7.4;
-/// At capacity, a machine that holds a placed task and has no connection is dialled after this silence. Guards against
-/// machines that count as failed only because none could be dialled; costs a handshake each time.
+/// At capacity, a machine that holds a placed task and has no connection is dialled after this long without a message.
+/// Otherwise machines would count as failed only because no connection to them could be opened. Costs a handshake each
+/// time.
 const VISIT_INTERVAL: Seconds = 2.0;
-/// A required connection that has been open for this long may give way to such a dial.
+/// A required connection can be replaced by such a dial once it has been open for this long.
 const REQUIRED_CONNECTION_MIN_AGE: Seconds = 1.0;
-/// Half-closed connections that capacity is reserved for.
+/// Capacity reserved for half-closed connections.
 const MAX_HALF_CLOSED: usize = 8;
-/// Pause after a failed dial before the next one to the same machine.
+/// Delay after a failed dial before maintenance dials the machine again.
 const DIAL_BACKOFF: Seconds = 0.25;
-/// An idle connection that is not required is half-closed after this time, or after half of the time after which
-/// machines close it themselves, if that is shorter.
+/// An idle connection that is not required is half-closed after this time, or after half of the machines' idle timeout
+/// if that is shorter.
 const IDLE_TIMEOUT: Seconds = 10.0;
-/// A half-closed connection that its machine does not end within this time is closed. What the machine wrote until then,
-/// such as the end of a task, is still read; an immediate close would lose it.
+/// A half-closed connection that its machine does not close within this time is closed. Until then, what the machine
+/// has written, such as the end of a task, is still read; an immediate close would lose it.
 const HALF_CLOSE_TIMEOUT: Seconds = 2.0;
-/// Messages that wait for the next connection to one machine; beyond that the oldest is dropped.
+/// Messages queued for one machine until there is a connection to it; beyond that the oldest is dropped.
 const MAX_QUEUED_MESSAGES: usize = 1_000;
-/// Machines that are not listed, but that adopted tasks name.
+/// Machines that adopted tasks name and the endpoint list does not; a task on a further one is not adopted.
 const MAX_UNLISTED_MACHINES: usize = 1_000;
 
 /// Why an offer is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its answer did not come in time.
+    /// The machine did not answer before the deadline.
     TimedOut,
-    /// Its owner has cancelled the request, or it must not be sent any more.
+    /// The owner cancelled the request, or the offer must not be sent any more.
     Unwanted,
 }
 
-/// Timeouts of connections, from the settings.
+/// Timeouts of connections to machines, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTimeouts {
-    /// A dial that takes longer has failed, in seconds.
+    /// Timeout of a dial.
     pub connect: Seconds,
-    /// Machines close a connection that is idle for this long, in seconds.
+    /// Time after which machines close an idle connection.
     pub idle: Seconds,
 }
 
@@ -90,41 +92,43 @@
 pub enum ConnectionEnd {
     /// The dial was refused.
     Refused,
-    /// No byte was sent of the last write, an offer where one is named; the connection is read to its end.
+    /// No byte of the last write was sent: of this offer, or of another message. The connection is still read to its
+    /// end.
     WriteFailed(Option<RequestId>),
-    /// Otherwise.
+    /// The connection ended, or the dial failed for another reason.
     Other,
 }
 
 #[derive(Debug)]
 struct Upstream {
     machine: MachineId,
-    /// Since when it is being dialled; `None` once it is open.
+    /// When it was dialled; `None` once it is open.
     dialling_since: Option<Seconds>,
-    /// Offers without an answer: one, or more where there was no capacity for another connection.
+    /// Offers without an answer: at most one, unless there was no capacity for another connection.
     pending_offers: Vec<RequestId>,
-    /// Offers that are not sent yet: until the connection is open and accepts bytes, and their clients are known to be
-    /// connected still. Held one by one, so that a cancelled one is never sent.
+    /// Offers that are not sent yet, as the connection is not open, is blocked, or their clients are being checked.
+    /// Each is kept separately, so that a cancelled one is never sent.
     unsent_offers: Vec<(RequestId, Vec<u8>)>,
-    /// The machine accepts no bytes now.
+    /// Whether the machine accepts no bytes at present.
     blocked: bool,
-    /// The offer of which only a part was sent.
+    /// The offer of which only the first bytes were sent.
     partially_written: Option<RequestId>,
-    heard_at: Seconds,
-    used_at: Seconds,
+    /// Time of the last received message, or of the opening if there was none.
+    last_received_at: Seconds,
+    /// Time of the last offer or message about a task, or of the dial.
+    last_used_at: Seconds,
     health_check_sent_at: Option<Seconds>,
-    /// When the connection was opened.
     opened_at: Seconds,
-    /// Its entry in the pool's index of idle connections, if it is idle.
+    /// Class and sort key in the pool's index of idle connections; `None` while it is in use.
     idle_entry: Option<(IdleClass, u64)>,
 }
 
-/// What an idle connection is held for, in the order in which they give way.
+/// Why an idle connection is kept, in the order of replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleClass {
-    /// Reuse; ordered by its last use.
+    /// For reuse; sorted by its last use.
     Spare,
-    /// The only healthy connection to a machine that holds a placed task; ordered by when it was opened.
+    /// As the only healthy connection to a machine that holds a placed task; sorted by the time when it was opened.
     Required,
 }
 
@@ -133,7 +137,7 @@
         self.dialling_since.is_none() && self.pending_offers.is_empty()
     }
 
-    /// Whether it is open and no health check waits for its answer.
+    /// Whether it is open and no health check is unanswered.
     fn is_healthy(&self) -> bool {
         self.dialling_since.is_none() && self.health_check_sent_at.is_none()
     }
@@ -141,17 +145,23 @@
 
 #[derive(Debug, Default)]
 struct Peer {
+    /// Empty while it is unknown, and once another machine has it.
     address: String,
+    /// Whether the machine has left the endpoint list.
     is_gone: bool,
-    /// Connections to it that are not half-closed.
+    /// Connections that are not half-closed.
     upstreams: BTreeSet<UpstreamId>,
-    /// Tasks placed on it.
+    /// Number of tasks placed on it.
     placed_tasks: usize,
-    heard_at: Seconds,
-    /// Failed dials in a row, refused ones among them, and when the next may begin.
+    /// Time of the last message or successful dial. Reset when the machine becomes known and when its first task is
+    /// placed.
+    last_received_at: Seconds,
+    /// Consecutive failed dials, refused ones included.
     consecutive_failures: u32,
     consecutive_refusals: u32,
+    /// Earliest time of the next dial that maintenance starts.
     next_dial_at: Seconds,
+    /// Messages to send once a connection opens.
     queued_messages: VecDeque<Vec<u8>>,
 }
 
@@ -160,21 +170,22 @@
 pub struct Pool {
     peers: BTreeMap<MachineId, Peer>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// Index of the idle connections in the order in which they give way.
+    /// Index of the idle connections, in the order of replacement.
     idle: BTreeSet<(IdleClass, u64, UpstreamId)>,
     connections_examined: Cell<u64>,
-    /// Connections half-closed here and not ended by their machines yet, with the machine and since when.
+    /// Connections half-closed here that their machines have not closed: machine, and time of the half-close.
     half_closed: BTreeMap<UpstreamId, (MachineId, Seconds)>,
-    next: u64,
-    /// When the event loop last went on after a stall: messages read then may have arrived long before.
+    last_upstream_id: u64,
+    /// When the event loop last resumed after a stall; a message read then may have arrived long before.
     stalled_at: Seconds,
-    /// Bound on connections at once, half-closed ones included.
+    /// Maximum connections, half-closed ones included.
     max_connections: usize,
     timeouts: ConnectionTimeouts,
 }
 
 impl Pool {
-    /// Creates a pool without connections that opens at most `max_connections` at once, and at least two.
+    /// Creates a pool without connections. `max_connections` includes half-closed ones, and is raised to 2 if it is
+    /// lower.
     pub fn new(max_connections: usize, timeouts: ConnectionTimeouts) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -182,19 +193,19 @@
             idle: BTreeSet::new(),
             connections_examined: Cell::new(0),
             half_closed: BTreeMap::new(),
-            next: 0,
+            last_upstream_id: 0,
             stalled_at: f64::NEG_INFINITY,
             max_connections: max_connections.max(2),
             timeouts,
         }
     }
 
-    /// The event loop stalled until now.
+    /// Records that the event loop stalled until now.
     pub fn loop_stalled(&mut self, now: Seconds) {
         self.stalled_at = now;
     }
 
-    /// The machine that a connection leads to; `None` once the connection is closed.
+    /// Machine at the other end of a connection; `None` once the connection is closed.
     pub fn machine(&self, upstream: UpstreamId) -> Option<MachineId> {
         let half_closed = self.half_closed.get(&upstream).map(|(machine, _)| *machine);
         self.upstreams
@@ -203,12 +214,12 @@
             .or(half_closed)
     }
 
-    /// Connections, also those that are half-closed or being dialled.
+    /// Number of connections, including those that are half-closed or being dialled.
     pub fn count(&self) -> usize {
         self.upstreams.len() + self.half_closed.len()
     }
 
-    /// The connections to a machine that are open or being dialled; counts each that is examined.
+    /// Connections to a machine that are open or being dialled. Counts each one that is examined.
     fn upstreams_to(&self, machine: MachineId) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
         let upstreams = self
             .peers
@@ -222,7 +233,7 @@
         })
     }
 
-    /// Connections examined so far.
+    /// Number of connections examined since the start; a connection counts each time.
     pub fn connections_examined(&self) -> u64 {
         self.connections_examined.get()
     }
--- a/crates/gateway/src/pool/action.rs
+++ b/crates/gateway/src/pool/action.rs
@@ -1,38 +1,39 @@
-//! What the pool wants done, and what it reports to the gateway.
+//! Actions that the pool requests, and events that it reports to the gateway.
 
 use crate::UpstreamId;
 use crate::message::RequestId;
 use tidespur_policy::interface::MachineId;
 
-/// What is to be done with connections to machines; carried out in their order.
+/// An action on a connection to a machine. Actions have to be carried out in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolAction {
-    /// Dial; `UpstreamOpened`, `UpstreamConnectRefused` or `UpstreamConnectFailed` answers.
+    /// Dial this address. Answered by `UpstreamOpened`, `UpstreamConnectRefused` or `UpstreamConnectFailed`.
     Dial(UpstreamId, String),
-    /// Write these bytes.
+    /// Write an encoded message that is not an offer.
     Write(UpstreamId, Vec<u8>),
-    /// This offer can be sent now: [`Pool::send_ready_offer`](super::Pool::send_ready_offer) follows once its client is known to be connected still.
+    /// The connection can take this offer. The gateway calls [`Pool::send_ready_offer`](super::Pool::send_ready_offer)
+    /// once a check has shown that the offer's client is still connected.
     OfferReady(UpstreamId, RequestId),
-    /// Read what a machine has sent by now; `UpstreamChecked` answers, after these messages.
+    /// Read what the machine has sent by now. Answered by `UpstreamChecked`, after these messages.
     CheckPeer(UpstreamId),
-    /// Write this offer; what could not be sent is reported with its id.
+    /// Write this encoded offer. Bytes that can't be sent are reported with its id.
     Offer(UpstreamId, RequestId, Vec<u8>),
-    /// Write no more, and go on reading until the machine ends the connection too; `UpstreamEnded` answers.
+    /// Shut down the write side, and read until the machine closes the connection. Answered by `UpstreamEnded`.
     HalfClose(UpstreamId),
-    /// Close, also while it is being dialled. No input answers.
+    /// Close the connection, or abort its dial. Not answered.
     Close(UpstreamId),
 }
 
-/// What became of offers and machines.
+/// The end of an offer, or the failure of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolEvent {
-    /// The dial for this offer failed, so that no byte of it was sent.
+    /// The dial for this offer failed, so no byte of it was sent.
     ConnectFailed(RequestId),
-    /// No byte of this offer was sent, which is no fault of the machine: it was withdrawn here, or the machine closed an
-    /// idle connection.
+    /// No byte of this offer was sent, and the machine is not at fault: the offer was withdrawn here, or the machine
+    /// closed an idle connection.
     NeverSent(RequestId),
-    /// The connection ended while this offer was pending: the task may have run.
+    /// The connection ended while this offer was pending, so the task may have run.
     Interrupted(RequestId),
-    /// The machine has failed: the tasks placed on it are lost.
+    /// The machine has failed, so the tasks placed on it are lost.
     MachineFailed(MachineId),
 }
--- a/crates/gateway/src/pool/capacity.rs
+++ b/crates/gateway/src/pool/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity for connections: which one gives way to another, and how one is dialled, half-closed and removed.
+//! Connection capacity: dials, and replaces idle connections when the limit is reached.
 
 use super::{IdleClass, MAX_HALF_CLOSED, Pool, PoolAction, Upstream};
 use crate::UpstreamId;
@@ -6,13 +6,13 @@
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// Whether a connection has to give way before another can be dialled.
+    /// Whether a connection has to be replaced before another can be dialled.
     pub(super) fn is_at_capacity(&self) -> bool {
         self.upstreams.len() + MAX_HALF_CLOSED.min(self.max_connections / 4) >= self.max_connections
     }
 
-    /// Makes capacity for one more connection; a required one gives way only if it was opened by `required_before`.
-    /// Returns whether there is capacity now.
+    /// Makes capacity for one more connection. A required connection is replaced only if it was opened by
+    /// `required_before`. Returns whether there is capacity.
     pub(super) fn make_capacity(
         &mut self,
         now: Seconds,
@@ -20,29 +20,30 @@
         actions: &mut Vec<PoolAction>,
     ) -> bool {
         if self.is_at_capacity() {
-            let gives_way = |&&(class, since, _): &&(IdleClass, u64, UpstreamId)| {
+            let is_replaceable = |&&(class, since, _): &&(IdleClass, u64, UpstreamId)| {
                 class == IdleClass::Spare || since <= micros(required_before)
             };
-            let Some(&(.., id)) = self.idle.first().filter(gives_way) else {
+            let Some(&(.., id)) = self.idle.first().filter(is_replaceable) else {
                 return self.count() < self.max_connections;
             };
             self.half_close(now, id, actions);
         }
         while self.count() >= self.max_connections {
-            // The one half-closed first: its machine has had most time to end it.
-            let first = self
+            // Of the half-closed ones the oldest, as its machine has had the most time to close it.
+            let oldest = self
                 .half_closed
                 .iter()
                 .min_by(|a, b| a.1.1.total_cmp(&b.1.1))
                 .map(|(&id, _)| id);
-            let Some(id) = first else { return false };
+            let Some(id) = oldest else { return false };
             self.half_closed.remove(&id);
             actions.push(PoolAction::Close(id));
         }
         true
     }
 
-    /// Dials a machine, if its address is known and there is or can be made capacity.
+    /// Dials a machine, if its address is known and there is capacity or an idle connection can be replaced; see
+    /// [`Pool::make_capacity`].
     pub(super) fn dial(
         &mut self,
         now: Seconds,
@@ -58,28 +59,29 @@
         if !self.make_capacity(now, required_before, actions) {
             return None;
         }
-        self.next += 1;
-        let upstream = UpstreamId(self.next);
-        actions.push(PoolAction::Dial(upstream, address));
-        let made = Upstream {
+        self.last_upstream_id += 1;
+        let id = UpstreamId(self.last_upstream_id);
+        actions.push(PoolAction::Dial(id, address));
+        let upstream = Upstream {
             machine,
             dialling_since: Some(now),
             pending_offers: Vec::new(),
             unsent_offers: Vec::new(),
             blocked: false,
             partially_written: None,
-            heard_at: now,
-            used_at: now,
+            last_received_at: now,
+            last_used_at: now,
             health_check_sent_at: None,
             opened_at: now,
             idle_entry: None,
         };
-        self.upstreams.insert(upstream, made);
-        self.peers.get_mut(&machine)?.upstreams.insert(upstream);
-        Some(upstream)
+        self.upstreams.insert(id, upstream);
+        self.peers.get_mut(&machine)?.upstreams.insert(id);
+        Some(id)
     }
 
-    /// Ends a connection that is not needed any more, and goes on reading what its machine has written.
+    /// Half-closes a connection that is no longer needed; what its machine has written is still read. Closes it if it
+    /// is being dialled.
     pub(super) fn half_close(
         &mut self,
         now: Seconds,
@@ -109,9 +111,9 @@
         Some(upstream)
     }
 
-    /// Classes the connections to a machine anew: idle and spare, idle and required, or in use. Called after every
-    /// change that may affect this. A connection is required if its machine holds a placed task and no other connection
-    /// to it is healthy.
+    /// Updates the index entries of the connections to a machine: spare or required if idle, none if in use. Has to be
+    /// called after each change that may affect them. A connection is required if its machine holds a placed task and
+    /// no other connection to it is healthy.
     pub(super) fn update_idle_index(&mut self, machine: MachineId) {
         let Some(peer) = self.peers.get(&machine) else {
             return;
@@ -133,7 +135,7 @@
             } else if is_required {
                 Some((IdleClass::Required, micros(upstream.opened_at)))
             } else {
-                Some((IdleClass::Spare, micros(upstream.used_at)))
+                Some((IdleClass::Spare, micros(upstream.last_used_at)))
             };
             if idle_entry == upstream.idle_entry {
                 continue;
--- a/crates/gateway/src/pool/endpoints.rs
+++ b/crates/gateway/src/pool/endpoints.rs
@@ -1,11 +1,12 @@
-//! Machines that the pool knows, from the endpoint list and from adopted tasks.
+//! Machines of the pool, from the endpoint list and from adopted tasks.
 
 use super::{MAX_UNLISTED_MACHINES, Peer, Pool, PoolEvent};
 use std::collections::BTreeSet;
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// Records a listed machine. [`Pool::fail_replaced_machines`] follows after all endpoints of a watch event.
+    /// Adds or updates a listed machine. After all endpoints of a watch event, [`Pool::fail_replaced_machines`] has to
+    /// be called.
     pub fn endpoint_listed(
         &mut self,
         now: Seconds,
@@ -14,10 +15,10 @@
         is_gone: bool,
     ) {
         let peer = self.peers.entry(machine).or_insert_with(|| Peer {
-            heard_at: now,
+            last_received_at: now,
             ..Peer::default()
         });
-        // A machine whose address was taken over doesn't get it back: another may listen there.
+        // A gone machine whose address another machine took over doesn't get it back, as the other may listen there.
         let is_replaced = is_gone && peer.address.is_empty();
         if !address.is_empty() && !is_replaced {
             peer.address = address.to_owned();
@@ -25,7 +26,7 @@
         peer.is_gone = is_gone;
     }
 
-    /// Fails each machine that has gone and whose address another machine has now.
+    /// Fails each machine that is gone and whose address now belongs to another machine.
     pub fn fail_replaced_machines(&mut self, events: &mut Vec<PoolEvent>) {
         let (gone, present): (Vec<_>, Vec<_>) =
             self.peers.iter().partition(|(_, peer)| peer.is_gone);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Marks machines that a complete list doesn't name as gone, and returns them.
+    /// Marks the machines as gone that a complete list doesn't contain, and returns them.
     pub fn mark_unlisted_gone(&mut self, listed: &BTreeSet<MachineId>) -> Vec<MachineId> {
         let unlisted = self
             .peers
@@ -64,13 +65,13 @@
             .collect()
     }
 
-    /// Counts a task that was placed on a machine. The first one starts its failure detection anew.
+    /// Counts a task placed on a machine. The first one resets the machine's failure detection.
     pub fn task_placed(&mut self, now: Seconds, machine: MachineId) {
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
         };
         if peer.placed_tasks == 0 {
-            peer.heard_at = now;
+            peer.last_received_at = now;
             peer.consecutive_failures = 0;
             peer.consecutive_refusals = 0;
         }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Counts a task that has ended on a machine.
+    /// Counts the end of a task placed on a machine.
     pub fn task_ended(&mut self, machine: MachineId) {
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
@@ -91,13 +92,13 @@
         }
     }
 
-    /// Whether a machine is listed, or has connections, messages or placed tasks here.
+    /// Whether the pool has an entry for a machine, listed or not.
     pub fn contains(&self, machine: MachineId) -> bool {
         self.peers.contains_key(&machine)
     }
 
-    /// Makes the machine of an adopted task known, which may be listed only later. Returns false if there are too many
-    /// such machines.
+    /// Adds the machine of an adopted task, which may be listed only later. Returns false if there are too many
+    /// unlisted machines.
     pub fn add_unlisted_machine(&mut self, now: Seconds, machine: MachineId) -> bool {
         if self.peers.contains_key(&machine) {
             return true;
@@ -114,14 +115,14 @@
         self.peers.insert(
             machine,
             Peer {
-                heard_at: now,
+                last_received_at: now,
                 ..Peer::default()
             },
         );
         true
     }
 
-    /// The number of known machines.
+    /// Number of machines in the pool, listed or not.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
--- a/crates/gateway/src/pool/lifecycle.rs
+++ b/crates/gateway/src/pool/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes of a connection: opened, a message received, ended; and what its end means for its offers and its machine.
+//! Lifecycle of a connection: opened, message received, ended. Interprets its end for its offers and its machine.
 
 use super::{
     ConnectionEnd, DIAL_BACKOFF, HEALTH_CHECK_INTERVAL, Pool, PoolAction, PoolEvent, Upstream,
@@ -9,13 +9,14 @@
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// A connection is open: its offers can be sent, and the messages that waited for its machine are.
+    /// Handles a dial that succeeded: the connection's offers become ready, and the messages queued for its machine are
+    /// written.
     pub fn opened(&mut self, now: Seconds, id: UpstreamId, actions: &mut Vec<PoolAction>) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return actions.push(PoolAction::Close(id));
         };
         upstream.dialling_since = None;
-        upstream.heard_at = now;
+        upstream.last_received_at = now;
         upstream.opened_at = now;
         actions.extend(
             upstream
@@ -27,7 +28,7 @@
         if let Some(peer) = self.peers.get_mut(&machine) {
             peer.consecutive_failures = 0;
             peer.consecutive_refusals = 0;
-            peer.heard_at = now;
+            peer.last_received_at = now;
             while let Some(bytes) = peer.queued_messages.pop_front() {
                 actions.push(PoolAction::Write(id, bytes));
             }
@@ -35,24 +36,24 @@
         self.update_idle_index(machine);
     }
 
-    /// A message was read, whatever it says: its machine is alive.
+    /// Records that a message was read. Any message shows that the machine is alive, so it also answers a health check.
     pub fn message_received(&mut self, now: Seconds, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
         let machine = upstream.machine;
-        let health_check = upstream.health_check_sent_at.take();
-        upstream.heard_at = now;
+        let answered_check = upstream.health_check_sent_at.take();
+        upstream.last_received_at = now;
         if let Some(peer) = self.peers.get_mut(&machine) {
-            peer.heard_at = now;
+            peer.last_received_at = now;
         }
-        if health_check.is_some() {
+        if answered_check.is_some() {
             self.update_idle_index(machine);
         }
     }
 
-    /// A connection has ended, or could not be opened. After a failed write it is still read to its end, as the machine
-    /// may have written something before it ended the connection.
+    /// Handles the end of a connection, or a dial that failed. After a failed write the connection is still read to its
+    /// end, as the machine may have written something before it closed the connection.
     pub fn ended(
         &mut self,
         now: Seconds,
@@ -60,8 +61,8 @@
         end: ConnectionEnd,
         events: &mut Vec<PoolEvent>,
     ) {
-        let is_read_on = matches!(end, ConnectionEnd::WriteFailed(_));
-        if !is_read_on {
+        let is_still_read = matches!(end, ConnectionEnd::WriteFailed(_));
+        if !is_still_read {
             self.half_closed.remove(&id);
         }
         let Some(upstream) = self.remove(id) else {
@@ -69,7 +70,7 @@
         };
         let machine = upstream.machine;
         let was_dialling = upstream.dialling_since.is_some();
-        if is_read_on {
+        if is_still_read {
             self.half_closed.insert(id, (machine, now));
         }
         end_offers(upstream, end, events);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Counts a failed dial. A machine that refuses twice in a row has failed, unless it was heard lately on another
-    /// connection: it may refuse because it has too many.
+    /// Counts a failed dial. A machine that refuses two dials in a row has failed, unless it sent something recently on
+    /// another connection: then it may refuse because it has too many connections.
     fn dial_failed(
         &mut self,
         now: Seconds,
@@ -88,7 +89,7 @@
         events: &mut Vec<PoolEvent>,
     ) {
         let is_alive = self.upstreams_to(machine).any(|(_, other)| {
-            other.dialling_since.is_none() && now - other.heard_at < HEALTH_CHECK_INTERVAL
+            other.dialling_since.is_none() && now - other.last_received_at < HEALTH_CHECK_INTERVAL
         });
         let Some(peer) = self.peers.get_mut(&machine) else {
             return;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Closes a connection on which nothing more can be read, such as one with malformed bytes.
+    /// Closes a connection at once, as its bytes are malformed or it has timed out.
     pub fn abort(
         &mut self,
         now: Seconds,
@@ -120,9 +121,9 @@
     }
 }
 
-/// Tells what became of each offer of a connection that has ended. Only the offer that could not be written is known not
-/// to have been sent, beside those that waited: others had been. That an open connection ended is no evidence against
-/// its machine, which closes idle ones; the next dial tells whether it can be reached.
+/// Reports the outcome of each offer on a connection that has ended. Known not to have been sent are the offers that
+/// were still queued, and the one whose write failed. The end of an open connection is no evidence against its machine,
+/// which closes idle connections; the next dial shows whether it can be reached.
 fn end_offers(upstream: Upstream, end: ConnectionEnd, events: &mut Vec<PoolEvent>) {
     let was_dialling = upstream.dialling_since.is_some();
     let unsent: BTreeSet<RequestId> = upstream
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance: dials and health checks that time out, idle and half-closed connections, and probes of the
-//! machines that hold placed tasks.
+//! Periodic maintenance: timeouts of dials and health checks, closing of idle and half-closed connections, and probes
+//! of the machines that hold placed tasks.
 
 use super::{
     DIAL_BACKOFF, HALF_CLOSE_TIMEOUT, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_TIMEOUT, IdleClass,
@@ -11,7 +11,8 @@
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// Does the maintenance that is due by `now`, and forgets machines that are not listed and have nothing left here.
+    /// Does the maintenance that is due by `now`, and removes machines that are not listed and have neither placed
+    /// tasks nor connections.
     pub fn tick(
         &mut self,
         now: Seconds,
@@ -28,7 +29,7 @@
         });
     }
 
-    /// Closes connections whose dial, and then those whose health check, has taken too long.
+    /// Closes the connections whose dial has timed out, then those whose health check has.
     fn close_timed_out(
         &mut self,
         now: Seconds,
@@ -36,29 +37,30 @@
         events: &mut Vec<PoolEvent>,
     ) {
         let connect_timeout = self.timeouts.connect;
-        let is_dial_late = |upstream: &Upstream| {
+        let is_dial_timed_out = |upstream: &Upstream| {
             upstream
                 .dialling_since
                 .is_some_and(|since| now - since > connect_timeout)
         };
-        let is_check_late = |upstream: &Upstream| {
+        let is_check_timed_out = |upstream: &Upstream| {
             upstream
                 .health_check_sent_at
                 .is_some_and(|sent_at| now - sent_at > HEALTH_CHECK_TIMEOUT)
         };
-        let mut timed_out = self.upstreams_where(is_dial_late);
-        timed_out.extend(self.upstreams_where(is_check_late));
+        let mut timed_out = self.upstreams_where(is_dial_timed_out);
+        timed_out.extend(self.upstreams_where(is_check_timed_out));
         for id in timed_out {
             self.abort(now, id, actions, events);
         }
     }
 
-    /// Half-closes connections that have been idle for too long and are not required. One at a time, as each may make
-    /// another to the same machine required.
+    /// Half-closes connections that have been idle for too long and are not required. Each one is examined again before
+    /// it is closed, as closing another to the same machine may have made it required.
     fn half_close_idle(&mut self, now: Seconds, actions: &mut Vec<PoolAction>) {
         let idle_limit = self.timeouts.idle_limit();
-        let idle = self
-            .upstreams_where(|upstream| upstream.is_idle() && now - upstream.used_at > idle_limit);
+        let idle = self.upstreams_where(|upstream| {
+            upstream.is_idle() && now - upstream.last_used_at > idle_limit
+        });
         for id in idle {
             let idle_entry = self
                 .upstreams
@@ -78,7 +80,7 @@
             .collect()
     }
 
-    /// Closes half-closed connections that their machines have not ended in time.
+    /// Closes half-closed connections that their machines have not closed in time.
     fn close_half_closed(&mut self, now: Seconds, actions: &mut Vec<PoolAction>) {
         let timed_out: Vec<UpstreamId> = self
             .half_closed
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Probes the machines that hold a placed task or are owed a message. The one heard longest ago comes first: where
-    /// connections are at capacity, the last one would never have its turn otherwise.
+    /// Probes the machines that hold a placed task or have queued messages, in the order of their last received
+    /// message: with a fixed order, the last ones would never get a connection at capacity.
     fn probe_peers(
         &mut self,
         now: Seconds,
@@ -104,7 +106,7 @@
             .peers
             .iter()
             .filter(|(_, peer)| peer.placed_tasks > 0 || !peer.queued_messages.is_empty())
-            .map(|(&machine, peer)| (peer.heard_at, machine))
+            .map(|(&machine, peer)| (peer.last_received_at, machine))
             .collect();
         peers.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, machine) in peers {
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Keeps one connection to a machine that holds a placed task, and finds out whether the machine is alive.
+    /// Reports a machine as failed if it has been silent for too long; else sends a health check or dials it if that is
+    /// due.
     fn probe_peer(
         &mut self,
         now: Seconds,
@@ -126,7 +129,7 @@
         let Some(peer) = self.peers.get(&machine) else {
             return;
         };
-        let silent_for = now - peer.heard_at;
+        let silent_for = now - peer.last_received_at;
         if peer.placed_tasks > 0
             && silent_for > MACHINE_FAILURE_TIMEOUT
             && peer.consecutive_failures >= 2
@@ -135,22 +138,23 @@
             return;
         }
         let next_dial_at = peer.next_dial_at;
-        let has_no_message = peer.queued_messages.is_empty();
+        let has_no_queued_message = peer.queued_messages.is_empty();
         let open_upstreams = || {
             self.upstreams_to(machine)
                 .filter(|(_, upstream)| upstream.dialling_since.is_none())
         };
-        let has_check_open =
+        let has_unanswered_check =
             open_upstreams().any(|(_, upstream)| upstream.health_check_sent_at.is_some());
-        let last_heard = open_upstreams()
-            .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
+        let most_recent = open_upstreams()
+            .max_by(|a, b| a.1.last_received_at.total_cmp(&b.1.last_received_at))
             .map(|(id, _)| id);
         // At capacity, machines without a connection take turns.
-        let waits_for_turn = self.is_at_capacity() && silent_for < VISIT_INTERVAL && has_no_message;
-        let needs_dial = last_heard.is_none() && !waits_for_turn
+        let waits_for_turn =
+            self.is_at_capacity() && silent_for < VISIT_INTERVAL && has_no_queued_message;
+        let needs_dial = most_recent.is_none() && !waits_for_turn
             || silent_for > HEALTH_CHECK_INTERVAL + HEALTH_CHECK_TIMEOUT;
-        if let Some(id) = last_heard
-            && !has_check_open
+        if let Some(id) = most_recent
+            && !has_unanswered_check
             && silent_for > HEALTH_CHECK_INTERVAL
         {
             self.send_health_check(now, machine, id, actions);
@@ -171,13 +175,14 @@
             return;
         };
         upstream.health_check_sent_at = Some(now);
-        let test = Message::new(MessageKind::HealthCheck, RequestId(0)).with(code::CAUSE, &[0]);
-        actions.push(PoolAction::Write(id, test.encode()));
+        let health_check =
+            Message::new(MessageKind::HealthCheck, RequestId(0)).with(code::CAUSE, &[0]);
+        actions.push(PoolAction::Write(id, health_check.encode()));
         self.update_idle_index(machine);
     }
 
-    /// Dials a machine. One without an address counts as failed dial, as nobody knows where it listens; lack of
-    /// capacity does not, as it says nothing about the machine.
+    /// Dials a machine. An unknown address counts as a failed dial. Lack of capacity doesn't, as it says nothing about
+    /// the machine.
     fn dial_probe(&mut self, now: Seconds, machine: MachineId, actions: &mut Vec<PoolAction>) {
         let required_before = now - REQUIRED_CONNECTION_MIN_AGE;
         if self.dial(now, required_before, machine, actions).is_some() {
--- a/crates/gateway/src/pool/offers.rs
+++ b/crates/gateway/src/pool/offers.rs
@@ -1,4 +1,4 @@
-//! Offers to machines: which connection carries one, when it is sent, and how it is withdrawn or cancelled.
+//! Offers to machines: assignment to a connection, sending, withdrawal and cancellation.
 
 use super::{
     CancelReason, MAX_QUEUED_MESSAGES, Pool, PoolAction, PoolEvent, STALL_RECHECK_TIMEOUT,
@@ -8,8 +8,9 @@
 use tidespur_policy::interface::{MachineId, Seconds};
 
 impl Pool {
-    /// Assigns an offer to a connection: an idle one that was heard lately, else a new one, else the one with the fewest
-    /// offers. Returns `None` if there is no connection and no capacity for one; nothing was sent then.
+    /// Assigns an offer to a connection: the idle one with the most recent message if that is fresh, else a new one,
+    /// else the one with the fewest offers. Returns `None` if there is neither a connection nor capacity for one; then
+    /// nothing was sent.
     pub fn offer(
         &mut self,
         now: Seconds,
@@ -18,30 +19,29 @@
         bytes: Vec<u8>,
         actions: &mut Vec<PoolAction>,
     ) -> Option<UpstreamId> {
-        let fresh = self.upstreams_to(machine).filter(|(_, upstream)| {
+        let usable = self.upstreams_to(machine).filter(|(_, upstream)| {
             upstream.is_idle() && upstream.is_healthy() && !upstream.blocked
         });
-        let fresh =
-            fresh.filter(|(_, upstream)| now - upstream.heard_at < self.timeouts.fresh_limit());
-        let fresh = fresh
-            .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
-            .map(|(at, _)| at);
+        let fresh = usable
+            .filter(|(_, upstream)| now - upstream.last_received_at < self.timeouts.fresh_limit())
+            .max_by(|a, b| a.1.last_received_at.total_cmp(&b.1.last_received_at))
+            .map(|(upstream_id, _)| upstream_id);
         let shared = |pool: &Self| {
             let candidates = pool
                 .upstreams_to(machine)
                 .filter(|(_, upstream)| upstream.health_check_sent_at.is_none());
             candidates
                 .min_by_key(|(_, upstream)| (upstream.blocked, upstream.pending_offers.len()))
-                .map(|(at, _)| at)
+                .map(|(upstream_id, _)| upstream_id)
         };
         let upstream_id = fresh
             .or_else(|| self.dial(now, now, machine, actions))
             .or_else(|| shared(self))?;
         let upstream = self.upstreams.get_mut(&upstream_id)?;
-        let needs_check =
-            upstream.is_idle() && upstream.heard_at < self.stalled_at + STALL_RECHECK_TIMEOUT;
+        let needs_check = upstream.is_idle()
+            && upstream.last_received_at < self.stalled_at + STALL_RECHECK_TIMEOUT;
         upstream.pending_offers.push(id);
-        upstream.used_at = now;
+        upstream.last_used_at = now;
         upstream.unsent_offers.push((id, bytes));
         actions.extend(needs_check.then_some(PoolAction::CheckPeer(upstream_id)));
         if upstream.dialling_since.is_none() && !upstream.blocked {
@@ -51,66 +51,67 @@
         Some(upstream_id)
     }
 
-    /// Sends an offer that was ready, unless it was cancelled or the machine accepts no bytes meanwhile. Returns whether
-    /// it is sent.
+    /// Sends an offer that was reported as ready, unless it was cancelled or the connection has become blocked since.
+    /// Returns whether it is sent.
     pub fn send_ready_offer(
         &mut self,
         upstream: UpstreamId,
         id: RequestId,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
-        let Some(at) = self
+        let Some(connection) = self
             .upstreams
             .get_mut(&upstream)
-            .filter(|at| at.dialling_since.is_none() && !at.blocked)
+            .filter(|connection| connection.dialling_since.is_none() && !connection.blocked)
         else {
             return false;
         };
-        let Some(index) = at
+        let Some(index) = connection
             .unsent_offers
             .iter()
-            .position(|(waiting, _)| *waiting == id)
+            .position(|(unsent, _)| *unsent == id)
         else {
             return false;
         };
-        let (_, bytes) = at.unsent_offers.remove(index);
+        let (_, bytes) = connection.unsent_offers.remove(index);
         actions.push(PoolAction::Offer(upstream, id, bytes));
         true
     }
 
-    /// The machine accepts no bytes now, and none of this offer was sent: the offer waits.
+    /// Marks a connection as blocked, and queues an offer of which no byte was sent, unless it was cancelled meanwhile.
     pub fn write_blocked(&mut self, upstream: UpstreamId, id: RequestId, bytes: Vec<u8>) {
-        let Some(at) = self.upstreams.get_mut(&upstream) else {
+        let Some(connection) = self.upstreams.get_mut(&upstream) else {
             return;
         };
-        at.blocked = true;
-        if at.pending_offers.contains(&id) {
-            at.unsent_offers.push((id, bytes));
+        connection.blocked = true;
+        if connection.pending_offers.contains(&id) {
+            connection.unsent_offers.push((id, bytes));
         }
     }
 
-    /// The machine accepts no bytes now, and a part of this offer was sent.
+    /// Marks a connection as blocked in the middle of an offer.
     pub fn partially_written(&mut self, upstream: UpstreamId, id: RequestId) {
-        if let Some(at) = self.upstreams.get_mut(&upstream) {
-            at.blocked = true;
-            at.partially_written = Some(id);
+        if let Some(connection) = self.upstreams.get_mut(&upstream) {
+            connection.blocked = true;
+            connection.partially_written = Some(id);
         }
     }
 
-    /// All bytes that waited for the machine were sent: its unsent offers are ready again.
+    /// Marks a connection as no longer blocked; its unsent offers become ready again.
     pub fn write_drained(&mut self, upstream: UpstreamId, actions: &mut Vec<PoolAction>) {
-        if let Some(at) = self.upstreams.get_mut(&upstream) {
-            at.blocked = false;
-            at.partially_written = None;
+        if let Some(connection) = self.upstreams.get_mut(&upstream) {
+            connection.blocked = false;
+            connection.partially_written = None;
             actions.extend(
-                at.unsent_offers
+                connection
+                    .unsent_offers
                     .iter()
                     .map(|(offer, _)| PoolAction::OfferReady(upstream, *offer)),
             );
         }
     }
 
-    /// Withdraws the unsent offers to a machine that is to get no new tasks.
+    /// Withdraws the unsent offers to a machine that must get no new tasks.
     pub fn withdraw_unsent(
         &mut self,
         now: Seconds,
@@ -122,23 +123,28 @@
             return;
         };
         for upstream in peer.upstreams.clone() {
-            let Some(at) = self.upstreams.get_mut(&upstream) else {
+            let Some(connection) = self.upstreams.get_mut(&upstream) else {
                 continue;
             };
-            let waiting: Vec<RequestId> = std::mem::take(&mut at.unsent_offers)
+            let withdrawn: Vec<RequestId> = std::mem::take(&mut connection.unsent_offers)
                 .into_iter()
                 .map(|(id, _)| id)
                 .collect();
-            at.pending_offers.retain(|offer| !waiting.contains(offer));
-            if at.dialling_since.is_some() && at.pending_offers.is_empty() && !waiting.is_empty() {
+            connection
+                .pending_offers
+                .retain(|offer| !withdrawn.contains(offer));
+            if connection.dialling_since.is_some()
+                && connection.pending_offers.is_empty()
+                && !withdrawn.is_empty()
+            {
                 self.half_close(now, upstream, actions);
             }
-            events.extend(waiting.into_iter().map(PoolEvent::NeverSent));
+            events.extend(withdrawn.into_iter().map(PoolEvent::NeverSent));
         }
         self.update_idle_index(machine);
     }
 
-    /// Sends a message about a placed task to its machine, now or once there is a connection.
+    /// Sends a message about a placed task to its machine, or queues it until there is a connection.
     pub fn notify(
         &mut self,
         now: Seconds,
@@ -149,14 +155,14 @@
         let healthy = self
             .upstreams_to(machine)
             .filter(|(_, upstream)| upstream.is_healthy());
-        let last_heard = healthy
-            .max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at))
-            .map(|(at, _)| at);
-        if let Some((at, upstream)) =
-            last_heard.and_then(|at| Some((at, self.upstreams.get_mut(&at)?)))
+        let most_recent = healthy
+            .max_by(|a, b| a.1.last_received_at.total_cmp(&b.1.last_received_at))
+            .map(|(id, _)| id);
+        if let Some((id, upstream)) =
+            most_recent.and_then(|id| Some((id, self.upstreams.get_mut(&id)?)))
         {
-            upstream.used_at = now;
-            actions.push(PoolAction::Write(at, bytes));
+            upstream.last_used_at = now;
+            actions.push(PoolAction::Write(id, bytes));
             return self.update_idle_index(machine);
         }
         let Some(peer) = self.peers.get_mut(&machine) else {
@@ -168,7 +174,7 @@
         peer.queued_messages.push_back(bytes);
     }
 
-    /// An offer was answered: its connection is free for another.
+    /// Removes an offer that was answered, so that its connection can carry another.
     pub fn settle_offer(&mut self, upstream: UpstreamId, id: RequestId) {
         if let Some(upstream) = self.upstreams.get_mut(&upstream) {
             upstream.pending_offers.retain(|&offer| offer != id);
@@ -177,8 +183,8 @@
         }
     }
 
-    /// Cancels an offer. After a timeout the connection is suspect, and is half-closed unless other offers are pending on
-    /// it. Returns whether the machine never received the offer.
+    /// Cancels an offer. After a timeout the connection may be dead; it is half-closed, like one that is still being
+    /// dialled, unless other offers are pending on it. Returns whether the machine never received the offer.
     pub fn cancel(
         &mut self,
         now: Seconds,
@@ -187,16 +193,19 @@
         reason: CancelReason,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
-        let Some(at) = self.upstreams.get_mut(&upstream) else {
+        let Some(connection) = self.upstreams.get_mut(&upstream) else {
             return false;
         };
-        at.pending_offers.retain(|&offer| offer != id);
-        let was_unsent = at.unsent_offers.iter().any(|(waiting, _)| *waiting == id);
-        at.unsent_offers.retain(|(waiting, _)| *waiting != id);
-        let machine = at.machine;
-        if at.partially_written == Some(id) && at.pending_offers.is_empty() {
-            // Else the rest of it would be sent as soon as the machine reads. The machine repeats on the next connection
-            // what it has to say.
+        connection.pending_offers.retain(|&offer| offer != id);
+        let was_unsent = connection
+            .unsent_offers
+            .iter()
+            .any(|(unsent, _)| *unsent == id);
+        connection.unsent_offers.retain(|(unsent, _)| *unsent != id);
+        let machine = connection.machine;
+        if connection.partially_written == Some(id) && connection.pending_offers.is_empty() {
+            // Otherwise the rest of the offer would be sent as soon as the machine reads. A message of the machine that
+            // the close loses is repeated on the next connection.
             self.remove(upstream);
             actions.push(PoolAction::Close(upstream));
             return true;
@@ -207,8 +216,8 @@
                 Message::release(id, cause::NORMAL).encode(),
             ));
         }
-        if at.pending_offers.is_empty()
-            && (reason == CancelReason::TimedOut || at.dialling_since.is_some())
+        if connection.pending_offers.is_empty()
+            && (reason == CancelReason::TimedOut || connection.dialling_since.is_some())
         {
             self.half_close(now, upstream, actions);
         }
