--- a/crates/gateway/src/counts.rs
+++ b/crates/gateway/src/counts.rs
@@ -1,64 +1,64 @@
-//! Figures of the gateway for its log: counters since the start, and present sizes.
+//! Counters and sizes of the gateway, for its log.
 
-/// Counters since the start.
+/// Counters since the start; none ever falls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Set-ups submitted to the policy.
     pub accepted: u64,
-    /// Set-ups of tasks that a machine holds already, adopted.
+    /// Tasks adopted from a machine that held them already.
     pub adopted: u64,
-    /// Set-ups that can't be used, and clients closed for malformed or useless messages.
+    /// Set-ups that can't be used, and clients closed for malformed or unexpected messages.
     pub malformed: u64,
-    /// Tasks that a machine has taken, and whose owner was answered.
+    /// Tasks that a machine accepted.
     pub placed: u64,
-    /// Set-ups rejected.
+    /// Set-ups rejected by the policy, for lack of capacity in the gateway, or during shutdown.
     pub rejected: u64,
-    /// Set-ups shed because the event loop lagged; they are among the rejected ones.
+    /// Set-ups shed because the event loop lagged; also counted in `rejected`.
     pub shed: u64,
-    /// The largest lag of the event loop so far, in milliseconds.
+    /// Maximum lag of the event loop, in milliseconds.
     pub max_lag_ms: u64,
-    /// Requests that the policy gave up as failed.
+    /// Requests that the policy failed.
     pub failed: u64,
-    /// Pending requests that their owners cancelled, or whose connection ended.
+    /// Pending requests that their owners cancelled, or whose connection closed.
     pub cancelled: u64,
-    /// Offers to machines.
+    /// Offers made to machines, sent or not.
     pub offers: u64,
-    /// Offers that were not answered in time.
+    /// Offers that were not answered before their deadline.
     pub timed_out: u64,
-    /// Offers of which nothing was sent.
+    /// Offers of which no byte was sent.
     pub unsent: u64,
-    /// Offers whose connection ended, or that the machine gave up.
+    /// Offers whose connection ended, or that the machine aborted.
     pub interrupted: u64,
     /// Offers that machines rejected.
     pub rejected_by_machine: u64,
-    /// Offers answered by an error.
+    /// Offers that machines answered with an error.
     pub errors: u64,
-    /// Messages of machines that belong to no request here.
+    /// Messages of machines that match no request.
     pub unmatched: u64,
-    /// Placed tasks that have ended.
+    /// Placed tasks that ended, lost ones included.
     pub ended: u64,
-    /// Placed tasks lost with their machine.
+    /// Placed tasks lost because their machine failed.
     pub lost: u64,
-    /// Connections of clients closed by the gateway.
+    /// Client connections closed by the gateway.
     pub closed: u64,
 }
 
-/// What the gateway holds at present.
+/// Current numbers of requests, connections and machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sizes {
     /// Requests, pending or placed.
     pub requests: usize,
     /// Requests whose owner waits for an answer.
     pub pending: usize,
-    /// Connections of clients.
+    /// Open client connections.
     pub downstreams: usize,
-    /// Connections to machines, also those that are half-closed or being dialled.
+    /// Connections to machines, including those that are half-closed or being dialled.
     pub upstreams: usize,
-    /// Machines that are known.
+    /// Machines in the pool: listed, or with tasks or connections.
     pub machines: usize,
 }
 
-/// How much was examined since the start to choose machines and connections: a measure of the work done.
+/// Machines and connections examined since the start; a measure of the work done that doesn't depend on a clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExaminedCounts {
     /// Machines examined by the policy.
--- a/crates/gateway/src/downstream.rs
+++ b/crates/gateway/src/downstream.rs
@@ -1,6 +1,7 @@
-//! Connections of clients: which may stay open, which are closed, and which one leads to an owner.
+//! Registry of client connections: which are open, which to close, and which one reaches an owner.
 //!
-//! Owned by the gateway, which decides what follows; `accounting` counts the requests and malformed messages of each.
+//! Owned by the gateway, which writes and closes; `accounting` counts the requests and malformed messages of each
+//! connection.
 
 mod accounting;
 
@@ -9,17 +10,17 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::Seconds;
 
-/// A client that has sent no valid set-up for this long is closed. The platform allows 3 s.
+/// A connection on which no valid set-up arrived within this time is closed. The platform allows 3 s.
 const SILENT_CLIENT_TIMEOUT: Seconds = 2.0;
 
 /// Why a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// There are more connections than allowed.
+    /// There are more connections than the limit.
     OverCapacity,
-    /// It has sent no valid set-up for too long.
+    /// No valid set-up arrived in time.
     Silent,
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown,
 }
 
@@ -27,26 +28,26 @@
 struct Downstream {
     address: IpAddr,
     opened_at: Seconds,
-    used_at: Seconds,
-    /// Whether it has sent a set-up that could be used.
+    last_used_at: Seconds,
+    /// Whether it has sent a valid set-up.
     has_valid_set_up: bool,
-    /// Whether a task of its was ever placed.
+    /// Whether a task of this client was ever placed.
     is_owner: bool,
-    /// Requests of its without an answer.
+    /// Requests of this client without an answer.
     pending: usize,
-    /// Tasks of its that are placed.
+    /// Placed tasks of this client.
     placed: usize,
-    /// The penalty for malformed and useless messages, and when it was computed.
+    /// The penalty for malformed and unexpected messages, and when it was computed.
     penalty: (f64, Seconds),
-    /// Releases that it was sent and has not acknowledged.
+    /// Releases sent to the client that it has not acknowledged.
     unacknowledged_releases: u32,
     /// Whether the client closed the connection; messages sent before that may still follow.
     peer_closed: bool,
-    /// Why it is to be closed, once a check has shown that it is idle.
+    /// Why it will be closed if a check shows that it is idle; `None` if it stays open.
     close_reason: Option<CloseReason>,
 }
 
-/// All connections of clients.
+/// All client connections, by id.
 #[derive(Debug)]
 pub struct Downstreams {
     downstreams: BTreeMap<DownstreamId, Downstream>,
@@ -54,7 +55,7 @@
 }
 
 impl Downstreams {
-    /// Starts without connections; at most `max_connections` are kept open, and at least one.
+    /// Creates a registry without connections. `max_connections` is raised to 1 if it is 0.
     pub fn new(max_connections: usize) -> Self {
         Self {
             downstreams: BTreeMap::new(),
@@ -62,22 +63,22 @@
         }
     }
 
-    /// The number of connections.
+    /// Number of connections, including those that are to be closed.
     pub fn count(&self) -> usize {
         self.downstreams.len()
     }
 
-    /// Whether the connection is open.
+    /// Whether the connection was added and not removed.
     pub fn contains(&self, id: DownstreamId) -> bool {
         self.downstreams.contains_key(&id)
     }
 
-    /// Adds a connection.
+    /// Adds a connection that was accepted.
     pub fn opened(&mut self, now: Seconds, id: DownstreamId, address: IpAddr) {
-        let made = Downstream {
+        let downstream = Downstream {
             address,
             opened_at: now,
-            used_at: now,
+            last_used_at: now,
             has_valid_set_up: false,
             is_owner: false,
             pending: 0,
@@ -87,11 +88,12 @@
             peer_closed: false,
             close_reason: None,
         };
-        self.downstreams.insert(id, made);
+        self.downstreams.insert(id, downstream);
     }
 
-    /// Where there are too many connections, marks the one to close if it is idle: the oldest of those that never sent a
-    /// valid set-up, else the one idle longest, else the youngest.
+    /// If there are more connections than the limit, marks one to be closed if a check shows that it is idle, and
+    /// returns it. Prefers connections without a valid set-up, then those without placed tasks; among equals, the one
+    /// that has been idle longest. If all were used just now, takes the newest.
     pub fn mark_surplus(&mut self, now: Seconds) -> Option<DownstreamId> {
         if self
             .downstreams
@@ -109,41 +111,41 @@
         let idle = self
             .downstreams
             .iter()
-            .filter(|(_, client)| may_close(client) && client.used_at < now);
+            .filter(|(_, client)| may_close(client) && client.last_used_at < now);
         let longest_idle = idle.min_by(|a, b| {
             rank(a.1)
                 .cmp(&rank(b.1))
-                .then(a.1.used_at.total_cmp(&b.1.used_at))
+                .then(a.1.last_used_at.total_cmp(&b.1.last_used_at))
         });
-        let youngest = self
+        let newest = self
             .downstreams
             .iter()
             .rev()
             .find(|(_, client)| may_close(client));
-        let id = longest_idle.or(youngest).map(|(&id, _)| id)?;
+        let id = longest_idle.or(newest).map(|(&id, _)| id)?;
         self.begin_close(id, CloseReason::OverCapacity);
         Some(id)
     }
 
-    /// Marks a connection to be closed if a check shows that it is idle.
+    /// Marks a connection to be closed once a check shows that it is idle.
     pub fn begin_close(&mut self, id: DownstreamId, reason: CloseReason) {
         if let Some(client) = self.downstreams.get_mut(&id) {
             client.close_reason = Some(reason);
         }
     }
 
-    /// Why a connection is to be closed, if it is.
+    /// Why a connection is to be closed; `None` if it is to stay open.
     pub fn close_reason(&self, id: DownstreamId) -> Option<CloseReason> {
         self.downstreams
             .get(&id)
             .and_then(|client| client.close_reason)
     }
 
-    /// Keeps a connection open that was to be closed, as its client has sent something.
+    /// Clears the mark to close a connection, as its client has sent something.
     pub fn keep_open(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
             client.close_reason = None;
-            client.used_at = now;
+            client.last_used_at = now;
         }
     }
 
@@ -154,34 +156,34 @@
         }
     }
 
-    /// Whether the connection is open and its client has not closed it.
+    /// Whether messages can still be sent to the client: neither side has closed the connection.
     pub fn is_reachable(&self, id: DownstreamId) -> bool {
         self.downstreams
             .get(&id)
             .is_some_and(|client| !client.peer_closed)
     }
 
-    /// The ids of all connections.
+    /// Ids of all connections, in the order in which they were opened.
     pub fn ids(&self) -> Vec<DownstreamId> {
         self.downstreams.keys().copied().collect()
     }
 
-    /// Removes a connection.
+    /// Removes a connection that was closed by either side.
     pub fn remove(&mut self, id: DownstreamId) {
         self.downstreams.remove(&id);
     }
 
-    /// Records a set-up that could be used.
+    /// Records that a valid set-up arrived.
     pub fn record_valid_set_up(&mut self, now: Seconds, id: DownstreamId) {
         if let Some(client) = self.downstreams.get_mut(&id) {
             client.has_valid_set_up = true;
-            client.used_at = now;
+            client.last_used_at = now;
         }
     }
 
-    /// A connection to the owner that was connected as `id` from `address`: that one, else the one used last
-    /// from the same address, else the one used last of any owner. Connections of clients without a placed task don't
-    /// count, as a client that is no owner may have the same address.
+    /// Chooses a connection to an owner whose last connection was `id`, from `address`: that connection if it is
+    /// reachable, else the one used last from the same address, else the one used last by any owner. Other connections
+    /// than `id` are eligible only if they are an owner's, as another client may have the same address.
     pub fn route_to_owner(
         &self,
         id: Option<DownstreamId>,
@@ -196,21 +198,22 @@
                 .filter(|(_, client)| client.is_owner && !client.peer_closed)
         };
         let same_address = owners().filter(|(_, client)| Some(client.address) == address);
-        let newest = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
-            a.1.used_at.total_cmp(&b.1.used_at)
+        let by_last_use = |a: &(&DownstreamId, &Downstream), b: &(&DownstreamId, &Downstream)| {
+            a.1.last_used_at.total_cmp(&b.1.last_used_at)
         };
         same_address
-            .max_by(newest)
-            .or_else(|| owners().max_by(newest))
+            .max_by(by_last_use)
+            .or_else(|| owners().max_by(by_last_use))
             .map(|(&id, _)| id)
     }
 
-    /// The address of a client.
+    /// IP address of a client; `None` once its connection is removed.
     pub fn address(&self, id: DownstreamId) -> Option<IpAddr> {
         self.downstreams.get(&id).map(|client| client.address)
     }
 
-    /// Marks the clients that have sent no valid set-up for too long, and returns them.
+    /// Marks the connections without a valid set-up in time to be closed, and returns them. Those with a pending
+    /// request stay.
     pub fn mark_silent(&mut self, now: Seconds) -> Vec<DownstreamId> {
         let is_silent = |client: &Downstream| {
             !client.has_valid_set_up
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of creating a gateway.
+//! Errors on creating a gateway.
 
 use tidespur_policy::interface::SettingsError;
 
-/// Why a gateway can't be created.
+/// Returned by [`Gateway::new`](crate::Gateway::new).
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// The policy rejects a setting of the site; the message names the field.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's state machine: turns inputs of connections into events of the policy, and its actions into messages.
+//! The gateway's state machine: turns inputs of connections into events for the policy, and its actions into messages.
 //!
 //! [`Gateway`] owns the request table, the connections of clients, the pool of connections to machines and the policy.
 //! It does no I/O: the event loop of `gateway-net` calls [`Gateway::step`] and carries out its outputs.
@@ -34,37 +34,39 @@
 use tidespur_policy::interface::{Event, MachineId, Seconds};
 use tidespur_site_settings::Site;
 
-/// Pending requests on one connection of a client; more are rejected.
+/// Pending requests on one client connection; more are rejected.
 const MAX_PENDING_PER_CLIENT: usize = 256;
-/// Pending requests in all; more are rejected.
+/// Pending requests of all clients; more are rejected.
 const MAX_PENDING: usize = 8_192;
-/// Pending requests and placed tasks in all; tasks beyond that are not adopted, and their owners are told that they
-/// failed. Bounds the memory that clients can take by naming tasks without end.
+/// Pending requests and placed tasks of all clients. A task that is handed over beyond that is not adopted, and its
+/// owner is told that it failed. Bounds the memory that a client can use by handing over any number of tasks.
 const MAX_REQUESTS: usize = 32_768;
-/// Releases that wait for a connection to their owner; beyond that the oldest is dropped.
+/// Releases queued until there is a connection to their owner; beyond that the oldest is dropped.
 const MAX_PENDING_RELEASES: usize = 4_096;
-/// Maintenance runs at this interval, and the event loop wakes at least so often.
+/// Maintenance runs at this interval; the event loop wakes at least as often.
 const TICK_INTERVAL: Seconds = 0.1;
 
-/// A step that begins this long after the one before shows that the event loop stalled, as ticks alone come sooner.
+/// A step that begins this long after the previous one shows that the event loop stalled, as ticks are more frequent.
 const LOOP_STALL_TIMEOUT: Seconds = 2.0 * TICK_INTERVAL;
 
-/// The gateway of one scheduler; see the module's description.
+/// The gateway of one scheduler; see the module documentation.
 pub struct Gateway {
     site: Site,
     policy: Scheduler,
     requests: RequestTable,
     pool: Pool,
     downstreams: Downstreams,
-    /// Machines that are listed or that the pool still knows: name, and when the machine last started.
+    /// Name and last start time of each machine that is listed or still in the pool.
     machines: BTreeMap<MachineId, (String, Option<Seconds>)>,
     last_revision: u64,
     events: Vec<Event>,
+    /// Timers of the policy: due time in microseconds, and token.
     timers: BTreeSet<(u64, u64)>,
+    /// Releases without a connection to their owner: the owner's address, and the encoded message.
     pending_releases: VecDeque<(Option<IpAddr>, Vec<u8>)>,
-    /// Offers that are sent once their clients are known to be connected still.
+    /// Offers that are sent once a check has shown that their clients are still connected.
     ready_offers: ReadyOffers,
-    /// Set-ups whose id another connection holds, until that connection has been checked.
+    /// Set-ups whose id is in use on another connection, until that connection has been checked.
     id_conflicts: Vec<IdConflict>,
     shutdown: Option<GracefulShutdown>,
     last_tick: Seconds,
@@ -74,7 +76,7 @@
 }
 
 impl Gateway {
-    /// Creates a gateway whose policy has seen no endpoint and no task yet.
+    /// Creates a gateway without endpoints and tasks. The seed makes the policy's random choices repeatable.
     ///
     /// # Errors
     /// Fails with [`GatewayError::Settings`] if the policy rejects a setting of the site.
@@ -111,17 +113,17 @@
         })
     }
 
-    /// Revision of the last watch event that was applied.
+    /// Revision of the last watch event that was applied; 0 before the first.
     pub fn last_revision(&self) -> u64 {
         self.last_revision
     }
 
-    /// The settings of the site.
+    /// Settings that the gateway was created with.
     pub fn site(&self) -> &Site {
         &self.site
     }
 
-    /// What was examined so far to choose machines and connections.
+    /// Machines and connections examined since the start.
     pub fn examined(&self) -> ExaminedCounts {
         ExaminedCounts {
             machines: self.policy.machines_examined(),
@@ -134,7 +136,7 @@
         self.counts
     }
 
-    /// What the gateway holds at present.
+    /// Current numbers of requests, connections and machines.
     pub fn sizes(&self) -> Sizes {
         Sizes {
             requests: self.requests.count(),
@@ -145,7 +147,7 @@
         }
     }
 
-    /// When [`Input::Tick`] is due at the latest, in seconds of the clock that [`Gateway::step`] is called with.
+    /// Latest time for the next [`Input::Tick`], in seconds of the clock that [`Gateway::step`] is called with.
     pub fn next_wake(&self) -> Seconds {
         let timer = self
             .timers
--- a/crates/gateway/src/gateway/actions.rs
+++ b/crates/gateway/src/gateway/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the policy's actions: offers, rejections, migrations and timers.
+//! Carries out actions of the policy: offers, rejections, migrations and timers.
 
 use super::attempts::attempt_ended_event;
 use super::{Gateway, Output};
@@ -13,8 +13,8 @@
             Action::Offer {
                 task,
                 machine,
-                timeout: wait,
-            } => self.send_offer(now, task, machine, wait, outputs),
+                timeout,
+            } => self.send_offer(now, task, machine, timeout, outputs),
             Action::Reject { task, .. } => {
                 self.counts.rejected += 1;
                 self.reject_request(now, task, cause::FULL, outputs);
@@ -24,12 +24,12 @@
                 self.reject_request(now, task, cause::FAILED, outputs);
             }
             Action::Migrate(task) => self.migrate(now, task, outputs),
-            // The discovery stream is followed all the time: there is nothing to subscribe to.
+            // The discovery stream is always followed, so there is nothing to subscribe to.
             Action::SubscribeEndpoints => self.events.push(Event::EndpointsChanged(Vec::new())),
             Action::SetTimer { after, token } => {
                 self.timers.insert((micros(now + after), token));
             }
-            // The platform has no message that polls a load, and its schedulers don't gossip.
+            // The platform has no message to poll the load of a machine, and its schedulers don't gossip.
             Action::PollLoad(machine) => self.events.push(Event::LoadPolled {
                 machine,
                 report: None,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Asks the owner of a placed task to come again, and releases the task at its machine.
+    /// Asks the owner of a placed task to resubmit it, and ends the task at its machine.
     fn migrate(&mut self, now: Seconds, task: TaskId, outputs: &mut Vec<Output>) {
         let Some(id) = self.requests.id_of_task(task) else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers a pending request with a release of this cause, and forgets it.
+    /// Answers a pending request with a release of this cause, and removes it.
     pub(super) fn reject_request(
         &mut self,
         now: Seconds,
@@ -72,13 +72,13 @@
         self.requests.remove(id);
     }
 
-    /// Offers a task to a machine. The machine is told how long this attempt lasts in place of the owner's wait.
+    /// Offers a task to a machine. The offer carries the timeout of this attempt instead of the owner's.
     pub(super) fn send_offer(
         &mut self,
         now: Seconds,
         task: TaskId,
         machine: MachineId,
-        wait: Seconds,
+        timeout: Seconds,
         outputs: &mut Vec<Output>,
     ) {
         let Some(id) = self.requests.id_of_task(task) else {
@@ -91,7 +91,7 @@
         let RequestState::Pending { may_have_run, .. } = request.state else {
             return;
         };
-        let set_up = offer_message(id, request, wait);
+        let set_up = offer_message(id, request, timeout);
         self.counts.offers += 1;
         let upstream = self.with_pool(outputs, |pool, actions| {
             pool.offer(now, machine, id, set_up.encode(), actions)
@@ -106,7 +106,7 @@
         let attempt = Some(Attempt {
             number,
             upstream,
-            deadline: now + wait,
+            deadline: now + timeout,
         });
         self.requests.set_state(
             id,
@@ -118,9 +118,10 @@
     }
 }
 
-/// The set-up that a machine is sent: the owner's parameters in their order, with the attempt's wait in milliseconds.
-fn offer_message(id: RequestId, request: &Request, wait: Seconds) -> Message {
-    let milliseconds = ((wait * 1000.0).ceil().max(1.0) as u64).to_string();
+/// Builds the set-up for a machine: the forwarded parameters in their order, with the attempt's timeout in
+/// milliseconds.
+fn offer_message(id: RequestId, request: &Request, timeout: Seconds) -> Message {
+    let milliseconds = ((timeout * 1000.0).ceil().max(1.0) as u64).to_string();
     let mut set_up = Message::new(MessageKind::SetUp, id);
     for (code, value) in &request.forwarded {
         let value = if *code == code::TIMEOUT {
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! The course of requests and attempts: answers to owners, cancels, timeouts and ends.
+//! Lifecycle of requests and attempts: answers to owners, cancels, timeouts and ends.
 
 use super::MAX_PENDING_RELEASES;
 use super::{Gateway, Output};
@@ -10,7 +10,7 @@
 use tidespur_policy::interface::{AttemptOutcome, Event, LoadReport, Seconds, TaskId};
 
 impl Gateway {
-    /// Sends a message to the owner of a request, or holds it back until there is a connection to the owner.
+    /// Sends a message to the owner of a request, or queues it until there is a connection to the owner.
     pub(super) fn reply(&mut self, id: RequestId, bytes: Vec<u8>, outputs: &mut Vec<Output>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Sends the releases that were held back, in their order, as far as there are connections to their owners.
+    /// Sends the queued releases in their order, up to the first one whose owner has no connection.
     pub(super) fn send_pending_releases(&mut self, outputs: &mut Vec<Output>) {
         while let Some((address, _)) = self.pending_releases.front() {
             let Some(client) = self.downstreams.route_to_owner(None, *address) else {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Cancels a pending request without an answer to its owner, and its present attempt at the machine.
+    /// Cancels a pending request and its current attempt. The owner gets no answer.
     pub(super) fn cancel_request(
         &mut self,
         now: Seconds,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Checks the connections of attempts that have passed their deadlines, as an answer may be unread. Guards against a
-    /// lagging event loop that times out an attempt which was answered in time. Costs one read a connection.
+    /// Checks the connections of overdue attempts, as the answer may be unread. Otherwise a lagging event loop would
+    /// time out attempts that were answered in time. Costs one read per connection.
     pub(super) fn check_overdue_attempts(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let upstream_of_attempt = |id| match self.requests.get(id).map(|request| request.state) {
             Some(RequestState::Pending {
@@ -86,20 +86,21 @@
             }) => Some(attempt.upstream),
             _ => None,
         };
-        let lines: BTreeSet<UpstreamId> = self
+        let upstreams: BTreeSet<UpstreamId> = self
             .requests
             .overdue_attempts(now)
             .into_iter()
             .filter_map(upstream_of_attempt)
             .collect();
         outputs.extend(
-            lines
+            upstreams
                 .into_iter()
                 .map(|upstream| Output::Upstream(PoolAction::CheckPeer(upstream))),
         );
     }
 
-    /// All that a machine has sent on a connection was handled: attempts on it that are still overdue time out.
+    /// Times out the attempts on a connection that are still overdue after its check: all that the machine had sent was
+    /// handled.
     pub(super) fn upstream_checked(
         &mut self,
         now: Seconds,
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Cancels an attempt that has passed its deadline. It has not run if it was never sent, because it waited for its
-    /// client or for a machine that accepted no bytes.
+    /// Cancels an attempt that has passed its deadline. The task can't have run if the offer was never sent, as its
+    /// client was being checked or the machine accepted no bytes.
     fn attempt_timed_out(&mut self, now: Seconds, id: RequestId, outputs: &mut Vec<Output>) {
         let Some(RequestState::Pending {
             attempt: Some(attempt),
@@ -124,12 +125,12 @@
             return;
         };
         self.counts.timed_out += 1;
-        let never_left = self.with_pool(outputs, |pool, actions| {
+        let never_sent = self.with_pool(outputs, |pool, actions| {
             pool.cancel(now, attempt.upstream, id, CancelReason::TimedOut, actions)
         });
         self.attempt_ended(
             id,
-            if never_left {
+            if never_sent {
                 AttemptOutcome::NeverSent
             } else {
                 AttemptOutcome::TimedOut
@@ -138,7 +139,7 @@
         );
     }
 
-    /// The present attempt of a request has ended, and the task was not placed.
+    /// Handles the end of a request's current attempt that did not place the task.
     pub(super) fn attempt_ended(
         &mut self,
         id: RequestId,
@@ -156,19 +157,19 @@
             return;
         };
         let task = request.task;
-        let may_have_run_now = !matches!(
+        let attempt_may_have_run = !matches!(
             outcome,
             AttemptOutcome::Rejected(_) | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
         );
         self.pool.settle_offer(attempt.upstream, id);
-        if !(may_have_run || may_have_run_now) {
+        if !(may_have_run || attempt_may_have_run) {
             self.requests.clear_first_attempt(id);
         }
         self.requests.set_state(
             id,
             RequestState::Pending {
                 attempt: None,
-                may_have_run: may_have_run || may_have_run_now,
+                may_have_run: may_have_run || attempt_may_have_run,
             },
         );
         self.events.push(attempt_ended_event(
@@ -180,7 +181,7 @@
         ));
     }
 
-    /// Ends a placed task, and notifies its machine.
+    /// Ends a placed task by order of its owner or of the policy, and notifies its machine.
     pub(super) fn release_at_machine(
         &mut self,
         now: Seconds,
@@ -200,7 +201,7 @@
         self.finish_placed(id, attempt, AttemptOutcome::Cancelled, None);
     }
 
-    /// A placed task has ended.
+    /// Removes a placed task that has ended.
     pub(super) fn finish_placed(
         &mut self,
         id: RequestId,
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -1,9 +1,10 @@
-//! Connections of clients: which are still connected, and which are closed.
+//! Checks of client connections: before an offer is sent, and before a connection is closed.
 //!
-//! Before anything depends on a client, its connection is checked: what it has sent by now is read. An offer is sent
-//! only after a check, and a connection that seems idle is closed only after one. Guards against a close or a cancel
-//! that waits, in the kernel or in the input queue, while the set-up is forwarded. Costs one read an attempt; offers of
-//! a client that sends more than a check reads wait until all was read.
+//! Before the gateway acts on a client's behalf, it has the client's connection checked: all that the client has sent
+//! by then is read. An offer is sent only after such a check, and a connection that seems idle is closed only after
+//! one. Otherwise a set-up could be offered although its client's close or cancel is already in the kernel or in the
+//! input queue. Costs one read per attempt. Offers of a client that sends more than a check reads wait until all of it
+//! was read.
 
 use super::{Gateway, Output, PeerCheck};
 use crate::downstream::CloseReason;
@@ -14,16 +15,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_policy::interface::{AttemptOutcome, RetrySafety, Seconds};
 
-/// Time from a check that left unread bytes to the next one.
+/// Delay until the next check after one that left unread bytes.
 const RECHECK_INTERVAL: Seconds = 0.02;
 
-/// Offers that can be sent once their clients were checked.
+/// Offers that can be sent once their clients have been checked.
 #[derive(Debug)]
 pub(super) struct ReadyOffers {
     by_client: BTreeMap<DownstreamId, Vec<(UpstreamId, RequestId)>>,
-    /// Clients that had sent more than a check reads.
+    /// Clients that have sent more than one check reads.
     busy: BTreeSet<DownstreamId>,
-    /// When these clients are checked again; infinite if there are none.
+    /// When the busy clients are checked again; infinite if there are none.
     pub(super) recheck_at: Seconds,
 }
 
@@ -38,7 +39,8 @@
 }
 
 impl Gateway {
-    /// An offer can be sent: its client is checked first, once for all of its offers in a step.
+    /// Queues an offer that can be sent until its client has been checked. One check covers all queued offers of a
+    /// client.
     pub(super) fn offer_ready(
         &mut self,
         upstream: UpstreamId,
@@ -48,15 +50,15 @@
         let Some(client) = self.requests.get(id).map(|request| request.client) else {
             return;
         };
-        let due = self.ready_offers.by_client.entry(client).or_default();
-        if due.is_empty() {
+        let queued = self.ready_offers.by_client.entry(client).or_default();
+        if queued.is_empty() {
             outputs.push(Output::CheckDownstream(client));
         }
-        due.push((upstream, id));
+        queued.push((upstream, id));
     }
 
-    /// A client was checked; inputs that end its requests were handled before. Its id conflicts are resolved, it is
-    /// closed if that was intended and it is idle, and its offers that are still wanted are sent.
+    /// Handles the result of a check, after the inputs that end requests of the client: resolves the client's id
+    /// conflicts, closes the connection if that was requested and it is idle, and sends the client's queued offers.
     pub(super) fn downstream_checked(
         &mut self,
         now: Seconds,
@@ -66,7 +68,8 @@
     ) {
         self.resolve_id_conflicts(now, client, outputs);
         if let Some(close_reason) = self.downstreams.close_reason(client) {
-            // A client that is slow to send a message may go on, unless it has sent no valid set-up yet.
+            // A connection without a valid set-up stays open if a message on it is incomplete, as that may be the
+            // set-up. At capacity and during a shutdown it is closed.
             let is_idle = check == PeerCheck::Idle
                 || check == PeerCheck::PartialMessage && close_reason != CloseReason::Silent;
             if is_idle && self.downstreams.pending_count(client) == 0 {
@@ -77,16 +80,16 @@
             }
         }
         if check == PeerCheck::MoreUnread {
-            // Offers that were cancelled meanwhile are dropped, however long this goes on.
+            // Drops cancelled offers here too, as a client may stay busy without limit.
             let requests = &self.requests;
-            if let Some(due) = self.ready_offers.by_client.get_mut(&client) {
-                due.retain(|&(upstream, id)| requests.is_attempt_on(id, upstream));
+            if let Some(queued) = self.ready_offers.by_client.get_mut(&client) {
+                queued.retain(|&(upstream, id)| requests.is_attempt_on(id, upstream));
             }
             self.ready_offers.busy.insert(client);
             self.ready_offers.recheck_at = self.ready_offers.recheck_at.min(now + RECHECK_INTERVAL);
             return;
         }
-        // The pool ignores offers that were cancelled meanwhile.
+        // The pool ignores offers that were cancelled since.
         for (upstream, id) in self
             .ready_offers
             .by_client
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Whether a retry would begin after the window of its idempotency key: it was decided in time, and then waited for
-    /// its connection.
+    /// Whether a retry would begin after the window of its idempotency key. The policy decides on retries within the
+    /// window, but the offer may have waited for its connection since.
     fn is_past_window(&self, now: Seconds, id: RequestId) -> bool {
         let Some((
             request,
@@ -134,10 +137,10 @@
         };
         request
             .first_attempt_at
-            .is_some_and(|began| now > began + window)
+            .is_some_and(|first_attempt_at| now > first_attempt_at + window)
     }
 
-    /// Checks the clients again that had sent more than a check reads, once that is due.
+    /// Has the busy clients checked again, if that is due.
     pub(super) fn recheck_busy_clients(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         if now >= self.ready_offers.recheck_at {
             self.ready_offers.recheck_at = f64::INFINITY;
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Where there are too many connections, checks one that is then closed if it is idle.
+    /// If there are too many connections, has one checked, which is closed then if it is idle.
     pub(super) fn close_surplus(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         outputs.extend(
             self.downstreams
@@ -158,7 +161,8 @@
         );
     }
 
-    /// The client has closed its connection: its pending requests are cancelled at once, whatever it has sent before.
+    /// Handles a client's close of its connection: its pending requests are cancelled at once, before messages that are
+    /// still queued.
     pub(super) fn downstream_peer_closed(
         &mut self,
         now: Seconds,
@@ -182,7 +186,8 @@
         outputs.push(Output::CloseDownstream(client));
     }
 
-    /// Cancels the pending requests of a connection that has ended. Owners of placed tasks are reached by others.
+    /// Cancels the pending requests of a connection that has ended. Placed tasks stay, as their owner can be reached on
+    /// another connection.
     pub(super) fn cancel_client_requests(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/endpoints.rs
+++ b/crates/gateway/src/gateway/endpoints.rs
@@ -1,12 +1,12 @@
-//! Watch events of the discovery stream: changes of the endpoint list go to the pool and to the policy.
+//! Applies watch events of the endpoint list to the pool and the policy.
 
 use super::{Gateway, Output};
 use crate::discovery::{ListedEndpoint, WatchEvent};
 use tidespur_policy::interface::{EndpointStatus, Event, Seconds};
 
 impl Gateway {
-    /// Applies a watch event. One whose revision was applied before is skipped: a stream may repeat events, and two
-    /// streams may deliver the same ones.
+    /// Applies a watch event. One with a revision that is not newer than the last is skipped, as a stream may repeat
+    /// events, and two streams may deliver the same ones.
     pub(super) fn endpoints_delivered(
         &mut self,
         now: Seconds,
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Records one endpoint. A machine that has restarted since it was listed last has lost the tasks placed on it.
+    /// Records an endpoint. A machine that has restarted since it was last listed has lost the tasks placed on it.
     fn endpoint_listed(&mut self, now: Seconds, listed: ListedEndpoint, outputs: &mut Vec<Output>) {
         let machine = listed.endpoint.machine;
         let is_gone = listed.endpoint.status == EndpointStatus::Gone;
--- a/crates/gateway/src/gateway/id_conflicts.rs
+++ b/crates/gateway/src/gateway/id_conflicts.rs
@@ -1,6 +1,7 @@
-//! Set-ups whose id another connection holds already.
+//! Set-ups with an id that is already in use on another connection.
 //!
-//! Whether the holder is still connected decides, and its close may not have been read: so the holder is checked first.
+//! The outcome depends on whether that connection, the holder, is still open. Its close may be unread, so the holder is
+//! checked first.
 
 use super::{Gateway, Output};
 use crate::message::Message;
@@ -8,7 +9,7 @@
 use crate::{DownstreamId, task_request};
 use tidespur_policy::interface::Seconds;
 
-/// A set-up of `claimant` under the id of a request that `holder` has.
+/// A set-up of `claimant` with the id of a request of `holder`.
 #[derive(Debug)]
 pub(super) struct IdConflict {
     pub(super) holder: DownstreamId,
@@ -17,13 +18,13 @@
 }
 
 impl Gateway {
-    /// Checks the holder's connection, and keeps the set-up until that is done.
+    /// Has the holder's connection checked, and keeps the set-up until then.
     pub(super) fn defer_id_conflict(&mut self, conflict: IdConflict, outputs: &mut Vec<Output>) {
         outputs.push(Output::CheckDownstream(conflict.holder));
         self.id_conflicts.push(conflict);
     }
 
-    /// The connection of `holder` was checked: the conflicts that wait for it are resolved, in their order.
+    /// Resolves the conflicts with `holder` in their order, once its connection has been checked.
     pub(super) fn resolve_id_conflicts(
         &mut self,
         now: Seconds,
@@ -40,8 +41,9 @@
     }
 
     /// Handles the set-up if the holder's request has ended. A hand-over of a placed task makes the claimant its owner
-    /// only if the holder has gone: else anybody with an id could divert the end of another's task. Any other set-up
-    /// closes the claimant's connection, as neither of two answers of one id could be told from the other.
+    /// only if the holder has disconnected; otherwise a client that knows an id could divert the end of another
+    /// client's task. Any other set-up closes the claimant's connection, as two answers with the same id would be
+    /// ambiguous.
     fn resolve_id_conflict(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/inputs.rs
+++ b/crates/gateway/src/gateway/inputs.rs
@@ -1,6 +1,6 @@
-//! One step of the gateway: inputs go to their handlers, due timers fire, and the policy's actions are carried out.
+//! A step of the gateway: handles inputs, fires due timers, runs the policy and carries out its actions.
 //!
-//! [`Gateway::step`] is called by the event loop of `gateway-net` with the inputs that have arrived since the last step.
+//! The event loop of `gateway-net` calls [`Gateway::step`] with the inputs that have arrived since the last step.
 
 use super::{Gateway, Input, LOOP_STALL_TIMEOUT, Output, TICK_INTERVAL};
 use crate::DownstreamId;
@@ -10,7 +10,7 @@
 use tidespur_policy::interface::{Event, Seconds};
 
 impl Gateway {
-    /// Handles the inputs that have arrived by `now`, and appends what is to be done to `outputs`, in its order.
+    /// Handles the inputs and the timers that are due by `now`, and appends the resulting outputs to `outputs`.
     pub fn step(
         &mut self,
         now: Seconds,
@@ -28,8 +28,8 @@
         self.run_policy(now, outputs);
     }
 
-    /// Runs the policy until no event is left. An offer that can't be sent is an event at once; the policy's limit on
-    /// attempts bounds how often that happens.
+    /// Runs the policy until no event is left. An offer that can't be sent results in a new event; the policy's limit
+    /// on attempts bounds the number of rounds.
     fn run_policy(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         while !self.events.is_empty() {
             let mut actions = Vec::new();
@@ -74,7 +74,7 @@
             Input::DownstreamChecked(client, check) => {
                 self.downstream_checked(now, client, check, outputs);
             }
-            // A message on a connection that was closed here.
+            // A message on a connection that the gateway has closed.
             _ => {}
         }
     }
@@ -137,14 +137,14 @@
         self.cancel_client_requests(now, client, outputs);
     }
 
-    /// An input was handled `lag` seconds after it was due.
+    /// Records that an input was handled `lag` seconds after it was due.
     fn lag_measured(&mut self, now: Seconds, lag: Seconds) {
         self.counts.max_lag_ms = self.counts.max_lag_ms.max((lag * 1e3) as u64);
         self.shedder.observe_lag(now, lag);
     }
 
-    /// Does what is due by `now`: timers of the policy, deadlines of attempts, rechecks and the shutdown in each step,
-    /// maintenance once in [`TICK_INTERVAL`].
+    /// Handles what is due by `now`: timers of the policy, deadlines of attempts, rechecks and the shutdown in each
+    /// step, maintenance once per [`TICK_INTERVAL`].
     fn handle_timers(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         while let Some(&(at, token)) = self.timers.first().filter(|&&(at, _)| at <= micros(now)) {
             self.timers.remove(&(at, token));
@@ -168,7 +168,7 @@
         for client in self.downstreams.mark_silent(now) {
             outputs.push(Output::CheckDownstream(client));
         }
-        // Machines come and go without end: what is kept of one is forgotten with its last connection.
+        // Bounds the memory for machines that were replaced: an entry is dropped once the pool has dropped the machine.
         let pool = &self.pool;
         self.machines.retain(|machine, _| pool.contains(*machine));
         self.send_pending_releases(outputs);
--- a/crates/gateway/src/gateway/machines.rs
+++ b/crates/gateway/src/gateway/machines.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to machines: its actions and events, and what the failure of a machine ends.
+//! Interface to the pool of connections to machines: forwards its actions, and handles its events and failed machines.
 
 use super::{Gateway, Output};
 use crate::UpstreamId;
@@ -8,21 +8,21 @@
 use tidespur_policy::interface::{AttemptOutcome, FailureCause, MachineId, Seconds};
 
 impl Gateway {
-    /// Calls the pool, and passes on the actions that it returns.
+    /// Calls the pool, and turns the actions that it returns into outputs.
     pub(super) fn with_pool<T>(
         &mut self,
         outputs: &mut Vec<Output>,
-        act: impl FnOnce(&mut Pool, &mut Vec<PoolAction>) -> T,
+        call: impl FnOnce(&mut Pool, &mut Vec<PoolAction>) -> T,
     ) -> T {
         let mut actions = Vec::new();
-        let done = act(&mut self.pool, &mut actions);
-        for act in actions {
-            match act {
+        let result = call(&mut self.pool, &mut actions);
+        for action in actions {
+            match action {
                 PoolAction::OfferReady(upstream, id) => self.offer_ready(upstream, id, outputs),
-                act => outputs.push(Output::Upstream(act)),
+                action => outputs.push(Output::Upstream(action)),
             }
         }
-        done
+        result
     }
 
     pub(super) fn upstream_ended(
@@ -56,8 +56,8 @@
         pool_events: Vec<PoolEvent>,
         outputs: &mut Vec<Output>,
     ) {
-        for pool_events in pool_events {
-            match pool_events {
+        for event in pool_events {
+            match event {
                 PoolEvent::ConnectFailed(id) => {
                     self.counts.unsent += 1;
                     self.attempt_ended(id, AttemptOutcome::ConnectFailed, None);
@@ -86,11 +86,11 @@
         }
     }
 
-    /// Fails the tasks that were placed on a machine at or before `before`, and releases them to their owners.
+    /// Removes the tasks that were placed on a machine at or before `until`, and tells their owners that they failed.
     pub(super) fn machine_failed(
         &mut self,
         machine: MachineId,
-        before: Seconds,
+        until: Seconds,
         outputs: &mut Vec<Output>,
     ) {
         for id in self.requests.placed_at_machine(machine) {
@@ -99,7 +99,7 @@
             else {
                 continue;
             };
-            if since > before {
+            if since > until {
                 continue;
             }
             self.counts.lost += 1;
--- a/crates/gateway/src/gateway/requests.rs
+++ b/crates/gateway/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Messages of clients: set-ups, cancels, acknowledgements and health checks.
+//! Handles messages of clients: set-ups, cancels, acknowledgements and health checks.
 
 use super::{Gateway, Output};
 use crate::DownstreamId;
@@ -7,7 +7,7 @@
 use tidespur_policy::interface::Seconds;
 
 impl Gateway {
-    /// Handles a message of a client, and closes its connection if too many came that are of no use.
+    /// Handles a message of a client, and closes the connection if the client exceeds the limit on malformed messages.
     pub(super) fn downstream_message(
         &mut self,
         now: Seconds,
@@ -21,11 +21,11 @@
                 let reply =
                     Message::new(MessageKind::HealthCheckReply, message.id).with(code::CAUSE, &[1]);
                 outputs.push(Output::WriteDownstream(client, reply.encode()));
-                self.downstreams.record_free_message(now, client)
+                self.downstreams.record_cheap_message(now, client)
             }
             MessageKind::Release => self.handle_release(now, client, message.id, outputs),
             MessageKind::ReleaseAck => self.downstreams.release_acknowledged(now, client),
-            MessageKind::Progress => self.downstreams.record_free_message(now, client),
+            MessageKind::Progress => self.downstreams.record_cheap_message(now, client),
             MessageKind::Accepted
             | MessageKind::HealthCheckReply
             | MessageKind::ProgressReport
@@ -36,8 +36,9 @@
         }
     }
 
-    /// Cancels a pending request of this client, or releases a placed task, by whichever connection its owner asks for
-    /// it. A pending request of another client stays. Returns whether the client sent too many malformed messages.
+    /// Cancels a pending request of this client, or ends a placed task, which its owner may release on any connection.
+    /// A pending request of another client is not affected. Returns whether the client exceeds the limit on malformed
+    /// messages.
     fn handle_release(
         &mut self,
         now: Seconds,
@@ -56,8 +57,8 @@
             }
             RequestState::Pending { .. } => self.downstreams.record_malformed(now, client),
             RequestState::Placed { .. } => {
-                let heard = Message::new(MessageKind::ReleaseAck, id);
-                outputs.push(Output::WriteDownstream(client, heard.encode()));
+                let ack = Message::new(MessageKind::ReleaseAck, id);
+                outputs.push(Output::WriteDownstream(client, ack.encode()));
                 self.release_at_machine(now, id, outputs);
                 false
             }
--- a/crates/gateway/src/gateway/set_ups.rs
+++ b/crates/gateway/src/gateway/set_ups.rs
@@ -1,4 +1,5 @@
-//! Set-ups: admitted, adopted where a machine holds the task already, rejected, or deferred as an id conflict.
+//! Handles set-ups: submits them to the policy, adopts tasks that a machine holds already, rejects, or defers an id
+//! conflict.
 
 use super::id_conflicts::IdConflict;
 use super::{Gateway, MAX_PENDING, MAX_PENDING_PER_CLIENT, MAX_REQUESTS, Output};
@@ -8,11 +9,11 @@
 use crate::{DownstreamId, discovery, task_request};
 use tidespur_policy::interface::{Event, Seconds, Task};
 
-/// Set-ups that can't be used are logged as long as fewer than this many malformed messages have come in all.
+/// An invalid set-up is logged only while the count of malformed messages is below this, to bound the log.
 const MAX_LOGGED_MALFORMED: u64 = 20;
 
 impl Gateway {
-    /// Handles a set-up. One without an id closes its connection, as an answer to it could be anybody's.
+    /// Handles a set-up. One without an id closes its connection, as an answer to it would be ambiguous.
     pub(super) fn handle_set_up(
         &mut self,
         now: Seconds,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// A set-up whose id is in the request table already. A hand-over that comes twice on one connection is ignored;
-    /// two requests of one id can't both be answered, as neither answer could be told from the other.
+    /// Handles a set-up with an id that is in use. A hand-over that is repeated on its connection is ignored. Any other
+    /// set-up on the same connection closes it, as two answers with the same id would be ambiguous.
     fn set_up_of_known_id(
         &mut self,
         now: Seconds,
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Adopts a task that the machine `name` holds already. The endpoint list may name the machine only later; until it
-    /// counts as failed, it is waited for.
+    /// Adopts a task that the machine `name` holds already. The machine may be listed only later; the task is kept
+    /// until then, or until the machine counts as failed.
     fn adopt(
         &mut self,
         now: Seconds,
@@ -112,8 +113,8 @@
         self.events.push(Event::TaskAdopted(task, machine));
     }
 
-    /// Submits a task to the policy, or rejects it if the gateway has no capacity for it. A rejected task never reached
-    /// the policy, so that its owner can ask again without harm. A client that has gone gets no answer.
+    /// Submits a task to the policy, or rejects it if the gateway has no capacity. A rejected task never reached the
+    /// policy, so its owner can safely resubmit it. A client that has disconnected gets no answer.
     fn submit(
         &mut self,
         now: Seconds,
@@ -144,7 +145,7 @@
         self.events.push(Event::TaskSubmitted(task));
     }
 
-    /// Rejects a set-up that can't be used, and closes its connection if too many came on it.
+    /// Rejects an invalid set-up, and closes its connection if the client exceeds the limit on malformed messages.
     fn reject_malformed(
         &mut self,
         now: Seconds,
@@ -155,7 +156,9 @@
     ) {
         self.counts.malformed += 1;
         if self.counts.malformed < MAX_LOGGED_MALFORMED {
-            outputs.push(Output::Log(format!("request {id} can't be used: {error}")));
+            outputs.push(Output::Log(format!(
+                "rejected the set-up of request {id}: {error}"
+            )));
         }
         release_client(client, id, cause::INVALID_CONTENT, outputs);
         if self.downstreams.record_malformed(now, client) {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Closes a connection on which nothing more can be trusted.
+    /// Counts a malformed message and closes its connection.
     pub(super) fn close_malformed_client(
         &mut self,
         now: Seconds,
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -1,9 +1,9 @@
 //! Graceful shutdown: which requests are still answered, and when the process exits.
 //!
-//! Accepted requests are answered first. Then the connections that wait are accepted and no more, each client is
-//! checked, its new requests are rejected, and its connection is closed once it is idle; the process exits when the last
-//! one is closed. Guards against bytes that arrive at the same moment: closing a socket with unread bytes resets its
-//! connection, and the reset may destroy an answer that was sent.
+//! Accepted requests are answered first. Then the connections in the listener's backlog are accepted and the listener
+//! is closed. Each client is checked, its new requests are rejected, and its connection is closed once it is idle. The
+//! process exits when the last connection is closed. The checks guard against messages that arrive at the same moment:
+//! closing a socket with unread bytes resets its connection, and the reset may destroy an answer that was sent.
 
 use super::{Gateway, Output};
 use crate::downstream::CloseReason;
@@ -11,20 +11,20 @@
 use crate::request_table::RequestState;
 use tidespur_policy::interface::Seconds;
 
-/// After a shutdown request, clients go on sending requests for this long (the platform's specification).
+/// Clients may send requests for this long after a shutdown request, by the platform's specification.
 const LATE_REQUEST_TIMEOUT: Seconds = 0.7;
-/// The platform kills the process no sooner than the longest deadline of the settings, or this if it is shorter, plus
-/// [`LATE_REQUEST_TIMEOUT`] after the request (the same specification).
+/// The platform kills the process no earlier than [`LATE_REQUEST_TIMEOUT`] plus the longest deadline of the settings
+/// after the shutdown request, by the same specification. This is the upper bound of that deadline.
 const MAX_SHUTDOWN_DEADLINE: Seconds = 3.0;
-/// Fraction of the time beyond [`LATE_REQUEST_TIMEOUT`] after which pending requests are answered. Until then ends of
+/// Fraction of the time after [`LATE_REQUEST_TIMEOUT`] at which pending requests are answered. Until then, ends of
 /// placed tasks are forwarded too.
 const ANSWERED_FRACTION: f64 = 0.8;
-/// Fraction of it after which connections are closed.
+/// Fraction of that time at which connections are closed.
 const CLOSED_FRACTION: f64 = 0.9;
-/// Fraction of it after which all bytes were sent.
+/// Fraction of that time at which all bytes have to be sent.
 const FLUSHED_FRACTION: f64 = 0.97;
 
-/// A shutdown that was requested.
+/// A requested shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GracefulShutdown {
     requested_at: Seconds,
@@ -35,11 +35,11 @@
 enum ShutdownPhase {
     /// Requests are accepted as before.
     Serving,
-    /// No request is pending: connections that wait are accepted, and then no more.
+    /// No request is pending; the listener's backlog is accepted, and the listener is closed.
     StoppingListener,
     /// Each connection is closed once it is idle.
     ClosingClients,
-    /// The process was told to exit.
+    /// [`Output::Exit`] was issued.
     Finished,
 }
 
@@ -54,18 +54,18 @@
     /// Whether new requests are rejected because of the shutdown.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown
-            .is_some_and(|leaving| leaving.phase != ShutdownPhase::Serving)
+            .is_some_and(|shutdown| shutdown.phase != ShutdownPhase::Serving)
     }
 
-    /// No further connection is accepted: the clients are closed once they are idle.
+    /// Handles the end of listening: from now on, clients are closed once they are idle.
     pub(super) fn listening_stopped(&mut self, outputs: &mut Vec<Output>) {
-        if let Some(leaving) = &mut self.shutdown {
-            leaving.phase = ShutdownPhase::ClosingClients;
+        if let Some(shutdown) = &mut self.shutdown {
+            shutdown.phase = ShutdownPhase::ClosingClients;
         }
         self.check_all_clients(outputs);
     }
 
-    /// Checks all clients, to close those that are idle.
+    /// Has all clients checked, to close those that are idle.
     fn check_all_clients(&mut self, outputs: &mut Vec<Output>) {
         for client in self.downstreams.ids() {
             if self.downstreams.close_reason(client).is_none() {
@@ -75,31 +75,31 @@
         }
     }
 
-    /// Advances the shutdown to its next phase once that is due or nothing is left to wait for.
+    /// Advances the shutdown to its next phase if that is due or there is nothing left to wait for.
     pub(super) fn advance_shutdown(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let Some(GracefulShutdown {
-            requested_at: at,
-            phase: stage,
+            requested_at,
+            phase,
         }) = self
             .shutdown
-            .filter(|leaving| now > leaving.requested_at + LATE_REQUEST_TIMEOUT)
+            .filter(|shutdown| now > shutdown.requested_at + LATE_REQUEST_TIMEOUT)
         else {
             return;
         };
         let [answered, closed, flushed] = [ANSWERED_FRACTION, CLOSED_FRACTION, FLUSHED_FRACTION]
-            .map(|share| self.shutdown_deadline(at, share));
-        match stage {
+            .map(|fraction| self.shutdown_deadline(requested_at, fraction));
+        match phase {
             ShutdownPhase::Serving if now >= answered || self.requests.count() == 0 => {
                 self.answer_pending_requests(now, outputs);
                 self.shutdown = Some(GracefulShutdown {
-                    requested_at: at,
+                    requested_at,
                     phase: ShutdownPhase::StoppingListener,
                 });
                 outputs.push(Output::StopListening);
             }
             ShutdownPhase::ClosingClients if now >= closed || self.downstreams.count() == 0 => {
                 self.shutdown = Some(GracefulShutdown {
-                    requested_at: at,
+                    requested_at,
                     phase: ShutdownPhase::Finished,
                 });
                 outputs.push(Output::Exit((flushed - now).max(0.0)));
@@ -111,8 +111,8 @@
         }
     }
 
-    /// When this fraction of the time that the platform gives is over.
-    fn shutdown_deadline(&self, at: Seconds, share: f64) -> Seconds {
+    /// Time at which this fraction of the time that the platform allows has passed.
+    fn shutdown_deadline(&self, requested_at: Seconds, fraction: f64) -> Seconds {
         let longest = self
             .site
             .settings
@@ -120,29 +120,29 @@
             .iter()
             .map(|class| class.deadline)
             .fold(0.0, f64::max);
-        at + LATE_REQUEST_TIMEOUT + share * longest.min(MAX_SHUTDOWN_DEADLINE)
+        requested_at + LATE_REQUEST_TIMEOUT + fraction * longest.min(MAX_SHUTDOWN_DEADLINE)
     }
 
-    /// When the next phase is due at the latest; infinite without a shutdown.
+    /// Latest time of the next phase; infinite if there is no shutdown or the phase depends on other inputs.
     pub(super) fn next_shutdown_deadline(&self) -> Seconds {
         match self.shutdown {
             Some(GracefulShutdown {
-                requested_at: at,
+                requested_at,
                 phase: ShutdownPhase::Serving,
-            }) => self.shutdown_deadline(at, ANSWERED_FRACTION),
+            }) => self.shutdown_deadline(requested_at, ANSWERED_FRACTION),
             Some(GracefulShutdown {
-                requested_at: at,
+                requested_at,
                 phase: ShutdownPhase::ClosingClients,
-            }) => self.shutdown_deadline(at, CLOSED_FRACTION),
+            }) => self.shutdown_deadline(requested_at, CLOSED_FRACTION),
             _ => f64::INFINITY,
         }
     }
 
-    /// Checks clients again that were not idle when they were to be closed.
+    /// Has the clients checked again that were not idle at the last check.
     pub(super) fn recheck_closing_clients(&mut self, outputs: &mut Vec<Output>) {
         if self
             .shutdown
-            .is_some_and(|leaving| leaving.phase == ShutdownPhase::ClosingClients)
+            .is_some_and(|shutdown| shutdown.phase == ShutdownPhase::ClosingClients)
         {
             self.check_all_clients(outputs);
         }
@@ -158,7 +158,7 @@
             else {
                 continue;
             };
-            // A task that may have run must not be rejected as harmless to repeat.
+            // A rejection would claim that the task can safely be resubmitted, which is wrong if it may have run.
             let never_ran = attempt.is_none() && !may_have_run;
             let release_cause = if never_ran {
                 cause::CONGESTED
--- a/crates/gateway/src/gateway/upstream_messages.rs
+++ b/crates/gateway/src/gateway/upstream_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of machines: answers to offers, ends of placed tasks, progress and health checks.
+//! Handles messages of machines: answers to offers, ends of placed tasks, progress and health checks.
 
 use super::{Gateway, Output};
 use crate::message::{Message, MessageKind, RequestId, cause, code};
@@ -8,9 +8,9 @@
 use tidespur_policy::interface::{AttemptOutcome, Event, MachineId, Seconds};
 
 impl Gateway {
-    /// Handles a message of a machine. One that belongs to no attempt on its connection and to no task placed on its
-    /// machine is only counted: a second copy, an answer under another's id, or one that comes after its attempt was
-    /// cancelled or has timed out.
+    /// Handles a message of a machine. One that matches no attempt on its connection and no task placed on its machine
+    /// is only counted: a duplicate, an answer with a wrong id, or one that arrives after its attempt was cancelled or
+    /// timed out.
     pub(super) fn upstream_message(
         &mut self,
         now: Seconds,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The machine has taken the task. An answer without a description is malformed.
+    /// Handles an accepted offer. An answer without a description is malformed.
     fn offer_accepted(
         &mut self,
         now: Seconds,
@@ -78,7 +78,7 @@
         let Some(description) = message.get(code::DESCRIPTION) else {
             return self.upstream_malformed(now, upstream, outputs);
         };
-        let answer = Message::new(MessageKind::Accepted, id).with(code::DESCRIPTION, description);
+        let reply = Message::new(MessageKind::Accepted, id).with(code::DESCRIPTION, description);
         self.counts.placed += 1;
         self.pool.settle_offer(upstream, id);
         self.requests.set_state(
@@ -96,10 +96,10 @@
             task,
             attempt: attempt.number,
         });
-        self.reply(id, answer.encode(), outputs);
+        self.reply(id, reply.encode(), outputs);
     }
 
-    /// The machine has rejected or given up the offer.
+    /// Handles an offer that the machine rejected or aborted.
     fn offer_released(&mut self, message: &Message) {
         let failure = machine_report::failure_cause(message);
         let outcome = match message.cause() {
@@ -116,7 +116,7 @@
         self.attempt_ended(message.id, outcome, machine_report::load_report(message));
     }
 
-    /// A placed task has ended at its machine; its owner is told, unless the end was ordered from here.
+    /// Handles the end of a placed task at its machine. The owner is told, unless the gateway requested the end.
     fn placed_task_released(
         &mut self,
         upstream: UpstreamId,
@@ -143,7 +143,7 @@
         self.finish_placed(id, attempt, outcome, report);
     }
 
-    /// A task has ended that is not known here: its owner may hand it over only now, and is told then.
+    /// Handles the end of an unknown task. Its owner may hand it over later, and is told then.
     fn unknown_task_released(
         &mut self,
         now: Seconds,
@@ -158,7 +158,7 @@
         acknowledge_release(upstream, message.id, outputs);
     }
 
-    /// A placed task's progress goes to the policy; a report of an unknown kind is ignored.
+    /// Passes the progress of a placed task to the policy. A report of an unknown kind is ignored.
     fn progress_reported(&mut self, message: &Message) {
         let Some(request) = self.requests.get(message.id) else {
             return;
@@ -173,9 +173,6 @@
 }
 
 fn acknowledge_release(upstream: UpstreamId, id: RequestId, outputs: &mut Vec<Output>) {
-    let heard = Message::new(MessageKind::ReleaseAck, id);
-    outputs.push(Output::Upstream(PoolAction::Write(
-        upstream,
-        heard.encode(),
-    )));
+    let ack = Message::new(MessageKind::ReleaseAck, id);
+    outputs.push(Output::Upstream(PoolAction::Write(upstream, ack.encode())));
 }
--- a/crates/gateway/src/input_queue.rs
+++ b/crates/gateway/src/input_queue.rs
@@ -1,49 +1,51 @@
-//! The queue of inputs that wait for the next step: completions first, then a bounded number of requests.
+//! Queue of inputs for the next step: completions first, then a bounded number of requests.
 //!
-//! If each input had a step of its own, each would cost a run of the policy, and a flood of set-ups would delay the ends
-//! and answers of other requests. So a step takes all completions that have arrived, and requests by turns.
+//! A step for each input would run the policy once per input, and a burst of set-ups would delay the ends and answers
+//! of other requests. So a step takes all completions that have arrived, and a batch of requests, with the connections
+//! in turn.
 //!
-//! An input that ends requests (a client has gone, or cancels one) is a completion: it must not wait behind other
-//! requests while an attempt begins. A cancel never overtakes its own set-up: while that one waits the cancel waits
-//! with it, and both are taken together.
+//! An input that ends requests (a client closed its connection, or cancels a request) counts as a completion, so that
+//! it doesn't wait behind other requests while an attempt begins. A cancel never overtakes its own set-up: while that
+//! one is queued, the cancel waits for it, and both are taken in the same step.
 
 use crate::message::{Message, MessageKind, RequestId};
 use crate::{DownstreamId, Input};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Requests that one step takes; the others wait for the next. Bounds how long completions wait.
+/// Maximum requests per step. Bounds how long completions wait.
 const MAX_REQUESTS_PER_STEP: usize = 64;
-/// Requests of one connection that are taken before the next connection has its turn.
+/// Maximum requests of one connection before the next connection has its turn.
 const MAX_REQUESTS_PER_TURN: usize = 8;
 
-/// The step before which an input was added.
+/// Number of steps taken when an input was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepNumber(u64);
 
-/// The inputs of one connection that wait, in their order.
+/// Queued inputs of one connection, in their order.
 #[derive(Debug, Default)]
 struct ClientBacklog {
     inputs: VecDeque<Input>,
+    /// Ids of the set-ups in `inputs`.
     set_ups: BTreeSet<RequestId>,
-    /// Cancels of the set-ups that wait here.
+    /// Cancels of those set-ups.
     cancels: BTreeMap<RequestId, Message>,
 }
 
-/// The inputs that wait for the next step.
+/// Inputs for the next steps; see the module documentation.
 #[derive(Debug, Default)]
 pub struct InputQueue {
-    /// Inputs of machines and of the discovery stream, and those that end requests.
+    /// Inputs of machines and of the discovery stream, and inputs that end requests.
     completions: Vec<Input>,
     requests: BTreeMap<DownstreamId, ClientBacklog>,
-    /// Connections in the order of their turns; each one with a backlog is here once.
+    /// Round-robin order of the connections; each one with a backlog is in it once.
     turns: VecDeque<DownstreamId>,
     steps: u64,
-    /// Whether the last step took no requests though some waited.
+    /// Whether the last step took no requests although some were queued.
     skipped_requests: bool,
 }
 
 impl InputQueue {
-    /// Adds an input. [`InputQueue::is_drained`] and [`InputQueue::are_completions_taken`] tell when it was taken.
+    /// Adds an input. [`InputQueue::is_drained`] and [`InputQueue::are_completions_taken`] tell whether it was taken.
     pub fn push(&mut self, input: Input) -> StepNumber {
         let client = match &input {
             Input::DownstreamMessage(client, _)
@@ -65,7 +67,7 @@
         StepNumber(self.steps)
     }
 
-    /// A cancel waits for its set-up if that one waits; any other release is a completion.
+    /// Queues a cancel with its set-up if that is still queued; any other release is a completion.
     fn push_release(&mut self, client: DownstreamId, message: Message) -> StepNumber {
         match self.requests.get_mut(&client) {
             Some(backlog) if backlog.set_ups.contains(&message.id) => {
@@ -81,36 +83,36 @@
         StepNumber(self.steps)
     }
 
-    /// Whether all that was added for this connection until `until` was taken, so that more can be read from it.
+    /// Whether all inputs of this connection up to `until` were taken, so that more can be read from it.
     pub fn is_drained(&self, client: DownstreamId, until: StepNumber) -> bool {
         self.are_completions_taken(until) && !self.requests.contains_key(&client)
     }
 
-    /// Whether the completions that were added until `until` were taken.
+    /// Whether all completions up to `until` were taken.
     pub fn are_completions_taken(&self, until: StepNumber) -> bool {
         self.steps > until.0
     }
 
-    /// The number of inputs of this connection that wait.
+    /// Number of queued inputs of this connection; completions are not counted.
     pub fn waiting_requests(&self, client: DownstreamId) -> usize {
         self.requests
             .get(&client)
-            .map_or(0, |waiting| waiting.inputs.len())
+            .map_or(0, |backlog| backlog.inputs.len())
     }
 
-    /// Whether no input waits.
+    /// Whether no input is queued.
     pub fn is_empty(&self) -> bool {
         self.completions.is_empty() && self.requests.is_empty()
     }
 
-    /// Takes all completions.
+    /// Takes all completions, and no requests.
     pub fn take_completions(&mut self) -> Vec<Input> {
         self.steps += 1;
         std::mem::take(&mut self.completions)
     }
 
-    /// The inputs of the next step: all completions and, if there are none or the last step skipped the requests for
-    /// them, the next requests, in turns of the connections.
+    /// Takes the inputs of the next step: all completions, and a batch of requests if there are no completions or the
+    /// last step took no requests because of them.
     pub fn take_batch(&mut self) -> Vec<Input> {
         let mut batch = self.take_completions();
         self.skipped_requests =
@@ -138,7 +140,7 @@
 }
 
 impl ClientBacklog {
-    /// Moves up to `max_requests` inputs into the batch, each set-up with the cancel that waits for it behind it.
+    /// Moves up to `max_requests` inputs into the batch. A set-up's queued cancel follows directly after it.
     fn take_turn(&mut self, client: DownstreamId, max_requests: usize, batch: &mut Vec<Input>) {
         let count = max_requests.min(self.inputs.len());
         for input in self.inputs.drain(..count) {
@@ -154,7 +156,7 @@
     }
 }
 
-/// The id of a set-up; `None` for any other input.
+/// Id of a set-up; `None` for any other input.
 fn set_up_id(input: &Input) -> Option<RequestId> {
     match input {
         Input::DownstreamMessage(_, message) if message.kind == MessageKind::SetUp => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,8 @@
 //! The planner's front end for the operators' platform, without I/O.
 //!
-//! [`Gateway`] is a state machine: inputs of connections go in, the policy decides, and what is to be written, dialled
-//! and closed comes out. It owns the requests and their attempts; [`pool::Pool`] owns the connections to machines.
-//! Which machine takes a task, how long an attempt lasts and which task is rejected is decided by the policy.
-//! `gateway-net` runs it on sockets.
+//! [`Gateway`] is a state machine: it takes the inputs of connections and returns what to write, dial and close. It
+//! owns the requests and their attempts; [`pool::Pool`] owns the connections to machines. The policy decides which
+//! machine gets a task, how long an attempt may take and which task is rejected. `gateway-net` runs it on sockets.
 
 pub mod counts;
 pub mod discovery;
@@ -20,10 +19,10 @@
 pub use error::GatewayError;
 pub use gateway::{Gateway, Input, Limits, Output, PeerCheck};
 
-/// A connection that a client opened.
+/// Id of a connection that a client opened; assigned by the event loop and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DownstreamId(pub u64);
 
-/// A connection that the gateway opened to a machine.
+/// Id of a connection that the gateway opened to a machine; assigned by the pool and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -1,6 +1,6 @@
-//! The request table: pending requests and placed tasks, indexed by task, client, machine and attempt deadline.
+//! Table of pending requests and placed tasks, indexed by task, client, machine and attempt deadline.
 //!
-//! Owned by the gateway. All changes of a request's state go through the table, which keeps its indexes in step.
+//! Owned by the gateway. All changes of a request's state go through the table, which keeps its indexes consistent.
 
 mod request;
 
@@ -12,12 +12,12 @@
 use std::net::IpAddr;
 use tidespur_policy::interface::{MachineId, Seconds, TaskId};
 
-/// The end of an unknown task is remembered for this long, as the task may be handed over after it.
+/// The end of an unknown task is kept for this long, as the task may be handed over later.
 const UNKNOWN_END_TIMEOUT: Seconds = 30.0;
-/// Ends of unknown tasks that are remembered; beyond that the oldest is forgotten.
+/// Ends of unknown tasks that are kept; beyond that the oldest is dropped.
 const MAX_UNKNOWN_ENDS: usize = 4_096;
 
-/// All requests; see the module's description.
+/// All requests; see the module documentation.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -26,49 +26,49 @@
     placed_by_machine: BTreeSet<(MachineId, RequestId)>,
     /// Deadlines of attempts, in microseconds.
     attempt_deadlines: BTreeSet<(u64, RequestId)>,
-    /// Ends of tasks that were not known: when, which, and with which cause.
+    /// Ends of unknown tasks, oldest first: time, id and cause.
     unknown_ends: VecDeque<(Seconds, RequestId, u8)>,
-    next: u64,
+    last_task_id: u64,
 }
 
-/// A time in whole microseconds, as a key of ordered indexes.
+/// Converts a time to whole microseconds, as a key of ordered indexes. A negative time becomes 0.
 pub fn micros(at: Seconds) -> u64 {
     (at.max(0.0) * 1e6) as u64
 }
 
 impl RequestTable {
-    /// The number of requests, pending or placed.
+    /// Number of requests, pending or placed.
     pub fn count(&self) -> usize {
         self.requests.len()
     }
 
-    /// The requests whose owner waits for an answer.
+    /// Ids of the requests whose owners wait for an answer.
     pub fn pending(&self) -> Vec<RequestId> {
         self.pending_by_client.iter().map(|&(_, id)| id).collect()
     }
 
-    /// The number of requests whose owner waits for an answer.
+    /// Number of requests whose owners wait for an answer.
     pub fn pending_count(&self) -> usize {
         self.pending_by_client.len()
     }
 
-    /// Assigns the id of a new task.
+    /// Assigns the id of a new task, from 1.
     pub fn new_task_id(&mut self) -> TaskId {
-        self.next += 1;
-        TaskId(self.next)
+        self.last_task_id += 1;
+        TaskId(self.last_task_id)
     }
 
-    /// The request of this id.
+    /// Returns the request with this id; `None` if it has ended.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// The id of a task's request.
+    /// Id of a task's request; `None` if it has ended.
     pub fn id_of_task(&self, task: TaskId) -> Option<RequestId> {
         self.ids.get(&task).copied()
     }
 
-    /// Adds a request.
+    /// Adds a request under an id that is not in use.
     pub fn add(&mut self, id: RequestId, request: Request) {
         self.ids.insert(request.task, id);
         self.insert_into_indexes(id, request.client, request.state);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Changes the state of a request.
+    /// Changes the state of a request, if it has not ended.
     pub fn set_state(&mut self, id: RequestId, state: RequestState) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -116,7 +116,7 @@
         self.insert_into_indexes(id, client, state);
     }
 
-    /// Counts an attempt, and returns its number, from 0.
+    /// Counts a new attempt and returns its number, from 0.
     pub fn count_attempt(&mut self, id: RequestId) -> u32 {
         self.requests.get_mut(&id).map_or(0, |request| {
             request.attempts += 1;
@@ -124,27 +124,27 @@
         })
     }
 
-    /// Whether a request's present attempt was made on this connection.
+    /// Whether a request's current attempt uses this connection.
     pub fn is_attempt_on(&self, id: RequestId, upstream: UpstreamId) -> bool {
         let state = self.requests.get(&id).map(|request| request.state);
         matches!(state, Some(RequestState::Pending { attempt: Some(attempt), .. }) if attempt.upstream == upstream)
     }
 
-    /// Records the time of the first attempt that may have run; later ones change nothing.
+    /// Records the time of the first attempt that may have run; does nothing if one is recorded already.
     pub fn record_first_attempt(&mut self, now: Seconds, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.first_attempt_at.get_or_insert(now);
         }
     }
 
-    /// Forgets the time of the first attempt, as no attempt has run.
+    /// Clears the time of the first attempt, as no attempt has run.
     pub fn clear_first_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.first_attempt_at = None;
         }
     }
 
-    /// Records that the owner of a placed task came back on another connection.
+    /// Moves a placed task to the connection on which its owner reconnected.
     pub fn rebind_client(&mut self, id: RequestId, client: DownstreamId, address: Option<IpAddr>) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(request.state, RequestState::Placed { .. })
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Removes a request.
+    /// Removes a request that has ended.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.ids.remove(&request.task);
@@ -162,7 +162,7 @@
         Some(request)
     }
 
-    /// The pending requests of a connection.
+    /// Ids of the pending requests of a client connection.
     pub fn pending_of_client(&self, client: DownstreamId) -> Vec<RequestId> {
         let range = (client, RequestId(0))..=(client, RequestId(u64::MAX));
         self.pending_by_client
@@ -171,7 +171,7 @@
             .collect()
     }
 
-    /// The tasks placed on a machine.
+    /// Ids of the tasks placed on a machine.
     pub fn placed_at_machine(&self, machine: MachineId) -> Vec<RequestId> {
         let range = (machine, RequestId(0))..=(machine, RequestId(u64::MAX));
         self.placed_by_machine
@@ -180,7 +180,7 @@
             .collect()
     }
 
-    /// Requests whose attempt has passed its deadline.
+    /// Ids of the requests whose current attempt has passed its deadline.
     pub fn overdue_attempts(&self, now: Seconds) -> Vec<RequestId> {
         self.attempt_deadlines
             .range(..=(micros(now), RequestId(u64::MAX)))
@@ -188,12 +188,12 @@
             .collect()
     }
 
-    /// The next deadline of an attempt, in microseconds.
+    /// Earliest deadline of a current attempt, in microseconds.
     pub fn next_attempt_deadline(&self) -> Option<u64> {
         self.attempt_deadlines.first().map(|&(at, _)| at)
     }
 
-    /// Remembers the end of a task that is not known here, as its owner may hand it over only after that.
+    /// Keeps the end of an unknown task for a while, as its owner may hand the task over later.
     pub fn record_unknown_end(&mut self, now: Seconds, id: RequestId, cause: u8) {
         while self
             .unknown_ends
@@ -206,7 +206,7 @@
         self.unknown_ends.push_back((now, id, cause));
     }
 
-    /// The cause with which this task ended, if its end came before the task was handed over.
+    /// Cause with which this task ended, if the end arrived before the task was handed over.
     pub fn unknown_end_cause(&self, id: RequestId) -> Option<u8> {
         self.unknown_ends
             .iter()
--- a/crates/gateway/src/request_table/request.rs
+++ b/crates/gateway/src/request_table/request.rs
@@ -1,4 +1,4 @@
-//! A request and its state.
+//! Requests, their states and attempts.
 
 use crate::{DownstreamId, UpstreamId};
 use std::net::IpAddr;
@@ -7,11 +7,11 @@
 /// An attempt to place a task.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Number of the attempt of its request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub number: u32,
-    /// The connection that carries it.
+    /// The connection that carries the offer.
     pub upstream: UpstreamId,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Seconds,
 }
 
@@ -20,39 +20,40 @@
 pub enum RequestState {
     /// The owner waits for an answer.
     Pending {
-        /// The present attempt, if there is one.
+        /// The current attempt; `None` between two attempts.
         attempt: Option<Attempt>,
-        /// An earlier attempt may have run.
+        /// Whether the task may have run in an earlier attempt.
         may_have_run: bool,
     },
-    /// The task is placed.
+    /// A machine holds the task.
     Placed {
-        /// The machine that holds the task.
+        /// The machine that the task is placed on.
         machine: MachineId,
-        /// Number of the attempt that placed it.
+        /// Number of the attempt that placed it; 0 for an adopted task.
         attempt: u32,
         /// When it was placed, or adopted.
         since: Seconds,
     },
 }
 
-/// One request.
+/// A task that an owner submitted or handed over.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The policy's id of the task.
+    /// The policy's id of the task, assigned by the table.
     pub task: TaskId,
-    /// The connection of the set-up, or on which its owner came back; it may have ended.
+    /// The connection on which the set-up arrived or the owner reconnected; it may have ended.
     pub client: DownstreamId,
-    /// The address of that connection.
+    /// IP address of that client; `None` if it was unknown.
     pub client_address: Option<IpAddr>,
-    /// Its present state.
+    /// Changed through the table only, as the indexes depend on it.
     pub state: RequestState,
-    /// The class's index in the settings.
+    /// Index of the task's class in the settings.
     pub class_index: usize,
-    /// The parameters that a machine is sent, except the wait: code and value, in the owner's order.
+    /// Code and value of the parameters that are forwarded to a machine, in the owner's order. The timeout is replaced
+    /// in each offer.
     pub forwarded: Vec<(u8, Vec<u8>)>,
     /// Number of attempts made.
     pub attempts: u32,
-    /// When the first attempt that may have run began.
+    /// When the first attempt that may have run was sent; `None` if no attempt can have run.
     pub first_attempt_at: Option<Seconds>,
 }
