--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,26 +1,29 @@
-//! The discovery stream: server-sent events into watch events of the endpoint list.
+//! Parser of the discovery stream: server-sent events that carry watch events of the endpoint list.
 
 use serde::Deserialize;
 use tidespur_policy::interface::{Endpoint, EndpointStatus, MachineId, Resources};
 use tidespur_site_settings::{Site, convert};
 
-/// Bound on the data of one event, in bytes.
+/// Maximum size of the data of one event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why an event of the discovery stream can't be used. The endpoint list stays as it was, and the stream is read again.
+/// Why an event of the discovery stream can't be used. The endpoint list stays unchanged. A malformed event is skipped;
+/// after any other error the stream has to be reopened.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The data of an event is no JSON of the expected form.
+    /// The data of an event isn't JSON, or lacks a required field.
     #[error(
-        "an event of the discovery stream can't be parsed: {0}; compare the platform's version with this program's"
+        "can't parse an event of the discovery stream: {0}; check that the platform's version is supported"
     )]
     Malformed(#[from] serde_json::Error),
-    /// A line is no UTF-8.
-    #[error("the discovery stream is no UTF-8: {0}; check which program listens at its address")]
+    /// A line isn't UTF-8.
+    #[error(
+        "the discovery stream isn't UTF-8: {0}; check that its address is that of the platform's discovery service"
+    )]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// An event is too long.
+    /// The data of an event is longer than 1 MiB.
     #[error(
-        "an event of the discovery stream is longer than 1 MiB; check the program that sends it"
+        "an event of the discovery stream is longer than 1 MiB; check the service that sends it"
     )]
     TooLong,
 }
@@ -28,26 +31,26 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// The endpoint as the policy knows it.
+    /// What the policy needs to know of the machine.
     pub endpoint: Endpoint,
-    /// The machine's name on the platform.
+    /// The machine's name on the platform; set-ups of hand-overs use it too.
     pub name: String,
-    /// The address that it listens on, `HOST:PORT`.
+    /// The address that the machine listens on, `HOST:PORT`; empty if the event has none.
     pub address: String,
 }
 
 /// A watch event of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct WatchEvent {
-    /// Its revision; a later event has a higher one.
+    /// Grows from event to event.
     pub revision: u64,
-    /// Whether it holds the complete list rather than changes.
+    /// Whether `endpoints` is the complete list rather than changes to it.
     pub is_complete_list: bool,
-    /// The endpoints that it lists.
+    /// All endpoints, or those that have changed.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The JSON of an event.
+/// A watch event in the platform's JSON; [`convert_event`] interprets it.
 #[derive(Deserialize)]
 pub struct WireEvent {
     rev: u64,
@@ -81,20 +84,21 @@
     left_over: Option<[f64; 2]>,
 }
 
-/// The id by which the policy knows a machine, the same at all schedulers: a stable hash of its name.
+/// The policy's id of a machine: a stable hash of its name, so that all schedulers use the same id.
 pub fn machine_id(name: &str) -> MachineId {
     MachineId(convert::stable_hash(name))
 }
 
-/// Parses the data of one event.
+/// Parses the data of one server-sent event.
 ///
 /// # Errors
-/// Fails if the data is malformed; such an event is skipped.
+/// Fails with [`DiscoveryError::Malformed`]; the event has to be skipped.
 pub fn parse_event(site: &Site, data: &str) -> Result<WatchEvent, DiscoveryError> {
     Ok(convert_event(site, serde_json::from_str(data)?))
 }
 
-/// Converts an event: names of types and zones become indexes of the settings, lifecycles become statuses.
+/// Converts an event: names of machine types and zones become indexes into the settings, lifecycles become statuses.
+/// An unknown name becomes the index after the last.
 pub fn convert_event(site: &Site, wire: WireEvent) -> WatchEvent {
     let pool = wire.pool.unwrap_or(WirePool {
         reset: false,
@@ -106,12 +110,12 @@
         let status = match wire.lifecycle.as_str() {
             "Ready" => EndpointStatus::Ready,
             "Gone" => EndpointStatus::Gone,
-            // An unknown lifecycle counts as draining, so that the machine gets no new tasks.
+            // An unknown lifecycle is treated as draining, so that the machine gets no new tasks.
             _ => EndpointStatus::Draining,
         };
         let [free_cores, free_memory] = wire.left_over.unwrap_or_default();
         let started = wire.started_at_ms.unwrap_or(0.0) / 1000.0;
-        let entry = Endpoint {
+        let endpoint = Endpoint {
             machine: machine_id(&wire.instance_id),
             machine_type: index(&site.machine_types, &wire.machine_type),
             cell: wire.cell,
@@ -121,7 +125,7 @@
             unclaimed: Resources::new(free_cores, free_memory),
         };
         ListedEndpoint {
-            endpoint: entry,
+            endpoint,
             name: wire.instance_id,
             address: wire.host_port,
         }
@@ -133,17 +137,17 @@
     }
 }
 
-/// Assembles server-sent events from lines. An event ends with a blank line; one without it is dropped.
+/// Assembles server-sent events from lines. A blank line ends an event; an event that the stream cuts off is dropped.
 #[derive(Debug, Default)]
 pub struct EventStreamDecoder {
     data: String,
 }
 
 impl EventStreamDecoder {
-    /// Adds one line without its line break; returns the data of the event that it ends, if any.
+    /// Adds a line, without its line feed. Returns the data of the event that the line ends, if it ends one with data.
     ///
     /// # Errors
-    /// Fails if the line is no UTF-8 or the event is too long; the stream can't be read on.
+    /// Fails if the line isn't UTF-8 or the event is too long; the decoder can't be used after that.
     pub fn push_line(&mut self, line: &[u8]) -> Result<Option<String>, DiscoveryError> {
         let line = std::str::from_utf8(line)?;
         let line = line.strip_suffix('\r').unwrap_or(line);
@@ -160,7 +164,7 @@
                 return Err(DiscoveryError::TooLong);
             }
         }
-        // The revision is in the data too; comments and other fields are ignored.
+        // Comments and other fields are ignored; the event's id repeats the revision in the data.
         Ok(None)
     }
 }
--- a/crates/gateway/src/machine_report.rs
+++ b/crates/gateway/src/machine_report.rs
@@ -1,13 +1,14 @@
-//! Parses what machines report: their load, why they rejected or released a task, and the progress of tasks.
+//! Parser of machine reports: load, reasons of rejections and releases, and progress of tasks.
 //!
-//! Called by the gateway for messages of machines. Reasons and kinds are numbered from 1, as `convert` expects them.
+//! Called by the gateway for messages of machines. Reasons and kinds of progress are numbered from 1, as `convert`
+//! expects them.
 
 use crate::message::{Message, code};
 use crate::task_request::fields;
 use tidespur_policy::interface::{AttemptProgress, FailureCause, LoadReport};
 use tidespur_site_settings::convert;
 
-/// The reasons of rejections and releases, in the order of their numbers.
+/// Reasons of rejections and releases, in the order of their numbers.
 const FAILURE_REASONS: [&str; 7] = [
     "lack_cpu",
     "lack_ram",
@@ -17,10 +18,10 @@
     "displaced",
     "dismissed",
 ];
-/// The kinds of progress, in the order of their numbers.
+/// Kinds of progress, in the order of their numbers.
 const PROGRESS_KINDS: [&str; 5] = ["running", "use_cpu", "use_ram", "health", "ram_high"];
 
-/// The load report of a message; `None` if it has none, or none of it can be parsed.
+/// Parses the load report of a message; `None` if it has none, or no known value in it can be parsed.
 pub fn load_report(message: &Message) -> Option<LoadReport> {
     let values = fields(message.text(code::LOAD)?)
         .into_iter()
@@ -30,15 +31,14 @@
     (report != LoadReport::default()).then_some(report)
 }
 
-/// Why a machine rejected or released a task; number 0, unspecified, for a reason that is missing or not known.
+/// Parses why a machine rejected or released a task; `Unspecified` if the reason is missing or unknown.
 pub fn failure_cause(message: &Message) -> FailureCause {
     let reason = message.text(code::REASON).unwrap_or("");
     let number = number_of(&FAILURE_REASONS, reason).unwrap_or(0);
     convert::failure_cause(number)
 }
 
-/// The progress that a message reports; `None` if its kind is not known. A level that is missing or no number counts
-/// as 0.
+/// Parses a progress report; `None` if its kind is unknown. A level that is missing or not a number is read as 0.
 pub fn attempt_progress(message: &Message) -> Option<AttemptProgress> {
     let kind = message.text(code::REASON)?;
     let number = number_of(&PROGRESS_KINDS, kind)?;
@@ -49,8 +49,8 @@
     convert::attempt_progress(number, level)
 }
 
-/// The number of a name, from 1.
-fn number_of(names: &[&str], wanted: &str) -> Option<u32> {
-    let index = names.iter().position(|name| *name == wanted)?;
+/// Position of a name in the list, from 1.
+fn number_of(names: &[&str], name: &str) -> Option<u32> {
+    let index = names.iter().position(|listed| *listed == name)?;
     Some(index as u32 + 1)
 }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,18 +1,18 @@
-//! The platform's messages: framing and parameters, encoded and decoded. Any bytes can be decoded without harm.
+//! Encoding and decoding of the platform's messages. The decoder accepts any input without a panic.
 //!
-//! A message is a length of two bytes, a type of one, the task's id of eight, and parameters: a code of one byte, a
-//! length of two and the value. All numbers are big-endian.
+//! A message is a length (2 bytes), a type (1 byte), the task's id (8 bytes) and parameters. A parameter is a code
+//! (1 byte), a length (2 bytes) and a value. All numbers are big-endian.
 
 mod codes;
 
 pub use codes::{cause, code};
 
-/// Bound on the bytes of a message after its length.
+/// Maximum size of a message after its length field, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// Bytes of the type and the task's id, which every message has.
+/// Size of the type and the task's id, which every message has, in bytes.
 const HEADER_BYTES: usize = 9;
 
-/// A request's id on the platform: 16 hex digits there, eight bytes here.
+/// A request's id: 16 hex digits in the platform's texts, eight bytes in its messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -22,26 +22,26 @@
     }
 }
 
-/// What a message is, by its type.
+/// Type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// A task to place, or to adopt from the machine that holds it.
     SetUp,
-    /// No meaning here; ignored.
+    /// Not used by this program; ignored.
     Progress,
     /// The task is placed.
     Accepted,
-    /// A rejection, the end of a task, or a cancelled set-up, by its cause.
+    /// A rejection, the end of a task, or the cancel of a set-up, as its cause tells.
     Release,
-    /// Acknowledges a release.
+    /// Acknowledges [`MessageKind::Release`].
     ReleaseAck,
-    /// A health check of the connection.
+    /// Asks the peer for a [`MessageKind::HealthCheckReply`].
     HealthCheck,
-    /// Answers a health check, by its cause.
+    /// Answers [`MessageKind::HealthCheck`] with a cause.
     HealthCheckReply,
-    /// Progress of a placed task.
+    /// Reports the progress of a placed task.
     ProgressReport,
-    /// A placed task is migrated: it ends, and its owner submits it again.
+    /// A placed task is migrated: it ends, and its owner resubmits it.
     Migrate,
 }
 
@@ -58,7 +58,7 @@
         (51, Self::Migrate),
     ];
 
-    fn of(number: u8) -> Option<Self> {
+    fn from_number(number: u8) -> Option<Self> {
         Self::ALL
             .iter()
             .find(|(n, _)| *n == number)
@@ -73,19 +73,19 @@
     }
 }
 
-/// A message. The lengths of its parameters were checked when it was decoded.
+/// A message. A decoded one has parameters whose lengths add up to the length of the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// What the message asks for or reports.
     pub kind: MessageKind,
-    /// The task that it is about.
+    /// The task that it is about; 0 in a health check.
     pub id: RequestId,
-    /// Its parameters, in order: code and value.
+    /// Code and value of each parameter, in the order of the wire. A code may repeat.
     pub parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
-    /// A message without parameters.
+    /// Creates a message without parameters.
     pub fn new(kind: MessageKind, id: RequestId) -> Self {
         Self {
             kind,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Adds a parameter. A value longer than [`MAX_MESSAGE_BYTES`] is truncated, as no peer accepts it.
+    /// Adds a parameter. A value longer than [`MAX_MESSAGE_BYTES`] is truncated, as no peer would accept it.
     #[must_use]
     pub fn with(mut self, code: u8, value: &[u8]) -> Self {
         self.parameters
@@ -102,12 +102,12 @@
         self
     }
 
-    /// A release with this cause.
+    /// Creates a release with a cause of [`cause`].
     pub fn release(id: RequestId, cause: u8) -> Self {
         Self::new(MessageKind::Release, id).with(code::CAUSE, &[cause])
     }
 
-    /// The value of the first parameter of this code.
+    /// Value of the first parameter with this code.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -115,19 +115,19 @@
             .map(|(_, value)| value.as_slice())
     }
 
-    /// The value of the first parameter of this code as text; `None` also where it is no UTF-8.
+    /// Value of the first parameter with this code as text; `None` also if it isn't UTF-8.
     pub fn text(&self, code: u8) -> Option<&str> {
         std::str::from_utf8(self.get(code)?).ok()
     }
 
-    /// The cause, if there is one of one byte.
+    /// Value of the cause parameter; `None` if it is missing or isn't one byte long.
     pub fn cause(&self) -> Option<u8> {
         self.get(code::CAUSE)
             .and_then(|value| <[u8; 1]>::try_from(value).ok())
             .map(|[cause]| cause)
     }
 
-    /// The message's bytes on the wire.
+    /// Encodes the message, with its length field.
     pub fn encode(&self) -> Vec<u8> {
         let length = HEADER_BYTES
             + self
@@ -148,50 +148,51 @@
     }
 }
 
-/// Why bytes are no message. Nothing after them can be read: the connection has to be closed.
+/// Why bytes are not a message. The rest of the stream can't be decoded either: the connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The length is below the header's, or above [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {0} bytes, {HEADER_BYTES} to {MAX_MESSAGE_BYTES} are allowed")]
+    #[error("message length is {0} bytes; must be {HEADER_BYTES} to {MAX_MESSAGE_BYTES}")]
     Length(usize),
-    /// The type is not known.
-    #[error("a message of type {0}, which is not known")]
+    /// The type is unknown.
+    #[error("unknown message type {0}")]
     Type(u8),
-    /// The parameters do not fill the message, which is for this task.
-    #[error("a message for task {0} whose parameters do not fill it")]
+    /// The parameters don't end where the message with this task's id ends.
+    #[error("parameters of the message for task {0} don't end at its length")]
     Parameters(RequestId),
 }
 
-/// Decodes messages from a stream of bytes. Holds at most one incomplete message and the bytes that were fed last.
+/// Decodes messages from a byte stream. Buffers at most one incomplete message and the bytes that were fed last.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    read: usize,
+    /// Length of the decoded prefix of `bytes`.
+    decoded: usize,
 }
 
 impl Decoder {
-    /// Adds bytes of the stream.
+    /// Appends bytes that were read from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.read);
-        self.read = 0;
+        self.bytes.drain(..self.decoded);
+        self.decoded = 0;
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_MESSAGE_BYTES / 4 {
-            // There are many connections, and most hold no bytes most of the time.
+            // Frees a large buffer: of many connections, most have no buffered bytes most of the time.
             self.bytes = Vec::new();
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether bytes are left that were not decoded yet.
+    /// Whether undecoded bytes are buffered.
     pub fn has_partial_message(&self) -> bool {
-        self.read < self.bytes.len()
+        self.decoded < self.bytes.len()
     }
 
-    /// Decodes the next complete message, if there is one.
+    /// Decodes the next message; `None` if it is incomplete.
     ///
     /// # Errors
-    /// Fails if the bytes are no message; the decoder can't be used after that.
+    /// Fails if the bytes are not a message; the decoder can't be used after that.
     pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
-        let rest = &self.bytes[self.read..];
+        let rest = &self.bytes[self.decoded..];
         let Some(&[high, low]) = rest.first_chunk::<2>() else {
             return Ok(None);
         };
@@ -201,7 +202,7 @@
         }
         let kind = match rest.get(2) {
             None => return Ok(None),
-            Some(&number) => MessageKind::of(number).ok_or(MessageError::Type(number))?,
+            Some(&number) => MessageKind::from_number(number).ok_or(MessageError::Type(number))?,
         };
         let Some(body) = rest.get(2..2 + length) else {
             return Ok(None);
@@ -226,10 +227,10 @@
         if !rest.is_empty() {
             return Err(MessageError::Parameters(id));
         }
-        self.read += 2 + length;
-        if self.read == self.bytes.len() {
+        self.decoded += 2 + length;
+        if self.decoded == self.bytes.len() {
             self.bytes.clear();
-            self.read = 0;
+            self.decoded = 0;
         }
         Ok(Some(message))
     }
--- a/crates/gateway/src/task_request.rs
+++ b/crates/gateway/src/task_request.rs
@@ -1,53 +1,54 @@
-//! Parses set-ups into the policy's tasks.
+//! Parser of set-ups: converts them to the policy's tasks.
 //!
-//! Called by the gateway for each message; a set-up that can't be used is rejected with the error of the first field.
+//! Called by the gateway for each set-up; one that can't be used is rejected with the error of its first invalid field.
 
 use crate::message::{Message, code};
 use std::collections::BTreeMap;
 use tidespur_policy::interface::{Resources, Seconds, ServiceId, Task, TaskId};
 use tidespur_site_settings::{Site, convert};
 
-/// A set-up whose owner waits longer than this is rejected, as no owner of the platform waits so long.
-const MAX_OWNER_WAIT: Seconds = 3600.0;
-/// A set-up whose task is expected to run longer than this is rejected.
+/// A set-up with a longer timeout is rejected, as no owner of the platform waits that long.
+const MAX_TIMEOUT: Seconds = 3600.0;
+/// A set-up with a longer expected duration is rejected.
 const MAX_EXPECTED_DURATION: Seconds = 1e7;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Why a set-up can't be used. Its owner is told so by cause 100; the log names the field.
+/// Why a set-up can't be used. The owner gets [`cause::INVALID_CONTENT`](crate::message::cause); the log names the
+/// field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskRequestError {
-    /// A field is not there.
-    #[error("{0} is missing or no text; its sender may use another version of the protocol")]
+    /// A required field is missing or isn't UTF-8.
+    #[error("{0}: missing or not UTF-8; check that the owner's protocol version is supported")]
     Missing(&'static str),
-    /// A class that the settings do not have.
-    #[error("a class that is not known; compare the owner's classes with the settings")]
+    /// The settings don't contain the class.
+    #[error("unknown class; compare the owner's classes with the settings")]
     UnknownClass,
-    /// A tenant that the settings do not have.
-    #[error("a tenant that is not known; compare the owner's tenants with the settings")]
+    /// The settings don't contain the tenant.
+    #[error("unknown tenant; compare the owner's tenants with the settings")]
     UnknownTenant,
-    /// A field holds no number, or no finite one.
-    #[error("{0}: no finite number; check the owner's program")]
+    /// A field isn't a finite number.
+    #[error("{0}: not a finite number; check the program of the owner")]
     NotANumber(&'static str),
-    /// A number that nothing here can serve.
+    /// A number is outside of its range.
     #[error(
-        "{0}: out of range; no machine of the settings admits so much, or no owner waits so long"
+        "{0}: out of range; check that a machine type in the settings admits this much, and that a time isn't too long"
     )]
     OutOfRange(&'static str),
-    /// A name without a letter.
-    #[error("an empty name; check the owner's program")]
+    /// The task's name or its service is empty.
+    #[error("the name of the task or of its service is empty; check the program of the owner")]
     EmptyName,
 }
 
-/// What a set-up asks for.
+/// A parsed set-up.
 #[derive(Clone, Debug)]
 pub struct TaskRequest {
-    /// The task as the policy knows it; its id is assigned by the caller.
+    /// The task for the policy; its id is 0 until the caller assigns one.
     pub task: Task,
-    /// The machine that holds the task already.
+    /// Name of the machine that holds the task already; `None` unless the set-up is a hand-over.
     pub placed_at: Option<String>,
 }
 
-/// Splits `key:value;key:value` into its fields; a later field of the same key replaces an earlier one.
+/// Splits `key:value;key:value` into its fields. If a key repeats, the last value counts.
 pub(crate) fn fields(text: &str) -> BTreeMap<&str, &str> {
     text.split(';')
         .filter_map(|field| field.split_once(':'))
@@ -83,7 +84,7 @@
 /// Parses a set-up that arrived at `now`.
 ///
 /// # Errors
-/// Fails with the first field that can't be used.
+/// Fails with the error of the first invalid field.
 pub fn parse(
     site: &Site,
     now: Seconds,
@@ -94,18 +95,18 @@
     let fields = fields(required_text(
         message,
         code::REQUESTED,
-        "what the task asks for",
+        "requested resources",
     )?);
     let request = requested_resources(site, &fields)?;
     let service = required_field(&fields, "service")?;
-    if service.is_empty() || required_text(message, code::NAME, "the task's name")?.is_empty() {
+    if service.is_empty() || required_text(message, code::NAME, "name of the task")?.is_empty() {
         return Err(TaskRequestError::EmptyName);
     }
     let expected_duration = expected_duration(message)?;
     let placed_at = fields.get("at").map(|machine| (*machine).to_owned());
     let deadline = match placed_at {
         Some(_) => f64::INFINITY,
-        None => now + owner_wait(message)?,
+        None => now + timeout(message)?,
     };
     let task = Task {
         id: TaskId(0),
@@ -121,27 +122,27 @@
 }
 
 fn class_index(site: &Site, message: &Message) -> Result<usize, TaskRequestError> {
-    let class = required_text(message, code::CLASS, "the class")?;
+    let class = required_text(message, code::CLASS, "class")?;
     site.classes
         .iter()
         .position(|name| name == class)
         .ok_or(TaskRequestError::UnknownClass)
 }
 
-/// The tenant's index in the settings; 0 where the settings have no tenants, whatever the set-up says.
+/// Index of the tenant in the settings; 0 if the settings have no tenants, whatever the set-up contains.
 fn tenant_index(site: &Site, message: &Message) -> Result<usize, TaskRequestError> {
     if site.tenants.is_empty() {
         return Ok(0);
     }
-    let tenant = required_text(message, code::TENANT, "the tenant")?;
+    let tenant = required_text(message, code::TENANT, "tenant")?;
     site.tenants
         .iter()
         .position(|name| name == tenant)
         .ok_or(TaskRequestError::UnknownTenant)
 }
 
-/// The requested resources. A request that no machine admits even when it is empty is out of range: waiting would not
-/// help.
+/// Parses the requested resources. A request that exceeds what an empty machine of the largest type admits is out of
+/// range, as waiting can't help.
 fn requested_resources(
     site: &Site,
     fields: &BTreeMap<&str, &str>,
@@ -167,43 +168,44 @@
     Ok(Resources::new(cores, memory))
 }
 
-/// The duration that the owner expects, if the set-up has a hint.
+/// Parses the duration that the owner expects, in seconds; `None` if the set-up has none.
 fn expected_duration(message: &Message) -> Result<Option<Seconds>, TaskRequestError> {
     if message.get(code::EXPECTED_DURATION).is_none() {
         return Ok(None);
     }
-    let hint = required_text(message, code::EXPECTED_DURATION, "the hint")?;
-    let duration = number("the hint", hint)? / MILLISECONDS_PER_SECOND;
+    let duration = required_text(message, code::EXPECTED_DURATION, "expected duration")?;
+    let duration = number("expected duration", duration)? / MILLISECONDS_PER_SECOND;
     if !(0.0..=MAX_EXPECTED_DURATION).contains(&duration) {
-        return Err(TaskRequestError::OutOfRange("the hint"));
+        return Err(TaskRequestError::OutOfRange("expected duration"));
     }
     Ok(Some(duration))
 }
 
-/// How long the owner waits for an answer.
-fn owner_wait(message: &Message) -> Result<Seconds, TaskRequestError> {
-    let wait = required_text(message, code::TIMEOUT, "the wait")?;
-    let wait = number("the wait", wait)? / MILLISECONDS_PER_SECOND;
-    if !(wait > 0.0 && wait <= MAX_OWNER_WAIT) {
-        return Err(TaskRequestError::OutOfRange("the wait"));
+/// How long the owner waits for an answer, in seconds.
+fn timeout(message: &Message) -> Result<Seconds, TaskRequestError> {
+    let timeout = required_text(message, code::TIMEOUT, "timeout")?;
+    let timeout = number("timeout", timeout)? / MILLISECONDS_PER_SECOND;
+    if !(timeout > 0.0 && timeout <= MAX_TIMEOUT) {
+        return Err(TaskRequestError::OutOfRange("timeout"));
     }
-    Ok(wait)
+    Ok(timeout)
 }
 
-/// What of a set-up goes on to a machine, in its order: all that is not for schedulers alone, as platforms send more
-/// than one deployment's settings show (a tenant, the key of work that may be repeated). The wait is written anew.
+/// Selects the parameters of a set-up that are forwarded to a machine, in their order: all except those for schedulers
+/// only. Unknown parameters are forwarded too, as the platform sends more of them (a tenant, an idempotency key) than a
+/// deployment's settings show. The timeout is included, but each offer replaces its value.
 pub fn forwarded_parameters(message: Message) -> Vec<(u8, Vec<u8>)> {
-    let own = [code::RETRY, code::EXPECTED_DURATION, code::REQUESTED];
+    let scheduler_only = [code::RETRY, code::EXPECTED_DURATION, code::REQUESTED];
     message
         .parameters
         .into_iter()
-        .filter(|(code, _)| !own.contains(code))
+        .filter(|(code, _)| !scheduler_only.contains(code))
         .collect()
 }
 
-/// Whether a set-up names the machine that holds its task already.
+/// Whether a set-up is a hand-over: it names the machine that holds its task already.
 pub fn is_handover(message: &Message) -> bool {
     message
         .text(code::REQUESTED)
-        .is_some_and(|asks| fields(asks).contains_key("at"))
+        .is_some_and(|requested| fields(requested).contains_key("at"))
 }
