--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: who is heard, who is closed, who is told.
+//! Client connections: invalid messages, closing, and routing of releases to owners.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use tidespur_gateway::{DownstreamId, Input, Output};
 
 #[test]
-fn set_ups_that_cant_be_used_are_told_so_at_once_and_reach_no_machine() {
-    let bad = |code: u8, value: &[u8]| {
+fn invalid_set_ups_are_rejected_and_reach_no_machine() {
+    let with_value = |code: u8, value: &[u8]| {
         let mut message = set_up(5, "web");
         message.parameters.retain(|(c, _)| *c != code);
         if value.is_empty() {
@@ -17,179 +17,192 @@
             message.with(code, value)
         }
     };
-    let asks = |text: &str| bad(code::REQUESTED, text.as_bytes());
+    let with_requested = |text: &str| with_value(code::REQUESTED, text.as_bytes());
     let cases = [
-        bad(code::CLASS, b"nonsense"),
-        bad(code::CLASS, b""),
-        bad(code::NAME, b""),
-        bad(code::TIMEOUT, b""),
-        bad(code::TIMEOUT, b"-5"),
-        bad(code::TIMEOUT, b"nan"),
-        bad(code::TIMEOUT, b"1e99"),
-        bad(code::EXPECTED_DURATION, b"inf"),
-        bad(code::EXPECTED_DURATION, b"-1"),
-        bad(code::EXPECTED_DURATION, b"\xff"),
-        bad(code::REQUESTED, b""),
-        asks("cores:-1;memory:2;service:a"),
-        asks("cores:NaN;memory:2;service:a"),
-        asks("cores:1e9;memory:2;service:a"),
-        asks("cores:1;memory:1e9;service:a"),
-        asks("cores:1;memory:x;service:a"),
-        asks("cores:1;memory:2"),
-        asks("cores:1;memory:2;service:"),
+        with_value(code::CLASS, b"nonsense"),
+        with_value(code::CLASS, b""),
+        with_value(code::NAME, b""),
+        with_value(code::TIMEOUT, b""),
+        with_value(code::TIMEOUT, b"-5"),
+        with_value(code::TIMEOUT, b"nan"),
+        with_value(code::TIMEOUT, b"1e99"),
+        with_value(code::EXPECTED_DURATION, b"inf"),
+        with_value(code::EXPECTED_DURATION, b"-1"),
+        with_value(code::EXPECTED_DURATION, b"\xff"),
+        with_value(code::REQUESTED, b""),
+        with_requested("cores:-1;memory:2;service:a"),
+        with_requested("cores:NaN;memory:2;service:a"),
+        with_requested("cores:1e9;memory:2;service:a"),
+        with_requested("cores:1;memory:1e9;service:a"),
+        with_requested("cores:1;memory:x;service:a"),
+        with_requested("cores:1;memory:2"),
+        with_requested("cores:1;memory:2;service:"),
     ];
     for message in cases {
-        let mut p = Played::new(2);
-        p.client_says(OWNER, message.clone());
-        let told = p.told(OWNER);
-        assert_eq!(told.len(), 1, "{message:?}");
+        let mut harness = Harness::new(2);
+        harness.client_sends(OWNER, message.clone());
+        let sent = harness.sent_to(OWNER);
+        assert_eq!(sent.len(), 1, "{message:?}");
         assert_eq!(
-            (told[0].id, told[0].cause()),
+            (sent[0].id, sent[0].cause()),
             (RequestId(5), Some(cause::INVALID_CONTENT))
         );
-        assert!(p.dials().is_empty(), "{message:?}");
+        assert!(harness.dials().is_empty(), "{message:?}");
     }
 }
 
 #[test]
-fn a_set_up_without_an_id_is_answered_by_a_close() {
-    let mut p = Played::new(2);
-    p.client_says(OTHER, set_up(0, "web"));
-    assert_eq!(p.closed_clients(), [OTHER]);
-    assert!(p.dials().is_empty());
+fn a_set_up_without_an_id_closes_its_connection() {
+    let mut harness = Harness::new(2);
+    harness.client_sends(OTHER, set_up(0, "web"));
+    assert_eq!(harness.closed_clients(), [OTHER]);
+    assert!(harness.dials().is_empty());
 }
 
 #[test]
-fn the_id_of_anothers_open_request_does_not_touch_that_one() {
-    let mut p = Played::new(2);
-    let (line, _) = p.offered(set_up(5, "web"));
-    p.client_says(OTHER, set_up(5, "slot"));
-    assert_eq!(p.closed_clients(), [OTHER]);
-    p.step(Input::DownstreamOpened(DownstreamId(3), address(2)));
-    p.client_says(DownstreamId(3), release(5, cause::NORMAL));
-    assert!(p.written().is_empty(), "it is not given up either");
-    p.machine_says(line, answer(5));
-    assert_eq!(p.told(OWNER).len(), 1);
+fn a_duplicate_id_does_not_affect_the_pending_request() {
+    let mut harness = Harness::new(2);
+    let (upstream, _) = harness.offer(set_up(5, "web"));
+    harness.client_sends(OTHER, set_up(5, "slot"));
+    assert_eq!(harness.closed_clients(), [OTHER]);
+    harness.step(Input::DownstreamOpened(DownstreamId(3), address(2)));
+    harness.client_sends(DownstreamId(3), release(5, cause::NORMAL));
+    assert!(
+        harness.sent_to_machines().is_empty(),
+        "the request is not cancelled either"
+    );
+    harness.machine_sends(upstream, accepted(5));
+    assert_eq!(harness.sent_to(OWNER).len(), 1);
 }
 
 #[test]
-fn those_who_connect_and_say_nothing_of_use_are_closed() {
-    let mut p = Played::new(1);
-    p.wait(2.5, None);
-    assert_eq!(p.closed_clients(), [OWNER, OTHER]);
-    // One that has asked may stay.
-    let mut p = Played::new(1);
-    p.standing(5, "web");
-    p.wait(2.5, None);
-    assert_eq!(p.closed_clients(), [OTHER]);
-    // Messages that mean nothing, without end.
-    let mut p = Played::new(1);
+fn connections_without_a_valid_set_up_are_closed() {
+    let mut harness = Harness::new(1);
+    harness.advance(2.5, Dials::Unanswered);
+    assert_eq!(harness.closed_clients(), [OWNER, OTHER]);
+    // A connection with a valid set-up stays.
+    let mut harness = Harness::new(1);
+    harness.place(5, "web");
+    harness.advance(2.5, Dials::Unanswered);
+    assert_eq!(harness.closed_clients(), [OTHER]);
+    // Too many messages that are ignored.
+    let mut harness = Harness::new(1);
     for _ in 0..1000 {
-        p.client_says(OTHER, Message::new(MessageKind::Progress, RequestId(1)));
-        if !p.closed_clients().is_empty() {
+        harness.client_sends(OTHER, Message::new(MessageKind::Progress, RequestId(1)));
+        if !harness.closed_clients().is_empty() {
             return;
         }
     }
-    panic!("still there");
+    panic!("the connection is still open");
 }
 
 #[test]
-fn where_there_is_no_room_the_silent_give_way_first() {
-    let mut p = Played::new(1);
-    p.standing(5, "web");
+fn at_capacity_connections_without_a_valid_set_up_are_closed_first() {
+    let mut harness = Harness::new(1);
+    harness.place(5, "web");
     let mut closed = Vec::new();
     for n in 10..40 {
-        p.step(Input::DownstreamOpened(DownstreamId(n), address(9)));
-        closed.extend(p.closed_clients());
+        harness.step(Input::DownstreamOpened(DownstreamId(n), address(9)));
+        closed.extend(harness.closed_clients());
     }
     assert_eq!(closed.len(), 30 + 2 - 8);
     assert!(!closed.contains(&OWNER));
 }
 
 #[test]
-fn an_owner_whose_connection_has_gone_is_told_by_another_of_its_own() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.step(Input::DownstreamClosed(OWNER));
-    p.machine_says(line, release(5, cause::FAILED));
+fn a_release_is_sent_on_another_connection_of_the_owner() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.step(Input::DownstreamClosed(OWNER));
+    harness.machine_sends(upstream, release(5, cause::FAILED));
     assert!(
-        p.out
+        harness
+            .outputs
             .iter()
             .all(|o| !matches!(o, Output::WriteDownstream(..))),
-        "no way to it yet"
+        "there is no connection to the owner yet"
+    );
+    harness.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
+    harness.client_sends(DownstreamId(3), handover(9, "s-1"));
+    harness.advance(0.2, Dials::Unanswered);
+    assert_eq!(
+        harness.sent_to(DownstreamId(3)),
+        [release(5, cause::FAILED)]
     );
-    p.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
-    p.client_says(DownstreamId(3), handed(9, "s-1"));
-    p.wait(0.2, None);
-    assert_eq!(p.told(DownstreamId(3)), [release(5, cause::FAILED)]);
 }
 
 #[test]
-fn an_owner_ends_a_standing_task_on_any_connection_and_is_owed_nothing() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.client_says(OTHER, release(5, cause::NORMAL));
-    assert_eq!(p.written(), [(line, release(5, cause::ENDED))]);
-    p.machine_says(line, release(5, cause::ENDED));
-    assert!(p.told(OWNER).is_empty());
+fn an_owner_releases_a_placed_task_on_any_connection_and_gets_no_release() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.client_sends(OTHER, release(5, cause::NORMAL));
+    assert_eq!(
+        harness.sent_to_machines(),
+        [(upstream, release(5, cause::ENDED))]
+    );
+    harness.machine_sends(upstream, release(5, cause::ENDED));
+    assert!(harness.sent_to(OWNER).is_empty());
 }
 
 #[test]
-fn who_names_a_standing_task_does_not_draw_its_end_to_himself() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.client_says(OTHER, handed(5, "s-1"));
-    p.machine_says(line, release(5, cause::NORMAL));
-    assert_eq!((p.told(OWNER).len(), p.told(OTHER).len()), (1, 0));
-    // Where the owner's connection has gone, it is how the owner comes back.
-    p.now += 0.6;
-    let (line, _) = p.standing(6, "web");
-    p.step(Input::DownstreamClosed(OWNER));
-    p.client_says(OTHER, handed(6, "s-1"));
-    p.machine_says(line, release(6, cause::NORMAL));
-    assert_eq!(p.told(OTHER).len(), 1);
+fn a_handover_does_not_divert_the_release_of_another_owners_task() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.client_sends(OTHER, handover(5, "s-1"));
+    harness.machine_sends(upstream, release(5, cause::NORMAL));
+    assert_eq!(
+        (harness.sent_to(OWNER).len(), harness.sent_to(OTHER).len()),
+        (1, 0)
+    );
+    // If the owner's connection is closed, the hand-over makes its sender the owner.
+    harness.now += 0.6;
+    let (upstream, _) = harness.place(6, "web");
+    harness.step(Input::DownstreamClosed(OWNER));
+    harness.client_sends(OTHER, handover(6, "s-1"));
+    harness.machine_sends(upstream, release(6, cause::NORMAL));
+    assert_eq!(harness.sent_to(OTHER).len(), 1);
 }
 
 #[test]
-fn a_release_never_goes_to_one_of_whom_no_task_stood() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.step(Input::DownstreamClosed(OWNER));
-    p.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
-    p.client_says(DownstreamId(3), set_up(9, "web"));
-    p.machine_says(line, release(5, cause::NORMAL));
-    assert!(p.told(DownstreamId(3)).is_empty());
+fn a_release_is_never_sent_to_a_client_without_placed_tasks() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.step(Input::DownstreamClosed(OWNER));
+    harness.step(Input::DownstreamOpened(DownstreamId(3), address(1)));
+    harness.client_sends(DownstreamId(3), set_up(9, "web"));
+    harness.machine_sends(upstream, release(5, cause::NORMAL));
+    assert!(harness.sent_to(DownstreamId(3)).is_empty());
 }
 
 #[test]
-fn an_owner_that_says_it_heard_each_end_stays_connected() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(1000, "web");
+fn acknowledged_releases_are_not_malformed() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(1000, "web");
     for id in 1..200 {
-        p.client_says(OWNER, handed(id, "s-1"));
+        harness.client_sends(OWNER, handover(id, "s-1"));
     }
     for id in 1..200 {
-        p.machine_says(line, release(id, cause::NORMAL));
-        assert_eq!(p.told(OWNER).len(), 1, "{id}");
-        p.client_says(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(id)));
-        assert!(p.closed_clients().is_empty(), "{id}");
+        harness.machine_sends(upstream, release(id, cause::NORMAL));
+        assert_eq!(harness.sent_to(OWNER).len(), 1, "{id}");
+        harness.client_sends(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(id)));
+        assert!(harness.closed_clients().is_empty(), "{id}");
     }
-    // Where nothing was released, it means nothing, and is not listened to without end.
+    // Acknowledgements without a release are malformed, and too many of them close the connection.
     let closed = (0..100).any(|_| {
-        p.client_says(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(1)));
-        !p.closed_clients().is_empty()
+        harness.client_sends(OWNER, Message::new(MessageKind::ReleaseAck, RequestId(1)));
+        !harness.closed_clients().is_empty()
     });
     assert!(closed);
 }
 
 #[test]
-fn an_owner_who_came_back_is_not_closed_as_silent() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.step(Input::DownstreamClosed(OWNER));
-    p.client_says(OTHER, handed(5, "s-1"));
-    p.wait(2.5, None);
-    assert!(p.closed_clients().is_empty());
-    p.machine_says(line, release(5, cause::NORMAL));
-    assert_eq!(p.told(OTHER), [release(5, cause::NORMAL)]);
+fn a_reconnected_owner_is_not_closed_for_want_of_a_set_up() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.step(Input::DownstreamClosed(OWNER));
+    harness.client_sends(OTHER, handover(5, "s-1"));
+    harness.advance(2.5, Dials::Unanswered);
+    assert!(harness.closed_clients().is_empty());
+    harness.machine_sends(upstream, release(5, cause::NORMAL));
+    assert_eq!(harness.sent_to(OTHER), [release(5, cause::NORMAL)]);
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway with owners and machines played by hand. No sockets.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Test harness: a gateway whose clients and machines are driven by the test, without sockets.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::net::{IpAddr, Ipv4Addr};
 use tidespur_gateway::message::{Decoder, Message, MessageKind, RequestId, code};
@@ -9,11 +9,13 @@
 };
 use tidespur_site_settings::{SettingsObject, Site};
 
+/// Connection of the client that owns the tasks of a test.
 pub const OWNER: DownstreamId = DownstreamId(1);
+/// Connection of another client.
 pub const OTHER: DownstreamId = DownstreamId(2);
 
-/// Settings with a class that may run twice and one that must not.
-pub const INFO: &str = r#"{"balancers":1,"ordinal":0,"locality":0,"discovery":"ask","odd":[1],
+/// Settings object with an idempotent class (`web`) and a non-idempotent one (`slot`).
+pub const SETTINGS: &str = r#"{"balancers":1,"ordinal":0,"locality":0,"discovery":"ask","odd":[1],
  "services":[{"name":"web","aimS":0.7,"deadlineS":6,"effect":"safe","group":"all","credit":1,"windowS":5},
   {"name":"slot","aimS":4,"deadlineS":8,"effect":"unsafe","group":"all","credit":3,"windowS":5}],
  "kinds":["std"],"zones":["east","west"],
@@ -24,10 +26,11 @@
  "safety":{"answerSlackS":0.05,"coldFrom":0.2,"coldS":9,"drainGraceS":1,"fallMultiple":3,"overloadForS":1},
  "tariffs":{}}"#;
 
+/// The retry safety of `web` with an idempotency key, valid for one second.
 const KEYED: &str = r#""effect":"keyed","group":"all","credit":1,"windowS":1"#;
 
 pub fn site() -> Site {
-    serde_json::from_str::<SettingsObject>(INFO)
+    serde_json::from_str::<SettingsObject>(SETTINGS)
         .unwrap()
         .into_site()
         .unwrap()
@@ -37,22 +40,23 @@
     IpAddr::V4(Ipv4Addr::new(127, 0, 0, last))
 }
 
-/// An event of the board: machines by number, with state and start in milliseconds.
-pub fn notice(number: u64, whole: bool, machines: &[(u32, &str, u64)]) -> Input {
-    let entry = |&(n, state, started): &(u32, &str, u64)| {
+/// A watch event: number, lifecycle and start time (in milliseconds) of each machine.
+pub fn watch_event(revision: u64, is_complete_list: bool, machines: &[(u32, &str, u64)]) -> Input {
+    let entry = |&(n, lifecycle, started): &(u32, &str, u64)| {
         format!(
             r#"{{"instanceId":"s-{n}","hostPort":"127.0.1.{n}:9","zone":"east","machineType":"std","cell":0,
-            "lifecycle":"{state}","weight":1,"startedAtMs":{started},"left_over":[30,60]}}"#
+            "lifecycle":"{lifecycle}","weight":1,"startedAtMs":{started},"left_over":[30,60]}}"#
         )
     };
     let entries: Vec<String> = machines.iter().map(entry).collect();
     let entries = entries.join(",");
     let text = format!(
-        r#"{{"rev":{number},"pool":{{"generation":{number},"reset":{whole},"instances":[{entries}]}}}}"#
+        r#"{{"rev":{revision},"pool":{{"generation":{revision},"reset":{is_complete_list},"instances":[{entries}]}}}}"#
     );
     Input::EndpointsDelivered(discovery::parse_event(&site(), &text).unwrap())
 }
 
+/// A valid set-up of this class, with a timeout of 6 s.
 pub fn set_up(id: u64, class: &str) -> Message {
     Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, class.as_bytes())
@@ -66,15 +70,17 @@
         .with(code::DESCRIPTION, b"v=0 \x00\xff")
 }
 
-pub fn handed(id: u64, machine: &str) -> Message {
-    let asks = format!("cores:1;memory:2;service:00000000b4d65521;at:{machine}");
+/// A set-up that hands over a task which this machine holds.
+pub fn handover(id: u64, machine: &str) -> Message {
+    let requested = format!("cores:1;memory:2;service:00000000b4d65521;at:{machine}");
     Message::new(MessageKind::SetUp, RequestId(id))
         .with(code::CLASS, b"web")
         .with(code::NAME, format!("{id:016x}").as_bytes())
-        .with(code::REQUESTED, asks.as_bytes())
+        .with(code::REQUESTED, requested.as_bytes())
 }
 
-pub fn answer(id: u64) -> Message {
+/// A machine's answer to an offer.
+pub fn accepted(id: u64) -> Message {
     Message::new(MessageKind::Accepted, RequestId(id))
         .with(code::DESCRIPTION, b"machine's \x01 own")
 }
@@ -83,45 +89,51 @@
     Message::release(RequestId(id), cause)
 }
 
-/// A gateway, and what it wants done.
-pub struct Played {
+const LIMITS: Limits = Limits {
+    downstreams: 8,
+    upstreams: 16,
+    closing: 2,
+};
+
+/// What happens to the dials of the gateway while time advances.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Dials {
+    Unanswered,
+    Refused,
+}
+
+/// A gateway, the time, and the outputs of the last call.
+pub struct Harness {
     pub gateway: Gateway,
     pub now: f64,
-    pub out: Vec<Output>,
+    pub outputs: Vec<Output>,
 }
 
-impl Played {
-    /// With machines 1 to `machines`, and the two clients connected.
+impl Harness {
+    /// Lists machines 1 to `machines`, and connects both clients.
     pub fn new(machines: u32) -> Self {
-        Self::with(
-            machines,
-            Limits {
-                downstreams: 8,
-                upstreams: 16,
-                closing: 2,
-            },
-        )
+        Self::with_limits(machines, LIMITS)
     }
 
-    /// The same under other limits.
-    pub fn with(machines: u32, limits: Limits) -> Self {
+    /// As [`Harness::new`], with other limits.
+    pub fn with_limits(machines: u32, limits: Limits) -> Self {
         let gateway = Gateway::new(site(), limits, 7).unwrap();
-        let mut played = Self {
+        let mut harness = Self {
             gateway,
             now: 1000.0,
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
         let list: Vec<(u32, &str, u64)> = (1..=machines).map(|n| (n, "Ready", 0)).collect();
-        played.step(notice(1, true, &list));
-        played.step(Input::DownstreamOpened(OWNER, address(1)));
-        played.step(Input::DownstreamOpened(OTHER, address(2)));
-        played
+        harness.step(watch_event(1, true, &list));
+        harness.step(Input::DownstreamOpened(OWNER, address(1)));
+        harness.step(Input::DownstreamOpened(OTHER, address(2)));
+        harness
     }
 
-    /// The same where `web` may be repeated only within a second.
-    pub fn keyed(machines: u32) -> Self {
-        Self::of(
-            &INFO.replace(
+    /// As [`Harness::with_settings`], with a class `web` that has idempotency keys, valid for one second.
+    pub fn with_idempotency_keys(machines: u32) -> Self {
+        Self::with_settings(
+            &SETTINGS.replace(
                 r#""effect":"safe","group":"all","credit":1,"windowS":5"#,
                 KEYED,
             ),
@@ -129,130 +141,116 @@
         )
     }
 
-    /// With other settings, and only the owner connected.
-    pub fn of(info: &str, machines: u32) -> Self {
-        let site = serde_json::from_str::<SettingsObject>(info)
+    /// Uses other settings, and connects only the owner.
+    pub fn with_settings(settings: &str, machines: u32) -> Self {
+        let site = serde_json::from_str::<SettingsObject>(settings)
             .unwrap()
             .into_site()
             .unwrap();
-        let gateway = Gateway::new(
-            site,
-            Limits {
-                downstreams: 8,
-                upstreams: 16,
-                closing: 2,
-            },
-            7,
-        )
-        .unwrap();
-        let mut played = Self {
+        let gateway = Gateway::new(site, LIMITS, 7).unwrap();
+        let mut harness = Self {
             gateway,
             now: 1000.0,
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
         let list: Vec<(u32, &str, u64)> = (1..=machines).map(|n| (n, "Ready", 0)).collect();
-        played.step(notice(1, true, &list));
-        played.step(Input::DownstreamOpened(OWNER, address(1)));
-        played
+        harness.step(watch_event(1, true, &list));
+        harness.step(Input::DownstreamOpened(OWNER, address(1)));
+        harness
     }
 
-    /// One input; what it leads to stands in `out` alone. Looks find that all is read.
+    /// Handles one input, and answers all checks: nothing is unread. `outputs` holds the other outputs.
     pub fn step(&mut self, input: Input) -> &[Output] {
-        self.step_seeing(input, |_| vec![])
-    }
-
-    /// The same; a look at a client finds what `unread` tells of it.
-    pub fn step_seeing(
-        &mut self,
-        input: Input,
-        mut unread: impl FnMut(DownstreamId) -> Vec<Input>,
-    ) -> &[Output] {
-        self.out.clear();
+        self.outputs.clear();
         let mut inputs = vec![input];
         while !inputs.is_empty() {
-            let mut out = Vec::new();
+            let mut outputs = Vec::new();
             self.gateway
-                .step(self.now, std::mem::take(&mut inputs), &mut out);
-            for output in out {
-                if let Output::Upstream(PoolAction::CheckPeer(line)) = output {
-                    inputs.push(Input::UpstreamChecked(line));
+                .step(self.now, std::mem::take(&mut inputs), &mut outputs);
+            for output in outputs {
+                if let Output::Upstream(PoolAction::CheckPeer(upstream)) = output {
+                    inputs.push(Input::UpstreamChecked(upstream));
                 } else if let Output::CheckDownstream(client) = output {
-                    inputs.extend(unread(client));
                     inputs.push(Input::DownstreamChecked(client, PeerCheck::Idle));
                 } else {
                     inputs.extend(
                         (output == Output::StopListening).then_some(Input::ListeningStopped),
                     );
-                    self.out.push(output);
+                    self.outputs.push(output);
                 }
             }
         }
-        &self.out
+        &self.outputs
     }
 
-    /// Time goes on by steps as short as the gateway asks for; all that is wanted meanwhile stands in `out`.
-    /// Machines can't be reached, where `refused` says so because nobody listens.
-    pub fn wait(&mut self, seconds: f64, refused: Option<bool>) {
+    /// Advances the time in steps as short as the gateway requests. `outputs` holds all outputs of that time.
+    pub fn advance(&mut self, seconds: f64, dials: Dials) {
         let until = self.now + seconds;
-        let mut all = Vec::new();
+        let mut all_outputs = Vec::new();
         while self.now < until {
             self.now = self.gateway.next_wake().clamp(self.now + 0.001, until);
             self.step(Input::Tick);
-            let dials: Vec<UpstreamId> = self.dials().iter().map(|dial| dial.0).collect();
-            all.append(&mut self.out);
-            for line in dials.into_iter().filter(|_| refused == Some(true)) {
-                self.step(Input::UpstreamConnectRefused(line));
-                all.append(&mut self.out);
+            let dialled: Vec<UpstreamId> = self.dials().iter().map(|dial| dial.0).collect();
+            all_outputs.append(&mut self.outputs);
+            for upstream in dialled.into_iter().filter(|_| dials == Dials::Refused) {
+                self.step(Input::UpstreamConnectRefused(upstream));
+                all_outputs.append(&mut self.outputs);
             }
         }
-        self.out = all;
+        self.outputs = all_outputs;
     }
 
-    pub fn client_says(&mut self, client: DownstreamId, message: Message) -> &[Output] {
+    pub fn client_sends(&mut self, client: DownstreamId, message: Message) -> &[Output] {
         self.step(Input::DownstreamMessage(client, message))
     }
 
-    pub fn machine_says(&mut self, line: UpstreamId, message: Message) -> &[Output] {
-        self.step(Input::UpstreamMessage(line, message))
+    pub fn machine_sends(&mut self, upstream: UpstreamId, message: Message) -> &[Output] {
+        self.step(Input::UpstreamMessage(upstream, message))
     }
 
-    /// Connections that are to be dialled: which, and where to.
+    /// Requested dials: connection and address.
     pub fn dials(&self) -> Vec<(UpstreamId, String)> {
         let dial = |output: &Output| match output {
-            Output::Upstream(PoolAction::Dial(line, address)) => Some((*line, address.clone())),
+            Output::Upstream(PoolAction::Dial(upstream, address)) => {
+                Some((*upstream, address.clone()))
+            }
             _ => None,
         };
-        self.out.iter().filter_map(dial).collect()
+        self.outputs.iter().filter_map(dial).collect()
     }
 
-    /// Messages to a client.
-    pub fn told(&self, client: DownstreamId) -> Vec<Message> {
-        let told = |output: &Output| match output {
-            Output::WriteDownstream(to, bytes) if *to == client => Some(read(bytes)),
+    /// Messages written to a client.
+    pub fn sent_to(&self, client: DownstreamId) -> Vec<Message> {
+        let messages = |output: &Output| match output {
+            Output::WriteDownstream(to, bytes) if *to == client => Some(decode(bytes)),
             _ => None,
         };
-        self.out.iter().filter_map(told).flatten().collect()
+        self.outputs.iter().filter_map(messages).flatten().collect()
     }
 
-    /// Messages to machines.
-    pub fn written(&self) -> Vec<(UpstreamId, Message)> {
+    /// Messages and offers written to machines.
+    pub fn sent_to_machines(&self) -> Vec<(UpstreamId, Message)> {
         let written = |output: &Output| match output {
             Output::Upstream(
-                PoolAction::Write(line, bytes) | PoolAction::Offer(line, _, bytes),
-            ) => Some((*line, bytes.clone())),
+                PoolAction::Write(upstream, bytes) | PoolAction::Offer(upstream, _, bytes),
+            ) => Some((*upstream, bytes.clone())),
             _ => None,
         };
-        let all = self.out.iter().filter_map(written);
-        all.flat_map(|(line, bytes)| read(&bytes).into_iter().map(move |m| (line, m)))
+        let writes = self.outputs.iter().filter_map(written);
+        writes
+            .flat_map(|(upstream, bytes)| decode(&bytes).into_iter().map(move |m| (upstream, m)))
             .collect()
     }
 
-    pub fn closed_lines(&self) -> Vec<UpstreamId> {
+    /// Connections to machines that were closed or half-closed.
+    pub fn closed_upstreams(&self) -> Vec<UpstreamId> {
         let closed = |output: &Output| match output {
-            Output::Upstream(PoolAction::Close(line) | PoolAction::HalfClose(line)) => Some(*line),
+            Output::Upstream(PoolAction::Close(upstream) | PoolAction::HalfClose(upstream)) => {
+                Some(*upstream)
+            }
             _ => None,
         };
-        self.out.iter().filter_map(closed).collect()
+        self.outputs.iter().filter_map(closed).collect()
     }
 
     pub fn closed_clients(&self) -> Vec<DownstreamId> {
@@ -260,28 +258,35 @@
             Output::CloseDownstream(client) => Some(*client),
             _ => None,
         };
-        self.out.iter().filter_map(closed).collect()
+        self.outputs.iter().filter_map(closed).collect()
     }
 
-    /// A set-up is taken, and its offer is written on a new connection: that one and the machine's address.
-    pub fn offered(&mut self, message: Message) -> (UpstreamId, String) {
-        self.client_says(OWNER, message);
-        let (line, address) = self.dials().pop().expect("a dial");
-        self.step(Input::UpstreamOpened(line));
-        (line, address)
+    /// Sends a set-up of the owner and opens the connection that is dialled for its offer. Returns the connection and
+    /// the machine's address.
+    pub fn offer(&mut self, message: Message) -> (UpstreamId, String) {
+        self.client_sends(OWNER, message);
+        let (upstream, address) = self.dials().pop().expect("a machine is dialled");
+        self.step(Input::UpstreamOpened(upstream));
+        (upstream, address)
     }
 
-    /// A task that stands, on the connection of its offer.
-    pub fn standing(&mut self, id: u64, class: &str) -> (UpstreamId, String) {
-        let (line, address) = self.offered(set_up(id, class));
-        self.machine_says(line, answer(id));
-        assert_eq!(self.told(OWNER)[0].kind, MessageKind::Accepted);
-        (line, address)
+    /// Places a task of the owner. Returns the connection of its offer and the machine's address.
+    pub fn place(&mut self, id: u64, class: &str) -> (UpstreamId, String) {
+        let (upstream, address) = self.offer(set_up(id, class));
+        self.machine_sends(upstream, accepted(id));
+        assert_eq!(self.sent_to(OWNER)[0].kind, MessageKind::Accepted);
+        (upstream, address)
     }
 }
 
-pub fn read(bytes: &[u8]) -> Vec<Message> {
+/// Decodes messages that the gateway wrote.
+pub fn decode(bytes: &[u8]) -> Vec<Message> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    std::iter::from_fn(|| decoder.next_message().expect("our own bytes are messages")).collect()
+    std::iter::from_fn(|| {
+        decoder
+            .next_message()
+            .expect("the gateway writes valid messages")
+    })
+    .collect()
 }
--- a/crates/gateway/tests/compatibility.rs
+++ b/crates/gateway/tests/compatibility.rs
@@ -1,11 +1,11 @@
-//! The operators' protocol: what this program writes, and how it reads what owners, machines and the notice board
-//! write, stay as they were.
+//! Compatibility with earlier versions of the operators' protocol: the bytes that are written, and the interpretation
+//! of what owners, machines and the discovery stream send, must not change.
 
 mod common;
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
-use common::{OWNER, Played, answer, release, set_up, site};
+use common::{Dials, Harness, OWNER, accepted, release, set_up, site};
 use fixtures::{Sample, assert_compatible, assert_encoded, from_hex, to_hex};
 use tidespur_gateway::message::{Decoder, Message, MessageKind, RequestId, cause, code};
 use tidespur_gateway::pool::PoolAction;
@@ -29,8 +29,8 @@
         .with(code::DESCRIPTION, b"v=0 \x00\xff")
 }
 
-fn word(word: &str) -> Message {
-    Message::new(MessageKind::ProgressReport, ID).with(code::REASON, word.as_bytes())
+fn progress_report(kind: &str) -> Message {
+    Message::new(MessageKind::ProgressReport, ID).with(code::REASON, kind.as_bytes())
 }
 
 fn decode(text: &str) -> Message {
@@ -38,7 +38,7 @@
     decoder.feed(&from_hex(text));
     decoder
         .next_message()
-        .expect("a readable message")
+        .expect("a valid message")
         .expect("a complete message")
 }
 
@@ -72,7 +72,7 @@
         }),
         (
             "note of a machine",
-            word("use_cpu").with(code::LEVEL, b"1.5"),
+            progress_report("use_cpu").with(code::LEVEL, b"1.5"),
         ),
         (
             "test",
@@ -122,135 +122,141 @@
     assert_encoded("numbers.txt", &encoded);
 }
 
-/// The bytes that the last step had written, each with whom they are for.
-fn written(played: &Played) -> String {
-    let written = |output: &Output| match output {
+/// Bytes that the last step wrote, with their recipients.
+fn written_bytes(harness: &Harness) -> String {
+    let write = |output: &Output| match output {
         Output::WriteDownstream(_, bytes) => Some(format!("owner {}", to_hex(bytes))),
         Output::Upstream(PoolAction::Write(_, bytes) | PoolAction::Offer(_, _, bytes)) => {
             Some(format!("machine {}", to_hex(bytes)))
         }
         _ => None,
     };
-    played
-        .out
+    harness
+        .outputs
         .iter()
-        .filter_map(written)
+        .filter_map(write)
         .collect::<Vec<_>>()
         .join(", ")
 }
 
 #[test]
-fn gateway_writes_the_same_bytes_when_requests_run_through_it() {
-    let mut played = Played::new(1);
+fn gateway_keeps_the_bytes_that_it_writes() {
+    let mut harness = Harness::new(1);
     let mut transcript = Vec::new();
 
-    let (line, _) = played.offered(full_set_up(RequestId(5)));
-    transcript.push(("offer of a set-up", written(&played)));
-    played.machine_says(line, answer(5));
-    transcript.push(("answer passed on", written(&played)));
-    played.client_says(
+    let (upstream, _) = harness.offer(full_set_up(RequestId(5)));
+    transcript.push(("offer of a set-up", written_bytes(&harness)));
+    harness.machine_sends(upstream, accepted(5));
+    transcript.push(("answer passed on", written_bytes(&harness)));
+    harness.client_sends(
         OWNER,
         Message::new(MessageKind::HealthCheck, RequestId(9)).with(code::CAUSE, &[0]),
     );
-    transcript.push(("test of an owner", written(&played)));
-    played.machine_says(
-        line,
+    transcript.push(("test of an owner", written_bytes(&harness)));
+    harness.machine_sends(
+        upstream,
         Message::new(MessageKind::HealthCheck, RequestId(9)).with(code::CAUSE, &[0]),
     );
-    transcript.push(("test of a machine", written(&played)));
-    played.machine_says(line, release(5, cause::NORMAL));
-    transcript.push(("end at the machine", written(&played)));
-    played.machine_says(line, release(99, cause::NORMAL));
-    transcript.push(("end of an unknown task", written(&played)));
-    played.client_says(OWNER, Message::new(MessageKind::SetUp, RequestId(10)));
-    transcript.push(("unreadable set-up", written(&played)));
+    transcript.push(("test of a machine", written_bytes(&harness)));
+    harness.machine_sends(upstream, release(5, cause::NORMAL));
+    transcript.push(("end at the machine", written_bytes(&harness)));
+    harness.machine_sends(upstream, release(99, cause::NORMAL));
+    transcript.push(("end of an unknown task", written_bytes(&harness)));
+    harness.client_sends(OWNER, Message::new(MessageKind::SetUp, RequestId(10)));
+    transcript.push(("unreadable set-up", written_bytes(&harness)));
 
-    let mut played = Played::new(1);
-    played.standing(6, "web");
-    played.client_says(OWNER, release(6, cause::NORMAL));
-    transcript.push(("standing task ended by its owner", written(&played)));
+    let mut harness = Harness::new(1);
+    harness.place(6, "web");
+    harness.client_sends(OWNER, release(6, cause::NORMAL));
+    transcript.push(("standing task ended by its owner", written_bytes(&harness)));
 
-    let mut played = Played::new(1);
-    played.offered(set_up(7, "web"));
-    played.client_says(OWNER, release(7, cause::NORMAL));
-    transcript.push(("waiting set-up given up by its owner", written(&played)));
+    let mut harness = Harness::new(1);
+    harness.offer(set_up(7, "web"));
+    harness.client_sends(OWNER, release(7, cause::NORMAL));
+    transcript.push((
+        "waiting set-up given up by its owner",
+        written_bytes(&harness),
+    ));
 
-    let mut played = Played::new(1);
-    let (line, _) = played.offered(set_up(8, "web"));
-    played.machine_says(
-        line,
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.offer(set_up(8, "web"));
+    harness.machine_sends(
+        upstream,
         release(8, cause::FULL).with(code::REASON, b"lack_cpu"),
     );
-    played.wait(7.0, None);
-    transcript.push(("set-up that no machine has room for", written(&played)));
+    harness.advance(7.0, Dials::Unanswered);
+    transcript.push((
+        "set-up that no machine has room for",
+        written_bytes(&harness),
+    ));
 
-    let mut played = Played::new(1);
-    let (line, _) = played.offered(set_up(8, "slot"));
-    played.machine_says(line, release(8, cause::ERROR));
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.offer(set_up(8, "slot"));
+    harness.machine_sends(upstream, release(8, cause::ERROR));
     transcript.push((
         "set-up that may have run and must not run twice",
-        written(&played),
+        written_bytes(&harness),
     ));
 
-    let mut played = Played::new(1);
-    played.standing(11, "web");
-    played.wait(2.0, None);
-    transcript.push(("test of a silent machine", written(&played)));
-    played.wait(5.9, None);
-    transcript.push(("task lost with its machine", written(&played)));
+    let mut harness = Harness::new(1);
+    harness.place(11, "web");
+    harness.advance(2.0, Dials::Unanswered);
+    transcript.push(("test of a silent machine", written_bytes(&harness)));
+    harness.advance(5.9, Dials::Unanswered);
+    transcript.push(("task lost with its machine", written_bytes(&harness)));
 
-    let mut played = Played::new(1);
-    played.step(Input::Shutdown);
-    played.now += 0.8;
-    played
+    let mut harness = Harness::new(1);
+    harness.step(Input::Shutdown);
+    harness.now += 0.8;
+    harness
         .gateway
-        .step(played.now, [Input::Tick], &mut played.out);
-    played
+        .step(harness.now, [Input::Tick], &mut harness.outputs);
+    harness
         .gateway
-        .step(played.now, [Input::ListeningStopped], &mut played.out);
-    played.out.clear();
-    played.gateway.step(
-        played.now,
+        .step(harness.now, [Input::ListeningStopped], &mut harness.outputs);
+    harness.outputs.clear();
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamMessage(OWNER, set_up(12, "web"))],
-        &mut played.out,
+        &mut harness.outputs,
     );
-    transcript.push(("set-up during shutdown", written(&played)));
+    transcript.push(("set-up during shutdown", written_bytes(&harness)));
 
     assert!(
         transcript.iter().all(|(_, bytes)| !bytes.is_empty()),
-        "each step writes: {transcript:#?}"
+        "each step must write: {transcript:#?}"
     );
     assert_encoded("gateway.hex.txt", &transcript);
 }
 
 #[test]
-fn every_field_of_a_set_up_is_read() {
+fn all_fields_of_a_set_up_are_parsed() {
     let mut site = site();
     site.tenants = vec!["tenant-0".into(), "tenant-1".into()];
-    let read = task_request::parse(&site, 1000.0, &full_set_up(ID)).expect("a readable set-up");
-    assert_eq!(read.task.class, 1);
-    assert_eq!(read.task.tenant, 1);
-    assert_eq!(read.task.service, ServiceId(0x11ec_c33b_f6dd_cb2e));
-    assert_eq!(read.task.deadline, 1006.0);
-    assert_eq!(read.task.expected_duration, Some(8.2));
-    assert_eq!(read.task.request.cpu, 1.5);
-    assert_eq!(read.task.request.memory, 2.25);
-    assert!(read.task.is_resubmission);
-    assert_eq!(read.placed_at, None);
+    let parsed = task_request::parse(&site, 1000.0, &full_set_up(ID)).expect("a valid set-up");
+    assert_eq!(parsed.task.class, 1);
+    assert_eq!(parsed.task.tenant, 1);
+    assert_eq!(parsed.task.service, ServiceId(0x11ec_c33b_f6dd_cb2e));
+    assert_eq!(parsed.task.deadline, 1006.0);
+    assert_eq!(parsed.task.expected_duration, Some(8.2));
+    assert_eq!(parsed.task.request.cpu, 1.5);
+    assert_eq!(parsed.task.request.memory, 2.25);
+    assert!(parsed.task.is_resubmission);
+    assert_eq!(parsed.placed_at, None);
     assert!(!task_request::is_handover(&full_set_up(ID)));
 }
 
 #[test]
-fn set_up_names_its_machine_when_it_is_handed_over() {
-    let message = common::handed(5, "machine-1");
+fn a_handover_contains_the_name_of_its_machine() {
+    let message = common::handover(5, "machine-1");
     assert!(task_request::is_handover(&message));
-    let read = task_request::parse(&site(), 1000.0, &message).expect("a readable set-up");
-    assert_eq!(read.placed_at.as_deref(), Some("machine-1"));
-    assert_eq!(read.task.deadline, f64::INFINITY);
+    let parsed = task_request::parse(&site(), 1000.0, &message).expect("a valid set-up");
+    assert_eq!(parsed.placed_at.as_deref(), Some("machine-1"));
+    assert_eq!(parsed.task.deadline, f64::INFINITY);
 }
 
 #[test]
-fn parameters_for_schedulers_alone_are_not_passed_on() {
+fn parameters_for_schedulers_only_are_not_forwarded() {
     let codes: Vec<u8> = task_request::forwarded_parameters(full_set_up(ID))
         .into_iter()
         .map(|(code, _)| code)
@@ -259,8 +265,8 @@
 }
 
 #[test]
-fn reasons_of_machines_are_read_by_their_words() {
-    let words = [
+fn failure_reasons_of_machines_are_parsed() {
+    let reasons = [
         ("lack_cpu", FailureCause::InsufficientCpu),
         ("lack_ram", FailureCause::InsufficientMemory),
         ("backlog", FailureCause::QueueFull),
@@ -270,9 +276,9 @@
         ("dismissed", FailureCause::Drained),
         ("another", FailureCause::Unspecified),
     ];
-    for (text, expected) in words {
+    for (text, expected) in reasons {
         assert_eq!(
-            machine_report::failure_cause(&word(text)),
+            machine_report::failure_cause(&progress_report(text)),
             expected,
             "{text}"
         );
@@ -280,8 +286,8 @@
 }
 
 #[test]
-fn notes_of_machines_are_read_by_their_words() {
-    let words = [
+fn progress_reports_of_machines_are_parsed() {
+    let kinds = [
         ("running", Some(AttemptProgress::Started)),
         ("use_cpu", Some(AttemptProgress::CpuUsage(1.5))),
         ("use_ram", Some(AttemptProgress::MemoryUsage(1.5))),
@@ -292,9 +298,9 @@
         ),
         ("another", None),
     ];
-    for (text, expected) in words {
+    for (text, expected) in kinds {
         assert_eq!(
-            machine_report::attempt_progress(&word(text).with(code::LEVEL, b"1.5")),
+            machine_report::attempt_progress(&progress_report(text).with(code::LEVEL, b"1.5")),
             expected,
             "{text}"
         );
@@ -302,7 +308,7 @@
 }
 
 #[test]
-fn every_figure_of_a_load_report_is_read() {
+fn all_values_of_a_load_report_are_parsed() {
     let report = |text: &str| {
         machine_report::load_report(
             &Message::new(MessageKind::Accepted, ID).with(code::LOAD, text.as_bytes()),
@@ -320,9 +326,9 @@
 }
 
 #[test]
-fn every_field_of_a_discovery_event_is_read() {
+fn all_fields_of_a_discovery_event_are_parsed() {
     let text = include_str!("fixtures/discovery_event.json");
-    let event = discovery::parse_event(&site(), text).expect("a readable event");
+    let event = discovery::parse_event(&site(), text).expect("a valid event");
     assert_eq!((event.revision, event.is_complete_list), (7, true));
     let [first, second, third] = event.endpoints.as_slice() else {
         panic!("three machines")
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to machines where there is little room, and faults of them.
+//! Connections to machines: faults, and behaviour at capacity.
 
 mod common;
 
@@ -9,64 +9,64 @@
 use tidespur_gateway::{Input, Limits, Output, UpstreamId};
 
 #[test]
-fn an_end_that_came_before_a_write_failed_is_not_lost() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.client_says(OWNER, set_up(6, "web"));
-    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
-    p.machine_says(line, release(5, cause::NORMAL));
-    assert_eq!(p.told(OWNER), [release(5, cause::NORMAL)]);
+fn a_release_that_arrives_before_a_failed_write_is_read() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.client_sends(OWNER, set_up(6, "web"));
+    harness.step(Input::UpstreamWriteFailed(upstream, Some(RequestId(6))));
+    harness.machine_sends(upstream, release(5, cause::NORMAL));
+    assert_eq!(harness.sent_to(OWNER), [release(5, cause::NORMAL)]);
 }
 
 #[test]
-fn an_idle_connection_that_has_ended_counts_against_no_machine() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.client_says(OWNER, set_up(6, "slot"));
-    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
+fn a_failed_write_on_an_idle_connection_is_no_failure_of_the_machine() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.client_sends(OWNER, set_up(6, "slot"));
+    harness.step(Input::UpstreamWriteFailed(upstream, Some(RequestId(6))));
     assert_eq!(
-        p.dials().len(),
+        harness.dials().len(),
         1,
-        "the one machine is dialled at once, also for work that must not run twice"
+        "the only machine is dialled again at once, even for a non-idempotent task"
     );
 }
 
 #[test]
-fn an_end_on_its_way_while_its_connection_is_finished_is_not_lost() {
-    let mut p = Played::new(1);
-    let (first, _) = p.standing(5, "web");
-    p.now += 0.6;
-    let (second, _) = p.standing(6, "web");
+fn a_release_in_transit_on_a_half_closed_connection_is_read() {
+    let mut harness = Harness::new(1);
+    let (first, _) = harness.place(5, "web");
+    harness.now += 0.6;
+    let (second, _) = harness.place(6, "web");
     assert_ne!(first, second);
-    let mut finished = Vec::new();
+    let mut closed = Vec::new();
     for _ in 0..40 {
-        p.wait(0.5, None);
-        finished.extend(p.closed_lines());
-        let tests: Vec<_> = p
-            .written()
+        harness.advance(0.5, Dials::Unanswered);
+        closed.extend(harness.closed_upstreams());
+        let health_checks: Vec<_> = harness
+            .sent_to_machines()
             .into_iter()
             .filter(|(_, m)| m.kind == MessageKind::HealthCheck)
             .collect();
-        for (line, _) in tests {
-            p.machine_says(
-                line,
+        for (upstream, _) in health_checks {
+            harness.machine_sends(
+                upstream,
                 Message::new(MessageKind::HealthCheckReply, RequestId(0)).with(code::CAUSE, &[1]),
             );
         }
-        if !finished.is_empty() {
+        if !closed.is_empty() {
             break;
         }
     }
-    // One of two idle connections goes, never both while tasks of ours stand there.
-    assert_eq!(finished.len(), 1);
-    let id = if finished[0] == first { 5 } else { 6 };
-    p.machine_says(finished[0], release(id, cause::NORMAL));
-    assert_eq!(p.told(OWNER), [release(id, cause::NORMAL)]);
+    // One of two idle connections is closed, never both while tasks are placed on the machine.
+    assert_eq!(closed.len(), 1);
+    let id = if closed[0] == first { 5 } else { 6 };
+    harness.machine_sends(closed[0], release(id, cause::NORMAL));
+    assert_eq!(harness.sent_to(OWNER), [release(id, cause::NORMAL)]);
 }
 
-/// With two descriptors for machines, set-ups 5 and 7 share a connection that is being dialled.
-fn shared_dial() -> (Played, UpstreamId) {
-    let mut p = Played::with(
+/// With a limit of two connections to machines, set-ups 5 and 7 share a connection that is being dialled.
+fn with_shared_dial() -> (Harness, UpstreamId) {
+    let mut harness = Harness::with_limits(
         1,
         Limits {
             downstreams: 8,
@@ -76,99 +76,120 @@
     );
     let mut dials = Vec::new();
     for id in [5, 6, 7] {
-        p.client_says(OWNER, set_up(id, "slot"));
-        dials.extend(p.dials());
+        harness.client_sends(OWNER, set_up(id, "slot"));
+        dials.extend(harness.dials());
     }
     assert_eq!(
         dials.len(),
         2,
         "the third set-up shares the connection of the first"
     );
-    (p, dials[0].0)
+    (harness, dials[0].0)
 }
 
 #[test]
-fn a_set_up_given_up_while_its_shared_connection_is_dialled_never_leaves() {
-    let (mut p, line) = shared_dial();
-    p.client_says(OWNER, release(7, cause::NORMAL));
+fn a_set_up_cancelled_during_a_shared_dial_is_never_sent() {
+    let (mut harness, upstream) = with_shared_dial();
+    harness.client_sends(OWNER, release(7, cause::NORMAL));
     assert!(
-        p.closed_lines().is_empty(),
-        "the other set-up still waits on it"
+        harness.closed_upstreams().is_empty(),
+        "another offer is pending on the connection"
     );
-    p.step(Input::UpstreamOpened(line));
-    let left: Vec<RequestId> = p.written().iter().map(|(_, m)| m.id).collect();
-    assert_eq!(left, [RequestId(5)], "what was given up must not leave");
+    harness.step(Input::UpstreamOpened(upstream));
+    let sent: Vec<RequestId> = harness
+        .sent_to_machines()
+        .iter()
+        .map(|(_, m)| m.id)
+        .collect();
+    assert_eq!(sent, [RequestId(5)], "a cancelled offer is not sent");
 }
 
 #[test]
-fn a_write_that_fails_clears_no_other_set_up_on_the_connection() {
-    let (mut p, line) = shared_dial();
-    p.step(Input::UpstreamOpened(line));
-    // It is the word that one is given up which could not be written: both set-ups have left.
-    p.client_says(OWNER, release(7, cause::NORMAL));
-    p.step(Input::UpstreamWriteFailed(line, None));
+fn a_failed_write_of_a_cancel_does_not_mark_offers_as_unsent() {
+    let (mut harness, upstream) = with_shared_dial();
+    harness.step(Input::UpstreamOpened(upstream));
+    // The write that fails is the cancel; both set-ups were sent.
+    harness.client_sends(OWNER, release(7, cause::NORMAL));
+    harness.step(Input::UpstreamWriteFailed(upstream, None));
     assert_eq!(
-        p.told(OWNER)
+        harness
+            .sent_to(OWNER)
             .iter()
             .map(|m| (m.id, m.cause()))
             .collect::<Vec<_>>(),
         [(RequestId(5), Some(cause::FAILED))]
     );
     assert!(
-        p.dials().is_empty(),
-        "it may have run and must not run twice"
+        harness.dials().is_empty(),
+        "the task may have run and is not idempotent"
     );
 }
 
 #[test]
-fn a_connection_whose_writes_fail_twice_is_still_closed_in_the_end() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.client_says(OWNER, set_up(6, "web"));
-    p.step(Input::UpstreamWriteFailed(line, Some(RequestId(6))));
-    p.step(Input::UpstreamWriteFailed(line, None));
-    p.wait(2.5, Some(true));
+fn a_connection_with_two_failed_writes_is_closed() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.client_sends(OWNER, set_up(6, "web"));
+    harness.step(Input::UpstreamWriteFailed(upstream, Some(RequestId(6))));
+    harness.step(Input::UpstreamWriteFailed(upstream, None));
+    harness.advance(2.5, Dials::Refused);
     assert!(
-        p.closed_lines().contains(&line),
-        "its descriptor would be held for good"
+        harness.closed_upstreams().contains(&upstream),
+        "otherwise its descriptor would leak"
     );
 }
 
-/// Lets time go on with machines that answer, but for those that are cut off. Tells whom was dialled, how often.
-fn live(p: &mut Played, seconds: f64, cut: bool) -> BTreeMap<String, u32> {
-    let (until, mut dialled) = (p.now + seconds, BTreeMap::new());
-    let mut todo: Vec<Input> = Vec::new();
-    let mut all = Vec::new();
-    while p.now < until {
-        p.now = p.gateway.next_wake().clamp(p.now + 0.001, until);
-        todo.push(Input::Tick);
-        for input in std::mem::take(&mut todo) {
-            p.step(input);
-            for (line, address) in p.dials() {
+/// Advances the time with machines that accept dials and answer health checks, unless they are partitioned. Returns the
+/// number of dials by address.
+fn advance_with_machines(
+    harness: &mut Harness,
+    seconds: f64,
+    is_partitioned: bool,
+) -> BTreeMap<String, u32> {
+    let (until, mut dialled) = (harness.now + seconds, BTreeMap::new());
+    let mut inputs: Vec<Input> = Vec::new();
+    let mut all_outputs = Vec::new();
+    while harness.now < until {
+        harness.now = harness
+            .gateway
+            .next_wake()
+            .clamp(harness.now + 0.001, until);
+        inputs.push(Input::Tick);
+        for input in std::mem::take(&mut inputs) {
+            harness.step(input);
+            for (upstream, address) in harness.dials() {
                 *dialled.entry(address).or_default() += 1;
-                todo.extend((!cut).then_some(Input::UpstreamOpened(line)));
+                inputs.extend((!is_partitioned).then_some(Input::UpstreamOpened(upstream)));
             }
-            for (line, message) in p.written() {
-                let passes = message.kind == MessageKind::HealthCheck && !cut;
-                let tested = Message::new(MessageKind::HealthCheckReply, RequestId(0))
+            for (upstream, message) in harness.sent_to_machines() {
+                let is_answered = message.kind == MessageKind::HealthCheck && !is_partitioned;
+                let reply = Message::new(MessageKind::HealthCheckReply, RequestId(0))
                     .with(code::CAUSE, &[1]);
-                todo.extend(passes.then_some(Input::UpstreamMessage(line, tested)));
+                inputs.extend(is_answered.then_some(Input::UpstreamMessage(upstream, reply)));
             }
-            let finished = |output: &Output| match output {
-                Output::Upstream(PoolAction::HalfClose(line)) => Some(Input::UpstreamEnded(*line)),
+            let ended = |output: &Output| match output {
+                Output::Upstream(PoolAction::HalfClose(upstream)) => {
+                    Some(Input::UpstreamEnded(*upstream))
+                }
                 _ => None,
             };
-            todo.extend(p.out.iter().filter_map(finished).filter(|_| !cut));
-            all.append(&mut p.out);
+            inputs.extend(
+                harness
+                    .outputs
+                    .iter()
+                    .filter_map(ended)
+                    .filter(|_| !is_partitioned),
+            );
+            all_outputs.append(&mut harness.outputs);
         }
     }
-    p.out = all;
+    harness.outputs = all_outputs;
     dialled
 }
 
 #[test]
-fn without_room_for_a_connection_to_each_machine_they_take_turns_and_none_is_lost() {
-    let mut p = Played::with(
+fn at_capacity_all_machines_are_visited_and_none_fails() {
+    let mut harness = Harness::with_limits(
         12,
         Limits {
             downstreams: 8,
@@ -177,32 +198,36 @@
         },
     );
     for n in 1..=12 {
-        p.client_says(OWNER, handed(n, &format!("s-{n}")));
+        harness.client_sends(OWNER, handover(n, &format!("s-{n}")));
     }
-    let dialled = live(&mut p, 40.0, false);
+    let dialled = advance_with_machines(&mut harness, 40.0, false);
     assert!(
-        p.told(OWNER).is_empty(),
-        "what stands there runs on: {:?}",
-        p.told(OWNER)
+        harness.sent_to(OWNER).is_empty(),
+        "no task is lost: {:?}",
+        harness.sent_to(OWNER)
     );
-    // An end that a machine could not tell for want of a connection is owed within 8 s: each is visited sooner.
+    // The platform allows 8 s until the end of a task is reported, so each machine must be visited more often than
+    // that.
     assert_eq!(dialled.len(), 12);
     assert!(dialled.values().all(|&times| times >= 5), "{dialled:?}");
 }
 
 #[test]
-fn a_machine_that_is_cut_off_for_six_seconds_keeps_its_tasks() {
-    let mut p = Played::new(1);
-    p.standing(5, "web");
-    live(&mut p, 1.5, false);
-    live(&mut p, 6.0, true);
-    assert!(p.told(OWNER).is_empty(), "it is only cut off");
-    live(&mut p, 5.0, false);
-    assert!(p.told(OWNER).is_empty());
-    live(&mut p, 8.0, true);
+fn a_machine_that_is_partitioned_for_six_seconds_keeps_its_tasks() {
+    let mut harness = Harness::new(1);
+    harness.place(5, "web");
+    advance_with_machines(&mut harness, 1.5, false);
+    advance_with_machines(&mut harness, 6.0, true);
+    assert!(
+        harness.sent_to(OWNER).is_empty(),
+        "six seconds are not a failure"
+    );
+    advance_with_machines(&mut harness, 5.0, false);
+    assert!(harness.sent_to(OWNER).is_empty());
+    advance_with_machines(&mut harness, 8.0, true);
     assert_eq!(
-        p.told(OWNER),
+        harness.sent_to(OWNER),
         [release(5, cause::FAILED)],
-        "one that does not come back is lost within 8 s"
+        "a machine that stays partitioned fails within 8 s"
     );
 }
--- a/crates/gateway/tests/input_queue.rs
+++ b/crates/gateway/tests/input_queue.rs
@@ -1,4 +1,4 @@
-//! The order in which what came is taken in.
+//! Order in which the queue returns its inputs.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use tidespur_gateway::message::{MessageKind, RequestId, cause};
 use tidespur_gateway::{Input, UpstreamId};
 
-fn is_asked(input: &Input) -> bool {
+fn is_request(input: &Input) -> bool {
     matches!(
         input,
         Input::DownstreamMessage(..) | Input::DownstreamClosed(_)
@@ -15,19 +15,19 @@
 }
 
 #[test]
-fn ends_and_answers_go_before_a_flood_of_set_ups_that_came_first() {
+fn completions_are_taken_before_earlier_set_ups() {
     let mut queue = InputQueue::default();
     for id in 1..=1_000 {
         queue.push(Input::DownstreamMessage(OWNER, set_up(id, "web")));
     }
-    queue.push(Input::UpstreamMessage(UpstreamId(1), answer(5)));
+    queue.push(Input::UpstreamMessage(UpstreamId(1), accepted(5)));
     assert!(matches!(
         queue.take_batch()[..],
         [Input::UpstreamMessage(..)]
     ));
-    // And what comes while the flood is taken in waits for a bounded part of it only.
+    // A completion that arrives while the set-ups are taken waits for one bounded batch only.
     let first = queue.take_batch();
-    assert!(first.len() < 100 && first.iter().all(is_asked));
+    assert!(first.len() < 100 && first.iter().all(is_request));
     queue.push(Input::UpstreamEnded(UpstreamId(1)));
     assert!(matches!(queue.take_batch()[..], [Input::UpstreamEnded(_)]));
 }
@@ -44,7 +44,7 @@
     while !queue.is_empty() {
         assert!(
             !queue.is_drained(OWNER, last),
-            "it is read on only once all that it said was taken"
+            "the connection is drained only once all of its messages were taken"
         );
         seen.extend(queue.take_batch());
     }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn connections_take_turns_so_that_a_flood_on_one_holds_up_no_other() {
+fn a_burst_on_one_connection_does_not_delay_another() {
     let mut queue = InputQueue::default();
     for id in 1..=1_000 {
         queue.push(Input::DownstreamMessage(OWNER, set_up(id, "web")));
@@ -73,8 +73,7 @@
 }
 
 #[test]
-fn a_cancel_whose_set_up_was_taken_goes_before_a_flood_and_one_whose_set_up_waits_stays_beside_it()
-{
+fn a_cancel_is_a_completion_unless_its_set_up_is_queued() {
     let mut queue = InputQueue::default();
     queue.push(Input::DownstreamMessage(OWNER, set_up(1, "web")));
     assert_eq!(queue.take_batch().len(), 1);
@@ -92,19 +91,19 @@
     while !queue.is_empty() {
         rest.push(queue.take_batch());
     }
-    let of = |input: &Input| match input {
+    let id_and_kind = |input: &Input| match input {
         Input::DownstreamMessage(_, message) => Some((message.id.0, message.kind)),
         _ => None,
     };
-    // In one step with its set-up, so that no attempt lies between the two.
+    // The queued cancel is in the same step as its set-up, so that no attempt begins between the two.
     let step = rest.iter().find(|step| {
         step.iter()
-            .any(|input| of(input).is_some_and(|m| m.0 == 100))
+            .any(|input| id_and_kind(input).is_some_and(|m| m.0 == 100))
     });
     let both: Vec<_> = step
-        .expect("it is taken")
+        .expect("the set-up is taken")
         .iter()
-        .filter_map(of)
+        .filter_map(id_and_kind)
         .filter(|m| m.0 == 100)
         .collect();
     assert_eq!(
@@ -114,7 +113,7 @@
 }
 
 #[test]
-fn that_a_client_has_gone_goes_before_all_that_it_asked_for() {
+fn a_close_by_the_client_is_taken_before_its_set_ups() {
     let mut queue = InputQueue::default();
     for id in 1..=500 {
         queue.push(Input::DownstreamMessage(OWNER, set_up(id, "web")));
@@ -128,7 +127,7 @@
 }
 
 #[test]
-fn requests_are_taken_in_however_much_goes_before_them() {
+fn requests_are_taken_even_if_each_step_has_completions() {
     let mut queue = InputQueue::default();
     queue.push(Input::DownstreamMessage(OWNER, set_up(1, "web")));
     let mut steps = 0;
@@ -142,6 +141,6 @@
         {
             return;
         }
-        assert!(steps < 3, "a flood of cancels holds up what is asked");
+        assert!(steps < 3, "completions must not block requests");
     }
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the program, and the closing of connections.
+//! Graceful shutdown, and the closing of client connections.
 
 mod common;
 
@@ -6,185 +6,199 @@
 use tidespur_gateway::message::{MessageKind, RequestId, cause};
 use tidespur_gateway::{DownstreamId, Input, Output, PeerCheck};
 
-fn ends(p: &Played) -> bool {
-    p.out.iter().any(|output| matches!(output, Output::Exit(_)))
+fn exits(harness: &Harness) -> bool {
+    harness
+        .outputs
+        .iter()
+        .any(|output| matches!(output, Output::Exit(_)))
 }
 
 #[test]
-fn told_to_end_it_answers_what_is_open_and_then_ends() {
-    let mut p = Played::new(1);
-    let (line, _) = p.offered(set_up(5, "slot"));
-    p.step(Input::Shutdown);
-    p.client_says(OWNER, set_up(6, "web"));
-    p.machine_says(line, answer(5));
+fn shutdown_answers_pending_requests_before_the_exit() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.offer(set_up(5, "slot"));
+    harness.step(Input::Shutdown);
+    harness.client_sends(OWNER, set_up(6, "web"));
+    harness.machine_sends(upstream, accepted(5));
     assert_eq!(
-        p.told(OWNER)[0].kind,
+        harness.sent_to(OWNER)[0].kind,
         MessageKind::Accepted,
-        "it goes on as before"
+        "requests are served after the shutdown request"
     );
-    p.step(notice(2, false, &[(1, "Terminating", 0)]));
-    p.client_says(OWNER, set_up(7, "web"));
-    p.wait(3.6, None);
-    let answered = p
-        .told(OWNER)
+    harness.step(watch_event(2, false, &[(1, "Terminating", 0)]));
+    harness.client_sends(OWNER, set_up(7, "web"));
+    harness.advance(3.6, Dials::Unanswered);
+    let answered = harness
+        .sent_to(OWNER)
         .iter()
         .filter(|m| m.kind == MessageKind::Release && m.id == RequestId(7))
         .count();
     assert_eq!(answered, 1);
-    assert!(ends(&p));
+    assert!(exits(&harness));
 }
 
 #[test]
-fn told_to_end_it_passes_on_ends_as_long_as_it_may_and_ends_early_where_nothing_stands() {
-    let mut p = Played::new(1);
-    let (line, _) = p.standing(5, "web");
-    p.step(Input::Shutdown);
-    p.wait(2.0, None);
-    assert!(!ends(&p));
-    p.machine_says(line, release(5, cause::FAILED));
-    assert_eq!(p.told(OWNER), [release(5, cause::FAILED)]);
-    let at_once = ends(&p);
-    p.wait(0.2, None);
-    assert!(at_once || ends(&p));
+fn shutdown_forwards_ends_and_exits_early_without_placed_tasks() {
+    let mut harness = Harness::new(1);
+    let (upstream, _) = harness.place(5, "web");
+    harness.step(Input::Shutdown);
+    harness.advance(2.0, Dials::Unanswered);
+    assert!(!exits(&harness));
+    harness.machine_sends(upstream, release(5, cause::FAILED));
+    assert_eq!(harness.sent_to(OWNER), [release(5, cause::FAILED)]);
+    let exits_immediately = exits(&harness);
+    harness.advance(0.2, Dials::Unanswered);
+    assert!(exits_immediately || exits(&harness));
 }
 
-/// The platform kills no sooner than the longest deadline, 3 s at most, and 0.7 s more after the word.
+/// The platform kills the process no earlier than the longest deadline, limited to 3 s, plus 0.7 s after the shutdown
+/// request.
 #[test]
-fn the_time_that_the_end_takes_follows_from_the_settings() {
-    for (deadline, killed) in [(8.0, 3.7), (3.0, 3.7), (1.0, 1.7), (0.4, 1.1)] {
-        let info = INFO.replace(r#""deadlineS":6"#, &format!(r#""deadlineS":{deadline}"#));
-        let info = info.replace(r#""deadlineS":8"#, &format!(r#""deadlineS":{deadline}"#));
-        let mut p = Played::of(&info, 1);
-        p.standing(5, "web");
-        p.step(Input::Shutdown);
-        let began = p.now;
-        while !ends(&p) {
-            p.wait(0.05, None);
+fn shutdown_ends_before_the_platform_kills_the_process() {
+    for (deadline, killed_after) in [(8.0, 3.7), (3.0, 3.7), (1.0, 1.7), (0.4, 1.1)] {
+        let settings = SETTINGS.replace(r#""deadlineS":6"#, &format!(r#""deadlineS":{deadline}"#));
+        let settings = settings.replace(r#""deadlineS":8"#, &format!(r#""deadlineS":{deadline}"#));
+        let mut harness = Harness::with_settings(&settings, 1);
+        harness.place(5, "web");
+        harness.step(Input::Shutdown);
+        let requested_at = harness.now;
+        while !exits(&harness) {
+            harness.advance(0.05, Dials::Unanswered);
             assert!(
-                p.now - began < killed - 0.02 * deadline,
-                "{deadline}: killed before it ends"
+                harness.now - requested_at < killed_after - 0.02 * deadline,
+                "deadline {deadline} s: killed before the exit"
             );
         }
-        assert!(p.now - began > 0.7, "requests come until then");
+        assert!(
+            harness.now - requested_at > 0.7,
+            "clients send requests until then"
+        );
     }
 }
 
 #[test]
-fn what_comes_after_the_last_answer_is_refused_and_then_its_connection_closed() {
-    let mut p = Played::new(1);
-    p.standing(5, "web");
-    p.client_says(OWNER, release(5, cause::NORMAL));
-    p.step(Input::Shutdown);
-    p.now += 0.8;
-    p.out.clear();
-    p.gateway.step(p.now, [Input::Tick], &mut p.out);
-    assert!(p.out.contains(&Output::StopListening) && !ends(&p));
-    // One had connected, and says something; another says something more than is taken in at once.
+fn set_ups_after_the_last_answer_are_rejected_and_their_connections_closed() {
+    let mut harness = Harness::new(1);
+    harness.place(5, "web");
+    harness.client_sends(OWNER, release(5, cause::NORMAL));
+    harness.step(Input::Shutdown);
+    harness.now += 0.8;
+    harness.outputs.clear();
+    harness
+        .gateway
+        .step(harness.now, [Input::Tick], &mut harness.outputs);
+    assert!(harness.outputs.contains(&Output::StopListening) && !exits(&harness));
+    // A new connection was in the listener's backlog; a message on it is queued when it is checked.
     let new = DownstreamId(3);
-    p.gateway.step(
-        p.now,
+    harness.gateway.step(
+        harness.now,
         [
             Input::DownstreamOpened(new, address(3)),
             Input::ListeningStopped,
         ],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    p.gateway.step(
-        p.now,
+    harness.gateway.step(
+        harness.now,
         [
             Input::DownstreamChecked(OWNER, PeerCheck::Idle),
             Input::DownstreamChecked(new, PeerCheck::Queued),
         ],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    assert_eq!(p.closed_clients(), [OWNER]);
-    p.gateway.step(
-        p.now,
+    assert_eq!(harness.closed_clients(), [OWNER]);
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamChecked(OTHER, PeerCheck::Idle)],
-        &mut p.out,
+        &mut harness.outputs,
+    );
+    assert!(
+        !exits(&harness),
+        "one connection still has a queued message"
     );
-    assert!(!ends(&p), "one is still heard");
-    p.gateway.step(
-        p.now,
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamMessage(new, set_up(9, "web"))],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    assert_eq!(p.told(new), [release(9, cause::CONGESTED)]);
-    p.wait(0.3, None);
-    assert!(p.closed_clients().contains(&new) && ends(&p));
+    assert_eq!(harness.sent_to(new), [release(9, cause::CONGESTED)]);
+    harness.advance(0.3, Dials::Unanswered);
+    assert!(harness.closed_clients().contains(&new) && exits(&harness));
 }
 
 #[test]
-fn one_that_takes_long_for_its_first_message_is_closed_only_where_it_is_in_the_way() {
-    let mut p = Played::new(1);
-    p.now += 2.2;
-    p.out.clear();
-    p.gateway.step(p.now, [Input::Tick], &mut p.out);
-    assert!(p.out.contains(&Output::CheckDownstream(OWNER)));
-    p.gateway.step(
-        p.now,
+fn a_slow_first_message_is_interrupted_only_at_capacity() {
+    let mut harness = Harness::new(1);
+    harness.now += 2.2;
+    harness.outputs.clear();
+    harness
+        .gateway
+        .step(harness.now, [Input::Tick], &mut harness.outputs);
+    assert!(harness.outputs.contains(&Output::CheckDownstream(OWNER)));
+    harness.gateway.step(
+        harness.now,
         [
             Input::DownstreamChecked(OWNER, PeerCheck::PartialMessage),
             Input::DownstreamChecked(OTHER, PeerCheck::Idle),
         ],
-        &mut p.out,
+        &mut harness.outputs,
     );
     assert_eq!(
-        p.closed_clients(),
+        harness.closed_clients(),
         [OTHER],
-        "a silent one is closed, one in the middle of a message is not"
+        "only the connection without an incomplete message is closed"
     );
-    p.out.clear();
+    harness.outputs.clear();
     for n in 10..18 {
-        p.gateway.step(
-            p.now,
+        harness.gateway.step(
+            harness.now,
             [Input::DownstreamOpened(DownstreamId(n), address(9))],
-            &mut p.out,
+            &mut harness.outputs,
         );
     }
-    p.now += 0.01;
-    p.gateway.step(
-        p.now,
+    harness.now += 0.01;
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamOpened(DownstreamId(20), address(9))],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    let looks = p
-        .out
+    let checks = harness
+        .outputs
         .iter()
         .filter(|o| matches!(o, Output::CheckDownstream(_)))
         .count();
-    assert_eq!(looks, 2, "two more than may be");
+    assert_eq!(checks, 2, "two connections over the limit");
 }
 
 #[test]
-fn one_that_says_something_in_the_moment_of_its_close_stays_and_another_gives_way() {
-    let mut p = Played::new(1);
+fn a_connection_with_a_new_message_is_kept_and_another_closed() {
+    let mut harness = Harness::new(1);
     for n in 10..16 {
-        p.step(Input::DownstreamOpened(DownstreamId(n), address(9)));
+        harness.step(Input::DownstreamOpened(DownstreamId(n), address(9)));
     }
-    p.now += 0.01;
-    p.out.clear();
-    p.gateway.step(
-        p.now,
+    harness.now += 0.01;
+    harness.outputs.clear();
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamOpened(DownstreamId(20), address(9))],
-        &mut p.out,
+        &mut harness.outputs,
     );
     assert_eq!(
-        p.out,
+        harness.outputs,
         [Output::CheckDownstream(OWNER)],
-        "the oldest that never said anything of use"
+        "the oldest connection without a valid set-up"
     );
-    p.out.clear();
-    p.gateway.step(
-        p.now,
+    harness.outputs.clear();
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamChecked(OWNER, PeerCheck::Queued)],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    assert_eq!(p.out, [Output::CheckDownstream(OTHER)]);
-    p.gateway.step(
-        p.now,
+    assert_eq!(harness.outputs, [Output::CheckDownstream(OTHER)]);
+    harness.gateway.step(
+        harness.now,
         [Input::DownstreamChecked(OTHER, PeerCheck::Idle)],
-        &mut p.out,
+        &mut harness.outputs,
     );
-    assert_eq!(p.closed_clients(), [OTHER]);
+    assert_eq!(harness.closed_clients(), [OTHER]);
 }
