--- a/crates/pending/src/diagnosis.rs
+++ b/crates/pending/src/diagnosis.rs
@@ -1,35 +1,35 @@
-//! Why tasks with the same requests are rejected by the nodes, at one moment.
+//! Snapshot of the reasons why no node accepts tasks with the same requests.
 
 use crate::ReasonCode;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The node that is nearest to accepting the task.
+/// The node that would need the smallest change to accept the task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NearestNode {
     /// Name of the node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node; empty if it has none.
     pub zone: String,
     /// Why it was rejected.
     pub code: ReasonCode,
-    /// What it lacks, in cores, memory units or seconds by the reason; 0 where there is no amount.
+    /// Amount that is missing: cores, memory units or seconds, depending on `code`; 0 for codes without an amount.
     #[serde(rename = "short")]
     pub shortfall: f64,
 }
 
-/// The spread limit of the class.
+/// The spread limit of a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpreadLimit {
     /// `node`, `rack`, `zone` or `all`.
     #[serde(rename = "place")]
     pub domain: String,
-    /// Tasks of one service that one planner may place in one such domain.
+    /// Maximum number of tasks of one service that one planner places in one such domain.
     #[serde(rename = "most")]
     pub max_tasks: u32,
 }
 
-/// Why tasks with the same requests are pending. Equal tasks share one diagnosis.
+/// Why tasks with the same requests are pending. All of them share one diagnosis.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Diagnosis {
     /// Nodes that were examined.
@@ -40,18 +40,18 @@
     pub rejections: BTreeMap<ReasonCode, u32>,
     /// Number of rejected nodes by zone and reason.
     pub zones: BTreeMap<String, BTreeMap<ReasonCode, u32>>,
-    /// The reason that rules out all nodes alike.
+    /// A reason that applies to the task itself, whichever node is considered.
     #[serde(rename = "block")]
     pub blocker: Option<ReasonCode>,
-    /// The node that is nearest to accepting the task.
+    /// The node that would need the smallest change to accept the task; `None` if no node was rejected.
     pub nearest: Option<NearestNode>,
-    /// The spread limit of the class, where it rejects nodes.
+    /// The spread limit of the class, if it rejects nodes.
     #[serde(rename = "limit")]
     pub spread_limit: Option<SpreadLimit>,
 }
 
-/// How far a node is from accepting a task; smaller is nearer. What changes by itself comes first, then lacking
-/// capacity, then what only an operator or another request can change.
+/// Orders rejections by how soon they can clear, the soonest first: those that clear without intervention, then missing
+/// capacity, then those that only an operator or a different request can clear.
 fn distance(code: ReasonCode) -> u32 {
     match code {
         ReasonCode::Line => 0,
@@ -65,7 +65,7 @@
 }
 
 impl Diagnosis {
-    /// Counts a node that was rejected. `shortfall` is what it lacks, see [`NearestNode::shortfall`].
+    /// Counts a rejected node. For the unit of `shortfall` see [`NearestNode::shortfall`].
     pub fn add_rejection(&mut self, node: &str, zone: &str, code: ReasonCode, shortfall: f64) {
         *self.rejections.entry(code).or_default() += 1;
         let in_zone = self.zones.entry(zone.to_owned()).or_default();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether a node with this rejection is nearer to accepting the task than the nearest so far.
+    /// Whether this rejection is nearer to an acceptance than that of the nearest node so far.
     fn is_nearer(&self, code: ReasonCode, shortfall: f64) -> bool {
         let Some(nearest) = &self.nearest else {
             return true;
@@ -91,13 +91,13 @@
             .is_lt()
     }
 
-    /// Number of nodes that no reason rejects.
+    /// Number of examined nodes that were not rejected.
     pub fn available_nodes(&self) -> u32 {
         let rejected = self.rejections.values().sum();
         self.node_count.saturating_sub(rejected)
     }
 
-    /// Reasons and the number of nodes that each rejects, the largest number first.
+    /// Reasons with the number of nodes that each rejects, in descending order of that number.
     fn rejections_by_count(&self) -> Vec<(ReasonCode, u32)> {
         let mut rejections: Vec<(ReasonCode, u32)> = Vec::new();
         for (&code, &count) in &self.rejections {
@@ -107,7 +107,7 @@
         rejections
     }
 
-    /// All reasons that hold now, the one that rejects most nodes first.
+    /// All current reasons: first the blocker, then the others in descending order of rejected nodes.
     pub fn codes(&self) -> Vec<ReasonCode> {
         let mut codes = Vec::new();
         codes.extend(self.blocker);
@@ -123,7 +123,7 @@
         codes
     }
 
-    /// Zones in which a reason rejects nodes.
+    /// Names of the zones in which a reason rejects nodes.
     pub fn zones_of(&self, code: ReasonCode) -> impl Iterator<Item = &str> {
         let zones = self.zones.iter();
         zones
@@ -131,7 +131,7 @@
             .map(|(zone, _)| zone.as_str())
     }
 
-    /// Whether both say the same, apart from the shortfall of the nearest node, which changes all the time.
+    /// Whether both have the same reasons and counts. Ignores the nearest node, whose shortfall changes constantly.
     pub fn is_equivalent(&self, other: &Self) -> bool {
         self.node_count == other.node_count
             && self.rejections == other.rejections
@@ -140,7 +140,7 @@
             && self.spread_limit == other.spread_limit
     }
 
-    /// The message, in the style of kube-scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
+    /// Message for users, in the style of kube-scheduler: `0/16 nodes are available: 9 no memory, 3 draining`.
     pub fn message(&self) -> String {
         if let Some(blocker) = self.blocker {
             return format!("can't be sent: {}", blocker.description());
@@ -171,7 +171,7 @@
         }
     }
 
-    /// What would have to change, for people.
+    /// Message for users on what would have to change for the task to be placed; `None` if nothing is known.
     pub fn hint(&self) -> Option<String> {
         if let Some(blocker) = self.blocker {
             let reason = blocker.description();
--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -1,9 +1,9 @@
-//! Why work is pending: what a planner found out ([`Diagnosis`]), which of it is sent to an edge ([`ReasonPublisher`]),
-//! and what an edge keeps and shows ([`PendingRecords`]).
+//! Why tasks are pending: a planner computes a [`Diagnosis`], [`ReasonPublisher`] selects the updates that go to an edge,
+//! and [`PendingRecords`] holds what the edge serves and writes to Pods.
 //!
-//! State machines without I/O; all times are seconds on the caller's clock. A reason ([`ReasonCode`]) names the part of
-//! the system that holds the work back ([`ReasonSource`]): the policy, a node, the owner, the edge, or the node registry.
-//! A node's rejection and the policy's choice are shown side by side where both apply.
+//! State machines without I/O; all times are seconds on the caller's clock. Each reason ([`ReasonCode`]) belongs to the
+//! part of the system that blocks the task ([`ReasonSource`]): the policy, a node, the owner, the edge or the node
+//! registry. Where a node has rejected the task and the policy rejects nodes too, both reasons are reported.
 
 mod diagnosis;
 mod pending_record;
--- a/crates/pending/src/pending_record.rs
+++ b/crates/pending/src/pending_record.rs
@@ -1,31 +1,31 @@
-//! The reasons of one task over time.
+//! The record of one pending task: its current reasons and their history.
 
 use crate::{ReasonCode, ReasonSource, ReasonUpdate};
 use serde::{Serialize, Serializer};
 use std::collections::VecDeque;
 use tidespur_units::Resources;
 
-/// Reasons that are kept of one task, those that hold and those that are over.
+/// Maximum number of spans in the record of one task, current and past ones together.
 pub const MAX_SPANS: usize = 24;
 
-/// One reason and the time over which it was seen.
+/// One reason and the period in which it was reported.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ReasonSpan {
     /// The reason.
     pub code: ReasonCode,
-    /// The part of the system that holds the work back.
+    /// The part of the system that blocks the task.
     pub source: ReasonSource,
-    /// When it was first seen, in seconds of the caller's clock.
+    /// When it was first reported, in seconds of the caller's clock.
     #[serde(rename = "first")]
     pub first_seen: f64,
-    /// When it was last seen, in seconds of the caller's clock.
+    /// When it was last reported, in seconds of the caller's clock.
     #[serde(rename = "last")]
     pub last_seen: f64,
-    /// How often it began: a reason that comes and goes is one span, like an Event with a count.
+    /// How often the reason began to apply. A reason that recurs extends its span, like an Event with a count.
     pub count: u32,
-    /// Nodes that it rejected when it was last seen.
+    /// Number of nodes that it rejected when it was last reported.
     pub nodes: u32,
-    /// Whether it no longer holds.
+    /// Whether the reason no longer applies.
     #[serde(rename = "over")]
     pub is_over: bool,
 }
@@ -37,28 +37,28 @@
     pub namespace: String,
     /// Name of the Pod.
     pub pod: String,
-    /// The Job that the Pod belongs to, or the Pod itself.
+    /// The Job that the Pod belongs to; for a Pod without a Job, the Pod itself.
     pub service: String,
     /// Priority class, as the Pod names it.
     pub class: String,
-    /// CPU in cores and memory in memory units of the API; a list of both in JSON.
+    /// Requested CPU in cores and memory in memory units of the API; serialized as a list of the two.
     #[serde(rename = "asks", serialize_with = "as_list")]
     pub requested: Resources,
-    /// Since when the task is pending, in seconds of the caller's clock.
+    /// When the task became pending, in seconds of the caller's clock.
     pub since: f64,
-    /// When its reasons were last reported.
+    /// When its reasons were last reported, in seconds of the caller's clock.
     #[serde(rename = "seen")]
     pub updated_at: f64,
-    /// Reasons that hold, the one that rejects most nodes first.
+    /// Current reasons, in the order of [`ReasonUpdate::codes`]; a reason set by the edge stands alone.
     pub codes: Vec<ReasonCode>,
-    /// The reasons as a message for people.
+    /// The current reasons as a message for users; empty if there are none.
     pub message: String,
-    /// What would have to change.
+    /// What would have to change for the task to be placed, as a message for users.
     pub hint: Option<String>,
-    /// The last update of its planner.
+    /// The last update from its planner; `None` while the edge itself sets the reason.
     #[serde(rename = "word")]
     pub last_update: Option<ReasonUpdate>,
-    /// Reasons over time, in order of their first occurrence.
+    /// History of reasons, in order of their first occurrence; at most [`MAX_SPANS`].
     pub spans: VecDeque<ReasonSpan>,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl PendingRecord {
-    /// Takes in which reasons hold now. `nodes` says how many nodes a reason rejects.
+    /// Replaces the current reasons and updates the history. `nodes` returns how many nodes a reason rejects.
     pub(crate) fn set_reasons(
         &mut self,
         now: f64,
@@ -86,7 +86,7 @@
         self.updated_at = now;
     }
 
-    /// Extends the span of a reason that holds now, or begins one.
+    /// Extends the span of a current reason, or starts one.
     fn extend_span(&mut self, now: f64, code: ReasonCode, nodes: u32) {
         if let Some(span) = self.spans.iter_mut().find(|span| span.code == code) {
             span.count += u32::from(span.is_over);
@@ -96,7 +96,7 @@
             return;
         }
         if self.spans.len() >= MAX_SPANS {
-            // There are fewer reason codes than this today; the bound holds all the same.
+            // Rare: each code has at most one span, so nearly all codes must have applied to the task.
             self.spans.pop_front();
         }
         self.spans.push_back(ReasonSpan {
--- a/crates/pending/src/pending_records.rs
+++ b/crates/pending/src/pending_records.rs
@@ -1,4 +1,4 @@
-//! The edge's side: a record for each pending task, and what of it is written to its Pod, and when.
+//! Edge side: the records of all pending tasks, and the status updates that are written to their Pods.
 
 use crate::record_entry::{RecordEntry, update_message};
 use crate::totals::{self, TotalsByReason};
@@ -6,19 +6,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Records that are kept of tasks that are no longer pending.
+/// Maximum number of records of tasks that are no longer pending.
 const MAX_CLOSED_RECORDS: usize = 1_000;
-/// Recent diagnoses that are searched for an equal one.
+/// Number of recent diagnoses that an update's diagnosis is deduplicated against.
 const MAX_RECENT_DIAGNOSES: usize = 32;
 
-/// Bounds of the records.
+/// Bounds on the number of records and on the rate of status updates.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Records that are kept of pending tasks.
+    /// Maximum number of records of pending tasks.
     pub max_records: usize,
-    /// Shortest time between two status updates of one Pod, in seconds.
+    /// Minimum interval between two status updates of one Pod, in seconds.
     pub write_interval: f64,
-    /// How long a task is pending before its Pod's status is first written, in seconds.
+    /// Time for which a task is pending before its Pod's first status update, in seconds.
     pub initial_delay: f64,
 }
 
@@ -32,20 +32,20 @@
     }
 }
 
-/// A status update to write to a Pod.
+/// A status update that the edge writes to a Pod.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusUpdate {
     /// Uid of the Pod.
     pub uid: String,
-    /// Text of its condition and Event.
+    /// Text of the Pod's condition and Event.
     pub message: String,
-    /// The reason that rejects most nodes.
+    /// The first of the current reasons, see [`PendingRecord::codes`].
     pub code: ReasonCode,
-    /// How many updates of this Pod there were, this one included.
+    /// Number of updates of this Pod so far, including this one.
     pub count: u32,
 }
 
-/// All pending tasks of an edge.
+/// Records of all pending tasks of an edge.
 ///
 /// Owned by the edge's core and read by its API. Bounded by [`Settings::max_records`].
 #[derive(Debug)]
@@ -54,15 +54,15 @@
     records: BTreeMap<String, RecordEntry>,
     /// Uids of pending tasks by namespace and name of their Pods.
     uids: BTreeMap<(String, String), String>,
-    /// Records of tasks that are no longer pending, oldest first, for owners that ask afterwards.
+    /// Records of tasks that are no longer pending, oldest first, for clients that query them later.
     closed: VecDeque<PendingRecord>,
     unrecorded: u64,
-    /// Diagnoses of recent updates: equal ones share memory.
-    recent: VecDeque<Arc<Diagnosis>>,
+    /// Diagnoses of recent updates, so that equal ones share memory.
+    recent_diagnoses: VecDeque<Arc<Diagnosis>>,
 }
 
 impl PendingRecords {
-    /// No records.
+    /// Starts without records.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -71,11 +71,12 @@
             uids: BTreeMap::new(),
             closed: VecDeque::new(),
             unrecorded: 0,
-            recent: VecDeque::new(),
+            recent_diagnoses: VecDeque::new(),
         }
     }
 
-    /// Opens the record of a task that is pending from now on. Beyond the bound it gets none, and that is counted.
+    /// Opens the record of a task that becomes pending now. At [`Settings::max_records`] the task gets no record and is
+    /// counted in [`Self::unrecorded_count`].
     pub fn open(&mut self, now: f64, uid: &str, record: PendingRecord) {
         if self.records.len() >= self.settings.max_records {
             self.unrecorded += 1;
@@ -115,9 +116,9 @@
         self.closed.push_back(record);
     }
 
-    /// Takes in a planner's update.
+    /// Applies a planner's update; ignores one for a task without a record.
     pub fn apply_update(&mut self, now: f64, mut update: ReasonUpdate) {
-        update.diagnosis = self.shared(update.diagnosis);
+        update.diagnosis = self.deduplicate(update.diagnosis);
         let Some(entry) = self.records.get_mut(&update.uid) else {
             return;
         };
@@ -130,19 +131,20 @@
         record.last_update = Some(update);
     }
 
-    /// The recent diagnosis that equals this one, or this one.
-    fn shared(&mut self, diagnosis: Arc<Diagnosis>) -> Arc<Diagnosis> {
-        if let Some(known) = self.recent.iter().find(|known| **known == diagnosis) {
+    /// Returns the equal recent diagnosis if there is one, otherwise this one.
+    fn deduplicate(&mut self, diagnosis: Arc<Diagnosis>) -> Arc<Diagnosis> {
+        let mut recent = self.recent_diagnoses.iter();
+        if let Some(known) = recent.find(|known| **known == diagnosis) {
             return known.clone();
         }
-        if self.recent.len() >= MAX_RECENT_DIAGNOSES {
-            self.recent.pop_front();
+        if self.recent_diagnoses.len() >= MAX_RECENT_DIAGNOSES {
+            self.recent_diagnoses.pop_front();
         }
-        self.recent.push_back(diagnosis.clone());
+        self.recent_diagnoses.push_back(diagnosis.clone());
         diagnosis
     }
 
-    /// Sets the edge's own reason: no planner has the task. An earlier update of a planner no longer holds.
+    /// Sets the edge's own reason for a task that no planner has. Discards the last planner update, which is obsolete.
     pub fn set_edge_reason(&mut self, now: f64, uid: &str, code: ReasonCode) {
         let Some(entry) = self.records.get_mut(uid) else {
             return;
@@ -159,7 +161,7 @@
         record.message = code.description().to_owned();
     }
 
-    /// Clears the edge's own reason: a planner has accepted the task and has not sent any reason yet.
+    /// Clears the edge's own reason once a planner has accepted the task but not sent an update yet.
     pub fn clear_edge_reason(&mut self, now: f64, uid: &str) {
         let Some(entry) = self.records.get_mut(uid) else {
             return;
@@ -173,7 +175,8 @@
         record.hint = None;
     }
 
-    /// Status updates that are due: new or changed messages, limited per Pod by [`Settings::write_interval`].
+    /// Returns the status updates that are due and marks them as written: new or changed messages, limited per Pod by
+    /// [`Settings::initial_delay`] and [`Settings::write_interval`].
     pub fn due_updates(&mut self, now: f64) -> Vec<StatusUpdate> {
         let mut due = Vec::new();
         for (uid, entry) in &mut self.records {
@@ -194,7 +197,7 @@
         due
     }
 
-    /// The record of a Pod: of a pending one, or the latest one of that name that was pending.
+    /// The record of a pending Pod, otherwise the latest closed record of a Pod with that name.
     pub fn find(&self, namespace: &str, pod: &str) -> Option<&PendingRecord> {
         let name = (namespace.to_owned(), pod.to_owned());
         if let Some(entry) = self.uids.get(&name).and_then(|uid| self.records.get(uid)) {
@@ -204,7 +207,7 @@
         closed.find(|record| record.namespace == namespace && record.pod == pod)
     }
 
-    /// Uids and records of all pending tasks, of one namespace or of all ("").
+    /// Uids and records of the pending tasks of one namespace, or of all if it is empty.
     pub fn iter<'a>(
         &'a self,
         namespace: &'a str,
@@ -214,8 +217,8 @@
             .filter(move |(_, record)| namespace.is_empty() || record.namespace == namespace)
     }
 
-    /// How much work each reason holds back, by class, namespace and the zone whose nodes it rejects ("" where it
-    /// rejects none). A task counts under each reason that holds, in each zone.
+    /// Pending work by class, namespace, zone whose nodes are rejected (empty if there is none) and reason. A task counts
+    /// once for each of its current reasons in each of these zones, so the totals overlap.
     pub fn totals(&self) -> TotalsByReason {
         let mut totals = TotalsByReason::new();
         for (_, record) in self.iter("") {
@@ -224,17 +227,17 @@
         totals
     }
 
-    /// Pending tasks with a record.
+    /// Number of pending tasks with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no task is pending.
+    /// Whether no pending task has a record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Tasks that got no record because of [`Settings::max_records`].
+    /// Number of tasks that got no record because of [`Settings::max_records`], since the start.
     pub fn unrecorded_count(&self) -> u64 {
         self.unrecorded
     }
--- a/crates/pending/src/publisher.rs
+++ b/crates/pending/src/publisher.rs
@@ -1,10 +1,10 @@
-//! The planner's side: which reasons are sent to an edge, and how often.
+//! Planner side: selects the reason updates that are sent to an edge, and limits their rate.
 
 use crate::{Diagnosis, ReasonDraft, ReasonUpdate};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The reasons of one task as they were sent last.
+/// The reasons of one task as last sent.
 #[derive(Debug)]
 struct PublishedReasons {
     sent_at: f64,
@@ -29,29 +29,30 @@
     fn is_equivalent(&self, draft: &ReasonDraft<'_>) -> bool {
         let is_same_diagnosis = Arc::ptr_eq(&self.diagnosis, draft.diagnosis)
             || self.diagnosis.is_equivalent(draft.diagnosis);
-        // Answers are only appended, so an equal number means equal answers until the oldest are dropped at their bound.
+        // Answers are only appended, so equal counts mean equal answers until the oldest are dropped at their bound.
         is_same_diagnosis
             && self.offered_to.as_deref() == draft.offered_to
             && self.node_answer_count == draft.node_answers.len()
     }
 }
 
-/// Sends the reasons of a task when they have changed, limited per task by an interval. Unchanged reasons are sent again
-/// from time to time, so that the reader knows that they still hold.
+/// Sends the reasons of a task when they change, at a limited rate per task. Unchanged reasons are refreshed
+/// periodically, so that the edge knows that they still apply.
 ///
-/// Owns what was sent last of each pending task. Called by the planner's core in each step.
+/// Keeps the last update of each pending task. Called by the planner's core in each step.
 #[derive(Debug)]
 pub struct ReasonPublisher {
     publish_interval: f64,
     refresh_interval: f64,
     max_updates: usize,
+    /// Last update of each pending task, by uid.
     published: BTreeMap<String, PublishedReasons>,
-    steps: u64,
+    step_count: u64,
 }
 
 impl ReasonPublisher {
-    /// A publisher that sends the changed reasons of one task at most every `publish_interval` seconds, unchanged ones
-    /// every `refresh_interval` seconds, and at most `max_updates` in one step.
+    /// A publisher that sends changed reasons of one task at most every `publish_interval` seconds, unchanged ones every
+    /// `refresh_interval` seconds, and at most `max_updates` updates in one step.
     #[must_use]
     pub fn new(publish_interval: f64, refresh_interval: f64, max_updates: usize) -> Self {
         Self {
@@ -59,34 +60,34 @@
             refresh_interval,
             max_updates,
             published: BTreeMap::new(),
-            steps: 0,
+            step_count: 0,
         }
     }
 
-    /// Takes in all tasks that are pending now and returns the updates to send. Tasks that are not among them are
-    /// forgotten. Those that are left out because of the bound come first in the next step, as they were sent longest ago.
+    /// Takes the drafts of all pending tasks and returns the updates to send. Forgets tasks without a draft. Updates
+    /// beyond `max_updates` come first in the next step, since the tasks that were sent longest ago have precedence.
     pub fn step<'a>(
         &mut self,
         now: f64,
         drafts: impl IntoIterator<Item = ReasonDraft<'a>>,
     ) -> Vec<ReasonUpdate> {
-        self.steps += 1;
+        self.step_count += 1;
         let mut due = self.due_drafts(now, drafts);
         // The sort is stable: drafts of the same age keep the caller's order.
         due.sort_by(|a, b| a.last_sent_at.total_cmp(&b.last_sent_at));
         due.truncate(self.max_updates);
         self.published
-            .retain(|_, published| published.step == self.steps);
+            .retain(|_, published| published.step == self.step_count);
         let mut updates = Vec::new();
         for DueDraft { draft, .. } in due {
-            let published = PublishedReasons::new(now, &draft, self.steps);
+            let published = PublishedReasons::new(now, &draft, self.step_count);
             self.published.insert(draft.uid.to_owned(), published);
             updates.push(draft.to_update());
         }
         updates
     }
 
-    /// Marks all drafts as pending in this step and returns those that are to be sent.
+    /// Marks the tasks of all drafts as pending in this step and returns the drafts that are due.
     fn due_drafts<'a>(
         &mut self,
         now: f64,
@@ -102,7 +103,7 @@
                 });
                 continue;
             };
-            published.step = self.steps;
+            published.step = self.step_count;
             let last_sent_at = published.sent_at;
             let age = now - last_sent_at;
             let may_publish = age >= self.publish_interval;
@@ -116,19 +117,20 @@
         due
     }
 
-    /// How many tasks have been sent and are still pending.
+    /// Number of pending tasks of which an update was sent.
     pub fn len(&self) -> usize {
         self.published.len()
     }
 
-    /// Whether no pending task has been sent.
+    /// Whether no update of a pending task was sent.
     pub fn is_empty(&self) -> bool {
         self.published.is_empty()
     }
 }
 
-/// A draft that is to be sent, and when its task was sent last.
+/// A draft that is due.
 struct DueDraft<'a> {
+    /// When the last update of the task was sent; negative infinity for the first one.
     last_sent_at: f64,
     draft: ReasonDraft<'a>,
 }
--- a/crates/pending/src/reason_code.rs
+++ b/crates/pending/src/reason_code.rs
@@ -1,40 +1,40 @@
-//! The reasons why work can be pending, as published in conditions, metrics and messages.
+//! Reasons why a task can be pending, as published in conditions, metrics and messages.
 
 use serde::{Deserialize, Serialize};
 
-/// The part of the system that holds the work back.
+/// The part of the system that blocks a pending task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReasonSource {
-    /// The policy's choice.
+    /// A decision of the policy.
     Policy,
-    /// A node rejected it.
+    /// A node has rejected the task, or has not reported its Pods.
     Node,
-    /// The owner backs off, or finds out whether an earlier Pod runs.
+    /// The owner backs off, has suspended the Job, or is determining whether an earlier Pod runs.
     Owner,
-    /// The edge has no planner for it.
+    /// The edge has no planner that can accept the task.
     Edge,
-    /// The node registry.
+    /// The node registry does not list the node, or no list was received yet.
     Register,
 }
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $code:ident, $source:ident, $description:literal;)*) => {
-        /// A reason. The names of the variants are published: they are the labels in metrics and the codes in JSON.
+        /// Why a task is pending. The variant names are published as metric labels and as codes in JSON.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub enum ReasonCode { $($(#[$doc])* $code,)* }
         impl ReasonCode {
-            /// All reasons.
+            /// All reasons, in the order in which they sort.
             pub const ALL: &[ReasonCode] = &[$(ReasonCode::$code),*];
-            /// The part of the system that holds the work back.
+            /// The part of the system that this reason belongs to.
             pub fn source(self) -> ReasonSource {
                 match self { $(ReasonCode::$code => ReasonSource::$source,)* }
             }
-            /// A description for people, as used in messages.
+            /// Description for users, as it appears in messages.
             pub fn description(self) -> &'static str {
                 match self { $(ReasonCode::$code => $description,)* }
             }
-            /// The published name, for labels.
+            /// Published name, as it appears in metric labels and JSON.
             pub fn name(self) -> &'static str {
                 match self { $(ReasonCode::$code => stringify!($code),)* }
             }
@@ -43,53 +43,53 @@
 }
 
 codes! {
-    /// The planner has no list of nodes yet.
+    /// The planner has not received a node list yet.
     NoList, Register, "no list of nodes yet";
-    /// The node is no longer in the list.
+    /// The node is no longer in the node list.
     Unlisted, Register, "not listed, or gone";
-    /// The node is in the list and has not reported its Pods since the planner started.
+    /// The node is listed but has not reported its Pods since the planner started.
     Unheard, Node, "has not said yet what it holds";
-    /// The node drains.
+    /// The node is being drained.
     Draining, Policy, "draining";
-    /// The class needs another node type.
+    /// The class requires another node type.
     WrongKind, Policy, "wrong kind";
     /// The node is outside the failure domain that deduplicates retries of the task.
     OutsideGroup, Policy, "outside the group that drops repeats";
-    /// The node is in slow start and its budget is used up.
+    /// The node is in slow start and its budget of offers is used up.
     ColdBudget, Policy, "just come up, bears no more offers now";
-    /// The spread limit of the service is reached in the node's failure domain.
+    /// The service has reached its spread limit in the node's failure domain.
     Spread, Policy, "limit of the service";
     /// The circuit breaker of the node is open.
     SetAside, Policy, "set aside after troubles";
-    /// Too many offers are in flight to the node.
+    /// Too many offers to the node are unanswered.
     Line, Policy, "offers unanswered";
-    /// Too few cores.
+    /// The node has too few free cores.
     Cores, Policy, "no cores";
-    /// Too little memory.
+    /// The node has too little free memory.
     Memory, Policy, "no memory";
-    /// A node would accept it now: it is offered at the next attempt.
+    /// A node can accept the task; it is offered at the next attempt.
     Free, Policy, "would take it now";
-    /// All attempts are made.
+    /// The maximum number of attempts has been made.
     AttemptsUsed, Policy, "all attempts are used up";
-    /// An attempt may have run.
+    /// An earlier attempt may have run, and a second run would do harm.
     MayHaveRun, Policy, "an earlier attempt may have run, and a second start does harm";
-    /// An attempt may have run and the deduplication window is over.
+    /// An earlier attempt may have run, and its deduplication window has expired.
     WindowOver, Policy, "an earlier attempt may have run, and the window for repeats is over";
     /// The deadline of the task has passed.
     GivesUp, Policy, "its owner gives up now";
-    /// An offer is in flight.
+    /// An offer of the task is unanswered.
     OfferOut, Policy, "an offer is out";
     /// A node rejected an earlier attempt.
     NodeRefused, Node, "turned away by a node";
     /// No planner is connected.
     NoPlanner, Edge, "no planner is connected";
-    /// All planners have as many tasks as they may have.
+    /// All planners have reached their maximum number of tasks.
     PlannersFull, Edge, "no planner has room";
     /// No planner responds.
     PlannersSilent, Edge, "no planner answers";
-    /// The owner backs off before the next Pod.
+    /// The owner backs off before it creates the next Pod.
     BackingOff, Owner, "its owner pauses before asking again";
-    /// The controller finds out whether an earlier Pod runs.
+    /// The Job controller is determining whether an earlier Pod still runs.
     Settling, Owner, "it is being found out whether an earlier one runs";
     /// The Job is suspended.
     Suspended, Owner, "its Job is suspended";
--- a/crates/pending/src/totals.rs
+++ b/crates/pending/src/totals.rs
@@ -1,19 +1,19 @@
-//! How much work each reason holds back in all.
+//! Totals of pending work by reason.
 
 use crate::{PendingRecord, ReasonCode};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Pending work that one reason holds back.
+/// Pending work that one reason blocks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PendingTotals {
-    /// Number of tasks.
+    /// Number of pending tasks.
     pub tasks: u32,
-    /// CPU that they request, in cores.
+    /// CPU requested by these tasks, in cores.
     pub cores: f64,
-    /// Memory that they request, in memory units of the API.
+    /// Memory requested by these tasks, in memory units of the API.
     pub memory: f64,
-    /// Since when the longest pending of them is pending, in seconds of the caller's clock.
+    /// When the longest pending of these tasks became pending, in seconds of the caller's clock.
     pub oldest: f64,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Zones in which a reason rejects nodes; "" alone where it rejects none.
+/// Zones in which a reason rejects nodes; a single empty name if there is none.
 fn zones(record: &PendingRecord, code: ReasonCode) -> Vec<&str> {
     let zones: Vec<&str> = match &record.last_update {
         Some(update) => update.diagnosis.zones_of(code).collect(),
--- a/crates/pending/src/update.rs
+++ b/crates/pending/src/update.rs
@@ -1,31 +1,31 @@
-//! What a planner sends to an edge about one pending task.
+//! Updates that a planner sends to an edge about one pending task.
 
 use crate::{Diagnosis, ReasonCode};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The present reasons of one pending task, as sent from a planner to an edge.
+/// The current reasons of one pending task, as sent by a planner to an edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReasonUpdate {
     /// Uid of the task.
     pub uid: String,
     /// Why it is pending; tasks with the same reasons share one diagnosis.
     pub diagnosis: Arc<Diagnosis>,
-    /// The node that has an unanswered offer of the task.
+    /// The node with an unanswered offer of the task, if any.
     #[serde(rename = "out")]
     pub offered_to: Option<String>,
-    /// Rejections by nodes of earlier attempts, as node and message, the latest last.
+    /// Rejections of earlier attempts as node and message, the latest last.
     #[serde(rename = "answers")]
     pub node_answers: Vec<(String, String)>,
-    /// Seconds for which the task can still be offered.
+    /// Time for which the task can still be offered, in seconds.
     pub sendable_for: f64,
-    /// Seconds until the planner tries again at the latest.
+    /// Upper bound of the time until the planner's next attempt, in seconds.
     #[serde(rename = "next_look")]
     pub next_attempt_in: f64,
 }
 
 impl ReasonUpdate {
-    /// All reasons in it.
+    /// The current reasons; only [`ReasonCode::OfferOut`] while an offer is unanswered.
     pub fn codes(&self) -> Vec<ReasonCode> {
         if self.offered_to.is_some() {
             return vec![ReasonCode::OfferOut];
@@ -38,8 +38,8 @@
     }
 }
 
-/// The present reasons of one pending task, borrowed from the planner; a [`ReasonUpdate`] is made of it only if it is to
-/// be sent. The fields are those of [`ReasonUpdate`].
+/// The current reasons of one pending task, borrowed from the planner. It is copied into a [`ReasonUpdate`] only if it is
+/// sent.
 #[derive(Clone, Copy, Debug)]
 pub struct ReasonDraft<'a> {
     /// See [`ReasonUpdate::uid`].
@@ -57,7 +57,7 @@
 }
 
 impl ReasonDraft<'_> {
-    /// The update that is sent of it.
+    /// Copies the draft into an update.
     pub(crate) fn to_update(self) -> ReasonUpdate {
         ReasonUpdate {
             uid: self.uid.to_owned(),
--- a/crates/pending/tests/common/fixtures.rs
+++ b/crates/pending/tests/common/fixtures.rs
@@ -1,15 +1,15 @@
-//! Fixture files hold one sample a line, `name: encoded value`, as an earlier build encoded it.
+//! Fixture files with one sample per line, `name: encoded value`, as encoded by an earlier build.
 
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Set to `1`, this environment variable has fixture files written anew before they are compared.
+/// Environment variable that, set to `1`, makes the tests rewrite the fixture files before comparing.
 const UPDATE_VARIABLE: &str = "UPDATE_FIXTURES";
 
-/// A value under the name that it has in its fixture file.
+/// A value with its name in the fixture file.
 pub type Sample<T> = (&'static str, T);
 
-/// Lists one sample of each variant, or several. A variant without a line here does not compile.
+/// Lists one or more samples of each variant. Does not compile if a variant has no line.
 #[macro_export]
 macro_rules! samples_of_each_variant {
     ($type:ty: $($name:literal, $pattern:pat => $value:expr;)+) => {{
@@ -23,8 +23,8 @@
     }};
 }
 
-/// Asserts that the samples are encoded as the fixture file has them, that the file has no others, and that its
-/// lines are decoded to the samples.
+/// Asserts that the samples are encoded as in the fixture file, that the file has no others, and that its lines decode
+/// to the samples.
 pub fn assert_compatible<T: PartialEq + Debug>(
     file: &str,
     samples: &[Sample<T>],
@@ -44,7 +44,7 @@
     }
 }
 
-/// Asserts that the fixture file holds these names and encoded values, and gives out its text.
+/// Asserts that the fixture file consists of these names and encoded values, and returns its text.
 pub fn assert_encoded(file: &str, encoded: &[(&str, String)]) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
--- a/crates/pending/tests/compatibility.rs
+++ b/crates/pending/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Reasons why work waits stay what earlier builds send, and what people and scripts read at `/debug/waits` and in
-//! metrics.
+//! Guards the encoding of reasons, updates and records: other builds exchange them, and users and scripts read them at
+//! `/debug/waits` and in metrics.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -59,11 +59,11 @@
 }
 
 fn full_diagnosis() -> Diagnosis {
-    let bars = BTreeMap::from([(ReasonCode::Cores, 2), (ReasonCode::Draining, 1)]);
+    let rejections = BTreeMap::from([(ReasonCode::Cores, 2), (ReasonCode::Draining, 1)]);
     Diagnosis {
         node_count: 300,
-        rejections: bars.clone(),
-        zones: BTreeMap::from([("zone-a".to_owned(), bars)]),
+        rejections: rejections.clone(),
+        zones: BTreeMap::from([("zone-a".to_owned(), rejections)]),
         blocker: Some(ReasonCode::WindowOver),
         nearest: Some(NearestNode {
             node: "node-1".into(),
@@ -89,7 +89,7 @@
     }
 }
 
-fn full_word() -> ReasonUpdate {
+fn full_update() -> ReasonUpdate {
     ReasonUpdate {
         uid: "uid-1".into(),
         diagnosis: Arc::new(full_diagnosis()),
@@ -124,7 +124,7 @@
         codes: vec![ReasonCode::Cores, ReasonCode::Draining],
         message: "0/300 nodes are available".into(),
         hint: Some("3.5 memory units more free on node-1".into()),
-        last_update: Some(full_word()),
+        last_update: Some(full_update()),
         spans: VecDeque::from([span()]),
     }
 }
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn codes_keep_their_text_in_conditions_and_debug_answers() {
+fn codes_keep_their_description_in_conditions_and_debug_responses() {
     let encoded: Vec<(&str, String)> = codes()
         .into_iter()
         .map(|(name, code)| (name, code.description().to_owned()))
@@ -193,11 +193,11 @@
 
 #[test]
 fn reason_updates_keep_their_json() {
-    assert_json_compatible("word.json.txt", &[("full", full_word())]);
+    assert_json_compatible("word.json.txt", &[("full", full_update())]);
 }
 
 #[test]
-fn records_as_served_keep_their_json() {
+fn served_records_keep_their_json() {
     let encoded = [
         ("full", to_json(&full_record())),
         ("minimal", to_json(&minimal_record())),
--- a/crates/pending/tests/pending.rs
+++ b/crates/pending/tests/pending.rs
@@ -1,4 +1,4 @@
-//! Records of why work waits: what travels, what is kept, what is written.
+//! Diagnoses, the publisher's updates, and the edge's records and status updates.
 
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -63,42 +63,43 @@
 }
 
 #[test]
-fn a_message_counts_nodes_by_what_ruled_them_out_and_the_nearest_tells_what_would_help() {
-    let mut found = Diagnosis {
+fn message_counts_rejections_by_reason_and_hint_names_the_nearest_node() {
+    let mut diagnosis = Diagnosis {
         node_count: 6,
         ..Diagnosis::default()
     };
-    found.add_rejection("n1", "a", ReasonCode::Draining, 0.0);
-    found.add_rejection("n2", "a", ReasonCode::Memory, 2.5);
-    found.add_rejection("n3", "b", ReasonCode::Memory, 7.0);
-    found.add_rejection("n4", "b", ReasonCode::Spread, 0.0);
-    found.spread_limit = Some(SpreadLimit {
+    diagnosis.add_rejection("n1", "a", ReasonCode::Draining, 0.0);
+    diagnosis.add_rejection("n2", "a", ReasonCode::Memory, 2.5);
+    diagnosis.add_rejection("n3", "b", ReasonCode::Memory, 7.0);
+    diagnosis.add_rejection("n4", "b", ReasonCode::Spread, 0.0);
+    diagnosis.spread_limit = Some(SpreadLimit {
         domain: "rack".into(),
         max_tasks: 3,
     });
     assert_eq!(
-        found.message(),
+        diagnosis.message(),
         "2/6 nodes are available: 2 no memory, 1 draining, 1 rack limit of the service (3)"
     );
     assert_eq!(
-        found.hint().unwrap(),
+        diagnosis.hint().unwrap(),
         "2.5 memory units more free on n2 in a"
     );
-    assert_eq!(found.codes().first(), Some(&ReasonCode::Memory));
+    assert_eq!(diagnosis.codes().first(), Some(&ReasonCode::Memory));
     assert_eq!(
-        found.zones_of(ReasonCode::Memory).collect::<Vec<_>>(),
+        diagnosis.zones_of(ReasonCode::Memory).collect::<Vec<_>>(),
         ["a", "b"]
     );
     assert_eq!(
-        found.zones_of(ReasonCode::Spread).collect::<Vec<_>>(),
+        diagnosis.zones_of(ReasonCode::Spread).collect::<Vec<_>>(),
         ["b"]
     );
-    found.blocker = Some(ReasonCode::MayHaveRun);
-    assert!(found.message().starts_with("can't be sent"));
+    diagnosis.blocker = Some(ReasonCode::MayHaveRun);
+    assert!(diagnosis.message().starts_with("can't be sent"));
 }
 
+/// A rack that fills, frees and fills again within a second must not add a span or a status update each time.
 #[test]
-fn a_rack_that_fills_frees_and_fills_again_within_a_second_is_one_span_seen_twice() {
+fn recurring_reason_extends_its_span_and_status_updates_are_rate_limited() {
     let mut records = records();
     records.open(0.0, "u", record("p"));
     for (at, code) in [
@@ -130,7 +131,7 @@
         .find(|span| span.code == ReasonCode::Memory)
         .unwrap();
     assert!(memory.is_over && memory.last_seen == 0.4);
-    // One write at first, then not again within a second.
+    // After the first status update the next one is due no earlier than a second later.
     assert_eq!(records.due_updates(0.7).len(), 1);
     records.apply_update(0.9, update("u", &diagnosis(4, &[(ReasonCode::Cores, 4)])));
     assert_eq!(records.due_updates(1.0), []);
@@ -140,15 +141,15 @@
 }
 
 #[test]
-fn a_nodes_refusal_stands_beside_the_policys_choice_and_is_told_apart() {
+fn node_rejections_and_policy_reasons_are_reported_with_their_sources() {
     let mut records = records();
     records.open(0.0, "u", record("p"));
-    let mut told = update(
+    let mut rejected = update(
         "u",
         &diagnosis(2, &[(ReasonCode::Memory, 1), (ReasonCode::SetAside, 1)]),
     );
-    told.node_answers.push(("n1".into(), "OutOfcpu".into()));
-    records.apply_update(0.5, told);
+    rejected.node_answers.push(("n1".into(), "OutOfcpu".into()));
+    records.apply_update(0.5, rejected);
     let record = records.find("default", "p").unwrap();
     let source = |code: ReasonCode| {
         record
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_planner_that_is_lost_leaves_no_reason_of_its_own_behind() {
+fn reasons_of_a_lost_planner_are_replaced_by_the_edges_reason() {
     let mut records = records();
     records.open(0.0, "u", record("p"));
     records.apply_update(0.5, update("u", &diagnosis(2, &[(ReasonCode::Memory, 2)])));
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn what_waits_no_longer_can_still_be_asked_about_and_bounds_hold() {
+fn closed_records_can_be_queried_and_the_record_limit_holds() {
     let mut records = records();
     for uid in ["a", "b", "c", "d"] {
         records.open(0.0, uid, record(uid));
@@ -191,61 +192,61 @@
     for uid in ["a", "b", "c", "d"] {
         records.apply_update(0.5, update(uid, &shared));
     }
-    let fleet = records.totals();
-    let held = &fleet[&(
+    let all_totals = records.totals();
+    let totals = &all_totals[&(
         "termin-web".to_owned(),
         "default".to_owned(),
         String::new(),
         ReasonCode::Cores,
     )];
-    assert_eq!((held.tasks, held.cores, held.memory), (3, 3.0, 6.0));
+    assert_eq!((totals.tasks, totals.cores, totals.memory), (3, 3.0, 6.0));
     records.close("a");
-    let past = records.find("default", "a").unwrap();
-    assert!(past.codes.is_empty() && past.spans[0].is_over);
+    let closed = records.find("default", "a").unwrap();
+    assert!(closed.codes.is_empty() && closed.spans[0].is_over);
     assert_eq!(records.totals().values().next().unwrap().tasks, 2);
-    // A deletion while it is being explained: late words on it change nothing.
+    // A planner's update that arrives after the record was closed is ignored.
     records.apply_update(0.6, update("a", &shared));
     assert_eq!(records.len(), 2);
 }
 
 proptest! {
-    /// Whatever waits and changes: what is told is bounded, in time a reader knows the present reasons of every task
-    /// that still waits, and nothing is told of one that does not.
+    /// For any sequence of changes the updates per step are bounded, the reader knows the current reasons of every pending
+    /// task within a bounded time, and no update is sent for a task that is no longer pending.
     #[test]
-    fn every_present_reason_is_told_in_time(
+    fn reader_learns_all_current_reasons_in_bounded_time(
         changes in proptest::collection::vec((0usize..30, 0usize..4, any::<bool>()), 1..200),
     ) {
         let codes = [ReasonCode::Cores, ReasonCode::Memory, ReasonCode::Spread, ReasonCode::Draining];
         let mut publisher = ReasonPublisher::new(0.5, 2.0, 8);
-        let mut waits: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
+        let mut pending: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
         let mut reader: std::collections::BTreeMap<String, ReasonUpdate> = Default::default();
         let mut now = 0.0;
-        let mut step = |now: f64, waits: &std::collections::BTreeMap<String, ReasonUpdate>| {
-            let told = publisher.step(now, waits.values().map(draft));
-            assert!(told.len() <= 8);
-            for update in told {
-                assert!(waits.contains_key(&update.uid));
+        let mut step = |now: f64, pending: &std::collections::BTreeMap<String, ReasonUpdate>| {
+            let updates = publisher.step(now, pending.values().map(draft));
+            assert!(updates.len() <= 8);
+            for update in updates {
+                assert!(pending.contains_key(&update.uid));
                 reader.insert(update.uid.clone(), update);
             }
             reader.clone()
         };
-        for (task, code, stays) in changes {
+        for (task, code, is_pending) in changes {
             now += 0.05;
             let uid = format!("t{task}");
-            match stays {
-                true => drop(waits.insert(uid.clone(), update(&uid, &diagnosis(3, &[(codes[code], 3)])))),
-                false => drop(waits.remove(&uid)),
+            match is_pending {
+                true => drop(pending.insert(uid.clone(), update(&uid, &diagnosis(3, &[(codes[code], 3)])))),
+                false => drop(pending.remove(&uid)),
             }
-            step(now, &waits);
+            step(now, &pending);
         }
-        // 30 tasks at 8 a look.
+        // Four steps send the updates of 30 tasks at 8 per step.
         for _ in 0..8 {
             now += 0.5;
-            step(now, &waits);
+            step(now, &pending);
         }
-        let reader = step(now + 0.5, &waits);
-        for (uid, update) in &waits {
-            prop_assert!(reader.get(uid).is_some_and(|told| told.diagnosis.is_equivalent(&update.diagnosis)), "{}", uid);
+        let reader = step(now + 0.5, &pending);
+        for (uid, update) in &pending {
+            prop_assert!(reader.get(uid).is_some_and(|known| known.diagnosis.is_equivalent(&update.diagnosis)), "{}", uid);
         }
     }
 }
--- a/crates/pending/tests/reason_codes.rs
+++ b/crates/pending/tests/reason_codes.rs
@@ -1,4 +1,4 @@
-//! Codes of the reasons for waiting, which are labels in metrics and values in JSON.
+//! Guards the published reason codes, which are metric labels and JSON values, against renames.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -7,7 +7,7 @@
 use tidespur_pending::ReasonCode;
 
 #[test]
-fn codes_sources_and_words_stay_as_they_are() {
+fn codes_sources_and_descriptions_are_unchanged() {
     // The edge writes the source into `/metrics` in this form.
     let source = |code: &ReasonCode| format!("{:?}", code.source()).to_lowercase();
     let line =
