--- a/crates/pending/src/lib.rs
+++ b/crates/pending/src/lib.rs
@@ -1,5 +1,5 @@
-//! Why tasks are pending: a planner computes a [`Diagnosis`], [`ReasonPublisher`] selects the updates that go to an edge,
-//! and [`PendingRecords`] holds what the edge serves and writes to Pods.
+//! Why tasks are pending: a planner computes a [`Diagnosis`], [`ReasonPublisher`] selects the updates that go to an
+//! edge, and [`PendingRecords`] holds what the edge serves and writes to Pods.
 //!
 //! State machines without I/O; all times are seconds on the caller's clock. Each reason ([`ReasonCode`]) belongs to the
 //! part of the system that blocks the task ([`ReasonSource`]): the policy, a node, the owner, the edge or the node
--- a/crates/pending/src/pending_records.rs
+++ b/crates/pending/src/pending_records.rs
@@ -217,8 +217,8 @@
             .filter(move |(_, record)| namespace.is_empty() || record.namespace == namespace)
     }
 
-    /// Pending work by class, namespace, zone whose nodes are rejected (empty if there is none) and reason. A task counts
-    /// once for each of its current reasons in each of these zones, so the totals overlap.
+    /// Pending work by class, namespace, zone whose nodes are rejected (empty if there is none) and reason. A task
+    /// counts once for each of its current reasons in each of these zones, so the totals overlap.
     pub fn totals(&self) -> TotalsByReason {
         let mut totals = TotalsByReason::new();
         for (_, record) in self.iter("") {
--- a/crates/pending/src/publisher.rs
+++ b/crates/pending/src/publisher.rs
@@ -51,8 +51,8 @@
 }
 
 impl ReasonPublisher {
-    /// A publisher that sends changed reasons of one task at most every `publish_interval` seconds, unchanged ones every
-    /// `refresh_interval` seconds, and at most `max_updates` updates in one step.
+    /// A publisher that sends changed reasons of one task at most every `publish_interval` seconds, unchanged ones
+    /// every `refresh_interval` seconds, and at most `max_updates` updates in one step.
     #[must_use]
     pub fn new(publish_interval: f64, refresh_interval: f64, max_updates: usize) -> Self {
         Self {
--- a/crates/pending/src/update.rs
+++ b/crates/pending/src/update.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The current reasons of one pending task, borrowed from the planner. It is copied into a [`ReasonUpdate`] only if it is
-/// sent.
+/// The current reasons of one pending task, borrowed from the planner. It is copied into a [`ReasonUpdate`] only if it
+/// is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct ReasonDraft<'a> {
     /// See [`ReasonUpdate::uid`].
--- a/crates/pending/tests/pending.rs
+++ b/crates/pending/tests/pending.rs
@@ -210,8 +210,8 @@
 }
 
 proptest! {
-    /// For any sequence of changes the updates per step are bounded, the reader knows the current reasons of every pending
-    /// task within a bounded time, and no update is sent for a task that is no longer pending.
+    /// For any sequence of changes the updates per step are bounded, the reader knows the current reasons of every
+    /// pending task within a bounded time, and no update is sent for a task that is no longer pending.
     #[test]
     fn reader_learns_all_current_reasons_in_bounded_time(
         changes in proptest::collection::vec((0usize..30, 0usize..4, any::<bool>()), 1..200),
