--- a/crates/store/src/change_reader.rs
+++ b/crates/store/src/change_reader.rs
@@ -1,49 +1,50 @@
-//! A reader that misses no change, for the edge's dispatcher and Job controller, which cannot list anew as clients do.
+//! A change reader that recovers from an expired cursor, for the edge's dispatcher and Job controller, which cannot
+//! list again as clients do.
 //!
-//! It keeps each object as it last saw it (one pointer an object). If its cursor has expired it compares these with the
-//! store, so that additions, changes with their previous state, and deletions are all reported. That covers a burst of
-//! writes longer than the history and a compaction. An object that was created and deleted in the gap is not reported:
-//! nobody can have acted on it.
+//! It keeps a pointer to the last reported state of each object. When its cursor has expired, by a burst of writes
+//! longer than the history or by a compaction, it compares these states with the store and reports all additions,
+//! modifications with their previous state, and deletions. An object that was created and deleted in the gap is not
+//! reported: neither consumer can have acted on it.
 
 use crate::{Change, ChangeKind, Cursor, Store};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tidespur_api::{Object, Resource, meta};
 
-/// A reader of all changes of one resource.
+/// Reads all changes of one resource.
 #[derive(Debug)]
 pub struct ChangeReader {
     resource: &'static Resource,
     cursor: Cursor,
-    /// Objects as they were last reported, by namespace and name.
-    known: BTreeMap<(String, String), Arc<Object>>,
+    /// Last reported state of each object, by namespace and name.
+    reported: BTreeMap<(String, String), Arc<Object>>,
     resync_count: u64,
 }
 
 impl ChangeReader {
-    /// A reader for which every present object is new.
+    /// A reader that reports every existing object as added.
     #[must_use]
     pub fn new(resource: &'static Resource) -> Self {
-        // No store's history reaches back to a version below its first, so the first read compares.
+        // Version 0 is older than any store's history, so the first read is a comparison with the store.
         let cursor = Cursor::new(resource.index, 0);
         Self {
             resource,
             cursor,
-            known: BTreeMap::new(),
+            reported: BTreeMap::new(),
             resync_count: 0,
         }
     }
 
-    /// A reader for which every present object is known already, as after a restore.
+    /// A reader that treats the current objects as reported, as after a restore, and reports only later changes.
     pub fn from_current(resource: &'static Resource, store: &Store) -> Self {
-        let known = store
+        let reported = store
             .iter(resource, "")
             .map(|object| (key(object), object.clone()))
             .collect();
         Self {
             resource,
             cursor: Cursor::new(resource.index, store.version()),
-            known,
+            reported,
             resync_count: 0,
         }
     }
@@ -53,12 +54,13 @@
         self.cursor.version() == store.version()
     }
 
-    /// How often the cursor had expired, so that the reader had to compare with the store.
+    /// Number of comparisons with the store because of an expired cursor; the first read does not count.
     pub fn resync_count(&self) -> u64 {
         self.resync_count
     }
 
-    /// The changes since the last call, in order: at most `max`, but all of them after a resync.
+    /// The changes since the last call, at most `max`, in order of versions. After a resync all changes at once,
+    /// deletions first.
     pub fn read(&mut self, store: &Store, max: usize) -> Vec<Change> {
         let mut changes = Vec::new();
         if store.poll(&mut self.cursor, max, &mut changes).is_err() {
@@ -67,27 +69,27 @@
         for change in &changes {
             let key = key(&change.object);
             if change.kind == ChangeKind::Deleted {
-                self.known.remove(&key);
+                self.reported.remove(&key);
             } else {
-                self.known.insert(key, change.object.clone());
+                self.reported.insert(key, change.object.clone());
             }
         }
         changes
     }
 
-    /// The changes from the known objects to the present ones; the cursor is current afterwards.
+    /// The changes from the reported states to the current ones. Advances the cursor to the current version.
     fn resync(&mut self, store: &Store) -> Vec<Change> {
         if self.cursor.version() > 0 {
             self.resync_count += 1;
         }
         let mut deleted = Vec::new();
-        let mut present = Vec::new();
-        let mut unmatched = self.known.clone();
+        let mut present_changes = Vec::new();
+        let mut unmatched = self.reported.clone();
         for object in store.iter(self.resource, "") {
             let previous = unmatched.remove(&key(object));
             let change = match previous {
                 Some(old) if meta::uid(&old) != meta::uid(object) => {
-                    // Another object of that name: the known one was deleted.
+                    // The uid differs, so the reported object was deleted and another one created under its name.
                     deleted.push(old);
                     change(ChangeKind::Added, object, None)
                 }
@@ -95,10 +97,10 @@
                 Some(old) => change(ChangeKind::Modified, object, Some(old)),
                 None => change(ChangeKind::Added, object, None),
             };
-            present.push(change);
+            present_changes.push(change);
         }
         deleted.extend(unmatched.into_values());
-        present.sort_by_key(|change| change.version);
+        present_changes.sort_by_key(|change| change.version);
         self.cursor = Cursor::new(self.resource.index, store.version());
         let mut changes = Vec::new();
         for object in deleted {
@@ -109,7 +111,7 @@
                 previous: Some(object),
             });
         }
-        changes.extend(present);
+        changes.extend(present_changes);
         changes
     }
 }
--- a/crates/store/src/history.rs
+++ b/crates/store/src/history.rs
@@ -1,15 +1,15 @@
-//! The changes of one resource, bounded, and cursors into them.
+//! Bounded history of the changes of one resource, and cursors into it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 use tidespur_api::Object;
 
-/// What happened to an object.
+/// Kind of a change, as in watch events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The object was created.
     Added,
-    /// The object was changed.
+    /// The object was replaced.
     Modified,
     /// The object was deleted.
     Deleted,
@@ -20,15 +20,15 @@
 pub struct Change {
     /// The resourceVersion of this change.
     pub version: u64,
-    /// What happened.
+    /// Whether the object was created, replaced or deleted.
     pub kind: ChangeKind,
-    /// The object after the change; for a deletion its last state, with the version of the deletion.
+    /// The object after the change; for a deletion its last state with the version of the deletion.
     pub object: Arc<Object>,
-    /// The object before the change.
+    /// The object before the change; `None` if it was created.
     pub previous: Option<Arc<Object>>,
 }
 
-/// The requested version is older than the history.
+/// Error: the requested version is older than the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too old resource version: {requested} ({oldest})")]
 pub struct Expired {
@@ -52,19 +52,19 @@
     pub(crate) fn resource(&self) -> usize {
         self.resource
     }
-    /// The version up to which all changes have been read.
+    /// The version up to which changes have been read.
     pub fn version(&self) -> u64 {
         self.version
     }
 }
 
-/// The latest changes of one resource.
+/// The latest changes of one resource, in order of versions.
 #[derive(Debug)]
 pub(crate) struct History {
     changes: VecDeque<Change>,
     max_changes: usize,
-    /// All changes above this version are in `changes`.
-    complete_from: u64,
+    /// All changes after this version are in `changes`.
+    compacted_version: u64,
 }
 
 impl History {
@@ -72,40 +72,40 @@
         Self {
             changes: VecDeque::new(),
             max_changes: max_changes.max(1),
-            complete_from: version,
+            compacted_version: version,
         }
     }
 
-    /// Appends a change; drops the oldest at the bound.
+    /// Appends a change; drops the oldest at the limit.
     pub(crate) fn push(&mut self, change: Change) {
         while self.changes.len() >= self.max_changes {
             if let Some(old) = self.changes.pop_front() {
-                self.complete_from = old.version;
+                self.compacted_version = old.version;
             }
         }
         self.changes.push_back(change);
     }
 
-    /// Drops all changes; only later versions can be read from then on.
+    /// Drops all changes, so that only later ones can be read.
     pub(crate) fn clear(&mut self) {
         if let Some(last) = self.changes.back() {
-            self.complete_from = last.version;
+            self.compacted_version = last.version;
         }
         self.changes.clear();
     }
 
-    /// Checks that the history reaches back to this version.
+    /// Checks that all changes after this version are available.
     pub(crate) fn check(&self, version: u64) -> Result<(), Expired> {
-        if version < self.complete_from {
+        if version < self.compacted_version {
             return Err(Expired {
                 requested: version,
-                oldest: self.complete_from,
+                oldest: self.compacted_version,
             });
         }
         Ok(())
     }
 
-    /// Appends changes up to `last_version`, at most `max`, and advances the cursor.
+    /// Appends at most `max` changes after the cursor and up to `last_version` to `changes`, and advances the cursor.
     pub(crate) fn read(
         &self,
         cursor: &mut Cursor,
@@ -126,7 +126,7 @@
             changes.push(change.clone());
         }
         if from + max >= end {
-            // All changes of this resource have been read, so the cursor advances over versions of other resources.
+            // All changes of this resource have been read, so the cursor skips the versions of other resources.
             cursor.version = cursor.version.max(last_version);
         }
         Ok(())
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,8 @@
-//! The API objects of an edge: every change gets the next resourceVersion, is checked against the version that the
-//! writer has seen, and is kept in a bounded history that watches read.
+//! In-memory store of an edge's API objects. Every write is checked against its precondition, gets the next
+//! resourceVersion and is recorded in a bounded history that watches read.
 //!
-//! Owns all objects and their histories; used under one lock by the REST handlers and the edge's core. A watch is a
-//! [`Cursor`] into the shared history and holds no memory of its own, however slow its reader is; once its position has
-//! been compacted away it gets [`Expired`].
+//! The store is shared under one lock by the REST handlers and the edge's core. A watch is a [`Cursor`] into the shared
+//! history and buffers nothing, however slow its reader is; once its position has been compacted it gets [`Expired`].
 
 mod change_reader;
 mod history;
@@ -23,17 +22,17 @@
 use tidespur_api::resource::RESOURCES;
 use tidespur_api::{Object, Resource};
 
-/// Identifies an object: index of its resource, namespace, name.
+/// Identifies an object: index of its resource, namespace (empty for cluster-scoped resources), name.
 pub type Key = (usize, String, String);
 
-/// Bounds of the store.
+/// Limits of the store's memory use.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Changes in the history of one resource.
+    /// Maximum number of changes in the history of one resource.
     pub max_history: usize,
-    /// Versions at which a paged list can still be continued.
+    /// Maximum number of versions that are kept for the continuation of paged lists.
     pub max_snapshots: usize,
-    /// Objects of one resource.
+    /// Maximum number of objects of one resource.
     pub max_objects: usize,
 }
 
@@ -47,34 +46,37 @@
     }
 }
 
-/// What must hold of the present object for a write to succeed.
+/// Condition on the current object for a write to succeed.
 #[derive(Clone, Debug, Default)]
 pub struct Precondition {
-    /// The uid that it must have.
+    /// Required uid; `None` accepts any.
     pub uid: Option<String>,
-    /// The version that it must have; `None` accepts any.
+    /// Required version; `None` accepts any.
     pub version: Option<u64>,
 }
 
-/// Objects by resource, namespace and name, with the history of their changes.
+/// The objects of all resources, with the history of their changes.
 #[derive(Debug)]
 pub struct Store {
     objects: OrdMap<Key, Arc<Object>>,
+    /// Number of objects by resource index.
     counts: [usize; RESOURCES.len()],
+    /// Version of the last change.
     version: u64,
     histories: [History; RESOURCES.len()],
+    /// Versions kept for the continuation of paged lists, oldest first.
     snapshots: VecDeque<(u64, OrdMap<Key, Arc<Object>>)>,
     limits: Limits,
     rng: rand_pcg::Pcg64,
-    /// Objects written since they were last taken, if writes are tracked.
+    /// Keys of the objects written since the last [`Store::take_unpersisted`]; `None` while writes are not tracked.
     unpersisted: Option<BTreeSet<Key>>,
-    /// Watches see no change above this version.
+    /// Watches see no change after this version.
     visible_version: u64,
 }
 
 impl Store {
-    /// An empty store. Uids and generated names are drawn from `seed`. Versions begin above `version`: a store that
-    /// starts anew must begin above all versions that it may have handed out before.
+    /// An empty store. `seed` initializes the generator of uids and name suffixes. Versions start after `version`,
+    /// which after a restart must not be below any version that an earlier process may have handed out.
     pub fn new(limits: Limits, seed: u64, version: u64) -> Self {
         Self {
             objects: OrdMap::new(),
@@ -94,10 +96,10 @@
         self.version
     }
 
-    /// A new uid.
+    /// A random uid.
     pub fn new_uid(&mut self) -> String {
         let (a, b) = (self.rng.next_u64(), self.rng.next_u64());
-        // Version 4, variant 1 of RFC 9562.
+        // UUID version 4 with the variant of RFC 9562.
         let (a, b) = (a & !0xf000 | 0x4000, b & !(0b11 << 62) | 0b10 << 62);
         format!(
             "{:08x}-{:04x}-{:04x}-{:04x}-{:012x}",
@@ -109,7 +111,8 @@
         )
     }
 
-    /// Five random characters for a generated name, from the published alphabet without vowels.
+    /// Five random characters for a generated name, from the alphabet of Kubernetes. It has no vowels, which avoids
+    /// accidental words.
     pub fn random_suffix(&mut self) -> String {
         const LETTERS: &[u8] = b"bcdfghjklmnpqrstvwxz2456789";
         (0..5)
@@ -127,7 +130,7 @@
         self.counts[resource.index]
     }
 
-    /// All objects of a resource, of one namespace or of all (""), in order of namespace and name.
+    /// Objects of a resource in one namespace, or in all if it is empty, in order of namespace and name.
     pub fn iter<'a>(
         &'a self,
         resource: &Resource,
@@ -162,7 +165,7 @@
         self.histories[cursor.resource()].read(cursor, max, self.version, changes)
     }
 
-    /// The same without changes that are not visible yet, see [`Store::set_visible_version`].
+    /// Like [`Store::poll`], without changes that are not visible yet, see [`Store::set_visible_version`].
     ///
     /// # Errors
     /// As [`Store::poll`].
@@ -180,7 +183,7 @@
         )
     }
 
-    /// Drops all history up to now, as a restart or a compaction does.
+    /// Drops the history and all snapshots, as a compaction or a restart does.
     pub fn compact(&mut self) {
         self.histories.iter_mut().for_each(History::clear);
         self.snapshots.clear();
--- a/crates/store/src/list.rs
+++ b/crates/store/src/list.rs
@@ -1,4 +1,4 @@
-//! Lists in pages, all pages of one version.
+//! Paged lists; all pages of one list show the same version.
 
 use crate::{Key, Store};
 use imbl::OrdMap;
@@ -6,36 +6,37 @@
 use tidespur_api::selector::Selector;
 use tidespur_api::{ApiError, Object, Resource};
 
-/// What to list.
+/// A request for one page of a list.
 #[derive(Clone, Debug, Default)]
 pub struct PageRequest {
-    /// Namespace, "" for all.
+    /// Namespace; empty for all.
     pub namespace: String,
-    /// Only objects that match this.
+    /// Selects the listed objects.
     pub selector: Selector,
-    /// Maximum number of objects, 0 for all.
+    /// Maximum number of objects in the page; 0 for all.
     pub limit: usize,
-    /// Continue token of the page before.
+    /// Continue token of the previous page; `None` for the first page.
     pub continue_token: Option<String>,
-    /// The exact version to list, if one is requested.
+    /// Exact version to list; `None` for the current one. Ignored with a continue token.
     pub exact: Option<u64>,
 }
 
-/// A part of a list.
+/// One page of a list.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// The objects.
+    /// The selected objects, in order of namespace and name.
     pub items: Vec<Arc<Object>>,
     /// The version of the whole list.
     pub version: u64,
-    /// Continue token of the next page, and how many objects remain regardless of the selector.
+    /// Continue token of the next page and number of remaining objects, those that the selector excludes included;
+    /// `None` for the last page.
     pub next: Option<(String, usize)>,
 }
 
-/// A position in a list, from a continue token.
+/// Decoded continue token: `version/namespace/name`.
 struct ContinueToken {
     version: u64,
-    /// The last object of the page before.
+    /// Last object of the previous page.
     after: Key,
 }
 
@@ -56,10 +57,11 @@
 }
 
 impl Store {
-    /// One page. All pages of one list show the same version, which is kept for a bounded number of lists.
+    /// Returns one page. If more follow, keeps a snapshot of the listed version for them; at
+    /// [`crate::Limits::max_snapshots`] the oldest snapshot is dropped.
     ///
     /// # Errors
-    /// `Expired` if that version is no longer kept, `BadRequest` for a token of another server.
+    /// `Expired` if the version is no longer kept, `BadRequest` if the continue token is malformed.
     pub fn list(&mut self, resource: &Resource, request: &PageRequest) -> Result<Page, ApiError> {
         let token = match &request.continue_token {
             Some(token) => Some(ContinueToken::parse(resource, token)?),
@@ -78,7 +80,7 @@
         Ok(page)
     }
 
-    /// All objects as they were at this version.
+    /// All objects at this version.
     fn objects_at(&self, version: u64) -> Result<OrdMap<Key, Arc<Object>>, ApiError> {
         if version == self.version {
             return Ok(self.objects.clone());
@@ -93,7 +95,7 @@
         Ok(objects.clone())
     }
 
-    /// Keeps the objects of this version for further pages; drops the oldest at the bound.
+    /// Keeps the objects of this version for further pages; drops the oldest snapshot at the limit.
     fn keep_snapshot(&mut self, version: u64, objects: OrdMap<Key, Arc<Object>>) {
         if self.snapshots.iter().any(|(kept, _)| *kept == version) {
             return;
@@ -105,7 +107,7 @@
     }
 }
 
-/// The page of these objects that begins after `after`.
+/// The page that begins after the key `after`, or at the start.
 fn page(
     objects: &OrdMap<Key, Arc<Object>>,
     resource: &Resource,
--- a/crates/store/src/write.rs
+++ b/crates/store/src/write.rs
@@ -1,10 +1,11 @@
-//! Writes: each gets the next version, is checked against its precondition, and is tracked for persistence.
+//! Creates, updates and deletes objects. Each write is checked against its precondition, gets the next version and is
+//! tracked for persistence.
 
 use crate::{Change, ChangeKind, Key, Precondition, Store, key};
 use std::sync::Arc;
 use tidespur_api::{ApiError, Object, Resource, meta};
 
-/// Fields of `metadata` that the server sets and writers cannot change.
+/// Fields of `metadata` that only the server sets.
 const SERVER_FIELDS: [&str; 5] = [
     "uid",
     "creationTimestamp",
@@ -12,14 +13,15 @@
     "generation",
     "deletionTimestamp",
 ];
-/// Seconds after which a writer may retry that was rejected at the bound of objects.
-const FULL_RETRY_AFTER: u32 = 10;
+/// Retry-After for creations that are rejected at the limit of objects, in seconds.
+const FULL_RETRY_AFTER_SECONDS: u32 = 10;
 
 impl Store {
-    /// Creates an object under `metadata.name`; sets uid, version, generation and creation time.
+    /// Creates an object under `metadata.name`. Sets uid, version, creation time and, if it has a spec, generation.
+    /// `now` is in seconds since 1970.
     ///
     /// # Errors
-    /// `AlreadyExists`, or `TooManyRequests` at the bound of objects.
+    /// `AlreadyExists`, or `TooManyRequests` at [`crate::Limits::max_objects`].
     pub fn create(
         &mut self,
         resource: &Resource,
@@ -35,7 +37,7 @@
                 "{} {} stand already, which is the most that is held",
                 self.limits.max_objects, resource.plural
             );
-            return Err(ApiError::too_many_requests(text, FULL_RETRY_AFTER));
+            return Err(ApiError::too_many_requests(text, FULL_RETRY_AFTER_SECONDS));
         }
         let uid = self.new_uid();
         meta::set(&mut object, "uid", uid.into());
@@ -51,10 +53,11 @@
         Ok(self.put(resource, key, object, None))
     }
 
-    /// Replaces an object. Fields that the server sets (uid, creation time) stay; an equal object is no change.
+    /// Replaces an object. Metadata that only the server sets is kept, and the generation is incremented if the spec
+    /// changes. Writing an equal object changes nothing and gets no new version.
     ///
     /// # Errors
-    /// `NotFound`, or `Conflict` if the precondition does not hold.
+    /// `NotFound`, or `Conflict` if the precondition fails.
     pub fn update(
         &mut self,
         resource: &Resource,
@@ -89,7 +92,7 @@
     /// Deletes an object and returns its last state with the version of the deletion.
     ///
     /// # Errors
-    /// `NotFound`, or `Conflict` if the precondition does not hold.
+    /// `NotFound`, or `Conflict` if the precondition fails.
     pub fn delete(
         &mut self,
         resource: &Resource,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Stores the object under the next version and appends the change to the history.
+    /// Writes the object with the next version and appends the change to the history.
     fn put(
         &mut self,
         resource: &Resource,
--- a/crates/store/src/write_tracking.rs
+++ b/crates/store/src/write_tracking.rs
@@ -1,4 +1,5 @@
-//! What persistence beside the store needs: which objects were written since it last asked, and restoring them.
+//! Interface for persistence: tracks written objects, restores objects at the start, and hides changes from watches
+//! until they are durable.
 
 use crate::{Key, Store, key};
 use std::collections::BTreeSet;
@@ -6,8 +7,8 @@
 use tidespur_api::{Object, Resource};
 
 impl Store {
-    /// Restores an object as an earlier store had it, version and uid included. To be called before anything is written
-    /// or watched; its version must not be above the one that this store began at.
+    /// Restores an object of an earlier process, with its version and uid. Must be called before the first write or
+    /// watch. The version must not exceed the one that was passed to [`Store::new`].
     pub fn restore(&mut self, resource: &Resource, object: Object) {
         let key = key(
             resource,
@@ -19,12 +20,13 @@
         }
     }
 
-    /// Tracks writes from now on, for [`Store::take_unpersisted`].
+    /// Starts to track writes for [`Store::take_unpersisted`].
     pub fn track_writes(&mut self) {
         self.unpersisted.get_or_insert_with(BTreeSet::new);
     }
 
-    /// Objects that were written or deleted since the last call, in their present state; deleted ones without an object.
+    /// Takes the keys written since the last call, each with the current object or `None` if it was deleted. Empty
+    /// while writes are not tracked.
     pub fn take_unpersisted(&mut self) -> Vec<(Key, Option<Arc<Object>>)> {
         let keys = self
             .unpersisted
@@ -36,9 +38,10 @@
             .collect()
     }
 
-    /// Makes changes up to this version visible to watches. Without a call all changes are visible.
+    /// Makes changes up to this version visible to watches. All changes are visible if this is never called.
     ///
-    /// Prevents that a watch reports a change that a power loss then takes back.
+    /// The caller sets it to the last durable version, so that no watch reports a change that a power loss then
+    /// reverts.
     pub fn set_visible_version(&mut self, version: u64) {
         self.visible_version = version;
     }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! Versions, conflicts, history and pages.
+//! Optimistic concurrency, history, watches and paged lists of the store.
 
 use proptest::prelude::*;
 use serde_json::json;
@@ -24,29 +24,32 @@
 }
 
 #[test]
-fn a_writer_that_saw_an_older_version_is_told_so() {
+fn writes_with_an_outdated_version_or_wrong_uid_conflict() {
     let mut store = store(10);
     let first = store.create(PODS, pod("a"), 0.0).unwrap();
     let mut changed = (*first).clone();
     changed["metadata"]["labels"] = json!({"x": "1"});
-    let expect = Precondition {
+    let precondition = Precondition {
         version: Some(meta::version(&first)),
         ..Precondition::default()
     };
-    store.update(PODS, changed.clone(), &expect).unwrap();
+    store.update(PODS, changed.clone(), &precondition).unwrap();
     changed["metadata"]["labels"] = json!({"x": "2"});
-    assert_eq!(store.update(PODS, changed, &expect).unwrap_err().code, 409);
+    assert_eq!(
+        store.update(PODS, changed, &precondition).unwrap_err().code,
+        409
+    );
     assert_eq!(
         store.create(PODS, pod("a"), 0.0).unwrap_err().reason,
         "AlreadyExists"
     );
-    let other = Precondition {
+    let wrong_uid = Precondition {
         uid: Some("x".into()),
         ..Precondition::default()
     };
     assert_eq!(
         store
-            .delete(PODS, "default", "a", &other)
+            .delete(PODS, "default", "a", &wrong_uid)
             .unwrap_err()
             .reason,
         "Conflict"
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn a_cursor_behind_the_history_is_told_and_holds_nothing() {
+fn cursor_behind_the_history_expires() {
     let mut store = store(4);
     let mut cursor = store.watch(PODS, store.version()).unwrap();
     for i in 0..4 {
@@ -67,14 +70,14 @@
     store.create(PODS, pod("p4"), 0.0).unwrap();
     assert!(
         store.poll(&mut cursor, 9, &mut seen).is_err(),
-        "the first change is gone"
+        "the first change was compacted"
     );
     store.poll(&mut second, 9, &mut seen).unwrap();
-    assert_eq!(seen.len(), 5, "the other goes on");
+    assert_eq!(seen.len(), 5, "the other cursor still reads");
 }
 
 #[test]
-fn changes_of_another_resource_do_not_push_a_cursor_out() {
+fn changes_of_another_resource_do_not_expire_a_cursor() {
     let mut store = store(2);
     let mut cursor = store.watch(JOBS, store.version()).unwrap();
     for i in 0..9 {
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn pages_show_one_moment_and_end_with_410_when_it_is_forgotten() {
+fn pages_show_one_version_and_fail_with_410_once_its_snapshot_is_dropped() {
     let mut store = store(100);
     for i in 0..5 {
         store.create(PODS, pod(&format!("p{i}")), 0.0).unwrap();
@@ -122,15 +125,15 @@
 }
 
 proptest! {
-    /// Whatever is done in whatever order, a watcher that reads in pieces ends with what a list shows.
+    /// For any sequence of writes, a watch that reads in batches ends in the state that a list shows.
     #[test]
-    fn a_watch_replays_to_the_list(steps in proptest::collection::vec((0u8..3, 0u8..6, 1usize..5), 1..60)) {
+    fn watch_converges_to_the_list(operations in proptest::collection::vec((0u8..3, 0u8..6, 1usize..5), 1..60)) {
         let mut store = store(1000);
         let mut cursor = store.watch(PODS, store.version()).unwrap();
         let mut seen: BTreeMap<String, u64> = BTreeMap::new();
-        let mut follow = |store: &Store, most: usize| {
+        let mut read_changes = |store: &Store, max: usize| {
             let mut changes = vec![];
-            store.poll(&mut cursor, most, &mut changes).unwrap();
+            store.poll(&mut cursor, max, &mut changes).unwrap();
             for change in changes {
                 let name = meta::name(&change.object).to_owned();
                 match change.kind {
@@ -140,20 +143,20 @@
             }
             seen.clone()
         };
-        for (step, name, most) in steps {
+        for (operation, name, batch) in operations {
             let name = format!("p{name}");
-            match step {
+            match operation {
                 0 => drop(store.create(PODS, pod(&name), 0.0)),
                 1 => {
                     let mut changed = pod(&name);
-                    changed["spec"]["nodeName"] = json!(format!("n{most}"));
+                    changed["spec"]["nodeName"] = json!(format!("n{batch}"));
                     drop(store.update(PODS, changed, &Precondition::default()));
                 }
                 _ => drop(store.delete(PODS, "default", &name, &Precondition::default())),
             }
-            follow(&store, most);
+            read_changes(&store, batch);
         }
-        let seen = follow(&store, 1000);
+        let seen = read_changes(&store, 1000);
         let listed: BTreeMap<String, u64> =
             store.iter(PODS, "").map(|o| (meta::name(o).to_owned(), meta::version(o))).collect();
         prop_assert_eq!(seen, listed);
