--- a/crates/job-controller/src/controller.rs
+++ b/crates/job-controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! All Jobs of one edge, and the Pods that belong to no Job any more.
+//! The controller of all Jobs and stray Pods of one edge.
 
 use crate::job::{Context, Job};
 use crate::{Action, Backoff, Event, PodOutcome, PodPhase, PodView, SlotId};
@@ -11,11 +11,12 @@
 pub struct Settings {
     /// Backoff between attempts.
     pub backoff: Backoff,
-    /// Planners are asked for the outcome of a Pod that may still run after this long, in seconds.
+    /// Delay before planners are queried for the location of a Pod that may still run, and before a stray Pod is
+    /// stopped, in seconds.
     pub outcome_query_delay: f64,
-    /// Classes of which a second run does harm, or is deduplicated in one place only.
+    /// Classes of tasks for which a second run does harm, or is deduplicated in one failure domain only.
     pub non_idempotent_classes: BTreeSet<String>,
-    /// The class of Pods that name none.
+    /// Class of Pods that specify none.
     pub default_class: String,
 }
 
@@ -25,14 +26,15 @@
     settings: Settings,
     rng: rand_pcg::Pcg32,
     jobs: BTreeMap<String, Job>,
-    /// Uid of the Job, by uid of each Pod that occupies a slot.
+    /// Job uids by the uids of the Pods that occupy slots.
     job_of_pod: BTreeMap<String, String>,
-    /// Pods without a Job that may run though they were reported as failed, and when what runs of them is stopped.
+    /// Uids of stray Pods, which may still run although they were reported as failed or their objects were deleted,
+    /// with the times at which they are stopped.
     stray_pods: BTreeMap<String, f64>,
 }
 
 impl Controller {
-    /// A controller without Jobs. All its random draws follow from `seed`.
+    /// A controller without Jobs. `seed` initializes the generator of its jitter.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let rng = rand_pcg::Pcg32::seed_from_u64(seed);
         Self {
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Observes `events`, all of time `now` (seconds since 1970), and appends the actions that follow.
+    /// Processes `events`, reconciles all Jobs at time `now` (seconds since 1970) and appends the resulting actions.
     pub fn step(&mut self, now: f64, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.observe_all(now, events, actions);
         for job in self.jobs.values_mut() {
@@ -53,14 +55,14 @@
         self.stop_due_stray_pods(now, actions);
     }
 
-    /// Observes `events` without reconciling: for what an earlier process left, before the first step.
+    /// Processes `events` without reconciling. Used before the first step, to restore the state of an earlier process.
     pub fn observe_all(&mut self, now: f64, events: Vec<Event>, actions: &mut Vec<Action>) {
         for event in events {
             self.observe(now, event, actions);
         }
     }
 
-    /// When to step next though no event occurs, in seconds since 1970.
+    /// When the next step is due even without events, in seconds since 1970; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<f64> {
         let jobs = self.jobs.values().filter_map(Job::next_wake);
         jobs.chain(self.stray_pods.values().copied())
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The Job of this uid, with what its handlers need.
+    /// The Job with this uid, and the context for its event handlers.
     fn job<'a>(
         &'a mut self,
         now: f64,
@@ -180,8 +182,8 @@
         }
     }
 
-    /// A Pod without a Job here, or whose slot is done, changed. Nobody will retry it, so what may run of it after an
-    /// unknown outcome has no owner and is stopped.
+    /// Handles a change of a Pod that has no Job here or whose slot is done. If its outcome is unknown it may run, and
+    /// since no Job will resolve that, it is stopped as a stray Pod.
     fn on_unowned_pod_updated(&mut self, now: f64, pod: &PodView, actions: &mut Vec<Action>) {
         let may_run = pod.phase == PodPhase::Ended(PodOutcome::Unknown);
         if may_run && !self.stray_pods.contains_key(&pod.uid) {
--- a/crates/job-controller/src/job.rs
+++ b/crates/job-controller/src/job.rs
@@ -1,4 +1,4 @@
-//! One Job: its slots, its counters and its phase. Called by the controller with each event of the Job or its Pods.
+//! State of one Job: slots, counters and phase. The controller calls it for each event of the Job or its Pods.
 
 use crate::persistence::PersistedSlot;
 use crate::slot::{Slot, SlotOutcome, SlotState};
@@ -11,32 +11,37 @@
 
 pub use status::{JobPhase, JobStatus};
 
-/// What the handling of one event needs beside the Job itself.
+/// Parts of the controller that event handlers of a Job use.
 pub(crate) struct Context<'a> {
     pub(crate) now: f64,
     pub(crate) settings: &'a Settings,
     pub(crate) rng: &'a mut rand_pcg::Pcg32,
-    /// Uid of the Job, by uid of each Pod that occupies a slot.
+    /// Job uids by the uids of the Pods that occupy slots.
     pub(crate) job_of_pod: &'a mut BTreeMap<String, String>,
     pub(crate) actions: &'a mut Vec<Action>,
 }
 
 #[derive(Debug)]
 pub(crate) struct Job {
+    /// The specification.
     pub(crate) view: JobView,
+    /// Open slots by number.
     pub(crate) slots: BTreeMap<u32, Slot>,
     pub(crate) next_slot: u32,
     pub(crate) succeeded: u32,
     pub(crate) failed: u32,
     pub(crate) phase: JobPhase,
+    /// When the Job began or was last resumed, in seconds since 1970.
     started: f64,
+    /// When the Job reached a final phase, in seconds since 1970.
     pub(crate) ended: Option<f64>,
     published_status: Option<JobStatus>,
-    /// Pods that ended without success, oldest first; only the last few are kept as objects.
+    /// Pods that ended without success, oldest first. The objects of all but the last few are deleted.
     pub(crate) unsuccessful_pods: VecDeque<PodView>,
     is_deletion_requested: bool,
-    /// What is persisted of slots, and the number below which slots were allocated there.
+    /// Persisted state of the slots, by number.
     pub(crate) persisted_slots: BTreeMap<u32, PersistedSlot>,
+    /// Persisted value of `next_slot`.
     pub(crate) persisted_next_slot: u32,
 }
 
@@ -121,7 +126,7 @@
                     context.rng,
                 );
                 if end == PodOutcome::Unknown && is_idempotent {
-                    // A second run is harmless, but a Pod that nobody waits for must not occupy capacity.
+                    // A second run is harmless, but the earlier one would occupy capacity for nothing.
                     let uid = pod.uid.clone();
                     context.actions.push(Action::StopPod { uid });
                 }
@@ -167,7 +172,7 @@
             if has_ended {
                 self.apply_outcome(number, SlotOutcome::Done, uid, context);
             } else {
-                // Queried again until the node confirms that it is gone; the slot stays unresolved until then.
+                // The slot stays unresolved, and the Pod is queried again, until no node runs it any more.
                 slot.on_located(now, Location::Unknown, settings, context.rng);
             }
             return;
@@ -197,8 +202,8 @@
         context.job_of_pod.remove(pod_uid);
     }
 
-    /// Somebody deleted the Pod, which stops what runs of it. Of a class that is not idempotent the slot gets a new Pod
-    /// only once no node runs the old one any more. Returns whether the Pod still occupies its slot.
+    /// Handles the deletion of a Pod by a client, which stops it at its node. If the class is not idempotent, the slot
+    /// gets a new Pod only once no node runs the old one any more. Returns whether the Pod still occupies its slot.
     pub(crate) fn on_pod_deleted(&mut self, now: f64, pod: &PodView, settings: &Settings) -> bool {
         let is_idempotent = self.is_idempotent(settings);
         let Some(number) = self.slot_of_pod(&pod.uid) else {
@@ -223,8 +228,8 @@
         }
     }
 
-    /// The Job was deleted, and its Pods with it. Returns the uids of Pods that may still run though the store does not
-    /// know them any more.
+    /// Handles the deletion of the Job and its Pods. Returns the uids of Pods that may still run although their objects
+    /// are deleted.
     pub(crate) fn on_deleted(self, job_of_pod: &mut BTreeMap<String, String>) -> Vec<String> {
         let mut strays = Vec::new();
         for slot in self.slots.into_values() {
--- a/crates/job-controller/src/job/reconcile.rs
+++ b/crates/job-controller/src/job/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of one Job: how many slots it has, which Pods it asks for, and when it ends.
+//! Reconciliation of one Job: number of slots, creation and deletion of Pods, end and expiry of the Job.
 
 use super::{Job, JobPhase};
 use crate::slot::{Slot, SlotState};
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Pods without success that are kept as objects, for each Job.
+/// Maximum number of Pods per Job that are kept as objects after they ended without success.
 const MAX_UNSUCCESSFUL_PODS: usize = 10;
 
 fn delete_pod(pod: PodView) -> Action {
@@ -18,8 +18,8 @@
 }
 
 impl Job {
-    /// How many slots may be open.
-    fn wanted_slots(&self) -> usize {
+    /// Number of slots that the Job should have.
+    fn desired_slots(&self) -> usize {
         if self.ended.is_some() || self.view.is_suspended || self.view.is_being_deleted {
             return 0;
         }
@@ -31,6 +31,7 @@
         self.view.parallelism.min(remaining) as usize
     }
 
+    /// Determines the phase. A final phase sets the end time and is kept.
     fn update_phase(&mut self, now: f64) {
         if self.ended.is_some() {
             return;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Brings the Job's slots to the wanted number, and asks for what follows from the state of its slots.
+    /// Adjusts the number of slots to the desired one and appends the actions that the state of the slots requires.
     pub(crate) fn reconcile(
         &mut self,
         now: f64,
@@ -116,7 +117,7 @@
         });
     }
 
-    /// When the Job is deleted, in seconds since 1970, where it has ended and has a time to live.
+    /// When the Job is to be deleted, in seconds since 1970; `None` if it has not ended or has no time to live.
     fn deletion_time(&self) -> Option<f64> {
         Some(self.ended? + self.view.time_to_live?)
     }
@@ -126,7 +127,7 @@
         job_of_pod: &mut BTreeMap<String, String>,
         actions: &mut Vec<Action>,
     ) {
-        let excess = self.slots.len().saturating_sub(self.wanted_slots());
+        let excess = self.slots.len().saturating_sub(self.desired_slots());
         let mut removable: Vec<(u32, Reverse<u32>)> = Vec::new();
         for (&number, slot) in &self.slots {
             if let Some(rank) = slot.removal_rank() {
@@ -146,8 +147,8 @@
     }
 
     fn create_pods(&mut self, now: f64, actions: &mut Vec<Action>) {
-        let wanted = self.wanted_slots();
-        while self.slots.len() < wanted {
+        let desired = self.desired_slots();
+        while self.slots.len() < desired {
             self.slots.insert(self.next_slot, Slot::new(now));
             self.next_slot += 1;
         }
@@ -160,8 +161,8 @@
             else {
                 continue;
             };
-            // What runs already is adopted even where nothing new may start.
-            if *at > now || (wanted == 0 && adoption.is_none()) {
+            // A running Pod is adopted even if the Job may start no new ones.
+            if *at > now || (desired == 0 && adoption.is_none()) {
                 continue;
             }
             actions.push(Action::CreatePod {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// When the Job has something to do though no event occurs, in seconds since 1970.
+    /// When the Job must be reconciled even without events, in seconds since 1970; `None` if no timer is set.
     pub(crate) fn next_wake(&self) -> Option<f64> {
         let can_run = self.ended.is_none() && !self.view.is_suspended;
         let mut times: Vec<f64> = Vec::new();
--- a/crates/job-controller/src/job/status.rs
+++ b/crates/job-controller/src/job/status.rs
@@ -1,44 +1,44 @@
-//! The status of a Job, as it is published.
+//! The published status of a Job.
 
 use super::Job;
 use crate::PodPhase;
 use crate::slot::SlotState;
 
-/// Phase of a Job as a whole.
+/// Phase of a Job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobPhase {
-    /// It runs, or has work to run.
+    /// The Job runs Pods or may create them.
     Active,
-    /// It is suspended.
+    /// The Job is suspended and runs no Pods.
     Suspended,
-    /// All its completions are reached.
+    /// The required number of Pods has succeeded.
     Complete,
-    /// More runs failed than its backoff limit allows.
+    /// More runs failed than the backoff limit allows.
     BackoffLimitExceeded,
-    /// It was active for longer than its deadline allows.
+    /// The active deadline has passed.
     DeadlineExceeded,
 }
 
-/// Status of a Job.
+/// Status of a Job, from which the status of its object is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobStatus {
-    /// Pods that are pending or running.
+    /// Number of Pods that are pending, placed or running.
     pub active: u32,
-    /// Pods that are running.
+    /// Number of running Pods.
     pub ready: u32,
-    /// Pods that succeeded.
+    /// Number of Pods that succeeded.
     pub succeeded: u32,
-    /// Runs that failed.
+    /// Number of runs whose program failed.
     pub failed: u32,
-    /// Slots that wait for the backoff before the next attempt.
+    /// Number of slots that back off before the next attempt.
     pub waiting_for_retry: u32,
-    /// Slots whose Pod may still run though its outcome is unknown.
+    /// Number of slots whose Pod has an unknown outcome and may still run.
     pub outcome_unknown: u32,
-    /// Phase as a whole.
+    /// Phase of the Job.
     pub phase: JobPhase,
-    /// When it began, in seconds since 1970.
+    /// When the Job began or was last resumed, in seconds since 1970.
     pub started: f64,
-    /// When it ended, in seconds since 1970.
+    /// When the Job reached a final phase, in seconds since 1970.
     pub ended: Option<f64>,
 }
 
--- a/crates/job-controller/src/lib.rs
+++ b/crates/job-controller/src/lib.rs
@@ -1,9 +1,10 @@
-//! The Job controller, as a state machine without I/O: it keeps as many Pods running as each Job wants, retries Pods that
-//! were rejected, failed, were evicted or lost, and where a second run could do harm first finds out whether the earlier
-//! one still runs. The edge's core feeds it with events and carries out its actions.
+//! Job controller as a state machine without I/O. It keeps the number of Pods that each Job specifies, and retries Pods
+//! that failed or were rejected, evicted or lost. If a second run could do harm, it first determines whether the
+//! earlier Pod still runs. The edge's core passes events to it and executes its actions.
 //!
-//! The work of a Job is divided into *slots*. A slot is one Pod's worth of work, and at most one Pod that may run
-//! occupies it at any time. All rules about retries are rules about one slot, in `slot.rs`.
+//! The work of a Job is divided into *slots*. A slot is the work of one Pod, and at any time at most one Pod that may
+//! run occupies it. Retries are decided per slot, in `slot.rs`. A *stray* Pod may still run but belongs to no Job any
+//! more.
 
 mod backoff;
 mod controller;
--- a/crates/job-controller/src/messages.rs
+++ b/crates/job-controller/src/messages.rs
@@ -1,16 +1,16 @@
-//! Events that the controller observes, and actions that it asks its caller to carry out.
+//! Events that the controller processes, and actions that its caller executes.
 
 use crate::{Adoption, JobStatus, JobView, PersistedSlot, PodView, RestoredJob, SlotId};
 use tidespur_planner_protocol::Location;
 
-/// An event that the controller observes.
+/// An event that the controller processes.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A Job was created or changed.
     JobUpdated(JobView),
-    /// A Job was restored from what an earlier process persisted.
+    /// A Job was restored from the records of an earlier process.
     JobRestored(Box<RestoredJob>),
-    /// A Pod without a Job, which may still run, was restored from what an earlier process persisted.
+    /// A stray Pod was restored from the records of an earlier process.
     StrayPodRestored {
         /// Uid of the Pod.
         uid: String,
@@ -22,30 +22,30 @@
     },
     /// A Pod was created for a slot.
     PodCreated {
-        /// The slot.
+        /// The slot that the Pod was created for.
         slot: SlotId,
-        /// The Pod.
+        /// The created Pod.
         pod: PodView,
     },
-    /// No Pod could be created for a slot.
+    /// The creation of a Pod for a slot failed.
     PodCreationFailed(SlotId),
     /// A Pod was created or changed.
     PodUpdated(PodView),
     /// A Pod was deleted.
     PodDeleted(PodView),
-    /// The planners answered where a Pod is: the answer to [`Action::LocatePod`].
+    /// The planners' answer to [`Action::LocatePod`].
     PodLocated {
         /// Uid of the Pod.
         uid: String,
-        /// Where it is.
+        /// Where the Pod runs, or how it ended, if known.
         location: Location,
     },
 }
 
-/// An action that the controller asks for.
+/// An action that the caller executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Create a Pod. The caller answers with [`Event::PodCreated`] or [`Event::PodCreationFailed`].
+    /// Create a Pod. The caller responds with [`Event::PodCreated`] or [`Event::PodCreationFailed`].
     CreatePod {
         /// The slot that the Pod is for.
         slot: SlotId,
@@ -53,9 +53,9 @@
         namespace: String,
         /// Name of the Job.
         job: String,
-        /// Whether the slot had a Pod before, or its creation failed.
+        /// Whether the slot had a Pod before, or an earlier creation failed.
         is_retry: bool,
-        /// What runs already and is taken over by the new Pod.
+        /// The running Pod at a node that the new Pod adopts.
         adoption: Option<Adoption>,
     },
     /// Delete a Pod.
@@ -67,7 +67,7 @@
         /// Uid.
         uid: String,
     },
-    /// Write a Job's status.
+    /// Write the status of a Job.
     UpdateJobStatus {
         /// Uid of the Job.
         uid: String,
@@ -75,10 +75,10 @@
         namespace: String,
         /// Name.
         name: String,
-        /// The status.
+        /// The new status.
         status: JobStatus,
     },
-    /// Delete a Job whose time to live after its end has elapsed.
+    /// Delete a Job whose time to live has elapsed.
     DeleteJob {
         /// Namespace.
         namespace: String,
@@ -87,42 +87,42 @@
         /// Uid.
         uid: String,
     },
-    /// Ask all planners where this Pod runs, if anywhere. The caller answers with [`Event::PodLocated`].
+    /// Query all planners for the location of a Pod. The caller responds with [`Event::PodLocated`].
     LocatePod {
         /// Uid of the Pod.
         uid: String,
         /// Namespace.
         namespace: String,
-        /// Name at nodes.
+        /// Name of the Pod at nodes, see [`PodView::name_at_node`].
         name: String,
     },
-    /// Stop whatever runs of this Pod at nodes.
+    /// Stop a Pod at all nodes that run it.
     StopPod {
         /// Uid of the Pod.
         uid: String,
     },
-    /// Persist the state of a slot, or remove what is persisted of it.
+    /// Persist the state of a slot, or remove its record.
     PersistSlot {
         /// Uid of the Job.
         job: String,
         /// Number of the slot.
         number: u32,
-        /// The state; `None` removes it.
+        /// The state; `None` removes the record.
         slot: Option<PersistedSlot>,
     },
-    /// Persist how many slot numbers a Job has allocated, or remove what is persisted of the Job.
+    /// Persist which slot numbers a Job has allocated, or remove its record.
     PersistJob {
         /// Uid of the Job.
         job: String,
-        /// Numbers below this are allocated; `None` removes the record.
+        /// All numbers below this one are allocated; `None` removes the record.
         next_slot: Option<u32>,
     },
-    /// Persist that a Pod without a Job may run and is to be stopped.
+    /// Persist a stray Pod: it has no Job, may run and must be stopped.
     PersistStrayPod {
         /// Uid of the Pod.
         uid: String,
     },
-    /// Remove what is persisted of a Pod without a Job: it is being stopped.
+    /// Remove the record of a stray Pod, which is being stopped.
     RemoveStrayPod {
         /// Uid of the Pod.
         uid: String,
--- a/crates/job-controller/src/persistence.rs
+++ b/crates/job-controller/src/persistence.rs
@@ -1,8 +1,8 @@
-//! What of a Job is persisted beside its objects, and how a Job is restored from it.
+//! The state of a Job that is persisted in addition to its objects, and the restoration of Jobs.
 //!
-//! Counters, start and end are part of the Job's status, and a slot with a Pod is restored from that Pod. Persisted apart
-//! is only what no object holds: which slot numbers were allocated, which slots wait for a retry, and which Pods may run
-//! though their outcome is unknown. The caller stores it, as [`Action`]s tell.
+//! Counters, start and end of a Job are restored from its status, and a slot with a Pod from that Pod. Only state that
+//! no object contains is persisted separately: allocated slot numbers, slots that wait for a retry, and Pods whose
+//! outcome is unknown. The controller emits [`Action`]s, and the caller writes the records.
 
 use crate::job::Job;
 use crate::slot::{Slot, SlotState};
@@ -10,27 +10,27 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// The persisted state of a slot without a Pod that tells it.
+/// Persisted state of a slot that cannot be restored from a Pod.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PersistedSlot {
     /// The slot waits for its next attempt.
     #[serde(rename = "Again")]
     Retry {
-        /// When, in seconds since 1970.
+        /// Time of the next attempt, in seconds since 1970.
         at: f64,
-        /// What runs already and is to be taken over.
+        /// The running Pod at a node that the next Pod adopts.
         #[serde(rename = "adopt")]
         adoption: Option<Adoption>,
         /// Failures in a row.
         #[serde(rename = "troubles")]
         failures: u32,
     },
-    /// This Pod may run; no other may be created until that is known.
+    /// A Pod may still run; no other one is created until its outcome is known.
     #[serde(rename = "Settling")]
     OutcomeUnknown {
-        /// The Pod, whose object may have been deleted.
+        /// The Pod; its object may have been deleted.
         pod: PodView,
-        /// Its owner deleted it: what is found of it is stopped.
+        /// Whether its owner deleted it, so that it is stopped if it is found running.
         #[serde(rename = "unwanted")]
         is_unwanted: bool,
         /// Failures in a row.
@@ -39,33 +39,33 @@
     },
 }
 
-/// A Job as an earlier process left it.
+/// A Job in the last state that an earlier process persisted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredJob {
-    /// Its specification.
+    /// Specification of the Job.
     pub view: JobView,
-    /// Pods that succeeded.
+    /// Number of Pods that succeeded.
     pub succeeded: u32,
-    /// Runs that failed.
+    /// Number of runs whose program failed.
     pub failed: u32,
-    /// Its phase.
+    /// Phase, as read from its status.
     pub phase: JobPhase,
-    /// When it began, in seconds since 1970.
+    /// When the Job began or was last resumed, in seconds since 1970.
     pub started: f64,
-    /// When it ended, in seconds since 1970.
+    /// When the Job reached a final phase, in seconds since 1970.
     pub ended: Option<f64>,
-    /// Slot numbers below this were allocated.
+    /// All slot numbers below this one are allocated.
     pub next_slot: u32,
-    /// Pods that occupy slots, by the slot's number.
+    /// Pods that occupy slots, with the numbers of the slots.
     pub pods: Vec<(u32, PodView)>,
-    /// Slots without such a Pod, by their number.
+    /// Persisted slots with their numbers. A Pod in `pods` takes precedence.
     pub slots: Vec<(u32, PersistedSlot)>,
     /// Pods that ended without success, oldest first.
     pub unsuccessful_pods: Vec<PodView>,
 }
 
 impl Slot {
-    /// What is to be persisted of the slot; `None` where its Pod, or the Job's wish for one, tells all.
+    /// The state to persist; `None` if the slot can be restored from its Pod, or is created anew by the reconciliation.
     pub(crate) fn to_persisted(&self) -> Option<PersistedSlot> {
         let failures = self.failures;
         match &self.state {
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Restores a slot. Retries that fell due while no process was running are spread, so that not all begin at once. A
-    /// retry that lies further ahead than the longest backoff stems from a clock that was wrong, and is treated as due.
-    /// Unknown outcomes are queried soon, whatever the clock says.
+    /// Restores a slot. Retries that came due while no process was running are spread by a jitter, so that they do not
+    /// all begin at once. A retry further ahead than the maximum backoff results from a wrong clock and is treated as
+    /// due. Unknown outcomes are queried after at most the usual delay, whatever time the clock shows.
     fn from_persisted(
         persisted: PersistedSlot,
         now: f64,
@@ -148,7 +148,7 @@
         }
         for (number, persisted) in restored.slots {
             job.persisted_slots.insert(number, persisted.clone());
-            // A Pod that occupies the slot is newer than what was persisted without one.
+            // A Pod that occupies the slot is newer than the persisted state.
             job.slots
                 .entry(number)
                 .or_insert_with(|| Slot::from_persisted(persisted, now, settings, rng));
@@ -160,7 +160,7 @@
         job
     }
 
-    /// Uids of the Pods that occupy its slots.
+    /// Uids of the Pods that occupy slots.
     pub(crate) fn pod_uids(&self) -> impl Iterator<Item = &str> {
         self.slots
             .values()
@@ -168,7 +168,7 @@
             .map(|pod| pod.uid.as_str())
     }
 
-    /// Asks to persist what differs from what is persisted.
+    /// Appends the actions that persist the differences from the persisted state.
     pub(crate) fn persist_changes(&mut self, actions: &mut Vec<Action>) {
         if self.persisted_next_slot != self.next_slot {
             self.persisted_next_slot = self.next_slot;
@@ -179,7 +179,7 @@
         }
         self.remove_persisted_slots(actions);
         for (&number, slot) in &self.slots {
-            // The creation of its Pod is answered before the step is over, which changes its state.
+            // Transient: the caller responds to the creation before its step ends, which changes the state again.
             if slot.state == SlotState::Creating {
                 continue;
             }
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Asks to remove what is persisted of slots that the Job does not have any more.
+    /// Removes the records of slots that no longer exist.
     fn remove_persisted_slots(&mut self, actions: &mut Vec<Action>) {
         let removed: Vec<u32> = self
             .persisted_slots
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The Job was deleted: asks to remove all that is persisted of it.
+    /// Removes all records of the Job after its deletion.
     pub(crate) fn remove_persisted(&mut self, actions: &mut Vec<Action>) {
         for number in std::mem::take(&mut self.persisted_slots).into_keys() {
             actions.push(Action::PersistSlot {
--- a/crates/job-controller/src/slot.rs
+++ b/crates/job-controller/src/slot.rs
@@ -1,4 +1,4 @@
-//! The state machine of one slot: one Pod's worth of work, for which at most one Pod may run at any time.
+//! State machine of one slot: the work of one Pod, for which at most one Pod may run at any time.
 
 use crate::{PodOutcome, PodPhase, PodView, Settings};
 use rand::Rng;
@@ -10,38 +10,41 @@
 pub struct SlotId {
     /// Uid of the Job.
     pub job: String,
-    /// Number within the Job.
+    /// Number of the slot, unique within the Job.
     pub number: u32,
 }
 
-/// A process that runs at a node already and is taken over by a new Pod.
+/// A Pod that already runs at a node and is adopted by a new Pod object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adoption {
-    /// Name of the node.
+    /// Name of the node that runs it.
     pub node: String,
     /// Name of the Pod at that node.
     pub name: String,
 }
 
-/// State of a slot.
+/// State of a slot. All times are in seconds since 1970.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum SlotState {
-    /// A Pod is to be created at this time.
+    /// A Pod is created at time `at`.
     Idle {
         at: f64,
         is_retry: bool,
         adoption: Option<Adoption>,
     },
-    /// The creation of a Pod was asked for.
+    /// The creation of a Pod was requested.
     Creating,
-    /// This Pod waits, runs or is about to.
+    /// The Pod is pending, placed or running.
     Active { pod: PodView },
-    /// This Pod may still run, though it was reported as unknown or lost; no other may be created until that is known.
+    /// The Pod may still run although it was deleted or reported as unknown or lost. No other one is created until this
+    /// is resolved.
     OutcomeUnknown {
         pod: PodView,
         query_at: f64,
         is_query_sent: bool,
+        /// Number of queries without a definite answer.
         unknown_answers: u32,
+        /// Whether the Pod was deleted, so that it is stopped if it is found running.
         is_unwanted: bool,
     },
 }
@@ -69,27 +72,27 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub(crate) state: SlotState,
-    /// Failures in a row.
+    /// Number of consecutive failures; reset when a Pod runs.
     pub(crate) failures: u32,
 }
 
-/// What the end of a Pod means for its slot.
+/// Consequence of a Pod's end for its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotOutcome {
     /// The work of the slot is done.
     Done,
-    /// The program failed: this counts against the Job, and the slot is retried.
+    /// The program failed, which counts against the backoff limit; the slot is retried.
     RunFailed,
     /// The slot is retried.
     Retry,
-    /// It is not known yet whether the Pod runs.
+    /// It is unknown whether the Pod still runs.
     Unresolved,
 }
 
-/// Upper bound of the delay between two queries about a Pod whose outcome stays unknown, in seconds.
-const MAX_OUTCOME_QUERY_DELAY: f64 = 30.0;
-/// Lower bound of the step by which that delay grows, in seconds.
-const MIN_OUTCOME_QUERY_DELAY: f64 = 0.1;
+/// Maximum delay between two queries about a Pod whose outcome stays unknown.
+const MAX_OUTCOME_QUERY_DELAY_SECONDS: f64 = 30.0;
+/// Minimum increment of that delay after each answer that is not definite.
+const MIN_OUTCOME_QUERY_DELAY_STEP_SECONDS: f64 = 0.1;
 
 impl Slot {
     pub(crate) fn new(now: f64) -> Self {
@@ -111,8 +114,8 @@
         }
     }
 
-    /// The slot's Pod has ended. Of a class that is not idempotent, a Pod that may still run is located first; so is one
-    /// whose node was lost, since a node that is only partitioned keeps running it.
+    /// Handles the end of the slot's Pod. If the class is not idempotent, a Pod with an unknown outcome is located
+    /// before a retry. So is a Pod whose node was lost, since a node that is only partitioned keeps running it.
     pub(crate) fn on_pod_ended(
         &mut self,
         now: f64,
@@ -143,9 +146,9 @@
         }
     }
 
-    /// The planners have answered where the slot's Pod is. Only a definite answer resolves the slot: one of a class that
-    /// is not idempotent waits for as long as a node that may run its Pod is unreachable. A node that is partitioned for
-    /// good but stays listed blocks the slot until it is removed from the list.
+    /// Handles the planners' answer on the location of the slot's Pod. Only a definite answer resolves the slot, so a
+    /// Pod of a class that is not idempotent is not replaced while a node that may run it is unreachable. A node that
+    /// is permanently partitioned but still listed blocks the slot until it is removed from the node list.
     pub(crate) fn on_located(
         &mut self,
         now: f64,
@@ -185,8 +188,11 @@
             Location::Unknown => {
                 *is_query_sent = false;
                 *unknown_answers += 1;
-                let step = settings.outcome_query_delay.max(MIN_OUTCOME_QUERY_DELAY);
-                let delay = (step * f64::from(*unknown_answers)).min(MAX_OUTCOME_QUERY_DELAY);
+                let step = settings
+                    .outcome_query_delay
+                    .max(MIN_OUTCOME_QUERY_DELAY_STEP_SECONDS);
+                let delay =
+                    (step * f64::from(*unknown_answers)).min(MAX_OUTCOME_QUERY_DELAY_SECONDS);
                 *query_at = now + delay * rng.random_range(0.5..=1.0);
                 SlotOutcome::Unresolved
             }
@@ -199,8 +205,8 @@
         self.state = SlotState::retry_at(at);
     }
 
-    /// Rank in the order in which slots are removed when a Job shrinks: those that have made the least progress first.
-    /// `None` where the slot must not be removed, since its Pod is being created, located or adopted.
+    /// Rank of the slot when a Job shrinks: slots with the least progress have the lowest rank and are removed first.
+    /// `None` if the slot must not be removed, since its Pod is being created, located or adopted.
     pub(crate) fn removal_rank(&self) -> Option<u32> {
         match &self.state {
             SlotState::Idle { adoption: None, .. } => Some(0),
--- a/crates/job-controller/src/view.rs
+++ b/crates/job-controller/src/view.rs
@@ -1,9 +1,9 @@
-//! The parts of Job and Pod objects that the controller uses. No other module of it looks into objects.
+//! The parts of Job and Pod objects that the controller uses. No other module of this package reads objects.
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::{Object, meta, names};
 
-/// Failed runs that a Job tolerates where it sets no limit, as in the published API.
+/// Number of failed runs that a Job tolerates by default, as in the Kubernetes API.
 const DEFAULT_BACKOFF_LIMIT: u32 = 6;
 
 /// The specification of a Job.
@@ -15,26 +15,26 @@
     pub namespace: String,
     /// Name.
     pub name: String,
-    /// Priority class of its Pods, "" for the default.
+    /// Priority class of its Pods; empty for the default class.
     pub class: String,
-    /// Pods that run at the same time.
+    /// Maximum number of Pods that run at the same time.
     pub parallelism: u32,
-    /// Pods that have to succeed; `None`: one is enough, and no new Pods are created after it.
+    /// Number of Pods that must succeed. `None`: one is enough, and no new Pods are created after it.
     pub completions: Option<u32>,
-    /// Failed runs that it tolerates.
+    /// Number of failed runs that the Job tolerates.
     pub backoff_limit: u32,
-    /// It fails once it has been active for this long, in seconds.
+    /// Time after which an active Job fails, in seconds; `None` for no limit.
     pub active_deadline: Option<f64>,
-    /// It is deleted this long after its end, in seconds.
+    /// Time after its end at which the Job is deleted, in seconds; `None` if it is kept.
     pub time_to_live: Option<f64>,
-    /// None of its Pods may run.
+    /// Whether the Job is suspended, so that none of its Pods may run.
     pub is_suspended: bool,
-    /// It has a deletion timestamp.
+    /// Whether the Job has a deletion timestamp.
     pub is_being_deleted: bool,
 }
 
 impl JobView {
-    /// Reads a validated Job.
+    /// Reads a Job object that was validated.
     pub fn read(job: &Object) -> Self {
         let spec = meta::value_at(job, &["spec"]);
         let number = |key: &str| {
@@ -62,21 +62,21 @@
 /// How a Pod ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PodOutcome {
-    /// Its program succeeded.
+    /// The program succeeded.
     Succeeded,
-    /// Its program failed.
+    /// The program failed.
     Failed,
-    /// It was not placed and never ran.
+    /// The Pod was not placed and never ran.
     #[serde(rename = "Refused")]
     Rejected,
-    /// It may have run, or may still run.
+    /// The Pod may have run, or may still run.
     Unknown,
-    /// It was evicted, preempted or drained.
+    /// The Pod was evicted, preempted or drained.
     Evicted,
-    /// Its node was lost.
+    /// The node of the Pod was lost.
     #[serde(rename = "Lost")]
     NodeLost,
-    /// It was stopped to be placed at another node.
+    /// The Pod was stopped to be placed on another node.
     #[serde(rename = "Moved")]
     Migrated,
 }
@@ -84,14 +84,14 @@
 /// Phase of a Pod.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PodPhase {
-    /// It is not placed yet.
+    /// The Pod is not placed yet.
     #[serde(rename = "Waiting")]
     Pending,
-    /// A node has accepted it.
+    /// A node has accepted the Pod.
     Placed,
-    /// It runs.
+    /// The program runs.
     Running,
-    /// It has ended.
+    /// The Pod has ended, with this outcome.
     Ended(PodOutcome),
 }
 
@@ -104,14 +104,15 @@
     pub namespace: String,
     /// Name.
     pub name: String,
-    /// Its name at nodes: another one where it took over what an earlier Pod had started.
+    /// Name of the Pod at nodes. Differs from `name` if the Pod adopted a running one.
     #[serde(rename = "known_as")]
     pub name_at_node: String,
-    /// Its phase.
+    /// Phase, read from the status and the node name.
     pub phase: PodPhase,
 }
 
-/// Reasons in the status of failed Pods, and the outcome that each stands for. Any other reason is a failed program.
+/// Reasons in the status of failed Pods, with the outcome that each stands for. Any other reason means that the program
+/// failed.
 pub const POD_FAILURE_REASONS: [(&str, PodOutcome); 8] = [
     (names::PLACEMENT_REFUSED, PodOutcome::Rejected),
     (names::PLACEMENT_UNKNOWN, PodOutcome::Unknown),
@@ -131,7 +132,7 @@
 }
 
 impl PodView {
-    /// Reads a Pod.
+    /// Reads a Pod object.
     pub fn read(pod: &Object) -> Self {
         let phase = match meta::text_at(pod, &["status", "phase"]) {
             "Succeeded" => PodPhase::Ended(PodOutcome::Succeeded),
--- a/crates/job-controller/tests/common/mod.rs
+++ b/crates/job-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A Job controller whose Pods are created at once.
+//! Test harness: a Job controller on a simulated clock whose Pods are created within the step that requests them.
 
 use std::collections::BTreeSet;
 use tidespur_job_controller::{
@@ -6,16 +6,17 @@
 };
 use tidespur_planner_protocol::Location;
 
-/// Whether a second run of the Job's class is harmless.
+/// Arguments of [`Harness::new`]: whether a second run of the Job's class is harmless.
 pub const IDEMPOTENT: bool = true;
 pub const NOT_IDEMPOTENT: bool = false;
 
-pub struct World {
+pub struct Harness {
     pub controller: Controller,
     pub now: f64,
     pod_count: u32,
-    /// Pods that were created.
+    /// All created Pods, in order of creation.
     pub created: Vec<PodView>,
+    /// All actions so far.
     pub actions: Vec<Action>,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-impl World {
+impl Harness {
     pub fn new(is_idempotent: bool, job: JobView) -> Self {
         let non_idempotent_classes: BTreeSet<String> = (!is_idempotent)
             .then(|| "run".to_owned())
@@ -52,22 +53,22 @@
             non_idempotent_classes,
             default_class: "web".into(),
         };
-        let mut world = World {
+        let mut harness = Harness {
             controller: Controller::new(settings, 3),
             now: 0.0,
             pod_count: 0,
             created: vec![],
             actions: vec![],
         };
-        world.step(vec![Event::JobUpdated(job)]);
-        world
+        harness.step(vec![Event::JobUpdated(job)]);
+        harness
     }
 
-    /// Steps, and creates the Pods that the controller asks for.
+    /// Steps the controller, and steps it again with the Pods that it requested until it requests none.
     pub fn step(&mut self, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.controller.step(self.now, events, &mut actions);
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for action in &actions {
             if let Action::CreatePod { slot, adoption, .. } = action {
                 self.pod_count += 1;
@@ -86,38 +87,42 @@
                     phase,
                 };
                 self.created.push(pod.clone());
-                answers.push(Event::PodCreated {
+                responses.push(Event::PodCreated {
                     slot: slot.clone(),
                     pod,
                 });
             }
         }
         self.actions.extend(actions);
-        if !answers.is_empty() {
-            self.step(answers);
+        if !responses.is_empty() {
+            self.step(responses);
         }
     }
 
-    pub fn at(&mut self, now: f64) {
+    /// Advances the clock and steps without events.
+    pub fn step_at(&mut self, now: f64) {
         self.now = now;
         self.step(vec![]);
     }
 
-    pub fn end(&mut self, pod: usize, end: PodOutcome) {
+    /// Reports the end of a Pod, given by its index in `created`.
+    pub fn end_pod(&mut self, pod: usize, outcome: PodOutcome) {
         let view = PodView {
-            phase: PodPhase::Ended(end),
+            phase: PodPhase::Ended(outcome),
             ..self.created[pod].clone()
         };
         self.step(vec![Event::PodUpdated(view)]);
     }
 
-    pub fn locate(&mut self, pod: usize, location: Location) {
+    /// Reports the location of a Pod, given by its index in `created`.
+    pub fn report_location(&mut self, pod: usize, location: Location) {
         self.step(vec![Event::PodLocated {
             uid: self.created[pod].uid.clone(),
             location,
         }]);
     }
 
+    /// The Job status that was last published.
     pub fn status(&self) -> JobStatus {
         let status = |a: &Action| {
             if let Action::UpdateJobStatus { status, .. } = a {
@@ -129,7 +134,8 @@
         self.actions.iter().rev().find_map(status).unwrap()
     }
 
-    pub fn locate_queries(&self) -> usize {
+    /// Number of location queries so far.
+    pub fn location_query_count(&self) -> usize {
         self.actions
             .iter()
             .filter(|a| matches!(a, Action::LocatePod { .. }))
--- a/crates/job-controller/tests/compatibility.rs
+++ b/crates/job-controller/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! What an edge stores of a Job's slots stays as an earlier version wrote it.
+//! Guards the encoding of slots in an edge's storage, so that the records of earlier builds stay readable.
 
 use tidespur_fixtures::{Codec, assert_compatible, fixture_path};
 use tidespur_job_controller::{Adoption, PersistedSlot, PodOutcome, PodPhase, PodView};
@@ -21,7 +21,8 @@
     }
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`outcomes`] as well.
+/// The name of the sample in the fixture file. A new variant does not compile until it has a name here; it also needs a
+/// sample in [`outcomes`].
 fn outcome_name(outcome: PodOutcome) -> &'static str {
     match outcome {
         PodOutcome::Succeeded => "settling, ended succeeded",
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn slots_keep_their_json_when_stored() {
+fn stored_slots_keep_their_json() {
     let adoption = Adoption {
         node: "node-0".into(),
         name: "job-fghij".into(),
--- a/crates/job-controller/tests/interface_compatibility.rs
+++ b/crates/job-controller/tests/interface_compatibility.rs
@@ -1,4 +1,4 @@
-//! Reasons in the status of failed Pods that the Job controller reads.
+//! Guards how the Job controller interprets the reasons in the status of failed Pods.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn reasons_of_failed_pods_mean_what_they_did() {
+fn reasons_of_failed_pods_keep_their_meaning() {
     let line = |reason: &str| {
         let pod = format!(
             r#"{{"metadata": {{"name": "p"}}, "status": {{"phase": "Failed", "reason": "{reason}"}}}}"#
