--- a/crates/planner-protocol/src/frame.rs
+++ b/crates/planner-protocol/src/frame.rs
@@ -1,35 +1,35 @@
-//! Encoding messages as frames and decoding frames from a byte stream. Called by the sockets of edges and planners.
+//! Encodes messages as frames and decodes frames from a byte stream. Used on both ends of a connection.
 
 use crate::PROTOCOL_VERSION;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Largest size of a message in a frame, in bytes, without the frame's header.
+/// Maximum size of an encoded message, in bytes, without the frame header.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// A frame's header: the message's length (four bytes) and the protocol version (two bytes), both big endian.
+/// Size of the frame header: the message's length (four bytes) and the protocol version (two bytes), both big endian.
 const HEADER_BYTES: usize = 6;
 
-/// Why a frame can't be encoded or decoded. After a decoding error the stream has no known frame boundary any more:
-/// the connection has to be closed.
+/// Why a frame can't be encoded or decoded. After a decoding error the position of the next frame in the stream is
+/// unknown, so the connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The peer speaks another version of the protocol.
+    /// The peer uses another protocol version, which is given here.
     #[error(
         "the peer speaks version {0} of the planner protocol, this program version {PROTOCOL_VERSION}: upgrade the older one"
     )]
     Version(u16),
-    /// The message has more bytes than [`MAX_FRAME_BYTES`].
-    #[error("a frame of {0} bytes exceeds the maximum of {MAX_FRAME_BYTES}")]
+    /// The encoded message has this many bytes, more than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes exceeds the maximum of {MAX_FRAME_BYTES} bytes")]
     TooLong(usize),
-    /// The frame's body is no message of the expected type, or the message can't be serialized.
-    #[error("a malformed frame: {0}")]
+    /// The frame's body can't be decoded as the expected type, or the message can't be serialized.
+    #[error("malformed frame: {0}")]
     Malformed(postcard::Error),
 }
 
 /// Encodes a message as one frame.
 ///
 /// # Errors
-/// [`FrameError::TooLong`], or [`FrameError::Malformed`] where the message can't be serialized.
+/// [`FrameError::TooLong`], or [`FrameError::Malformed`] if the message can't be serialized.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let body = postcard::to_stdvec(message).map_err(FrameError::Malformed)?;
     if body.len() > MAX_FRAME_BYTES {
@@ -42,16 +42,16 @@
     Ok(frame)
 }
 
-/// Buffers the bytes of a stream and decodes messages from them.
+/// Decodes messages from a byte stream that arrives in chunks of any size.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
-    /// Bytes at the start of `buffer` that were decoded already.
+    /// Length of the prefix of `buffer` that has been decoded.
     consumed: usize,
 }
 
 impl Decoder {
-    /// Appends bytes that were read from the stream.
+    /// Appends bytes read from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
@@ -61,7 +61,7 @@
     /// Decodes the next message; `None` until all bytes of its frame have been fed.
     ///
     /// # Errors
-    /// What is wrong with the next frame. The connection has to be closed then.
+    /// The next frame is malformed, too long or of another protocol version. The connection has to be closed.
     pub fn next_message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let unread = &self.buffer[self.consumed..];
         let Some(header) = unread.first_chunk::<HEADER_BYTES>() else {
--- a/crates/planner-protocol/src/lib.rs
+++ b/crates/planner-protocol/src/lib.rs
@@ -12,5 +12,5 @@
 pub use liveness::Liveness;
 pub use message::{Location, TerminationReason, ToEdge, ToPlanner};
 
-/// Version of the frames and messages. Peers of different versions do not talk to each other.
+/// Version of the frame format and of the messages. A connection between peers of different versions is closed.
 pub const PROTOCOL_VERSION: u16 = 3;
--- a/crates/planner-protocol/src/liveness.rs
+++ b/crates/planner-protocol/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Failure detection by heartbeat timeout: whether the peer of a connection is still alive.
+//! Detection of a failed peer by heartbeat timeout.
 
 /// Heartbeat state of one connection. All times are seconds on the caller's clock.
 #[derive(Clone, Debug)]
@@ -10,9 +10,9 @@
 }
 
 impl Liveness {
-    /// A connection that opens at `now`. A heartbeat is due after `heartbeat_interval` seconds in which nothing was
-    /// sent; a peer from which nothing was received for `timeout` seconds is lost. `timeout` is at least
-    /// `heartbeat_interval`.
+    /// The state of a connection opened at `now`. A heartbeat is due once nothing was sent for `heartbeat_interval`
+    /// seconds; the peer is lost once nothing was received for `timeout` seconds. A `timeout` below
+    /// `heartbeat_interval` is raised to it.
     pub fn new(heartbeat_interval: f64, timeout: f64, now: f64) -> Self {
         Self {
             heartbeat_interval,
@@ -22,28 +22,28 @@
         }
     }
 
-    /// Notes that something was received from the peer.
+    /// Restarts the timeout: data of the peer has arrived.
     pub fn on_received(&mut self, now: f64) {
         self.last_received = self.last_received.max(now);
     }
 
-    /// Notes that something was sent to the peer.
+    /// Restarts the heartbeat interval: data was sent to the peer.
     pub fn on_sent(&mut self, now: f64) {
         self.last_sent = self.last_sent.max(now);
     }
 
-    /// Whether a heartbeat is due.
+    /// Whether nothing was sent for the heartbeat interval.
     pub fn is_heartbeat_due(&self, now: f64) -> bool {
         now - self.last_sent >= self.heartbeat_interval
     }
 
-    /// Whether the peer counts as lost.
+    /// Whether nothing was received for the timeout.
     pub fn is_peer_lost(&self, now: f64) -> bool {
         now - self.last_received >= self.timeout
     }
 
-    /// When [`is_heartbeat_due`](Self::is_heartbeat_due) or [`is_peer_lost`](Self::is_peer_lost) changes next, if
-    /// nothing is sent or received until then.
+    /// The earliest time at which [`is_heartbeat_due`](Self::is_heartbeat_due) or
+    /// [`is_peer_lost`](Self::is_peer_lost) becomes true if nothing is sent or received until then.
     pub fn next_deadline(&self) -> f64 {
         (self.last_sent + self.heartbeat_interval).min(self.last_received + self.timeout)
     }
--- a/crates/planner-protocol/src/message.rs
+++ b/crates/planner-protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the protocol. Names in `serde(rename)` are the names of earlier versions; they stay in JSON recordings.
+//! The messages of the protocol. The names in `serde(rename)` are part of the format of JSON recordings.
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::task::PlacementRequest;
@@ -7,60 +7,62 @@
 /// A message from an edge to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToPlanner {
-    /// Answer to [`ToEdge::Hello`].
+    /// Reply to [`ToEdge::Hello`].
     Welcome {
         /// Name of the edge.
         edge: String,
     },
-    /// A task to place. The planner replies with [`ToEdge::Acknowledged`] at once, and offers the task to no node before
-    /// [`ToPlanner::Commit`].
+    /// Prepares a task for placement. The planner replies with [`ToEdge::Acknowledged`] or [`ToEdge::Rejected`] and
+    /// offers the task to no node before [`ToPlanner::Commit`]. Without a reply the edge hands the task to another
+    /// planner.
     Place(PlacementRequest),
-    /// The planner now owns the task and owes it exactly one of [`ToEdge::Placed`], [`ToEdge::Rejected`] and
-    /// [`ToEdge::Failed`]. Before this is sent the edge can withdraw the task, knowing that no node was offered it.
+    /// Transfers the task to the planner, which answers with exactly one of [`ToEdge::Placed`], [`ToEdge::Rejected`]
+    /// and [`ToEdge::Failed`]. Until it sends this, the edge can withdraw the task knowing that no node was offered it.
     #[serde(rename = "Go")]
     Commit {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// How long its owner waits for an answer, in seconds from now.
+        /// Time that remains until the owner's deadline, in seconds.
         #[serde(rename = "within")]
         timeout: f64,
     },
-    /// A task that a node already holds: this planner reports its state from now on.
+    /// Transfers a task that a node already holds: the planner reports its state from now on. The reply is
+    /// [`ToEdge::Placed`].
     #[serde(rename = "InPlace")]
     Adopt {
-        /// The task.
+        /// The request that the task was placed for.
         #[serde(rename = "ask")]
         request: PlacementRequest,
-        /// The node.
+        /// Name of the node that holds it.
         node: String,
     },
-    /// The task is not wanted any more: it is offered to no node any more, and what runs of it is stopped.
+    /// Cancels the task: it is offered to no further node, and its running Pods are deleted.
     #[serde(rename = "Stop")]
     Cancel {
-        /// The task.
+        /// Uid of the task.
         uid: String,
     },
-    /// Asks whether any node holds the task, which was offered by this or another planner.
+    /// Asks which node holds the task, whichever planner offered it. The reply is [`ToEdge::Located`].
     Locate {
-        /// The task.
+        /// Uid of the task.
         uid: String,
         /// Namespace of its Pod.
         tenant: String,
         /// Name of its Pod.
         name: String,
     },
-    /// Keeps the connection alive while nothing else is sent.
+    /// Sent when nothing else was sent for the heartbeat interval.
     #[serde(rename = "Ping")]
     Heartbeat,
-    /// The number of planners that share the slow-start budget of nodes. Sent by the holder of a lease; a planner
-    /// rejects a fencing token older than the newest that it knows ([`ToEdge::StaleToken`]).
+    /// The number of planners that share the slow-start budget of nodes, sent by the holder of a lease. A planner that
+    /// knows a newer fencing token rejects it with [`ToEdge::StaleToken`].
     #[serde(rename = "Sharers")]
     PlannerCount {
         /// Name of the lease.
         lease: String,
-        /// Fencing token of the lease.
+        /// Fencing token of the sender's term of the lease.
         token: u64,
-        /// Number of planners, the receiver included.
+        /// Number of planners, including the receiver.
         planners: u32,
     },
 }
@@ -68,11 +70,11 @@
 /// Why a placed task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TerminationReason {
-    /// The program finished successfully.
+    /// The program exited successfully.
     Succeeded,
-    /// The program ended with an error.
+    /// The program exited with an error.
     Failed,
-    /// The node evicted it for lack of memory.
+    /// The node evicted it because memory ran low.
     Evicted,
     /// The node preempted it for a task of higher priority.
     #[serde(rename = "PushedOut")]
@@ -80,24 +82,24 @@
     /// The node drained it, or shut down.
     #[serde(rename = "SentAway")]
     Drained,
-    /// Its node was lost.
+    /// The node failed, restarted without it, or was removed from the node list while silent.
     #[serde(rename = "Lost")]
     NodeLost,
-    /// It was stopped at its owner's request, or migrated by the policy.
+    /// The owner cancelled it, or the policy migrated it.
     Stopped,
 }
 
-/// Where a task is that a node may have accepted.
+/// Result of a search for a task that a node may have accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Location {
-    /// This node holds it.
+    /// The node of this name holds it.
     At(String),
-    /// A node held it, and it has ended there.
+    /// A node held it, and it has ended there for this reason.
     Ended(TerminationReason),
-    /// No node holds it. Every node that may have been offered it has reported its Pods since the question.
+    /// No node holds it: every node that may have been offered it has reported its Pods since the query arrived.
     #[serde(rename = "Nowhere")]
     NotFound,
-    /// A node that may hold it does not report its Pods now.
+    /// A node that may hold it has not reported its Pods since the query arrived.
     #[serde(rename = "Unclear")]
     Unknown,
 }
@@ -105,82 +107,84 @@
 /// A message from a planner to an edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEdge {
-    /// The first message on a connection.
+    /// Introduces the planner; the first message on a connection.
     Hello {
         /// Name of the planner.
         planner: String,
-        /// Its ordinal, from 0.
+        /// Ordinal of the planner, from 0.
         ordinal: u32,
     },
-    /// The task was read. The edge replies with [`ToPlanner::Commit`] or [`ToPlanner::Cancel`].
+    /// Reply to [`ToPlanner::Place`]: the request is valid and stored in memory. The edge continues with
+    /// [`ToPlanner::Commit`] or [`ToPlanner::Cancel`].
     #[serde(rename = "Taken")]
     Acknowledged {
-        /// The task.
+        /// Uid of the task.
         uid: String,
     },
-    /// A node accepted the task. Also the answer to [`ToPlanner::Adopt`].
+    /// A node has accepted the task. Also the reply to [`ToPlanner::Adopt`].
     Placed {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// The node.
+        /// Name of the node.
         node: String,
     },
-    /// The task was not placed and has not run; or, where it is idempotent, what may run of it is being stopped.
+    /// The task was not placed and has not run. For an idempotent task, Pods that may be left are being deleted.
     #[serde(rename = "Refused")]
     Rejected {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// The reason, for people.
+        /// Explanation for the owner.
         #[serde(rename = "why")]
         reason: String,
-        /// Retry-After: how long the owner should wait before it submits again, in seconds; 0 for no advice.
+        /// Value of Retry-After: how long the owner should wait before it submits again, in seconds; 0 if not given.
         #[serde(rename = "retry_in")]
         retry_after: f64,
     },
-    /// The task was given up, and it may have run.
+    /// The task was abandoned, and it may have run.
     Failed {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// The reason, for people.
+        /// Explanation for the owner.
         #[serde(rename = "why")]
         reason: String,
     },
     /// A placed task has started to run.
     #[serde(rename = "Runs")]
     Started {
-        /// The task.
+        /// Uid of the task.
         uid: String,
     },
     /// A placed task has ended.
     Ended {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// Why it ended.
+        /// Why the task ended.
         #[serde(rename = "end")]
         reason: TerminationReason,
     },
-    /// Why tasks are pending: changes since the last message, and unchanged reasons again from time to time.
+    /// Why tasks are pending. Holds the reasons that have changed since the last message; unchanged ones are repeated
+    /// from time to time.
     #[serde(rename = "Waits")]
     PendingReasons(Vec<ReasonUpdate>),
-    /// Answer to [`ToPlanner::Locate`].
+    /// Reply to [`ToPlanner::Locate`].
     Located {
-        /// The task.
+        /// Uid of the task.
         uid: String,
-        /// Where the task is.
+        /// Result of the search.
         #[serde(rename = "found")]
         location: Location,
     },
-    /// Keeps the connection alive while nothing else is sent.
+    /// Sent when nothing else was sent for the heartbeat interval.
     #[serde(rename = "Ping")]
     Heartbeat,
-    /// A message sent under a lease was rejected: its fencing token is not the newest any more.
+    /// A message sent under a lease was rejected because its fencing token is older than the newest known one.
     #[serde(rename = "Stale")]
     StaleToken {
         /// Name of the lease.
         lease: String,
-        /// The token of the rejected message.
+        /// Fencing token of the rejected message.
         token: u64,
-        /// The newest token that the planner knows.
+        /// The newest fencing token that the planner knows.
         newest: u64,
     },
 }
--- a/crates/planner-protocol/tests/common/fixtures.rs
+++ b/crates/planner-protocol/tests/common/fixtures.rs
@@ -1,15 +1,15 @@
-//! Fixture files hold one sample a line, `name: encoded value`, as an earlier build encoded it.
+//! Fixture files that hold one sample per line, `name: encoded value`, as an earlier build encoded it.
 
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Set to `1`, this environment variable has fixture files written anew before they are compared.
+/// If this environment variable is `1`, fixture files are rewritten before they are compared.
 const UPDATE_VARIABLE: &str = "UPDATE_FIXTURES";
 
-/// A value under the name that it has in its fixture file.
+/// A value and its name in the fixture file.
 pub type Sample<T> = (&'static str, T);
 
-/// Lists one sample of each variant, or several. A variant without a line here does not compile.
+/// Lists at least one sample of each variant. A variant without a sample is a compile error.
 #[macro_export]
 macro_rules! samples_of_each_variant {
     ($type:ty: $($name:literal, $pattern:pat => $value:expr;)+) => {{
@@ -23,8 +23,8 @@
     }};
 }
 
-/// Asserts that the samples are encoded as the fixture file has them, that the file has no others, and that its
-/// lines are decoded to the samples.
+/// Asserts that the encoded samples are exactly the lines of the fixture file, and that the lines are decoded to the
+/// samples.
 pub fn assert_compatible<T: PartialEq + Debug>(
     file: &str,
     samples: &[Sample<T>],
@@ -44,7 +44,7 @@
     }
 }
 
-/// Asserts that the fixture file holds these names and encoded values, and gives out its text.
+/// Asserts that the fixture file holds exactly these names and encoded values, and returns its text.
 pub fn assert_encoded(file: &str, encoded: &[(&str, String)]) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -63,17 +63,17 @@
     assert_eq!(
         actual.lines().count(),
         fixture.lines().count(),
-        "{file}: samples"
+        "{file}: number of samples"
     );
     fixture
 }
 
-/// Two hex digits a byte.
+/// Encodes bytes as lowercase hex digits.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of hex digits.
+/// Decodes hex digits.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let byte = |start| u8::from_str_radix(&text[start..start + 2], 16).expect("two hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
--- a/crates/planner-protocol/tests/compatibility.rs
+++ b/crates/planner-protocol/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Messages between edge and planner stay what earlier builds of the same protocol version send and read.
+//! Messages keep the encodings that earlier builds of the same protocol version send and read: a renamed or reordered
+//! variant or field would break connections between builds, or the readers of recordings.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -15,27 +16,28 @@
     Decoder, Location, PROTOCOL_VERSION, TerminationReason, ToEdge, ToPlanner, encode,
 };
 
-/// Compares both forms of each sample: the frame that is sent, and JSON, which holds the names.
+/// Compares both encodings of each sample: the frame, and the JSON of recordings, which contains the names.
 fn assert_message_compatible<T>(name: &str, samples: &[Sample<T>])
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let to_frame = |value: &T| to_hex(&encode(value).expect("a sample fits into a frame"));
+    let to_frame = |value: &T| to_hex(&encode(value).expect("the sample fits into a frame"));
     let from_frame = |text: &str| {
         let mut decoder = Decoder::default();
         decoder.feed(&from_hex(text));
         decoder
             .next_message()
-            .expect("a readable frame")
-            .expect("a complete frame")
+            .expect("valid frame")
+            .expect("complete frame")
     };
     assert_compatible(&format!("{name}.frames.txt"), samples, to_frame, from_frame);
-    let to_json = |value: &T| serde_json::to_string(value).expect("a sample has a JSON form");
-    let from_json = |text: &str| serde_json::from_str(text).expect("readable JSON");
+    let to_json =
+        |value: &T| serde_json::to_string(value).expect("the sample can be written as JSON");
+    let from_json = |text: &str| serde_json::from_str(text).expect("valid JSON");
     assert_compatible(&format!("{name}.json.txt"), samples, to_json, from_json);
 }
 
-fn full_ask() -> PlacementRequest {
+fn full_request() -> PlacementRequest {
     PlacementRequest {
         uid: "uid-1".into(),
         tenant: "tenant-1".into(),
@@ -52,7 +54,7 @@
     }
 }
 
-fn minimal_ask() -> PlacementRequest {
+fn minimal_request() -> PlacementRequest {
     PlacementRequest {
         uid: "uid-2".into(),
         tenant: String::new(),
@@ -70,11 +72,11 @@
 }
 
 fn full_diagnosis() -> Diagnosis {
-    let bars = BTreeMap::from([(ReasonCode::Cores, 2), (ReasonCode::Draining, 1)]);
+    let rejections = BTreeMap::from([(ReasonCode::Cores, 2), (ReasonCode::Draining, 1)]);
     Diagnosis {
         node_count: 300,
-        rejections: bars.clone(),
-        zones: BTreeMap::from([("zone-a".to_owned(), bars)]),
+        rejections: rejections.clone(),
+        zones: BTreeMap::from([("zone-a".to_owned(), rejections)]),
         blocker: Some(ReasonCode::WindowOver),
         nearest: Some(NearestNode {
             node: "node-1".into(),
@@ -100,7 +102,7 @@
     }
 }
 
-fn full_word() -> ReasonUpdate {
+fn full_update() -> ReasonUpdate {
     ReasonUpdate {
         uid: "uid-1".into(),
         diagnosis: Arc::new(full_diagnosis()),
@@ -114,7 +116,7 @@
     }
 }
 
-fn minimal_word() -> ReasonUpdate {
+fn minimal_update() -> ReasonUpdate {
     ReasonUpdate {
         uid: "uid-2".into(),
         diagnosis: Arc::new(minimal_diagnosis()),
@@ -134,10 +136,10 @@
 fn messages_to_planner_keep_their_bytes_and_names() {
     let samples = samples_of_each_variant! { ToPlanner:
         "Welcome", ToPlanner::Welcome { .. } => ToPlanner::Welcome { edge: "edge-1".into() };
-        "Place", ToPlanner::Place(_) => ToPlanner::Place(full_ask());
+        "Place", ToPlanner::Place(_) => ToPlanner::Place(full_request());
         "Go", ToPlanner::Commit { .. } => ToPlanner::Commit { uid: "uid-1".into(), timeout: 6.5 };
         "InPlace", ToPlanner::Adopt { .. } =>
-            ToPlanner::Adopt { request: minimal_ask(), node: "node-1".into() };
+            ToPlanner::Adopt { request: minimal_request(), node: "node-1".into() };
         "Stop", ToPlanner::Cancel { .. } => ToPlanner::Cancel { uid: "uid-1".into() };
         "Locate", ToPlanner::Locate { .. } =>
             ToPlanner::Locate { uid: "uid-1".into(), tenant: "tenant-1".into(), name: "pod-1".into() };
@@ -159,7 +161,7 @@
         "Failed", ToEdge::Failed { .. } => ToEdge::Failed { uid: "uid-1".into(), reason: "cut".into() };
         "Runs", ToEdge::Started { .. } => ToEdge::Started { uid: "uid-1".into() };
         "Ended", ToEdge::Ended { .. } => ToEdge::Ended { uid: "uid-1".into(), reason: TerminationReason::Evicted };
-        "Waits", ToEdge::PendingReasons(_) => ToEdge::PendingReasons(vec![full_word(), minimal_word()]);
+        "Waits", ToEdge::PendingReasons(_) => ToEdge::PendingReasons(vec![full_update(), minimal_update()]);
         "Located", ToEdge::Located { .. } =>
             ToEdge::Located { uid: "uid-1".into(), location: Location::At("node-1".into()) };
         "Ping", ToEdge::Heartbeat => ToEdge::Heartbeat;
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn ends_of_tasks_keep_their_bytes_and_names() {
+fn termination_reasons_keep_their_bytes_and_names() {
     let samples = samples_of_each_variant! { TerminationReason:
         "Succeeded", TerminationReason::Succeeded => TerminationReason::Succeeded;
         "Failed", TerminationReason::Failed => TerminationReason::Failed;
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn answers_about_located_tasks_keep_their_bytes_and_names() {
+fn locations_keep_their_bytes_and_names() {
     let samples = samples_of_each_variant! { Location:
         "At", Location::At(_) => Location::At("node-1".into());
         "Ended", Location::Ended(_) => Location::Ended(TerminationReason::NodeLost);
--- a/crates/planner-protocol/tests/frames.rs
+++ b/crates/planner-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames split anywhere, malformed, too long, and of another version; heartbeats.
+//! Decoding of frames that are split, malformed, too long or of another protocol version; heartbeat timeouts.
 
 use proptest::prelude::*;
 use tidespur_api::task::PlacementRequest;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_frame_too_long_is_rejected_by_its_header() {
+fn a_too_long_frame_is_rejected_by_its_header() {
     let mut decoder = Decoder::default();
     let version = PROTOCOL_VERSION.to_be_bytes();
     decoder.feed(&[0xff, 0xff, 0xff, 0xff, version[0], version[1]]);
