--- a/crates/planner/src/attempts.rs
+++ b/crates/planner/src/attempts.rs
@@ -1,9 +1,9 @@
-//! The write-ahead log of offers: at which nodes something of a request may run, also after a restart of the planner.
-//! No I/O. Owned by [`crate::core::Core`].
+//! The write-ahead log of offers: on which nodes a request's Pod may run, also after a restart of the planner. No I/O.
+//! Owned by [`crate::core::Core`].
 //!
-//! An offer is recorded before its bytes are sent. The record is removed once it is proved that nothing of the offer
-//! runs: by the node's answer, by the task's end there, by the node's list of Pods without it, or by the node's removal
-//! from the node list. That a node is missing from the list after a restart proves nothing: it may be the last to
+//! An offer is recorded before it is sent. The record is removed once the offer's Pod is known not to run: the node has
+//! rejected the offer, the task has ended there, the node's list of Pods does not contain it, or the node was removed
+//! from the node list. A node that is missing from the list after a restart proves nothing: it may only be late to
 //! return.
 
 use crate::pod::PodName;
@@ -11,27 +11,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_persistence::{Batch, LoadedRecords};
 
-/// The kind of the stored records; the key is the request's uid.
+/// Kind of the stored records. The key is the request's uid.
 const RECORD_KIND: &str = "attempt";
 
-/// After its deadline an offer may still be processed at the node for this long, in seconds.
+/// Time for which a node may still process an offer after its deadline, in seconds.
 const PROCESSING_GRACE: f64 = 1.0;
 
-/// The offers of one request. The names in JSON are those of the first version.
+/// The stored record of a request's offers. The names in `serde(rename)` are part of the storage format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Attempt {
-    /// Name of the Pod at nodes.
+pub struct AttemptRecord {
+    /// Namespace and name of the Pod at the nodes.
     #[serde(rename = "name")]
     pub pod: PodName,
-    /// The nodes at which it may run, each with the deadline of the offer in seconds since 1970.
+    /// Nodes on which the Pod may run, each with the offer's deadline in seconds since 1970.
     #[serde(rename = "at")]
     pub offer_deadlines: BTreeMap<String, f64>,
 }
 
-/// A stored attempt can't be read.
+/// A stored attempt is malformed.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "the stored record {RECORD_KIND} {uid:?} can't be read: {error}; restore the data directory from a copy"
+    "the stored record {RECORD_KIND} {uid:?} is malformed: {error}; restore the data directory from a copy"
 )]
 pub struct AttemptRecordError {
     /// Uid of the request.
@@ -39,14 +39,14 @@
     error: serde_json::Error,
 }
 
-/// All requests of which something may run at a node.
+/// The log of offers: all requests whose Pod may run at a node.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Whether the planner has a store. Without one nothing is recorded.
+    /// Whether the planner has a store. Without one no offers are recorded.
     is_enabled: bool,
-    by_uid: BTreeMap<String, Attempt>,
+    by_uid: BTreeMap<String, AttemptRecord>,
     uids_by_node: BTreeMap<String, BTreeSet<String>>,
-    /// Uids that an earlier process recorded. Its own ones a planner knows by its tasks and nodes.
+    /// Uids recorded by earlier processes. For those of this process, the task table and the reports of nodes suffice.
     restored: BTreeSet<String>,
     batch: Batch,
 }
@@ -55,14 +55,14 @@
     /// Restores the attempts that earlier processes recorded.
     ///
     /// # Errors
-    /// A record that can't be read.
+    /// A record is malformed.
     pub fn load(records: &LoadedRecords) -> Result<Self, AttemptRecordError> {
         let mut attempts = Self {
             is_enabled: true,
             ..Self::default()
         };
         for (uid, bytes) in records.records_of_kind(RECORD_KIND) {
-            let attempt: Attempt =
+            let attempt: AttemptRecord =
                 serde_json::from_slice(bytes).map_err(|error| AttemptRecordError {
                     uid: uid.to_owned(),
                     error,
@@ -76,17 +76,17 @@
         Ok(attempts)
     }
 
-    /// The number of requests of which something may run.
+    /// Number of requests whose Pod may run.
     pub fn len(&self) -> usize {
         self.by_uid.len()
     }
 
-    /// Whether there is no such request.
+    /// Whether no request's Pod may run; always true without a store.
     pub fn is_empty(&self) -> bool {
         self.by_uid.is_empty()
     }
 
-    /// Records an offer that is about to be sent; the node accepts it until `deadline`.
+    /// Records an offer before it is sent. The node may accept it until `deadline`, in seconds since 1970.
     pub fn record_offer(&mut self, uid: &str, pod: PodName, node: &str, deadline: f64) {
         if !self.is_enabled {
             return;
@@ -98,7 +98,7 @@
         self.write(uid);
     }
 
-    /// Notes that nothing of a request runs at a node.
+    /// Removes an offer whose Pod does not run at the node.
     pub fn clear(&mut self, uid: &str, node: &str) {
         let Some(attempt) = self.by_uid.get_mut(uid) else {
             return;
@@ -115,8 +115,8 @@
         self.write(uid);
     }
 
-    /// Clears the offers that a node does not hold, by its complete list of Pods. Offers that may still be under way
-    /// are kept.
+    /// Removes the offers to a node that are not in its complete list of Pods. Offers that may still be in flight are
+    /// kept.
     pub fn reconcile(
         &mut self,
         now: f64,
@@ -137,16 +137,20 @@
         }
     }
 
-    /// Clears all offers at a node that was removed from the node list: its Pods are gone with it.
+    /// Removes all offers to a node that was removed from the node list, and its Pods with it.
     pub fn clear_node(&mut self, node: &str) {
         for uid in self.uids_at(node) {
             self.clear(&uid, node);
         }
     }
 
-    /// Whether something of a request, recorded by an earlier process, may run at a node that has not reported its
-    /// Pods since this process started.
-    pub fn may_run_unseen(&self, uid: &str, has_reported: impl Fn(&str) -> bool) -> bool {
+    /// Whether a request recorded by an earlier process may run on a node that has not reported its Pods to this
+    /// process.
+    pub fn may_run_on_unreported_node(
+        &self,
+        uid: &str,
+        has_reported: impl Fn(&str) -> bool,
+    ) -> bool {
         if !self.restored.contains(uid) {
             return false;
         }
@@ -156,7 +160,7 @@
         })
     }
 
-    /// The changes to store since the last call.
+    /// Removes and returns the changes to store since the last call.
     pub fn take_batch(&mut self) -> Batch {
         std::mem::take(&mut self.batch)
     }
@@ -174,9 +178,9 @@
     fn write(&mut self, uid: &str) {
         match self.by_uid.get(uid) {
             Some(attempt) if !attempt.offer_deadlines.is_empty() => {
-                // A map of strings to numbers can always be serialized.
+                // Serialization of strings and finite numbers does not fail.
                 let bytes = serde_json::to_vec(attempt).unwrap_or_default();
-                // A few names and numbers are far below the largest size of a record, the only error there is.
+                // The only error is a record above the maximum size, which a few names and numbers never reach.
                 drop(self.batch.put(RECORD_KIND, uid, bytes));
             }
             _ => {
--- a/crates/planner/src/convert.rs
+++ b/crates/planner/src/convert.rs
@@ -1,5 +1,4 @@
-//! Conversion of API objects, nodes' answers and task endings to the policy's types. Called by [`crate::core::Core`] and
-//! by the client of nodes; the opposite direction stands where it is used.
+//! Converts API objects, answers of nodes and termination reasons to the types of the scheduling policy.
 
 use std::hash::Hasher;
 use tidespur_api::{Object, meta, names, quantity};
@@ -16,35 +15,35 @@
     hasher.finish()
 }
 
-/// The id of a node; the same at every planner.
+/// The policy's id of a node: a hash of its name, equal at all planners.
 pub fn machine_id(node: &str) -> MachineId {
     MachineId(hash(node))
 }
 
-/// The id of a service; the same at every planner.
+/// The policy's id of a service: a hash of its name, equal at all planners.
 pub fn service_id(name: &str) -> ServiceId {
     ServiceId(hash(name))
 }
 
-/// The id of a zone or rack; the same at every planner.
+/// The policy's id of a zone or rack: a hash of its name, equal at all planners.
 pub fn domain_id(name: &str) -> usize {
     hash(name) as usize
 }
 
-/// A Node of the node list.
+/// A Node read from the node list.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
-    /// Its name.
+    /// Name of the Node object.
     pub name: String,
-    /// `host:port` where it accepts Pods.
+    /// `host:port` of the node's API.
     pub address: String,
-    /// Name of its zone.
+    /// Name of its zone; empty without the label.
     pub zone: String,
-    /// The policy's endpoint.
+    /// The node as the policy sees it.
     pub endpoint: Endpoint,
 }
 
-/// Reads a Node; `None` where its instance type is not in the settings or it has no address.
+/// Reads a Node; `None` if its instance type is not configured or its address is missing.
 pub fn read_node(object: &Object, config: &Config) -> Option<ListedNode> {
     let name = meta::name(object).to_owned();
     let machine_type = config
@@ -96,8 +95,7 @@
     }
 }
 
-/// Reads a load report from the value of its header: `key=number` pairs separated by semicolons. `None` where it is
-/// malformed.
+/// Parses the value of the load report header: `key=number` pairs separated by semicolons. `None` if it is malformed.
 pub fn read_load_report(header: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in header.split(';') {
@@ -108,14 +106,14 @@
             "memory" => report.free_memory = Some(value),
             "queue" => report.queued = Some(value),
             "util" => report.cpu_utilization = Some(value),
-            // A newer node may report more.
+            // Newer nodes may report other keys.
             _ => {}
         }
     }
     Some(report)
 }
 
-/// The outcome of an offer by the node's response; `None` where the node accepted it.
+/// Maps a node's response to an offer to the outcome of the attempt; `None` if the node accepted it.
 pub fn read_offer_outcome(status: u16, body: &Object) -> Option<AttemptOutcome> {
     let cause = meta::value_at(body, &["details", "causes"])
         .get(0)
@@ -130,10 +128,10 @@
     })
 }
 
-/// Longest message of a node that is kept, in characters.
+/// Maximum length of a node's message, in characters. Longer messages are truncated.
 const MAX_MESSAGE_CHARS: usize = 200;
 
-/// A node's message about an offer that it did not accept, for people.
+/// The message of a response that rejects an offer, or its status code if it has none.
 pub fn read_message(status: u16, body: &Object) -> String {
     let message = meta::text_at(body, &["message"]);
     if message.is_empty() {
@@ -143,11 +141,11 @@
     }
 }
 
-/// The outcome of an accepted attempt by the reason for its task's end.
+/// Maps the reason for a placed task's end to the outcome of its attempt.
 pub fn attempt_outcome(reason: TerminationReason) -> AttemptOutcome {
     match reason {
         TerminationReason::Succeeded => AttemptOutcome::Finished,
-        // The program ran to its end, whatever its exit code: that says nothing about the machine.
+        // The program has exited. Its exit code says nothing about the health of the machine.
         TerminationReason::Failed => AttemptOutcome::Finished,
         TerminationReason::Evicted => AttemptOutcome::Interrupted(FailureCause::Evicted),
         TerminationReason::Preempted => AttemptOutcome::Interrupted(FailureCause::Preempted),
--- a/crates/planner/src/core.rs
+++ b/crates/planner/src/core.rs
@@ -1,7 +1,7 @@
-//! The planner as a state machine without I/O. The policy decides about machines; here its actions are applied to
-//! tasks, and each task gets exactly one answer.
+//! The planner's state machine, without I/O. The scheduling policy chooses machines; the core applies the policy's
+//! actions to tasks and ensures that each task gets exactly one answer.
 //!
-//! Owns the tasks, the state of nodes and the log of attempts. Called by the event loop of [`crate::run()`].
+//! Owns the tasks, the state of nodes and the log of attempts. Driven by the event loop of [`crate::run()`].
 
 use crate::attempts::Attempts;
 use crate::convert;
@@ -31,15 +31,15 @@
 
 pub use messages::{Input, Offer, OfferAnswer, Output};
 
-/// Pods of a cancelled request are deleted when they turn up within this many seconds: far longer than an offer can
-/// be under way.
-const UNWANTED_RETENTION: f64 = 120.0;
-/// After a stall of this fraction of the edges' planner timeout the planner gives up all open tasks. Its last heartbeat
-/// is at most a quarter of the timeout older than the stall, so an edge that has not yet declared it lost learns of it
-/// by the closed connection.
+/// Pods of an unwanted request are deleted if a node reports them within this time, in seconds. It is far longer than
+/// an offer can be in flight.
+const UNWANTED_REQUEST_RETENTION: f64 = 120.0;
+/// After a stall longer than this fraction of the edges' planner timeout, the planner abandons all open tasks. Its last
+/// heartbeat precedes the stall by at most a quarter of the timeout, so an edge that has not yet declared the planner
+/// lost learns of the stall by the closed connection.
 const STALL_FRACTION: f64 = 0.6;
 
-/// A question of an edge where a task is.
+/// A [`ToPlanner::Locate`](tidespur_planner_protocol::ToPlanner::Locate) that has not been answered yet.
 #[derive(Debug)]
 struct LocateQuery {
     edge: EdgeId,
@@ -48,44 +48,44 @@
     asked_at: f64,
 }
 
-/// A task that was acknowledged, and that its edge has not yet committed.
+/// A task that was acknowledged and not yet committed by its edge.
 #[derive(Debug)]
 struct UncommittedTask {
     edge: EdgeId,
     request: PlacementRequest,
 }
 
-/// The planner.
+/// The state of a planner.
 #[derive(Debug)]
 pub struct Core {
     config: Config,
     scheduler: Scheduler,
-    /// By class: whether its tasks may run twice without harm.
+    /// By class index: whether its tasks may run more than once.
     is_idempotent_class: Vec<bool>,
     tasks: TaskTable,
-    /// Acknowledged tasks by uid. Nothing is offered for them.
+    /// Acknowledged tasks by uid. They are not offered to nodes.
     uncommitted: BTreeMap<String, UncommittedTask>,
     machine_names: MachineNames,
     nodes: NodeTable,
-    /// Whether the node registry has listed its Nodes since this process started.
+    /// Whether the complete node list was received since this process started.
     has_node_list: bool,
     locate_queries: Vec<LocateQuery>,
     last_step_at: f64,
     pending_reasons: PendingReasons,
-    /// Uids of requests of which nothing may run any more, each with the time until which its Pods are deleted when
-    /// they turn up.
-    unwanted: BTreeMap<String, f64>,
+    /// Uids of cancelled, rejected and abandoned requests, each with the time until which its Pods are deleted when a
+    /// node reports them.
+    unwanted_requests: BTreeMap<String, f64>,
     shedder: LoadShedder,
     attempts: Attempts,
-    /// Whether nothing can be stored at present. Then no new task is acknowledged.
+    /// Whether records can't be written. While it is set, no new task is acknowledged.
     has_storage_failed: bool,
-    /// The newest fencing token of each lease, also of earlier processes.
+    /// The newest fencing token of each lease, including those that earlier processes stored.
     fence: Fence,
-    /// Number of planners that the policy is not yet told.
+    /// Number of planners that the next step passes to the policy.
     new_planner_count: Option<u32>,
 }
 
-/// One step of the planner: what it passes to the policy, and what it returns.
+/// One step of the core: the events for the policy and the outputs for the caller.
 struct Step<'a> {
     now: f64,
     events: Vec<Event>,
@@ -99,10 +99,10 @@
 }
 
 impl Core {
-    /// A planner without tasks and nodes. `ordinal` is its number, from 0, and `zone` where it runs.
+    /// Creates a planner without tasks and nodes. `ordinal` counts planners from 0, and `zone` is the planner's zone.
     ///
     /// # Errors
-    /// Settings that the policy rejects.
+    /// The policy rejects the settings.
     pub fn new(
         config: Config,
         ordinal: usize,
@@ -130,7 +130,7 @@
             locate_queries: Vec::new(),
             last_step_at: f64::INFINITY,
             pending_reasons: PendingReasons::default(),
-            unwanted: BTreeMap::new(),
+            unwanted_requests: BTreeMap::new(),
             shedder,
             attempts: Attempts::default(),
             has_storage_failed: false,
@@ -139,8 +139,7 @@
         })
     }
 
-    /// Takes over what an earlier process stored: the attempts of which something may run, and the newest fencing
-    /// tokens.
+    /// Sets the state that earlier processes stored: the attempts that may still run, and the newest fencing tokens.
     #[must_use]
     pub fn with_restored_state(mut self, attempts: Attempts, fence: Fence) -> Self {
         self.attempts = attempts;
@@ -148,37 +147,38 @@
         self
     }
 
-    /// The records that must be synced before the offers and planner counts of the last step may take effect.
+    /// Removes and returns the records that must be synced before the offers and planner counts of the last step take
+    /// effect.
     pub fn take_batch(&mut self) -> Batch {
         let mut batch = self.attempts.take_batch();
         batch.extend(self.fence.take_batch());
         batch
     }
 
-    /// Carries out [`Output::SetPlannerCount`]: the next step tells the policy.
+    /// Carries out [`Output::SetPlannerCount`]. The next step passes the number to the policy.
     pub fn set_planner_count(&mut self, planners: u32) {
         self.new_planner_count = Some(planners);
     }
 
-    /// Sets whether nothing can be stored at present. Then no new task is acknowledged, so that its edge hands it to
-    /// another planner.
+    /// Sets whether records can't be written. While they can't, no new task is acknowledged, so that its edge hands it
+    /// to another planner.
     pub fn set_storage_failed(&mut self, has_failed: bool) {
         self.has_storage_failed = has_failed;
     }
 
-    /// Whether an offer that was held back is still to be sent: its task may have been given up meanwhile.
+    /// Whether a deferred offer is still to be sent: its task may have been abandoned in the meantime.
     pub fn is_offer_current(&self, task: TaskId, attempt: u32) -> bool {
         self.tasks.get(task).is_some_and(|record| {
             matches!(record.stage, Stage::Offered { attempt: current, .. } if current == attempt)
         })
     }
 
-    /// The number of tasks that are known.
+    /// The number of committed and adopted tasks that have not ended.
     pub fn task_count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Handles `inputs`, all at the time `now` in seconds, and appends the effects to carry out.
+    /// Handles `inputs` as of `now`, in seconds, and appends the effects to carry out to `outputs`.
     pub fn step(&mut self, now: f64, inputs: Vec<Input>, outputs: &mut Vec<Output>) {
         let mut step = Step {
             now,
@@ -203,12 +203,13 @@
         if self.config.planner.publishes_pending_reasons {
             self.publish_pending_reasons(&mut step);
         }
-        self.unwanted.retain(|_, until| now < *until);
+        self.unwanted_requests.retain(|_, until| now < *until);
     }
 
-    /// Gives up all open tasks after a stall (stopped, starved, or its machine suspended), before any input is handled:
-    /// edges may have answered for them meanwhile, so nothing may be sent for them. Also guards against a step that
-    /// took too long. Cost: open tasks are rejected or failed although the planner is back.
+    /// Abandons all open tasks if the process was stalled (stopped, starved of CPU, or suspended with its machine) or
+    /// if a step took too long. Runs before any input is handled: edges may have answered for the open tasks in the
+    /// meantime, so no message may be sent for them. Cost: open tasks are rejected or failed although the planner is
+    /// back.
     fn detect_stall(&mut self, step: &mut Step<'_>) {
         let stalled_for = step.now - self.last_step_at;
         self.last_step_at = step.now;
@@ -216,7 +217,7 @@
             return;
         }
         step.outputs.push(Output::Log(format!(
-            "event loop stalled for {stalled_for:.1} s: gives up all open tasks"
+            "event loop stalled for {stalled_for:.1} s; abandoning all open tasks"
         )));
         step.outputs.push(Output::DisconnectEdges);
         self.abandon_open_tasks(step, |_| true);
--- a/crates/planner/src/core/cancellation.rs
+++ b/crates/planner/src/core/cancellation.rs
@@ -1,17 +1,17 @@
-//! Tasks that are not wanted any more: cancelled by their edge, or open when their edge is lost.
+//! Cancels tasks on request of their edge, and abandons open tasks when their edge is lost.
 
-use super::{Core, Step, UNWANTED_RETENTION};
+use super::{Core, Step, UNWANTED_REQUEST_RETENTION};
 use crate::task_table::{EdgeId, Stage};
 use tidespur_policy::interface::{AttemptOutcome, Event, TaskId};
 
 impl Core {
-    /// An edge does not want a task any more: nothing more is sent for it, and what runs of it is stopped.
+    /// Cancels a task: nothing more is sent to its edge, and its Pods are deleted.
     pub(super) fn on_cancel(&mut self, step: &mut Step<'_>, uid: &str) {
         if self.uncommitted.remove(uid).is_some() {
             return;
         }
-        self.unwanted
-            .insert(uid.to_owned(), step.now + UNWANTED_RETENTION);
+        self.unwanted_requests
+            .insert(uid.to_owned(), step.now + UNWANTED_REQUEST_RETENTION);
         if let Some(task) = self.tasks.id_of(uid) {
             self.abandon(step, task);
             self.stop_placed(step, task);
@@ -38,7 +38,8 @@
         self.tasks.remove(task);
     }
 
-    /// Gives up a task that is owed an answer. An attempt in flight is waited for; a placed task stays.
+    /// Abandons a task whose edge still expects an answer. A task with an attempt in flight is kept until the attempt
+    /// ends; a placed task is not affected.
     fn abandon(&mut self, step: &mut Step<'_>, task: TaskId) {
         let Some(record) = self.tasks.get_mut(task) else {
             return;
@@ -47,19 +48,19 @@
             Stage::Pending => {
                 self.tasks.remove(task);
             }
-            Stage::Offered { attempt, node } => record.stage = Stage::Draining { attempt, node },
-            Stage::Placed { .. } | Stage::Draining { .. } => return,
+            Stage::Offered { attempt, node } => record.stage = Stage::Abandoned { attempt, node },
+            Stage::Placed { .. } | Stage::Abandoned { .. } => return,
         }
         step.events.push(Event::TaskCancelled(task));
     }
 
-    /// An edge is lost. Its open tasks are given up; its placed ones run on.
+    /// Abandons the open tasks of a disconnected edge. Its placed tasks continue to run.
     pub(super) fn on_edge_disconnected(&mut self, step: &mut Step<'_>, edge: EdgeId) {
         self.abandon_open_tasks(step, |owner| owner == edge);
         self.pending_reasons.remove_edge(edge);
     }
 
-    /// Gives up all that is open of the selected edges.
+    /// Abandons the open tasks of the selected edges, and drops their queries and uncommitted tasks.
     pub(super) fn abandon_open_tasks(
         &mut self,
         step: &mut Step<'_>,
--- a/crates/planner/src/core/edge_messages.rs
+++ b/crates/planner/src/core/edge_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of edges.
+//! Handles the messages of edges.
 
 use super::{Core, LocateQuery, Output, Step, UncommittedTask};
 use crate::convert;
@@ -9,10 +9,10 @@
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 use tidespur_policy::interface::{Event, Resources, Task, TaskId};
 
-/// Retry-After of tasks that are shed as the planner is overloaded, in seconds.
+/// Retry-After of tasks that are shed because the planner is overloaded, in seconds.
 const SHED_RETRY_AFTER: f64 = 1.0;
 
-/// A request names a class that the settings do not have.
+/// A request has a class that is not configured.
 #[derive(Debug, thiserror::Error)]
 #[error("class {class:?} is not in the planner's settings")]
 struct UnknownClass {
@@ -62,7 +62,8 @@
                 step.outputs.push(Output::SetPlannerCount(planners));
             }
             Err(stale) => {
-                step.outputs.push(Output::Log(format!("rejected: {stale}")));
+                step.outputs
+                    .push(Output::Log(format!("rejected planner count: {stale}")));
                 let newest = stale.newest;
                 let message = ToEdge::StaleToken {
                     lease,
@@ -77,7 +78,7 @@
     fn on_place(&mut self, step: &mut Step<'_>, edge: EdgeId, request: PlacementRequest) {
         let is_known = self.is_known(&request.uid);
         if self.has_storage_failed && !is_known {
-            // Its edge takes it back and hands it to another planner.
+            // Without an acknowledgement the edge hands the task to another planner.
             return;
         }
         let task = match self.read_task(step.now, &request) {
@@ -91,7 +92,7 @@
                 return step.send(edge, message);
             }
         };
-        // Only new tasks are shed; an acknowledged one is acknowledged again as often as it is sent.
+        // Only new tasks are shed. A task that is already known is acknowledged each time it is sent.
         if !is_known && !self.shedder.admit(task.class) {
             let message = ToEdge::Rejected {
                 uid: request.uid,
@@ -148,7 +149,7 @@
         let uid = request.uid.clone();
         let pod_name = PodName::new(&request.tenant, &request.name);
         let Some(id) = self.tasks.insert(request, edge, is_idempotent, stage, 1) else {
-            return self.hand_over(step, &uid, edge);
+            return self.reassign_edge(step, &uid, edge);
         };
         task.id = id;
         let machine = convert::machine_id(node);
@@ -159,24 +160,31 @@
             node: node.to_owned(),
         };
         step.send(edge, message);
-        self.check_adopted(step, id, node, &pod_name);
+        self.apply_reported_state(step, id, node, &pod_name);
     }
 
-    /// Applies what the node has reported of a task before it was adopted: it may run, or have ended.
-    fn check_adopted(&mut self, step: &mut Step<'_>, task: TaskId, node: &str, pod: &PodName) {
-        let Some(known) = self.nodes.get(node) else {
+    /// Applies what the node has reported of an adopted task: it may already run, or have ended.
+    fn apply_reported_state(
+        &mut self,
+        step: &mut Step<'_>,
+        task: TaskId,
+        node: &str,
+        pod: &PodName,
+    ) {
+        let Some(node_state) = self.nodes.get(node) else {
             return;
         };
-        let connection = known.connection;
-        match known.pods.get(pod).map(|pod| pod.phase) {
+        let connection = node_state.connection;
+        match node_state.pods.get(pod).map(|pod| pod.phase) {
             Some(phase) => self.on_pod_phase(step, task, phase),
             None if connection == ConnectionState::Disconnected => {}
             None => self.end_task(step, task, TerminationReason::NodeLost),
         }
     }
 
-    /// An edge that was lost asks again for a task that is still placed here: it is told of it from now on.
-    fn hand_over(&mut self, step: &mut Step<'_>, uid: &str, edge: EdgeId) {
+    /// Makes `edge` the recipient of messages about a task that is already placed, and sends it the task's state. An
+    /// edge that was disconnected adopts its tasks again over a new connection.
+    fn reassign_edge(&mut self, step: &mut Step<'_>, uid: &str, edge: EdgeId) {
         let task = self.tasks.id_of(uid);
         let Some(record) = task.and_then(|task| self.tasks.get_mut(task)) else {
             return;
@@ -196,12 +204,12 @@
         }
     }
 
-    /// Whether this task was acknowledged, or is known otherwise.
+    /// Whether the task is in the task table, or is acknowledged and not yet committed.
     fn is_known(&self, uid: &str) -> bool {
         self.uncommitted.contains_key(uid) || self.tasks.id_of(uid).is_some()
     }
 
-    /// Converts a request to the policy's task, without its id.
+    /// Converts a request to a task of the policy. Its id is still 0: the caller sets it.
     fn read_task(&self, now: f64, request: &PlacementRequest) -> Result<Task, UnknownClass> {
         let class = self.class_index(&request.class)?;
         let tenants = &self.config.tenants;
@@ -225,7 +233,7 @@
         })
     }
 
-    /// The index of a class; without a name the first one.
+    /// The index of the class of this name; an empty name stands for the first class.
     fn class_index(&self, name: &str) -> Result<usize, UnknownClass> {
         if name.is_empty() {
             return Ok(0);
--- a/crates/planner/src/core/inputs.rs
+++ b/crates/planner/src/core/inputs.rs
@@ -1,4 +1,4 @@
-//! Dispatch of inputs to their handlers.
+//! Dispatches inputs to their handlers.
 
 use super::{Core, Input, Step};
 use crate::convert;
--- a/crates/planner/src/core/locate.rs
+++ b/crates/planner/src/core/locate.rs
@@ -1,13 +1,13 @@
-//! Answers to edges' questions where a task is.
+//! Answers the edges' queries for the location of tasks.
 
 use super::{Core, LocateQuery, Step};
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge};
 
-/// How long a question waits until every node has reported, in seconds.
+/// How long a query waits for reports of nodes, in seconds.
 pub(super) const LOCATE_TIMEOUT: f64 = 1.5;
 
 impl Core {
-    /// Answers the questions that can be answered, or whose time is over.
+    /// Answers the queries whose result is known or that have timed out.
     pub(super) fn answer_locate_queries(&mut self, step: &mut Step<'_>) {
         for query in std::mem::take(&mut self.locate_queries) {
             let location = self.locate(&query);
@@ -30,9 +30,13 @@
             Location::NotFound | Location::Ended(_) => true,
             Location::At(_) | Location::Unknown => false,
         };
-        // An earlier process may have offered the task to a node that has not reported since.
+        // An earlier process may have offered the task to a node that has not reported to this process.
         let has_reported = |node: &str| self.nodes.has_reported(node);
-        if excludes_run && self.attempts.may_run_unseen(&query.uid, has_reported) {
+        if excludes_run
+            && self
+                .attempts
+                .may_run_on_unreported_node(&query.uid, has_reported)
+        {
             return Location::Unknown;
         }
         location
--- a/crates/planner/src/core/messages.rs
+++ b/crates/planner/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the planner's state machine.
+//! Inputs and outputs of the planner's state machine.
 
 use crate::pod::PodName;
 use crate::task_table::EdgeId;
@@ -7,102 +7,102 @@
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_policy::interface::{AttemptOutcome, LoadReport, TaskId};
 
-/// What has happened.
+/// An event that the state machine handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of an edge.
+    /// An edge has sent a message other than a heartbeat.
     EdgeMessage(EdgeId, ToPlanner),
     /// The connection to an edge was lost.
     EdgeDisconnected(EdgeId),
-    /// The complete list of Nodes.
+    /// The complete node list, at the start of a watch.
     NodesListed(Vec<Object>),
-    /// A Node was added or changed; as it is now.
+    /// A Node was added or changed; its current state.
     NodeUpdated(Object),
-    /// A Node was deleted; as it was last.
+    /// A Node was deleted; its last state.
     NodeDeleted(Object),
-    /// The node registry can't be reached, or the watch on it broke.
+    /// The node registry can't be reached, or the watch on the node list has ended.
     NodeListFailed,
-    /// An offer has ended.
+    /// An offer was answered, failed or timed out.
     OfferAnswered {
-        /// The task.
+        /// Id of the offered task.
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// The result.
         answer: OfferAnswer,
     },
-    /// The complete list of a node's Pods.
+    /// The complete list of a node's Pods, at the start of a watch.
     PodsListed {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Its Pods.
+        /// All Pods of the node.
         pods: Vec<Object>,
     },
     /// A Pod was added or changed at a node.
     PodUpdated {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The Pod as it is now.
+        /// The current state of the Pod.
         pod: Object,
     },
     /// A Pod was deleted at a node.
     PodDeleted {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The Pod as it was last.
+        /// The last state of the Pod.
         pod: Object,
     },
-    /// A node has sent a bookmark: it is alive.
+    /// The watch on a node's Pods has received a bookmark: the node is alive.
     NodeAlive(String),
-    /// The watch on a node's Pods broke, or can't be opened.
+    /// The watch on a node's Pods has ended, or can't be opened.
     NodeWatchLost(String),
-    /// A node refuses connections: its process has ended.
+    /// A node refuses connections: its process has exited.
     NodeConnectionRefused(String),
-    /// A load poll has ended.
+    /// A load poll was answered, failed or timed out.
     LoadPolled {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Its load, where it answered.
+        /// The node's load; `None` without a valid answer.
         report: Option<LoadReport>,
     },
-    /// A timer of the policy has fired.
+    /// A timer set by [`Output::SetTimer`] has fired, with the token of the timer.
     TimerFired(u64),
-    /// The time, in seconds, at which this input was queued: measures how far the event loop lags behind.
+    /// The time at which this input was queued, in seconds. Measures the lag of the event loop.
     LagProbe(f64),
-    /// Time has passed; due at least every quarter of a second.
+    /// Time has passed. The core has to be stepped at least every quarter of a second.
     Tick,
 }
 
-/// How an offer ended.
+/// The result of an offer.
 #[derive(Clone, Debug)]
 pub enum OfferAnswer {
-    /// The node has accepted the task.
+    /// The node has accepted the task. Its load, if the answer reports it.
     Accepted(Option<LoadReport>),
-    /// The node has not accepted the task, as far as is known.
+    /// The node has rejected the task, or it is not known to have accepted it.
     NotAccepted {
-        /// The outcome.
+        /// Outcome of the attempt for the policy.
         outcome: AttemptOutcome,
-        /// The node's or the client's message, for people.
+        /// Message of the node or of the HTTP client, for the owner.
         message: String,
-        /// The node's load, where it answered.
+        /// The node's load, if its answer reports it.
         report: Option<LoadReport>,
     },
 }
 
-/// An offer to send to a node.
+/// An offer of a task to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// The task.
+    /// Id of the offered task.
     pub task: TaskId,
-    /// Number of the attempt.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The node's address.
+    /// `host:port` of the node.
     pub address: String,
-    /// The task to place.
+    /// Request that the Pod is made from.
     pub request: PlacementRequest,
-    /// How long to wait for the answer, in seconds.
+    /// Time to wait for the answer, in seconds.
     pub timeout: f64,
 }
 
@@ -111,44 +111,44 @@
 pub enum Output {
     /// Send a message to an edge.
     SendToEdge(EdgeId, ToEdge),
-    /// Close the connections to all edges; they are opened again.
+    /// Close the connections to all edges. They are reopened after a delay.
     DisconnectEdges,
-    /// Send an offer to a node, once the batch of [`super::Core::take_batch`] is synced.
+    /// Send an offer to a node once the batch of [`super::Core::take_batch`] is synced.
     Offer(Offer),
     /// Delete a Pod at a node.
     DeletePod {
-        /// The node's address.
+        /// `host:port` of the node.
         address: String,
-        /// The Pod.
+        /// Namespace and name of the Pod.
         pod: PodName,
-        /// Its uid there, where it is known; a Pod of another uid is kept.
+        /// Uid of the Pod at the node, if known. A Pod with another uid is kept.
         pod_uid: Option<String>,
     },
-    /// Open the watch on a node's Pods, and close an older one.
+    /// Open a watch on a node's Pods, and close an older one.
     WatchNode {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Its address.
+        /// `host:port` of the node.
         address: String,
     },
-    /// List the Nodes and watch the list.
+    /// Request the node list and watch it.
     WatchNodeList,
-    /// Ask a node for its load.
+    /// Request a node's load.
     PollLoad {
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// Its address.
+        /// `host:port` of the node.
         address: String,
     },
     /// Set a timer of the policy.
     SetTimer {
-        /// Seconds until it fires.
+        /// Time until it fires, in seconds.
         after: f64,
-        /// What it fires with: [`Input::TimerFired`].
+        /// Token that [`Input::TimerFired`] returns.
         token: u64,
     },
-    /// Call [`super::Core::set_planner_count`], once the batch of [`super::Core::take_batch`] is synced: it has the
-    /// fencing token of this count.
+    /// Call [`super::Core::set_planner_count`] once the batch of [`super::Core::take_batch`] is synced, which contains
+    /// the fencing token of this count.
     SetPlannerCount(u32),
     /// Write a line to the log.
     Log(String),
--- a/crates/planner/src/core/node_events.rs
+++ b/crates/planner/src/core/node_events.rs
@@ -1,4 +1,4 @@
-//! Changes of the node list, and of the connections to nodes.
+//! Handles changes of the node list and of the connections to nodes.
 
 use super::locate::LOCATE_TIMEOUT;
 use super::{Core, Output, Step};
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Adds or updates a node of the list, and returns its endpoint for the policy. A node that has not reported its
-    /// Pods is passed to the policy as gone: a planner that has just started, or whose nodes return, must not offer
-    /// before it knows what runs there. Cost: a node whose watch can't be opened gets no offers, though it might accept
-    /// them.
+    /// Adds or updates a listed node, and returns its endpoint for the policy. The endpoint of a node that has not
+    /// reported its Pods has the status `Gone`: after a start of the planner, or when nodes return, nothing may be
+    /// offered to a node before the Pods that run there are known. Cost: a node whose watch can't be opened gets no
+    /// offers, although it might accept them.
     fn insert_listed(&mut self, step: &mut Step<'_>, listed: ListedNode) -> Endpoint {
         let ListedNode {
             name,
@@ -87,8 +87,8 @@
         endpoint
     }
 
-    /// The list says that a node is gone. Its tasks are lost, unless it has reported until just now: a list that lags
-    /// or flaps must not end running tasks.
+    /// Handles the removal of a node from the node list. Its tasks are lost unless it has reported within
+    /// [`LOCATE_TIMEOUT`]: a node list that lags or flaps must not end running tasks.
     fn on_node_removed(&mut self, step: &mut Step<'_>, name: &str) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
--- a/crates/planner/src/core/offer_answers.rs
+++ b/crates/planner/src/core/offer_answers.rs
@@ -1,6 +1,6 @@
-//! Answers to offers.
+//! Handles the answers to offers.
 
-use super::{Core, OfferAnswer, Step, UNWANTED_RETENTION};
+use super::{Core, OfferAnswer, Step, UNWANTED_REQUEST_RETENTION};
 use crate::convert;
 use crate::task_table::Stage;
 use tidespur_planner_protocol::ToEdge;
@@ -14,7 +14,7 @@
 }
 
 impl Core {
-    /// An offer has ended. Answers to attempts that are not in flight any more are ignored.
+    /// Handles the answer to an offer. It is ignored if the attempt is no longer in flight.
     pub(super) fn on_offer_answered(
         &mut self,
         step: &mut Step<'_>,
@@ -38,10 +38,10 @@
                     } => self.on_offer_failed(step, &attempt, outcome, message, report),
                 }
             }
-            Stage::Draining { attempt, node } if *attempt == number => {
+            Stage::Abandoned { attempt, node } if *attempt == number => {
                 let node = node.clone();
                 let attempt = Attempt { task, number, node };
-                self.on_unwanted_offer_answered(step, &attempt, &answer);
+                self.on_abandoned_offer_answered(step, &attempt, &answer);
             }
             _ => {}
         }
@@ -78,7 +78,7 @@
             node: node.clone(),
         };
         step.send(record.edge, message);
-        // The node's watch may have been faster than its answer.
+        // The watch on the node may have reported the Pod before the answer arrived.
         if let Some(phase) = self.nodes.pod(&node, &pod_name).map(|pod| pod.phase) {
             self.on_pod_phase(step, task, phase);
         }
@@ -103,7 +103,7 @@
         record.add_node_answer(node, message);
         let is_retried = record.is_idempotent && may_have_reached_node(&outcome);
         let pod_name = record.pod_name();
-        // The task is offered again, so that a Pod of this attempt is one copy too many.
+        // The task is offered again, so a Pod of this attempt would be a duplicate.
         if is_retried && self.nodes.pod(node, &pod_name).is_some() {
             self.delete_pod(step, node, pod_name);
         }
@@ -116,9 +116,9 @@
         });
     }
 
-    /// An offer has ended whose task nobody waits for: an accepted Pod is deleted now, and one that may have been
-    /// accepted when it turns up.
-    fn on_unwanted_offer_answered(
+    /// Handles the answer to an offer of a task that was abandoned while the offer was in flight. If the node has
+    /// accepted it, the Pod is deleted now; if it may have, the Pod is deleted when the node reports it.
+    fn on_abandoned_offer_answered(
         &mut self,
         step: &mut Step<'_>,
         attempt: &Attempt,
@@ -142,15 +142,15 @@
             closed: true,
             report: None,
         });
-        self.unwanted
-            .insert(uid.clone(), step.now + UNWANTED_RETENTION);
+        self.unwanted_requests
+            .insert(uid.clone(), step.now + UNWANTED_REQUEST_RETENTION);
         if matches!(answer, OfferAnswer::Accepted(_)) {
             self.delete_pod(step, &attempt.node, record.pod_name());
         }
     }
 }
 
-/// Whether this outcome proves that nothing of the attempt runs.
+/// Whether the outcome proves that the node has not accepted the attempt.
 fn proves_never_ran(outcome: &AttemptOutcome) -> bool {
     matches!(
         outcome,
@@ -158,7 +158,7 @@
     )
 }
 
-/// Whether the node may have accepted an attempt of this outcome.
+/// Whether the node may have accepted an attempt with this outcome.
 fn may_have_reached_node(outcome: &AttemptOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/planner/src/core/pods.rs
+++ b/crates/planner/src/core/pods.rs
@@ -1,4 +1,4 @@
-//! Pods that nodes report, and the ends of placed tasks.
+//! Handles the Pods that nodes report, and the end of placed tasks.
 
 use super::{Core, OfferAnswer, Output, Step};
 use crate::convert;
@@ -10,7 +10,8 @@
 use tidespur_policy::interface::{AttemptProgress, Event, TaskId};
 
 impl Core {
-    /// A node has reported all of its Pods.
+    /// Handles the complete list of a node's Pods. The first report of a listed node makes its endpoint available to
+    /// the policy.
     pub(super) fn on_pods_listed(&mut self, step: &mut Step<'_>, node: &str, pods: &[Object]) {
         let pods: Vec<(PodName, ObservedPod)> = pods.iter().map(ObservedPod::read).collect();
         let names: BTreeSet<&PodName> = pods.iter().map(|(name, _)| name).collect();
@@ -19,24 +20,24 @@
             .map(|(_, pod)| pod.request_uid.as_str())
             .collect();
         self.attempts.reconcile(step.now, node, &uids, &names);
-        let Some(known) = self.nodes.get_mut(node) else {
+        let Some(node_state) = self.nodes.get_mut(node) else {
             return;
         };
-        if !known.has_reported()
-            && known.is_listed
-            && let Some(endpoint) = known.endpoint.clone()
+        if !node_state.has_reported()
+            && node_state.is_listed
+            && let Some(endpoint) = node_state.endpoint.clone()
         {
             step.events.push(Event::EndpointsChanged(vec![endpoint]));
         }
-        known.on_received(step.now);
-        known.pods.retain(|name, _| names.contains(name));
+        node_state.on_received(step.now);
+        node_state.pods.retain(|name, _| names.contains(name));
         for (name, pod) in pods {
             self.observe_pod(step, node, name, pod);
         }
         self.end_missing_tasks(step, node);
     }
 
-    /// Ends the tasks of a node that it does not hold any more: it was restarted without them.
+    /// Ends the tasks placed at a node that are missing from its list of Pods: the node has restarted without them.
     fn end_missing_tasks(&mut self, step: &mut Step<'_>, node: &str) {
         for task in self.tasks.placed_at(node) {
             let Some(record) = self.tasks.get(task) else {
@@ -49,21 +50,21 @@
     }
 
     pub(super) fn on_pod_updated(&mut self, step: &mut Step<'_>, node: &str, pod: &Object) {
-        let Some(known) = self.nodes.get_mut(node) else {
+        let Some(node_state) = self.nodes.get_mut(node) else {
             return;
         };
-        known.on_received(step.now);
+        node_state.on_received(step.now);
         let (name, pod) = ObservedPod::read(pod);
         self.observe_pod(step, node, name, pod);
     }
 
     pub(super) fn on_pod_deleted(&mut self, step: &mut Step<'_>, node: &str, pod: &Object) {
-        let Some(known) = self.nodes.get_mut(node) else {
+        let Some(node_state) = self.nodes.get_mut(node) else {
             return;
         };
-        known.on_received(step.now);
+        node_state.on_received(step.now);
         let (name, pod) = ObservedPod::read(pod);
-        known.pods.remove(&name);
+        node_state.pods.remove(&name);
         let Some(task) = self.tasks.id_of(&pod.request_uid) else {
             return;
         };
@@ -77,18 +78,18 @@
         self.end_task(step, task, reason);
     }
 
-    /// A node reports a Pod.
+    /// Handles the current state of a Pod at a node.
     fn observe_pod(&mut self, step: &mut Step<'_>, node: &str, name: PodName, pod: ObservedPod) {
         let phase = pod.phase;
         let uid = pod.request_uid.clone();
-        if let Some(known) = self.nodes.get_mut(node) {
-            known.pods.insert(name.clone(), pod);
+        if let Some(node_state) = self.nodes.get_mut(node) {
+            node_state.pods.insert(name.clone(), pod);
         }
         let task = self.task_of_pod(node, &name, &uid);
         let record = task.and_then(|task| Some((task, self.tasks.get(task)?)));
         let Some((task, record)) = record else {
             let is_unwanted = self
-                .unwanted
+                .unwanted_requests
                 .get(&uid)
                 .is_some_and(|until| step.now < *until);
             if is_unwanted && !phase.is_terminated() {
@@ -101,8 +102,7 @@
             Stage::Placed { node: holder, .. } if holder == node => {
                 self.on_pod_phase(step, task, phase);
             }
-            // The node shows that it accepted the task. This is as good as its answer, which may be lost or late; what
-            // a node reports, it holds.
+            // A node that reports the Pod has accepted the task. This replaces its answer, which may be lost or late.
             Stage::Offered {
                 attempt,
                 node: offered_to,
@@ -112,17 +112,18 @@
             Stage::Offered {
                 node: offered_to, ..
             }
-            | Stage::Draining {
+            | Stage::Abandoned {
                 node: offered_to, ..
             } if offered_to == node => {}
-            // A copy of an attempt that was given up. That of an idempotent task is stopped, so that it occupies no
-            // capacity; for others the edge decides.
+            // A Pod of an abandoned attempt. It is deleted for an idempotent task, so that it occupies no capacity;
+            // for other tasks the edge decides.
             _ if is_idempotent && !phase.is_terminated() => self.delete_pod(step, node, name),
             _ => {}
         }
     }
 
-    /// The task of a Pod. A task that was taken over from another planner has the uid of its first request at the node.
+    /// The task of a Pod at a node, by uid or else by name: the Pod of a task adopted from another planner has the uid
+    /// of the task's first request.
     fn task_of_pod(&self, node: &str, name: &PodName, uid: &str) -> Option<TaskId> {
         let has_name = |task: &TaskId| {
             let record = self.tasks.get(*task);
@@ -134,7 +135,7 @@
         self.tasks.id_of(uid).or_else(by_name)
     }
 
-    /// The node that holds a task reports its phase.
+    /// Applies the phase of a placed task's Pod.
     pub(super) fn on_pod_phase(&mut self, step: &mut Step<'_>, task: TaskId, phase: PodPhase) {
         let Some(record) = self.tasks.get_mut(task) else {
             return;
@@ -155,7 +156,7 @@
         }
     }
 
-    /// A placed task has ended: its edge and the policy are told.
+    /// Removes a placed task that has ended, and reports its end to the edge and to the policy.
     pub(super) fn end_task(
         &mut self,
         step: &mut Step<'_>,
@@ -182,22 +183,23 @@
         step.send(edge, ToEdge::Ended { uid, reason });
     }
 
-    /// Deletes a Pod at a node.
+    /// Requests the deletion of a Pod at a node. A Pod that has replaced the last reported one is kept.
     pub(super) fn delete_pod(&self, step: &mut Step<'_>, node: &str, pod: PodName) {
-        let Some(known) = self.nodes.get(node) else {
+        let Some(node_state) = self.nodes.get(node) else {
             return;
         };
+        let observed = node_state.pods.get(&pod);
         step.outputs.push(Output::DeletePod {
-            address: known.address.clone(),
-            pod_uid: known.pods.get(&pod).map(|known| known.pod_uid.clone()),
+            address: node_state.address.clone(),
+            pod_uid: observed.map(|observed| observed.pod_uid.clone()),
             pod,
         });
     }
 
-    /// Deletes the Pods of a request at all nodes, except ended ones.
+    /// Requests the deletion of a request's Pods at all nodes, except for terminated ones.
     pub(super) fn delete_pods_of_request(&self, step: &mut Step<'_>, uid: &str) {
-        for (node, known) in self.nodes.iter() {
-            for (name, pod) in &known.pods {
+        for (node, node_state) in self.nodes.iter() {
+            for (name, pod) in &node_state.pods {
                 if pod.request_uid == uid && !pod.phase.is_terminated() {
                     self.delete_pod(step, node, name.clone());
                 }
--- a/crates/planner/src/core/policy_actions.rs
+++ b/crates/planner/src/core/policy_actions.rs
@@ -1,6 +1,6 @@
-//! Actions of the policy, applied to tasks.
+//! Applies the actions of the scheduling policy.
 
-use super::{Core, Offer, Output, Step, UNWANTED_RETENTION};
+use super::{Core, Offer, Output, Step, UNWANTED_REQUEST_RETENTION};
 use crate::task_table::{Stage, TaskRecord};
 use tidespur_planner_protocol::ToEdge;
 use tidespur_policy::interface::{Action, MachineId, TaskId};
@@ -21,7 +21,7 @@
                 step.outputs.push(Output::SetTimer { after, token });
             }
             Action::PollLoad(machine) => self.poll_load(step, machine),
-            // Planners exchange no gossip: by its settings the policy never asks for it here.
+            // Planners exchange no gossip: their settings keep the policy from requesting it.
             Action::Gossip(_) => {}
             Action::Log(line) => step.outputs.push(Output::Log(line)),
         }
@@ -61,12 +61,12 @@
         let Some(record) = self.tasks.remove(task) else {
             return;
         };
-        let reason = self.reason(&record, "no node took it in time");
+        let reason = self.answer_reason(&record, "no node took it in time");
         let uid = record.request.uid;
         if record.is_idempotent && record.attempt_count > 0 {
-            // Its owner may submit it again, so a copy that an earlier attempt left somewhere is one too many.
-            self.unwanted
-                .insert(uid.clone(), step.now + UNWANTED_RETENTION);
+            // The owner may submit the task again, so a Pod of an earlier attempt would be a duplicate.
+            self.unwanted_requests
+                .insert(uid.clone(), step.now + UNWANTED_REQUEST_RETENTION);
             self.delete_pods_of_request(step, &uid);
         }
         let message = ToEdge::Rejected {
@@ -81,7 +81,7 @@
         let Some(record) = self.tasks.remove(task) else {
             return;
         };
-        let reason = self.reason(&record, "an attempt may have run");
+        let reason = self.answer_reason(&record, "an attempt may have run");
         let uid = record.request.uid;
         step.send(record.edge, ToEdge::Failed { uid, reason });
     }
@@ -108,8 +108,8 @@
         });
     }
 
-    /// Why a task is answered as it is, for its owner.
-    fn reason(&self, record: &TaskRecord, summary: &str) -> String {
+    /// The reason for a task's answer, for its owner.
+    fn answer_reason(&self, record: &TaskRecord, summary: &str) -> String {
         if !self.has_node_list {
             return "the register has listed no nodes yet".to_owned();
         }
--- a/crates/planner/src/edge_connections.rs
+++ b/crates/planner/src/edge_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to edges.
+//! Connects to edges, and reopens lost connections.
 
 use crate::core::Input;
 use crate::process::{PlannerProcess, RECONNECT_BACKOFF};
@@ -9,15 +9,15 @@
 use tidespur_net::{clock, frames, routes::Routes};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
-/// Connections to edges at once.
+/// Maximum number of edges to which connections are kept.
 const MAX_EDGE_CONNECTIONS: usize = 256;
-/// An edge must accept a connection within this, in seconds.
+/// Timeout for connecting to an edge, in seconds.
 const CONNECT_TIMEOUT: f64 = 1.0;
 
-/// Why a connection to an edge ended.
+/// Why a connection to an edge failed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
-    #[error("the edge did not accept a connection within {CONNECT_TIMEOUT} s")]
+    #[error("connection attempt timed out after {CONNECT_TIMEOUT} s")]
     ConnectTimeout,
     #[error("{0}")]
     Socket(#[from] std::io::Error),
@@ -26,15 +26,19 @@
 }
 
 impl PlannerProcess {
-    /// Keeps a connection to an edge, and opens it again whenever it ends.
-    async fn follow_edge(&self, id: EdgeId, address: &str) {
+    /// Keeps a connection to an edge, and reopens it whenever it ends.
+    async fn maintain_connection(&self, id: EdgeId, address: &str) {
         loop {
-            match self.serve_edge(id, address).await {
+            match self.run_connection(id, address).await {
                 Ok(()) => {
-                    tracing::info!(planner = self.name, edge = address, "connection closed");
+                    tracing::info!(
+                        planner = self.name,
+                        edge = address,
+                        "connection to edge closed"
+                    );
                 }
                 Err(error) => {
-                    tracing::debug!(planner = self.name, edge = address, %error, "not connected");
+                    tracing::debug!(planner = self.name, edge = address, %error, "connection to edge failed");
                 }
             }
             self.edges.lock().remove(&id);
@@ -44,7 +48,7 @@
     }
 
     /// Connects to an edge and exchanges messages until the connection ends.
-    async fn serve_edge(&self, id: EdgeId, address: &str) -> Result<(), ConnectionError> {
+    async fn run_connection(&self, id: EdgeId, address: &str) -> Result<(), ConnectionError> {
         let routes = Routes::from_file(self.options.shared.routes.clone());
         let connect = smol::net::TcpStream::connect(routes.resolve(address));
         let socket = clock::timeout(CONNECT_TIMEOUT, connect)
@@ -81,16 +85,16 @@
     }
 }
 
-/// How an edge's address became known.
+/// Where an edge's address comes from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// Given on the command line: its connection is kept for the life of the process.
+    /// The command line. The connection is kept until the process exits.
     Static,
-    /// Found in the fleet.
+    /// The membership view of the fleet.
     Discovered,
 }
 
-/// A connection that is kept to an edge; dropping it closes the connection.
+/// The future that keeps a connection to an edge. Dropping it closes the connection.
 struct EdgeConnection {
     id: EdgeId,
     source: Source,
@@ -105,12 +109,12 @@
 }
 
 impl EdgeConnections {
-    /// Connects to an edge of the command line.
+    /// Connects to an edge given on the command line.
     pub(crate) fn open_static(&mut self, process: &Arc<PlannerProcess>, address: &str) {
         self.open(process, address, Source::Static);
     }
 
-    /// Connects to an edge of the fleet.
+    /// Connects to an edge found in the fleet.
     pub(crate) fn open_discovered(&mut self, process: &Arc<PlannerProcess>, address: &str) {
         self.open(process, address, Source::Discovered);
     }
@@ -123,8 +127,8 @@
         let id = EdgeId(self.next_id);
         self.next_id += 1;
         let process = process.clone();
-        let dialled = address.to_owned();
-        let task = smol::spawn(async move { process.follow_edge(id, &dialled).await });
+        let edge_address = address.to_owned();
+        let task = smol::spawn(async move { process.maintain_connection(id, &edge_address).await });
         let connection = EdgeConnection {
             id,
             source,
@@ -133,8 +137,8 @@
         self.by_address.insert(address.to_owned(), connection);
     }
 
-    /// Stops dialling edges of the fleet whose address no member has any more. An open connection is kept until it
-    /// ends: it is better evidence than the membership view.
+    /// Stops connecting to discovered edges whose address is not in `known`. An open connection is kept until it ends:
+    /// it is better evidence than the membership view.
     pub(crate) fn close_unknown(&mut self, process: &Arc<PlannerProcess>, known: &[&str]) {
         let is_gone = |address: &str, connection: &EdgeConnection| {
             connection.source == Source::Discovered
@@ -153,7 +157,7 @@
             };
             let id = connection.id;
             let process = process.clone();
-            // Detached, as it only waits for a place in the queue of inputs.
+            // Detached because it only waits for space in the input queue.
             smol::spawn(async move { process.send_input(Input::EdgeDisconnected(id)).await })
                 .detach();
         }
--- a/crates/planner/src/effects.rs
+++ b/crates/planner/src/effects.rs
@@ -1,7 +1,7 @@
-//! Carries out the effects that the core asks for.
+//! Carries out the outputs of the core.
 //!
-//! Tasks that are spawned here for one offer, deletion, poll or timer are detached: each ends by itself within a bounded
-//! time, and an offer must report its answer even if its task was given up meanwhile.
+//! The futures spawned for an offer, deletion, poll or timer are detached: each completes within a bounded time, and an
+//! offer must report its answer even if its task has been abandoned.
 
 use crate::core::{Input, Offer, Output};
 use crate::node_client::read_load;
@@ -15,7 +15,7 @@
 use tidespur_net::clock;
 use tidespur_planner_protocol::ToEdge;
 
-/// How long a load poll waits for its answer, in seconds.
+/// Timeout of a load poll, in seconds.
 const LOAD_POLL_TIMEOUT: f64 = 1.0;
 
 impl PlannerProcess {
@@ -33,7 +33,7 @@
             Output::WatchNodeList => self.spawn_node_list_watch(),
             Output::PollLoad { node, address } => self.spawn_load_poll(node, address),
             Output::SetTimer { after, token } => self.spawn_timer(after, token),
-            // The event loop passes it to the core.
+            // Handled by the event loop, which passes it to the core.
             Output::SetPlannerCount(_) => {}
             Output::Log(line) => tracing::info!(planner = self.name, "{line}"),
         }
@@ -45,7 +45,8 @@
         let Some(queue) = edges.get(&edge) else {
             return;
         };
-        // A full queue means that the edge does not read: its connection is closed, and its tasks are given up.
+        // The queue is full if the edge does not read. Closing it disconnects the edge, whose open tasks are
+        // then abandoned.
         if queue.try_send(message).is_err() {
             queue.close();
         }
@@ -80,7 +81,7 @@
         let process = self.clone();
         let watched = node.clone();
         let watch = smol::spawn(async move { process.watch_node(&watched, &address).await });
-        // An older watch on the node is dropped, which cancels it.
+        // Inserting drops an older watch on the node, which cancels it.
         self.node_watches.lock().insert(node, watch);
     }
 
--- a/crates/planner/src/event_loop.rs
+++ b/crates/planner/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: takes inputs in batches, steps the core, and carries out its effects. Decides nothing.
+//! The event loop: receives inputs in batches, steps the core and carries out its outputs. It makes no decisions.
 
 use crate::core::{Core, Input, Offer, OfferAnswer, Output};
 use crate::process::PlannerProcess;
@@ -9,28 +9,27 @@
 use tidespur_persistence::{Disk, Outbox};
 use tidespur_policy::interface::AttemptOutcome;
 
-/// The core is stepped at least this often, in seconds.
+/// Maximum time between steps of the core, in seconds.
 const TICK_INTERVAL: f64 = 0.25;
 
-/// An offer that waits until its record is synced.
+/// An offer that is held back until its record is synced to disk.
 struct DeferredOffer {
     offer: Offer,
-    /// When the answer is no longer waited for, in seconds.
+    /// When the offer times out, in seconds since 1970.
     deadline: f64,
 }
 
-/// An effect that waits until the batch that it depends on is synced.
+/// An effect that is held back until the batch that it depends on is synced to disk.
 enum DeferredEffect {
     Offer(Box<DeferredOffer>),
     SetPlannerCount(u32),
 }
 
-/// The event loop of a planner.
 pub(crate) struct EventLoop<'a> {
     process: Arc<PlannerProcess>,
     core: Core,
     inputs: Receiver<Input>,
-    /// Without a disk every effect may be carried out at once.
+    /// `None` without a data directory; then all effects may be carried out at once.
     disk: Option<&'a Disk>,
     deferred: Outbox<DeferredEffect>,
 }
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Runs until the channel of inputs or of the disk's progress is closed.
+    /// Runs until the channel of inputs, or that of the disk's progress, is closed.
     pub(crate) async fn run(mut self) {
         let progress = self.disk.map(Disk::subscribe);
         let max_inputs = self.process.config.planner.max_events_per_step as usize;
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Takes back deferred offers that are too late or not wanted any more. Returns their answers.
+    /// Removes deferred offers that have timed out or whose task was abandoned, and returns an answer for each.
     fn withdraw_stale_offers(&mut self, now: f64) -> Vec<Input> {
         let core = &self.core;
         let is_stale = |effect: &DeferredEffect| match effect {
@@ -86,13 +85,14 @@
         let mut answers = Vec::new();
         for effect in self.deferred.remove_matching(is_stale) {
             if let DeferredEffect::Offer(deferred) = effect {
-                answers.push(never_sent(&deferred.offer));
+                answers.push(never_sent_answer(&deferred.offer));
             }
         }
         answers
     }
 
-    /// Carries out the effects of a step. Those that depend on the step's batch are deferred until it is synced.
+    /// Writes the step's batch and carries out its outputs. Those that depend on the batch are deferred until it is
+    /// synced.
     fn execute(&mut self, now: f64, outputs: Vec<Output>) {
         let batch = match self.disk {
             Some(disk) => disk.write(self.core.take_batch()),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Carries out the deferred effects whose batch is synced; without a disk, all.
+    /// Carries out the deferred effects whose batch is synced. Without a disk this is all of them.
     fn release_deferred(&mut self) {
         let synced = self.disk.map_or(u64::MAX, Disk::synced);
         for effect in self.deferred.release(synced) {
@@ -132,14 +132,14 @@
             let offer = Offer { timeout, ..offer };
             self.process.execute(Output::Offer(offer));
         } else {
-            // With a full queue the attempt ends by the policy's own timeout instead.
-            drop(self.process.inputs.try_send(never_sent(&offer)));
+            // If the queue is full, the attempt ends by the policy's own timeout.
+            drop(self.process.inputs.try_send(never_sent_answer(&offer)));
         }
     }
 }
 
-/// The answer to an offer that was never sent, as its record was not synced in time: nothing of it can run.
-fn never_sent(offer: &Offer) -> Input {
+/// The answer to an offer that was not sent because its record was not synced in time, so that its Pod can't run.
+fn never_sent_answer(offer: &Offer) -> Input {
     Input::OfferAnswered {
         task: offer.task,
         attempt: offer.attempt,
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,8 +1,9 @@
-//! The planner: chooses a node for each task that edges hand to it, and offers the task there.
+//! The planner: chooses a node for each task that edges submit, and offers the task to that node.
 //!
-//! [`core::Core`] is the planner as a state machine without I/O: messages of edges, answers of nodes and the node list
-//! go in, the scheduling policy is asked, and the effects to carry out come out. [`run()`] is the program around it:
-//! sockets, timers and the disk. It decides nothing. Called by `tidespur-planner` and by `tidespur planner`.
+//! [`core::Core`] is a state machine without I/O. Its inputs are messages of edges, answers of nodes and the node list;
+//! its outputs are the effects to carry out, which follow from the actions of the scheduling policy. [`run()`] is the
+//! program around it, with sockets, timers and the disk, and makes no decisions. It is the entry point of
+//! `tidespur-planner` and of `tidespur planner`.
 
 pub mod attempts;
 pub mod convert;
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidespur-planner`: the planner as a program of its own.
+//! The program `tidespur-planner`: runs a planner, or serves the operators' platform.
 
 use clap::Parser;
 use std::error::Error;
@@ -27,7 +27,7 @@
     Platform,
 }
 
-/// Why the program ends.
+/// Why the program fails.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
@@ -36,8 +36,8 @@
     Config(#[from] tidespur_config::ConfigError),
     #[error(transparent)]
     Planner(#[from] tidespur_planner::RunError),
-    /// The command line names neither the options of a planner nor a subcommand.
-    #[error("--edge and --register are needed, or the subcommand `platform`")]
+    /// The command line has neither the options of a planner nor a subcommand.
+    #[error("--edge and --register are required without the subcommand `platform`")]
     MissingOptions,
 }
 
@@ -62,7 +62,7 @@
     Ok(smol::block_on(tidespur_planner::run(config, options))?)
 }
 
-/// The message of an error, followed by those of its causes.
+/// Formats an error followed by its chain of causes.
 fn with_causes(error: &dyn Error) -> String {
     let mut message = error.to_string();
     let mut cause = error.source();
--- a/crates/planner/src/membership.rs
+++ b/crates/planner/src/membership.rs
@@ -1,4 +1,4 @@
-//! Follows the fleet's membership, so that this planner is connected to every edge.
+//! Follows the fleet's membership to keep this planner connected to every edge.
 
 use crate::edge_connections::EdgeConnections;
 use crate::process::PlannerProcess;
@@ -6,7 +6,7 @@
 use tidespur_membership::{MemberStatus, MembershipView, Role};
 use tidespur_membership_net::{MemberHandle, ShutdownReason};
 
-/// The membership view is read this often, in seconds, beside when it changes.
+/// Maximum time between reads of the membership view, in seconds. It is also read when it changes.
 const VIEW_INTERVAL: f64 = 0.5;
 
 impl PlannerProcess {
@@ -39,8 +39,8 @@
         .collect()
 }
 
-/// Addresses of all members that have not left. One that is only suspected or failed is among them: the view may be
-/// wrong, and a connection that works is better evidence.
+/// Addresses of all members that have not left. Suspected and failed members are included: the view may be wrong, and
+/// a working connection is better evidence.
 fn known_addresses(view: &MembershipView) -> Vec<&str> {
     view.members
         .iter()
--- a/crates/planner/src/node_client.rs
+++ b/crates/planner/src/node_client.rs
@@ -1,4 +1,4 @@
-//! Requests to nodes: offers and deletions of Pods.
+//! HTTP requests to nodes: offers and deletions of Pods.
 
 use crate::convert;
 use crate::core::{Offer, OfferAnswer};
@@ -12,21 +12,20 @@
 use tidespur_net::{Client, NetError, Reply, clock};
 use tidespur_policy::interface::{AttemptOutcome, FailureCause, LoadReport};
 
-/// Header of an offer: the time until which the node may accept it, in seconds since 1970.
+/// Header of an offer with the time until which the node may accept it, in seconds since 1970.
 const DEADLINE_HEADER: &str = "x-tidespur-until";
-/// Media type of request bodies.
-const JSON: &str = "application/json";
-/// How long one attempt to delete a Pod waits for its answer, in seconds.
+const JSON_MEDIA_TYPE: &str = "application/json";
+/// Timeout of one attempt to delete a Pod, in seconds.
 const DELETE_TIMEOUT: f64 = 2.0;
-/// Pauses after the attempts to delete a Pod, in seconds; there are as many attempts.
+/// Delay after each failed attempt to delete a Pod, in seconds. There are as many attempts as delays.
 const DELETE_BACKOFFS: [f64; 5] = [0.1, 0.5, 1.0, 2.0, 4.0];
 
-/// A deletion is complete where the node answers that the Pod is not there, or that another Pod has its name.
+/// Status codes with which a deletion is complete: the node does not hold the Pod, or its uid is another one.
 const NOT_FOUND: u16 = 404;
 const CONFLICT: u16 = 409;
 
 impl PlannerProcess {
-    /// The client for an address. All requests to one address share their connections.
+    /// Returns the client for an address. All requests to an address share its connections.
     pub(crate) fn client(&self, address: &str) -> Client {
         let mut clients = self.clients.lock();
         if let Some(client) = clients.get(address) {
@@ -42,7 +41,7 @@
         client
     }
 
-    /// Sends an offer and waits for its answer.
+    /// Sends an offer and waits for the answer or the timeout.
     pub(crate) async fn offer(&self, offer: &Offer) -> OfferAnswer {
         let Offer {
             node,
@@ -62,7 +61,9 @@
             .client(address)
             .with_header(DEADLINE_HEADER, format!("{deadline:.6}"));
         let body = pod_of(request).to_string().into_bytes().into();
-        let reply = client.send(Method::POST, &path, JSON, body, *timeout).await;
+        let reply = client
+            .send(Method::POST, &path, JSON_MEDIA_TYPE, body, *timeout)
+            .await;
         let answer = match reply {
             Ok(reply) => read_answer(&reply),
             Err(error) => OfferAnswer::NotAccepted {
@@ -83,7 +84,7 @@
         answer
     }
 
-    /// Deletes a Pod at a node, with retries. Where `pod_uid` is given, a Pod of another uid is kept.
+    /// Deletes a Pod at a node, with retries. If `pod_uid` is given, a Pod with another uid is kept.
     pub(crate) async fn delete_pod(&self, address: &str, pod: &PodName, pod_uid: Option<String>) {
         let PodName { namespace, name } = pod;
         let path = format!("/api/v1/namespaces/{namespace}/pods/{name}");
@@ -95,11 +96,17 @@
         for backoff in DELETE_BACKOFFS {
             let client = self.client(address);
             let reply = client
-                .send(Method::DELETE, &path, JSON, body.clone(), DELETE_TIMEOUT)
+                .send(
+                    Method::DELETE,
+                    &path,
+                    JSON_MEDIA_TYPE,
+                    body.clone(),
+                    DELETE_TIMEOUT,
+                )
                 .await;
             match reply {
                 Ok(reply) if is_deleted(&reply) => return,
-                // The node's process has ended, and the Pod with it.
+                // The node's process has exited, and the Pod with it.
                 Err(NetError::Refused) => return,
                 Err(NetError::Request(error)) => {
                     tracing::error!(error, namespace, name, "invalid deletion request");
@@ -123,7 +130,7 @@
     reply.status.is_success() || [NOT_FOUND, CONFLICT].contains(&reply.status.as_u16())
 }
 
-/// The load report in a node's response.
+/// Reads the load report in a node's response; `None` if it is missing or malformed.
 pub(crate) fn read_load(reply: &Reply) -> Option<LoadReport> {
     convert::read_load_report(reply.headers.get(names::LOAD_HEADER)?.to_str().ok()?)
 }
@@ -152,7 +159,8 @@
     }
 }
 
-/// The Pod that is offered to a node: the owner's spec, with the annotations and the priority class of the request.
+/// Makes the Pod that is offered to a node: the owner's spec with the annotations and the priority class of the
+/// request.
 fn pod_of(request: &PlacementRequest) -> Object {
     let job = request.service.split_once('/').map_or("", |(_, job)| job);
     let mut annotations = json!({
@@ -164,7 +172,7 @@
     }
     let mut spec: Value = serde_json::from_str(&request.spec).unwrap_or(Value::Null);
     if spec["containers"][0].is_null() {
-        // An edge always sends the spec. For a peer that does not, the Pod has one container of the request's size.
+        // Edges always send the spec. Without one, the Pod has one container with the requested resources.
         let memory = (request.memory * names::MEMORY_UNIT).round();
         spec = json!({"containers": [{"name": "main", "resources": {"requests":
             {"cpu": format!("{}", request.cores), "memory": format!("{memory}")}}}]});
--- a/crates/planner/src/node_watches.rs
+++ b/crates/planner/src/node_watches.rs
@@ -7,24 +7,24 @@
 use tidespur_net::follow::{ListWatchEvent, list_and_watch};
 use tidespur_net::{NetError, clock};
 
-/// Streams the Pods of a node: first all of them, then a bookmark, then changes and bookmarks.
+/// Watches a node's Pods. The response starts with one event for each Pod and a bookmark; changes and bookmarks follow.
 const WATCH_PODS: &str = "/api/v1/pods?watch=true&allowWatchBookmarks=true&sendInitialEvents=true\
     &resourceVersionMatch=NotOlderThan";
 const LIST_NODES: &str = "/api/v1/nodes";
 
 /// The state of one watch on a node's Pods.
 enum PodStream {
-    /// These Pods were received, and the bookmark that ends the initial list was not.
+    /// The initial list is incomplete: these Pods, but not yet its final bookmark, were received.
     Listing(Vec<Object>),
     /// The initial list is complete.
     Following,
 }
 
-/// A line of a watch that is no event of a known type.
+/// A watch event has an unknown type.
 struct UnknownEvent;
 
 impl PodStream {
-    /// Reads an event. Events of the initial list lead to an input only with its last one.
+    /// Converts an event to an input. The events of the initial list yield one input, with its final bookmark.
     fn read(&mut self, node: &str, mut event: Value) -> Result<Option<Input>, UnknownEvent> {
         let node = node.to_owned();
         let pod = event["object"].take();
@@ -49,7 +49,7 @@
 }
 
 impl PlannerProcess {
-    /// Watches the Pods of a node, and opens the watch again whenever it ends.
+    /// Watches the Pods of a node, and reopens the watch whenever it ends.
     pub(crate) async fn watch_node(&self, node: &str, address: &str) {
         loop {
             let input = match self.watch_pods(node, address).await {
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Lists the Nodes and watches the list until the watch ends.
+    /// Requests the node list and watches it until the watch ends.
     pub(crate) async fn watch_node_list(&self) {
         let client = self.client(&self.options.shared.registry);
         let read = |event| self.read_node_event(event);
@@ -125,7 +125,7 @@
     }
 }
 
-/// What is recorded of a Node. The keys are those that readers of recordings know.
+/// The part of a Node that is recorded. The keys are part of the format of recordings.
 fn recorded_node(node: &Object) -> Value {
     json!({"node": meta::name(node), "unschedulable": meta::value_at(node, &["spec", "unschedulable"]),
         "up_since": meta::annotation(node, names::STARTED_AT), "rack": meta::label(node, names::RACK),
--- a/crates/planner/src/nodes.rs
+++ b/crates/planner/src/nodes.rs
@@ -1,5 +1,4 @@
-//! What a planner knows of nodes: the Pods that they hold, and the state of the connections to them. Owned by
-//! [`crate::core::Core`].
+//! The state of nodes: the Pods that they hold, and the connections to them. Owned by [`crate::core::Core`].
 
 use crate::pod::{ObservedPod, PodName, PodPhase};
 use std::collections::BTreeMap;
@@ -9,30 +8,30 @@
 /// State of the watch on a node's Pods.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Not connected yet, or not now: the node may hold any Pods.
+    /// The watch is not open: the node may hold any Pods.
     Disconnected,
     /// The watch is open.
     Connected,
-    /// The node refuses connections: its process has ended, and its Pods with it.
+    /// The node refuses connections: its process has exited, and its Pods with it.
     Refused,
 }
 
-/// One node.
+/// The state of one node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// `host:port` where it accepts Pods.
+    /// `host:port` of the node's API.
     pub address: String,
-    /// Its zone.
+    /// Name of the node's zone; empty if it has none.
     pub zone: String,
     /// State of the watch on its Pods.
     pub connection: ConnectionState,
-    /// When something of it was last received, in seconds; negative infinity before the first time.
+    /// When its watch last received data, in seconds; negative infinity before the first data.
     pub last_received: f64,
-    /// Whether the node list has it.
+    /// Whether it is in the node list.
     pub is_listed: bool,
-    /// The node list's entry.
+    /// The policy's view of its entry in the node list; `None` until it is listed.
     pub endpoint: Option<Endpoint>,
-    /// Its Pods.
+    /// The Pods that it has reported, including terminated ones.
     pub pods: BTreeMap<PodName, ObservedPod>,
 }
 
@@ -42,7 +41,7 @@
         self.last_received.is_finite()
     }
 
-    /// Notes that something was received from the node.
+    /// Records that its watch has received data: the node is connected.
     pub fn on_received(&mut self, now: f64) {
         self.connection = ConnectionState::Connected;
         self.last_received = now;
@@ -56,22 +55,22 @@
 }
 
 impl NodeTable {
-    /// The node of this name.
+    /// The node with this name, listed or not.
     pub fn get(&self, name: &str) -> Option<&Node> {
         self.nodes.get(name)
     }
 
-    /// The node of this name.
+    /// The node with this name, to update its state.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Node> {
         self.nodes.get_mut(name)
     }
 
-    /// All nodes, in the order of their names.
+    /// All nodes, ordered by name, including those that are no longer listed.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Node)> {
         self.nodes.iter().map(|(name, node)| (name.as_str(), node))
     }
 
-    /// A Pod that a node has reported.
+    /// A Pod that a node has reported; `None` if the node or the Pod is unknown.
     pub fn pod(&self, node: &str, pod: &PodName) -> Option<&ObservedPod> {
         self.get(node)?.pods.get(pod)
     }
@@ -81,8 +80,8 @@
         self.get(node).is_some_and(Node::has_reported)
     }
 
-    /// Adds or updates a node of the node list; returns whether a watch has to be opened, as the node is new or has a
-    /// new address.
+    /// Adds or updates a node of the node list. Returns whether a watch has to be opened because the node or its
+    /// address is new.
     pub fn insert_listed(&mut self, name: &str, address: &str, zone: &str) -> bool {
         if let Some(node) = self.nodes.get_mut(name) {
             let has_moved = node.address != address;
@@ -104,8 +103,8 @@
         true
     }
 
-    /// Where a task is that was offered as this Pod. Only what nodes have reported after `since` proves that they do
-    /// not hold it.
+    /// Searches all nodes for a task's Pod, by its name or its request's uid. A node proves only by a report after
+    /// `since` that it does not hold the Pod.
     pub fn locate(&self, pod: &PodName, uid: &str, since: f64) -> Location {
         let mut ended = None;
         let mut may_be_held = false;
@@ -119,7 +118,7 @@
                 }
                 _ => {}
             }
-            // A silent node that is not listed counts as removed, and its Pods with it.
+            // A silent node that is not listed counts as removed together with its Pods.
             may_be_held |= node.is_listed
                 && node.connection != ConnectionState::Refused
                 && node.last_received <= since;
@@ -133,17 +132,17 @@
     }
 }
 
-/// The names of the policy's machines.
+/// Node names by the machine ids of the policy.
 #[derive(Debug, Default)]
 pub struct MachineNames(BTreeMap<MachineId, String>);
 
 impl MachineNames {
-    /// Adds the name of a machine.
+    /// Adds a node. The name of a known id is kept.
     pub fn insert(&mut self, id: MachineId, node: &str) {
         self.0.entry(id).or_insert_with(|| node.to_owned());
     }
 
-    /// The name of a machine.
+    /// The node of a machine id; `None` if it was never added.
     pub fn get(&self, id: MachineId) -> Option<&str> {
         self.0.get(&id).map(String::as_str)
     }
--- a/crates/planner/src/pending_reasons.rs
+++ b/crates/planner/src/pending_reasons.rs
@@ -1,5 +1,5 @@
-//! Publishes to edges why their tasks are pending. The policy says for which reason it filters out a machine; this
-//! converts and counts the reasons, once for all tasks of one shape. Owned and called by [`crate::core::Core`].
+//! Publishes to edges why their tasks are pending. The policy reports the reason for which it filters out a machine;
+//! this module converts and counts the reasons, once for all tasks of the same shape. Owned by [`crate::core::Core`].
 
 mod diagnose;
 
@@ -14,26 +14,28 @@
 use tidespur_policy::Scheduler;
 use tidespur_policy::interface::{PendingDiagnosis, TaskId};
 
-/// Pending tasks are diagnosed this often, in seconds. So a published reason is at most this old when it is sent, as
-/// long as the pending shapes together examine no more machines than [`MAX_MACHINES_PER_REFRESH`].
+/// Interval between diagnoses of the pending tasks, in seconds. A published reason is at most this old when it is sent,
+/// as long as all pending shapes together examine no more than [`MAX_MACHINES_PER_REFRESH`] machines.
 const REFRESH_INTERVAL: f64 = 0.25;
-/// The reason of one task is published at most this often, in seconds.
+/// Minimum time between published reasons of one task, in seconds.
 const MIN_PUBLISH_INTERVAL: f64 = 2.0 * REFRESH_INTERVAL;
-/// Machines that may be examined in one refresh. Beyond, the shapes take turns.
+/// Maximum number of machines examined in one refresh. Beyond it the shapes take turns, those with the oldest diagnosis
+/// first.
 const MAX_MACHINES_PER_REFRESH: usize = 10_000;
-/// An unchanged reason is published again this often, in seconds.
+/// Interval after which an unchanged reason is published again, in seconds.
 const REPEAT_INTERVAL: f64 = 2.0;
-/// Reasons in one message.
+/// Maximum number of reasons in one message.
 const MAX_REASONS_PER_MESSAGE: usize = 1_024;
 
-/// Tasks of one shape are pending for the same reasons.
+/// What the reasons for a pending task depend on. Tasks with equal shapes share a diagnosis.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskShape {
     service: String,
     class: String,
     cores_bits: u64,
     memory_bits: u64,
-    /// The task's uid where its earlier attempts restrict it, so that it has a shape of its own.
+    /// Set to the task's uid if earlier attempts restrict where it may be offered; the shape is then unique to the
+    /// task.
     uid: Option<String>,
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Why the tasks of a shape are pending.
+/// The last diagnosis of a shape. Times are in seconds.
 #[derive(Debug)]
 struct ShapeDiagnosis {
     diagnosed_at: f64,
@@ -60,7 +62,7 @@
     next_attempt_at: f64,
 }
 
-/// What the planner knows, to read.
+/// The parts of the planner's state that a diagnosis reads.
 pub(crate) struct PlannerState<'a> {
     pub(crate) scheduler: &'a Scheduler,
     pub(crate) config: &'a Config,
@@ -69,14 +71,14 @@
     pub(crate) machine_names: &'a MachineNames,
 }
 
-/// A task that its edge waits for.
+/// A task that has not been placed, rejected or failed yet.
 struct PendingTask<'a> {
     id: TaskId,
     record: &'a TaskRecord,
     shape: TaskShape,
 }
 
-/// The published reasons, by edge, and the diagnoses that they rest on.
+/// The reasons published to each edge, and the diagnoses that they are based on.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReasons {
     next_refresh_at: f64,
@@ -85,12 +87,12 @@
 }
 
 impl PendingReasons {
-    /// Forgets what was published to an edge that has disconnected.
+    /// Drops the publishing state of a disconnected edge, so that all reasons are sent again after it reconnects.
     pub(crate) fn remove_edge(&mut self, edge: EdgeId) {
         self.publishers.remove(&edge);
     }
 
-    /// Diagnoses pending tasks if that is due, and returns the messages to send.
+    /// Diagnoses the pending tasks if a refresh is due, and returns the messages to send.
     pub(crate) fn refresh(&mut self, now: f64, state: &PlannerState<'_>) -> Vec<(EdgeId, ToEdge)> {
         if now < self.next_refresh_at {
             return vec![];
@@ -146,7 +148,8 @@
         messages
     }
 
-    /// Diagnoses the shapes that are pending anew, those with the oldest diagnosis first, within the bound on machines.
+    /// Updates the diagnoses of pending shapes, oldest first, until [`MAX_MACHINES_PER_REFRESH`] machines were
+    /// examined.
     fn diagnose_shapes(&mut self, now: f64, state: &PlannerState<'_>, pending: &[PendingTask<'_>]) {
         let shapes = shapes_without_offer(pending);
         self.diagnoses.retain(|shape, _| shapes.contains_key(shape));
@@ -155,7 +158,7 @@
             let Some(pending) = state.scheduler.explain(now, task) else {
                 continue;
             };
-            self.store(now, shape, &pending, state);
+            self.store_diagnosis(now, shape, &pending, state);
             machines_left = machines_left.saturating_sub(pending.machine_count.max(1));
             if machines_left == 0 {
                 return;
@@ -176,7 +179,7 @@
         order
     }
 
-    fn store(
+    fn store_diagnosis(
         &mut self,
         now: f64,
         shape: &TaskShape,
@@ -184,7 +187,7 @@
         state: &PlannerState<'_>,
     ) {
         let diagnosis = diagnose(now, pending, &shape.class, state);
-        // An equal diagnosis keeps its allocation, by which the publisher sees that nothing has changed.
+        // An equal diagnosis keeps its allocation: the publisher compares pointers to detect that nothing has changed.
         let diagnosis = match self.diagnoses.get(shape) {
             Some(known) if *known.diagnosis == diagnosis => known.diagnosis.clone(),
             _ => Arc::new(diagnosis),
@@ -213,7 +216,7 @@
         .collect()
 }
 
-/// The shapes of tasks without an attempt in flight, each with its first task.
+/// The shapes of tasks without an attempt in flight, each with the first task that has it.
 fn shapes_without_offer<'a>(pending: &'a [PendingTask<'_>]) -> BTreeMap<&'a TaskShape, TaskId> {
     let mut shapes = BTreeMap::new();
     for task in pending {
--- a/crates/planner/src/pending_reasons/diagnose.rs
+++ b/crates/planner/src/pending_reasons/diagnose.rs
@@ -1,17 +1,18 @@
-//! Conversion of the policy's diagnosis of a pending task to that of `tidespur-pending`.
+//! Converts the policy's diagnosis of a pending task to a [`Diagnosis`].
 
 use super::PlannerState;
 use tidespur_config::FailureDomain;
 use tidespur_pending::{Diagnosis, ReasonCode, SpreadLimit};
 use tidespur_policy::interface::{FilterReason, PendingDiagnosis, RetryBlocker};
 
-/// A reason for which a node was filtered out. The shortfall is in cores, GiB or seconds by the code, and 0 for others.
+/// Why a node was filtered out. The unit of `shortfall` depends on the code: cores, GiB or seconds; it is 0 for other
+/// codes.
 struct Rejection {
     code: ReasonCode,
     shortfall: f64,
 }
 
-/// Converts the policy's diagnosis of a task of this class.
+/// Converts the diagnosis of a task of this class, made at `now`.
 pub(super) fn diagnose(
     now: f64,
     pending: &PendingDiagnosis,
@@ -28,7 +29,7 @@
         let node = state.nodes.get(name);
         let awaits_report = node.is_some_and(|node| node.is_listed && !node.has_reported());
         let rejection = convert_rejection(now, *reason, awaits_report);
-        // To the task's owner a node that was removed from the list is no node.
+        // Nodes removed from the node list are not counted in what the task's owner reads.
         if rejection.code == ReasonCode::Unlisted {
             diagnosis.node_count = diagnosis.node_count.saturating_sub(1);
             continue;
--- a/crates/planner/src/pod.rs
+++ b/crates/planner/src/pod.rs
@@ -1,21 +1,21 @@
-//! Pods as nodes report them.
+//! The part of a Pod's state that the planner reads from nodes.
 
 use serde::{Deserialize, Serialize};
 use tidespur_api::{Object, meta, names};
 use tidespur_planner_protocol::TerminationReason;
 
-/// Namespace and name of a Pod at a node. Serialized as a pair.
+/// Namespace and name of a Pod at a node. Serialized as a pair of strings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct PodName {
-    /// Its namespace.
+    /// Namespace, which is the tenant of the task.
     pub namespace: String,
-    /// Its name in the namespace.
+    /// Name within the namespace.
     pub name: String,
 }
 
 impl PodName {
-    /// A Pod of this namespace and name.
+    /// Copies the namespace and the name.
     pub fn new(namespace: &str, name: &str) -> Self {
         Self {
             namespace: namespace.to_owned(),
@@ -39,16 +39,16 @@
 /// The phase of a Pod at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PodPhase {
-    /// The node has accepted it, and it does not run yet.
+    /// The node has accepted the Pod and not started it yet.
     Pending,
-    /// It runs.
+    /// The Pod runs.
     Running,
-    /// It has ended.
+    /// The Pod has ended.
     Terminated(TerminationReason),
 }
 
 impl PodPhase {
-    /// Reads the phase of a Pod from its status.
+    /// Reads the phase from the status of a Pod. An unknown phase counts as `Pending`.
     pub fn read(pod: &Object) -> Self {
         let phase = meta::text_at(pod, &["status", "phase"]);
         let reason = meta::text_at(pod, &["status", "reason"]);
@@ -75,16 +75,16 @@
 /// A Pod that a node has reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedPod {
-    /// Uid of the request that the Pod was offered for.
+    /// Uid of the request that the Pod was offered for; empty if the annotation is missing.
     pub request_uid: String,
     /// Uid of the Pod at the node.
     pub pod_uid: String,
-    /// Its phase.
+    /// Phase as last reported.
     pub phase: PodPhase,
 }
 
 impl ObservedPod {
-    /// Reads a Pod of a node: its name, and what is kept of it.
+    /// Reads a Pod object of a node's API.
     pub fn read(pod: &Object) -> (PodName, Self) {
         let name = PodName::new(meta::namespace(pod), meta::name(pod));
         let request_uid = meta::annotation(pod, names::EDGE_POD_UID).unwrap_or("");
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -1,4 +1,4 @@
-//! Start and shutdown of the planner as a program.
+//! Start-up and shutdown of the planner.
 
 use crate::attempts::{AttemptRecordError, Attempts};
 use crate::core::{Core, Input};
@@ -21,45 +21,45 @@
 use tidespur_persistence::{Disk, LoadedRecords, PersistenceError};
 use tidespur_policy::interface::SettingsError;
 
-/// Inputs that may wait for the event loop.
+/// Capacity of the event loop's input queue.
 const MAX_QUEUED_INPUTS: usize = 16_384;
 
-/// Why the planner can't start, or did not shut down in order.
+/// Why the planner can't start, or had to shut down.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RunError {
-    /// The file of `--record` can't be opened.
-    #[error("{path}: the recording can't be opened: {error}; name another file with --record")]
+    /// The file given by `--record` can't be opened.
+    #[error("can't open the recording {path}: {error}; choose another file with --record")]
     Recording {
-        /// The file.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The policy rejects the settings.
+    /// The scheduling policy rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The data directory can't be used.
+    /// The data directory can't be opened, or its contents can't be read.
     #[error(transparent)]
     Persistence(#[from] PersistenceError),
-    /// A stored attempt can't be read.
+    /// A stored attempt is malformed.
     #[error(transparent)]
     Attempts(#[from] AttemptRecordError),
-    /// The planner knows no edge.
-    #[error("--edge is needed where no fleet is joined")]
+    /// No edge is given, and no fleet is configured in which edges could be discovered.
+    #[error("--edge is required unless the planner joins a fleet")]
     NoEdge,
     /// The fleet can't be joined.
     #[error(transparent)]
     Join(#[from] JoinError),
-    /// A newer process of this planner's name has replaced it in the fleet.
+    /// A newer process with the same name has joined the fleet.
     #[error(transparent)]
     Replaced(#[from] ReplacedError),
 }
 
-/// Runs the planner until it is told to shut down.
+/// Runs the planner until a signal or the fleet shuts it down.
 ///
 /// # Errors
-/// Why it can't start, or that a newer process of its name has replaced it.
+/// The planner can't start, or a newer process with its name has replaced it in the fleet.
 pub async fn run(config: Config, options: Options) -> Result<(), RunError> {
     let name = planner_name(&options);
     let recorder = open_recorder(&options, &name)?;
@@ -121,7 +121,7 @@
     })
 }
 
-/// Restores what an earlier process stored.
+/// Restores the state that earlier processes stored.
 fn restore(core: Core, records: Option<&LoadedRecords>) -> Result<Core, RunError> {
     let Some(records) = records else {
         return Ok(core);
@@ -150,7 +150,7 @@
     (Arc::new(process), receiver)
 }
 
-/// Joins the fleet where one is set up. Without a fleet, edges have to be named on the command line.
+/// Joins the fleet if one is configured. Without a fleet, edges have to be given on the command line.
 async fn join_fleet(
     process: &PlannerProcess,
     incarnation: Option<u64>,
--- a/crates/planner/tests/attempt_log.rs
+++ b/crates/planner/tests/attempt_log.rs
@@ -1,5 +1,5 @@
-//! The log of attempts: a non-idempotent task may run at a node that has not reported since the planner's restart, and
-//! until it has, the task is not called gone.
+//! The log of attempts. After a restart of the planner, a task may run on a node that has not reported yet. A locate
+//! query answered with `NotFound` in this state would make the edge start a second copy of a non-idempotent task.
 
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -40,8 +40,8 @@
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}})
 }
 
-/// A planner that restarts with these attempts, and a node list of these nodes.
-fn planner(attempts: Attempts, listed: &[&str]) -> Core {
+/// A restarted planner with these attempts, and listed nodes that have reported no Pods.
+fn restarted_planner(attempts: Attempts, listed: &[&str]) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
     let mut core = core.with_restored_state(attempts, Fence::default());
     let list = listed.iter().map(|name| node(name)).collect();
@@ -59,56 +59,51 @@
     core
 }
 
-/// Lets time pass in small steps while the nodes report: a stalled planner would give up its queries.
-fn pass(core: &mut Core, from: f64, seconds: f64, nodes: &[&str], outputs: &mut Vec<Output>) {
+/// Advances time in small steps while the nodes report. A longer step would count as a stall and drop the queries.
+fn advance(core: &mut Core, from: f64, seconds: f64, nodes: &[&str], outputs: &mut Vec<Output>) {
     for tenth in 1..=(seconds * 10.0) as u32 {
-        let heard = nodes
+        let reports = nodes
             .iter()
             .map(|node| Input::NodeAlive((*node).to_owned()))
             .collect();
-        core.step(from + f64::from(tenth) / 10.0, heard, outputs);
+        core.step(from + f64::from(tenth) / 10.0, reports, outputs);
     }
 }
 
 fn locate(core: &mut Core, now: f64, nodes: &[&str]) -> Location {
-    let ask = ToPlanner::Locate {
+    let query = ToPlanner::Locate {
         uid: UID.into(),
         tenant: "default".into(),
         name: "n".into(),
     };
     let mut outputs = Vec::new();
-    core.step(now, vec![Input::EdgeMessage(EDGE, ask)], &mut outputs);
-    pass(core, now, 2.0, nodes, &mut outputs);
-    let found = outputs.into_iter().find_map(|output| match output {
-        Output::SendToEdge(
-            _,
-            ToEdge::Located {
-                location: found, ..
-            },
-        ) => Some(found),
+    core.step(now, vec![Input::EdgeMessage(EDGE, query)], &mut outputs);
+    advance(core, now, 2.0, nodes, &mut outputs);
+    let location = outputs.into_iter().find_map(|output| match output {
+        Output::SendToEdge(_, ToEdge::Located { location, .. }) => Some(location),
         _ => None,
     });
-    found.expect("each question gets its answer")
+    location.expect("each query is answered")
 }
 
-/// The records of an earlier process that made an offer to `b`.
-fn offered() -> LoadedRecords {
+/// The records of an earlier process that has sent an offer to node `b`.
+fn records_with_offer() -> LoadedRecords {
     let mut attempts = empty_log();
     attempts.record_offer(UID, PodName::new("default", "n"), "b", 5.0);
     stored_records(&[attempts.take_batch()])
 }
 
 #[test]
-fn a_task_offered_to_a_node_that_has_not_reported_since_is_unknown_and_not_gone() {
-    // Without the log the same query is answered with `NotFound`, and a second copy would be started.
+fn a_task_offered_to_a_node_that_has_not_reported_since_the_restart_has_unknown_location() {
+    // Without the log the same query is answered with `NotFound`.
     assert_eq!(
-        locate(&mut planner(empty_log(), &["a"]), 0.5, &["a"]),
+        locate(&mut restarted_planner(empty_log(), &["a"]), 0.5, &["a"]),
         Location::NotFound
     );
-    let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
+    let mut core = restarted_planner(Attempts::load(&records_with_offer()).unwrap(), &["a"]);
     assert_eq!(locate(&mut core, 0.5, &["a"]), Location::Unknown);
-    // The node comes back last, without it.
-    pass(&mut core, 2.5, 5.0, &["a"], &mut vec![]);
+    // The node returns later than the others, without the task.
+    advance(&mut core, 2.5, 5.0, &["a"], &mut vec![]);
     core.step(7.6, vec![Input::NodeUpdated(node("b"))], &mut vec![]);
     core.step(
         7.7,
@@ -123,18 +118,18 @@
 
 #[test]
 fn attempts_at_a_node_are_cleared_when_it_is_removed_from_the_node_list() {
-    let mut core = planner(Attempts::load(&offered()).unwrap(), &["a"]);
+    let mut core = restarted_planner(Attempts::load(&records_with_offer()).unwrap(), &["a"]);
     core.step(0.3, vec![Input::NodeUpdated(node("b"))], &mut vec![]);
     core.step(0.4, vec![Input::NodeDeleted(node("b"))], &mut vec![]);
     assert!(
         !core.take_batch().is_empty(),
-        "what is forgotten is forgotten on the disk too"
+        "the stored records are removed too"
     );
     assert_eq!(locate(&mut core, 0.5, &["a"]), Location::NotFound);
 }
 
 #[test]
-fn attempts_are_removed_when_proved_not_to_run_and_kept_otherwise() {
+fn attempts_are_removed_only_if_they_are_known_not_to_run() {
     let mut attempts = empty_log();
     let mut batches = Vec::new();
     attempts.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
@@ -143,7 +138,7 @@
     batches.push(attempts.take_batch());
     attempts.clear("b", "n2");
     attempts.clear("b", "n2");
-    // An offer that is still good may be on its way: the node's list proves nothing yet.
+    // Before its deadline an offer may be in flight, so a list without its Pod proves nothing.
     let (none, names) = (BTreeSet::new(), BTreeSet::new());
     attempts.reconcile(5.5, "n1", &none, &names);
     batches.push(attempts.take_batch());
@@ -153,12 +148,12 @@
     let restored = Attempts::load(&stored_records(&batches)).unwrap();
     assert_eq!(restored.len(), 1);
     assert!(
-        restored.may_run_unseen("a", |_| false)
-            && !restored.may_run_unseen("a", |node| node == "n1")
-            && !restored.may_run_unseen("b", |_| false)
+        restored.may_run_on_unreported_node("a", |_| false)
+            && !restored.may_run_on_unreported_node("a", |node| node == "n1")
+            && !restored.may_run_on_unreported_node("b", |_| false)
     );
-    // Without a store nothing is recorded.
-    let mut off = Attempts::default();
-    off.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
-    assert!(off.is_empty() && off.take_batch().is_empty());
+    // Without a store no offers are recorded.
+    let mut disabled = Attempts::default();
+    disabled.record_offer("a", PodName::new("t", "x"), "n1", 5.0);
+    assert!(disabled.is_empty() && disabled.take_batch().is_empty());
 }
--- a/crates/planner/tests/compatibility.rs
+++ b/crates/planner/tests/compatibility.rs
@@ -1,18 +1,18 @@
-//! The data folder of a planner: what an earlier version wrote comes back whole, and this version writes the same
-//! records.
+//! Compatibility of a planner's data directory: records that an earlier version wrote are read completely, and this
+//! version writes the same records.
 
 use std::collections::BTreeMap;
 use tidespur_coordination::Fence;
 use tidespur_fixtures::{StoredFolder, assert_stored};
 use tidespur_persistence::{Batch, Identity, LoadedRecords};
-use tidespur_planner::attempts::{Attempt, Attempts};
+use tidespur_planner::attempts::{AttemptRecord, Attempts};
 use tidespur_planner::pod::PodName;
 
 const ONE_NODE: &str = "6d0f0000-0001";
 const TWO_NODES: &str = "6d0f0000-0002";
 const CLEARED: &str = "6d0f0000-0003";
 
-fn written() -> Batch {
+fn written_batch() -> Batch {
     let mut attempts = Attempts::load(&LoadedRecords::default()).unwrap();
     attempts.record_offer(
         ONE_NODE,
@@ -31,30 +31,35 @@
     batch
 }
 
-fn stored() -> StoredFolder {
+fn stored_folder() -> StoredFolder {
     let owner = Identity {
         role: "planner".into(),
         name: "planner-1".into(),
         cluster: "altmuehlfeld".into(),
     };
-    assert_stored(env!("CARGO_MANIFEST_DIR"), "planner", &owner, &written())
+    assert_stored(
+        env!("CARGO_MANIFEST_DIR"),
+        "planner",
+        &owner,
+        &written_batch(),
+    )
 }
 
-fn attempt(namespace: &str, name: &str, deadlines: &[(&str, f64)]) -> Attempt {
+fn attempt_record(namespace: &str, name: &str, deadlines: &[(&str, f64)]) -> AttemptRecord {
     let deadlines = deadlines
         .iter()
         .map(|(node, deadline)| ((*node).to_owned(), *deadline));
-    Attempt {
+    AttemptRecord {
         pod: PodName::new(namespace, name),
         offer_deadlines: deadlines.collect(),
     }
 }
 
 #[test]
-fn records_of_attempts_are_whole_when_read_from_an_earlier_versions_folder() {
-    let stored = stored();
+fn attempt_records_of_an_earlier_version_are_read_completely() {
+    let stored = stored_folder();
 
-    let read: BTreeMap<&str, Attempt> = stored
+    let read: BTreeMap<&str, AttemptRecord> = stored
         .loaded
         .records_of_kind("attempt")
         .map(|(uid, bytes)| (uid, serde_json::from_slice(bytes).unwrap()))
@@ -63,32 +68,32 @@
     let expected = BTreeMap::from([
         (
             ONE_NODE,
-            attempt("default", "job-abcde", &[("node-0", 1_000_000_000.25)]),
+            attempt_record("default", "job-abcde", &[("node-0", 1_000_000_000.25)]),
         ),
         (
             TWO_NODES,
-            attempt("team-a", "pod-b", &[("node-0", 2.0), ("node-1", 3.5)]),
+            attempt_record("team-a", "pod-b", &[("node-0", 2.0), ("node-1", 3.5)]),
         ),
     ]);
     assert_eq!(read, expected);
 }
 
 #[test]
-fn attempts_and_fence_are_whole_when_loaded_from_an_earlier_versions_folder() {
-    let stored = stored();
+fn attempts_and_fence_of_an_earlier_version_are_restored() {
+    let stored = stored_folder();
 
     let mut attempts = Attempts::load(&stored.loaded).unwrap();
     let mut fence = Fence::load(&stored.loaded);
 
     assert_eq!(attempts.len(), 2);
-    assert!(attempts.may_run_unseen(ONE_NODE, |node| node != "node-0"));
-    assert!(!attempts.may_run_unseen(ONE_NODE, |node| node == "node-0"));
-    assert!(attempts.may_run_unseen(TWO_NODES, |node| node == "node-0"));
-    assert!(attempts.may_run_unseen(TWO_NODES, |node| node == "node-1"));
-    assert!(!attempts.may_run_unseen(CLEARED, |_| false));
+    assert!(attempts.may_run_on_unreported_node(ONE_NODE, |node| node != "node-0"));
+    assert!(!attempts.may_run_on_unreported_node(ONE_NODE, |node| node == "node-0"));
+    assert!(attempts.may_run_on_unreported_node(TWO_NODES, |node| node == "node-0"));
+    assert!(attempts.may_run_on_unreported_node(TWO_NODES, |node| node == "node-1"));
+    assert!(!attempts.may_run_on_unreported_node(CLEARED, |_| false));
     assert_eq!(fence.admit("fleet", 69_999).unwrap_err().newest, 70_000);
     attempts.clear_node("node-0");
-    let left: Vec<(String, Option<Vec<u8>>)> = attempts
+    let changes: Vec<(String, Option<Vec<u8>>)> = attempts
         .take_batch()
         .changes()
         .map(|(record, value)| {
@@ -96,10 +101,10 @@
             (name, value.map(<[u8]>::to_vec))
         })
         .collect();
-    let at_second = br#"{"name":["team-a","pod-b"],"at":{"node-1":3.5}}"#.to_vec();
+    let remaining_record = br#"{"name":["team-a","pod-b"],"at":{"node-1":3.5}}"#.to_vec();
     let expected = vec![
         (format!("attempt {ONE_NODE}"), None),
-        (format!("attempt {TWO_NODES}"), Some(at_second)),
+        (format!("attempt {TWO_NODES}"), Some(remaining_record)),
     ];
-    assert_eq!(left, expected);
+    assert_eq!(changes, expected);
 }
