--- a/crates/planner/examples/reasons.rs
+++ b/crates/planner/examples/reasons.rs
@@ -1,4 +1,5 @@
-//! Measures what publishing pending reasons costs a planner: the same load with and without it, in one run.
+//! Benchmark of publishing pending reasons: measures the time that a planner takes for the same load with and without
+//! it.
 //!
 //! `cargo run --release -p tidespur-planner --example reasons`
 
@@ -11,12 +12,12 @@
 
 const EDGE: EdgeId = EdgeId(1);
 const NODES: usize = 200;
-/// Simulated time of one run.
+/// Simulated duration of one run, in seconds.
 const SECONDS: f64 = 5.0;
-/// Runs of each variant.
+/// Number of runs of each variant.
 const ROUNDS: usize = 3;
 
-/// One run's CPU time and number of published reasons.
+/// Wall-clock time and number of published reasons of one run.
 struct Measurement {
     duration: Duration,
     reasons: usize,
@@ -31,7 +32,7 @@
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}})
 }
 
-/// Measures a planner with this many pending tasks of this many services.
+/// Runs a planner with `pending` tasks that belong to `services` services.
 fn run(publishes_reasons: bool, pending: usize, services: usize) -> Measurement {
     let mut config =
         tidespur_config::parse("built-in", tidespur_config::DEFAULT_CONFIG).expect("built in");
@@ -89,10 +90,13 @@
 }
 
 fn main() {
-    println!("{NODES} nodes; CPU of {SECONDS} s of a planner's time, steps every 10 ms");
+    println!(
+        "{NODES} nodes; wall-clock time for {SECONDS} s of simulated time, with a step every 10 ms"
+    );
     println!("pending services without    with  ratio reasons");
     for (pending, services) in [(50, 5), (500, 20), (5000, 50), (500, 500)] {
-        // The variants alternate and the minimum of each counts, so that a slow moment of the machine affects neither alone.
+        // The variants alternate, and the minimum of each is used, so that a temporary slowdown of the machine does not
+        // affect only one of them.
         let mut without = Duration::MAX;
         let mut with = Duration::MAX;
         let mut reasons = 0;
--- a/crates/planner/tests/common/core.rs
+++ b/crates/planner/tests/common/core.rs
@@ -1,5 +1,5 @@
-//! A planner's core with simulated nodes and one edge.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A planner core with simulated nodes and one simulated edge.
+#![allow(dead_code, reason = "no test file uses all helpers")]
 
 use serde_json::{Value, json};
 use tidespur_api::task::PlacementRequest;
@@ -49,7 +49,7 @@
 }
 
 impl SimulatedPlanner {
-    /// A planner that knows these nodes and hears from them.
+    /// A planner with these nodes listed, each of which has reported that it holds no Pods.
     pub fn new(nodes: &[&str]) -> Self {
         let mut planner = SimulatedPlanner {
             core: Core::new(config(), 0, "halle-a", 1).unwrap(),
@@ -87,28 +87,25 @@
             EDGE,
             ToEdge::Acknowledged { uid: uid.into() },
         )) {
-            let within = request(uid, class).timeout.unwrap();
+            let timeout = request(uid, class).timeout.unwrap();
             outputs = self.step(vec![Input::EdgeMessage(
                 EDGE,
                 ToPlanner::Commit {
                     uid: uid.into(),
-                    timeout: within,
+                    timeout,
                 },
             )]);
         }
         outputs
     }
 
-    /// Lets time pass in small steps until it is so, with the timers that are due.
-    pub fn until<T>(&mut self, most: f64, holds: impl Fn(&Output) -> Option<T>) -> Option<T> {
-        let end = self.now + most;
+    /// Advances time in small steps, with a timer in each, until `find` returns a value for an output. Gives up after
+    /// `seconds`.
+    pub fn wait_for<T>(&mut self, seconds: f64, find: impl Fn(&Output) -> Option<T>) -> Option<T> {
+        let end = self.now + seconds;
         while self.now < end {
             self.now += 0.05;
-            if let Some(found) = self
-                .step(vec![Input::TimerFired(0)])
-                .iter()
-                .find_map(&holds)
-            {
+            if let Some(found) = self.step(vec![Input::TimerFired(0)]).iter().find_map(&find) {
                 return Some(found);
             }
         }
@@ -120,8 +117,8 @@
     outputs.iter().find_map(as_offer)
 }
 
-pub fn as_offer(outputs: &Output) -> Option<(TaskId, u32, String)> {
-    match outputs {
+pub fn as_offer(output: &Output) -> Option<(TaskId, u32, String)> {
+    match output {
         Output::Offer(Offer {
             task,
             attempt,
@@ -153,9 +150,9 @@
 }
 
 pub fn published_reasons(outputs: &[Output]) -> Vec<tidespur_pending::ReasonUpdate> {
-    let words = outputs.iter().filter_map(|o| match o {
-        Output::SendToEdge(EDGE, ToEdge::PendingReasons(words)) => Some(words.clone()),
+    let updates = outputs.iter().filter_map(|o| match o {
+        Output::SendToEdge(EDGE, ToEdge::PendingReasons(updates)) => Some(updates.clone()),
         _ => None,
     });
-    words.flatten().collect()
+    updates.flatten().collect()
 }
--- a/crates/planner/tests/core_edge_protocol.rs
+++ b/crates/planner/tests/core_edge_protocol.rs
@@ -1,4 +1,4 @@
-//! The two phases of a placement, lost edges, stalls and load shedding.
+//! The protocol with edges: commit of tasks, lost edges, stalls of the planner and load shedding.
 
 #[path = "common/core.rs"]
 mod core_simulation;
@@ -11,7 +11,7 @@
 use tidespur_policy::interface::AttemptOutcome;
 
 #[test]
-fn open_tasks_of_a_lost_edge_are_given_up_and_placed_ones_run_on() {
+fn open_tasks_of_a_lost_edge_are_abandoned_and_placed_ones_continue_to_run() {
     let mut planner = SimulatedPlanner::new(&["n1"]);
     let (task, attempt, _) = first_offer(&planner.place("a", "termin-web")).unwrap();
     planner.step(vec![Input::OfferAnswered {
@@ -26,7 +26,7 @@
             .iter()
             .any(|o| matches!(o, Output::DeletePod { .. }))
     );
-    let late = OfferAnswer::NotAccepted {
+    let timeout = OfferAnswer::NotAccepted {
         outcome: AttemptOutcome::TimedOut,
         message: String::new(),
         report: None,
@@ -34,10 +34,10 @@
     let outputs = planner.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: late,
+        answer: timeout,
     }]);
     assert_eq!(first_offer(&outputs), None);
-    assert_eq!(planner.core.task_count(), 1, "the one that runs");
+    assert_eq!(planner.core.task_count(), 1, "the placed task is kept");
 }
 
 #[test]
@@ -55,10 +55,10 @@
         )]
     );
     assert_eq!(
-        planner.until(1.0, |o| matches!(o, Output::Offer(_)).then_some(())),
+        planner.wait_for(1.0, |o| matches!(o, Output::Offer(_)).then_some(())),
         None
     );
-    // Taken back: a Go that crossed it finds nothing.
+    // A commit that arrives after the cancellation has no effect.
     planner.step(vec![Input::EdgeMessage(
         EDGE,
         ToPlanner::Cancel { uid: "t".into() },
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn a_stalled_planner_gives_up_open_tasks_before_it_handles_inputs() {
+fn a_stalled_planner_abandons_open_tasks_before_it_handles_inputs() {
     let mut planner = SimulatedPlanner::new(&[]);
     assert_eq!(
-        offer_count(&planner.place("held", "slot-abgleich")),
+        offer_count(&planner.place("pending", "slot-abgleich")),
         0,
         "there is no node yet"
     );
-    // Not so long that an edge gives it up: it goes on.
+    // A stall shorter than the edge's planner timeout has no effect.
     planner.now += 1.0;
     assert!(
         !planner
@@ -105,7 +105,7 @@
         "{outputs:?}"
     );
     assert_eq!(
-        planner.until(3.0, |o| matches!(o, Output::Offer(_)).then_some(())),
+        planner.wait_for(3.0, |o| matches!(o, Output::Offer(_)).then_some(())),
         None
     );
 }
@@ -113,25 +113,25 @@
 #[test]
 fn an_overloaded_planner_sheds_new_tasks_and_admits_them_again_once_it_has_caught_up() {
     let mut planner = SimulatedPlanner::new(&["n1", "n2"]);
-    let refused = |outputs: &[Output]| {
+    let is_rejected = |outputs: &[Output]| {
         sent_to_edge(outputs)
             .iter()
-            .any(|word| matches!(word, ToEdge::Rejected { .. }))
+            .any(|message| matches!(message, ToEdge::Rejected { .. }))
     };
-    let turned_away = |planner: &mut SimulatedPlanner, round: usize| {
+    let rejected_count = |planner: &mut SimulatedPlanner, round: usize| {
         (0..40)
-            .filter(|n| refused(&planner.place(&format!("{round}-{n}"), "termin-web")))
+            .filter(|n| is_rejected(&planner.place(&format!("{round}-{n}"), "termin-web")))
             .count()
     };
-    assert_eq!(turned_away(&mut planner, 0), 0);
-    // Every word waits longer and longer in its queue.
+    assert_eq!(rejected_count(&mut planner, 0), 0);
+    // The queueing delay of inputs grows with each probe.
     for n in 0..80 {
         planner.now += 0.1;
-        let sent = planner.now - 1.0 - 0.1 * f64::from(n);
-        planner.step(vec![Input::LagProbe(sent)]);
+        let queued_at = planner.now - 1.0 - 0.1 * f64::from(n);
+        planner.step(vec![Input::LagProbe(queued_at)]);
     }
-    assert!(turned_away(&mut planner, 1) > 20);
-    // What it took before is never turned away, however often it is asked for.
+    assert!(rejected_count(&mut planner, 1) > 20);
+    // A task that is already known is acknowledged however often it is sent.
     for _ in 0..40 {
         let again = planner.step(vec![Input::EdgeMessage(
             EDGE,
@@ -146,5 +146,5 @@
         planner.now += 0.1;
         planner.step(vec![Input::LagProbe(planner.now)]);
     }
-    assert_eq!(turned_away(&mut planner, 2), 0);
+    assert_eq!(rejected_count(&mut planner, 2), 0);
 }
--- a/crates/planner/tests/core_node_changes.rs
+++ b/crates/planner/tests/core_node_changes.rs
@@ -1,4 +1,4 @@
-//! Nodes that die, restart, drain or flap, and what edges are told of their tasks.
+//! Nodes that fail, restart, drain or flap, and the messages about their tasks to edges.
 
 #[path = "common/core.rs"]
 mod core_simulation;
@@ -9,7 +9,7 @@
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 
 #[test]
-fn tasks_of_a_dead_node_are_lost_and_those_of_a_silent_node_are_not() {
+fn tasks_of_a_node_are_lost_when_it_refuses_connections_and_not_when_it_is_silent() {
     let mut planner = SimulatedPlanner::new(&["n1"]);
     let (task, attempt, at) = first_offer(&planner.place("u", "termin-web")).unwrap();
     planner.step(vec![Input::OfferAnswered {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn tasks_of_a_connected_node_run_on_when_the_node_list_flaps() {
+fn tasks_of_a_connected_node_continue_to_run_when_the_node_list_flaps() {
     let mut planner = SimulatedPlanner::new(&["n1"]);
     let (task, attempt, at) = first_offer(&planner.place("u", "termin-web")).unwrap();
     planner.step(vec![Input::OfferAnswered {
@@ -82,25 +82,25 @@
             uid: "u".into(),
             reason: TerminationReason::NodeLost
         }],
-        "silent and unlisted"
+        "the node is silent and not listed"
     );
 }
 
 #[test]
-fn nothing_is_offered_to_a_draining_node() {
+fn no_task_is_offered_to_a_draining_node() {
     let mut planner = SimulatedPlanner::new(&["n1"]);
-    let mut drains = node("n1");
-    drains["spec"] = json!({"unschedulable": true});
-    planner.step(vec![Input::NodeUpdated(drains)]);
+    let mut draining = node("n1");
+    draining["spec"] = json!({"unschedulable": true});
+    planner.step(vec![Input::NodeUpdated(draining)]);
     assert_eq!(first_offer(&planner.place("u", "termin-web")), None);
-    let messages = planner.until(3.0, |o| {
+    let rejection = planner.wait_for(3.0, |o| {
         matches!(o, Output::SendToEdge(_, ToEdge::Rejected { .. })).then_some(())
     });
-    assert!(messages.is_some());
+    assert!(rejection.is_some());
 }
 
 #[test]
-fn locating_a_task_takes_a_report_of_every_node_after_the_question() {
+fn a_task_is_located_only_after_every_node_has_reported_since_the_query() {
     let mut planner = SimulatedPlanner::new(&["n1", "n2"]);
     let locate = |uid: &str| {
         Input::EdgeMessage(
@@ -116,7 +116,7 @@
     assert_eq!(
         sent_to_edge(&planner.step(vec![locate("u")])),
         [],
-        "both were last heard before"
+        "both nodes reported last before the query"
     );
     planner.now += 0.1;
     assert_eq!(
--- a/crates/planner/tests/core_pending_reasons.rs
+++ b/crates/planner/tests/core_pending_reasons.rs
@@ -1,4 +1,4 @@
-//! Why tasks are pending, as published to their edge.
+//! Publication of the reasons why tasks are pending.
 
 #[path = "common/core.rs"]
 mod core_simulation;
@@ -10,7 +10,7 @@
 use tidespur_planner_protocol::ToPlanner;
 
 #[test]
-fn pending_reasons_are_published_and_published_anew_when_they_change() {
+fn pending_reasons_are_published_and_published_again_when_they_change() {
     use tidespur_pending::ReasonCode;
     let mut planner = SimulatedPlanner::new(&["a"]);
     let large = |uid: &str| PlacementRequest {
@@ -34,22 +34,25 @@
         )]);
     }
     planner.now += 0.3;
-    let words = published_reasons(&planner.step(vec![Input::Tick]));
+    let updates = published_reasons(&planner.step(vec![Input::Tick]));
     assert_eq!(
-        words.iter().map(|w| w.uid.as_str()).collect::<Vec<_>>(),
+        updates
+            .iter()
+            .map(|update| update.uid.as_str())
+            .collect::<Vec<_>>(),
         ["x", "y"]
     );
     assert!(
-        std::sync::Arc::ptr_eq(&words[0].diagnosis, &words[1].diagnosis),
-        "equal tasks share one"
+        std::sync::Arc::ptr_eq(&updates[0].diagnosis, &updates[1].diagnosis),
+        "tasks of the same shape share a diagnosis"
     );
-    assert_eq!(words[0].codes(), [ReasonCode::Cores]);
+    assert_eq!(updates[0].codes(), [ReasonCode::Cores]);
     assert_eq!(
-        words[0].diagnosis.message(),
+        updates[0].diagnosis.message(),
         "0/1 nodes are available: 1 no cores"
     );
-    // 24 cores, of which 2.5 times 0.97 are planned with.
-    let nearest = words[0].diagnosis.nearest.clone().unwrap();
+    // 24 cores, the CPU overcommit of 2.5, and the fraction 0.97 of it that the policy plans with.
+    let nearest = updates[0].diagnosis.nearest.clone().unwrap();
     assert!(
         (nearest.shortfall - (500.0 - 24.0 * 2.5 * 0.97)).abs() < 1e-6,
         "{nearest:?}"
@@ -60,19 +63,19 @@
         [],
         "nothing has changed"
     );
-    let mut drains = node("a");
-    drains["spec"] = json!({"unschedulable": true});
-    planner.step(vec![Input::NodeUpdated(drains)]);
+    let mut draining = node("a");
+    draining["spec"] = json!({"unschedulable": true});
+    planner.step(vec![Input::NodeUpdated(draining)]);
     planner.now += 0.3;
-    let words = published_reasons(&planner.step(vec![Input::Tick]));
+    let updates = published_reasons(&planner.step(vec![Input::Tick]));
     assert_eq!(
-        words
+        updates
             .iter()
             .map(tidespur_pending::ReasonUpdate::codes)
             .collect::<Vec<_>>(),
         [[ReasonCode::Draining]; 2]
     );
-    // An edge that was lost and is back knows nothing: it is told of its new tasks as if for the first time.
+    // A reconnected edge has lost all reasons, so those of its new tasks are published in full.
     planner.step(vec![Input::EdgeDisconnected(EDGE)]);
     planner.step(vec![Input::EdgeMessage(EDGE, ToPlanner::Place(large("z")))]);
     planner.step(vec![Input::EdgeMessage(
@@ -86,7 +89,7 @@
     assert_eq!(
         published_reasons(&planner.step(vec![Input::Tick]))
             .iter()
-            .map(|w| w.uid.as_str())
+            .map(|update| update.uid.as_str())
             .collect::<Vec<_>>(),
         ["z"]
     );
--- a/crates/planner/tests/core_task_lifecycle.rs
+++ b/crates/planner/tests/core_task_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Tasks from placement to their end: each gets exactly one answer.
+//! The life cycle of tasks from placement to end. Each task gets exactly one answer.
 
 #[path = "common/core.rs"]
 mod core_simulation;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_replaced_by_the_nodes_watch_and_its_timeout_is_ignored() {
+fn a_lost_answer_is_replaced_by_the_watch_on_the_node_and_its_timeout_is_ignored() {
     let mut planner = SimulatedPlanner::new(&["n1"]);
     let (task, attempt, at) = first_offer(&planner.place("u", "slot-abgleich")).unwrap();
     let outputs = planner.step(vec![Input::PodUpdated {
@@ -61,7 +61,7 @@
             node: at
         }]
     );
-    let late = OfferAnswer::NotAccepted {
+    let timeout = OfferAnswer::NotAccepted {
         outcome: AttemptOutcome::TimedOut,
         message: "no answer in time".into(),
         report: None,
@@ -70,7 +70,7 @@
         sent_to_edge(&planner.step(vec![Input::OfferAnswered {
             task,
             attempt,
-            answer: late
+            answer: timeout
         }])),
         []
     );
@@ -80,7 +80,7 @@
 fn a_non_idempotent_task_that_may_have_run_fails_and_is_not_retried() {
     let mut planner = SimulatedPlanner::new(&["n1", "n2"]);
     let (task, attempt, _) = first_offer(&planner.place("u", "slot-abgleich")).unwrap();
-    let broken = OfferAnswer::NotAccepted {
+    let interrupted = OfferAnswer::NotAccepted {
         outcome: AttemptOutcome::Interrupted(FailureCause::Unspecified),
         message: "reset".into(),
         report: None,
@@ -88,23 +88,23 @@
     let outputs = planner.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: broken,
+        answer: interrupted,
     }]);
     assert_eq!(first_offer(&outputs), None);
-    let later = planner.until(3.0, |o| match o {
+    let later = planner.wait_for(3.0, |o| match o {
         Output::SendToEdge(_, message) => Some(message.clone()),
-        Output::Offer(_) => panic!("sent again"),
+        Output::Offer(_) => panic!("the task was offered again"),
         _ => None,
     });
-    let messages = sent_to_edge(&outputs).pop().or(later);
-    assert!(matches!(messages, Some(ToEdge::Failed { uid, .. }) if uid == "u"));
+    let message = sent_to_edge(&outputs).pop().or(later);
+    assert!(matches!(message, Some(ToEdge::Failed { uid, .. }) if uid == "u"));
 }
 
 #[test]
 fn a_second_copy_of_an_idempotent_task_is_deleted_when_it_is_reported() {
     let mut planner = SimulatedPlanner::new(&["n1", "n2", "n3"]);
     let (task, attempt, first) = first_offer(&planner.place("u", "termin-web")).unwrap();
-    let late = OfferAnswer::NotAccepted {
+    let timeout = OfferAnswer::NotAccepted {
         outcome: AttemptOutcome::TimedOut,
         message: "no answer in time".into(),
         report: None,
@@ -112,10 +112,10 @@
     let outputs = planner.step(vec![Input::OfferAnswered {
         task,
         attempt,
-        answer: late,
+        answer: timeout,
     }]);
     let (_, attempt, second) = first_offer(&outputs)
-        .or_else(|| planner.until(1.0, as_offer))
+        .or_else(|| planner.wait_for(1.0, as_offer))
         .unwrap();
     if first != second {
         planner.step(vec![Input::OfferAnswered {
@@ -127,8 +127,8 @@
             node: first.clone(),
             pod: pod("u", "pod-u", "Pending", ""),
         }]);
-        let deleted = |o: &Output| matches!(o, Output::DeletePod { address, .. } if *address == format!("{first}:1"));
-        assert!(outputs.iter().any(deleted), "{outputs:?}");
+        let is_deletion = |o: &Output| matches!(o, Output::DeletePod { address, .. } if *address == format!("{first}:1"));
+        assert!(outputs.iter().any(is_deletion), "{outputs:?}");
     }
 }
 
@@ -154,7 +154,7 @@
     assert_eq!(
         sent_to_edge(&outputs),
         [],
-        "its owner is not told of what it gave up"
+        "the edge gets no messages about a cancelled task"
     );
 }
 
@@ -163,7 +163,7 @@
     let mut planner = SimulatedPlanner::new(&["n1"]);
     let messages = sent_to_edge(&planner.place("u", "odd"));
     assert!(
-        matches!(&messages[..], [ToEdge::Rejected { reason: why, .. }] if why.contains("\"odd\"")),
+        matches!(&messages[..], [ToEdge::Rejected { reason, .. }] if reason.contains("\"odd\"")),
         "{messages:?}"
     );
 }
--- a/crates/planner/tests/interface_compatibility.rs
+++ b/crates/planner/tests/interface_compatibility.rs
@@ -1,4 +1,5 @@
-//! Subcommands, flags and the environment variable of `tidespur-planner` stay as scripts use them.
+//! Compatibility of the command line of `tidespur-planner`: subcommands, flags and the environment variable that
+//! scripts use.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn relay_config_names_the_configuration_of_the_platform() {
+fn relay_config_sets_the_path_of_the_platform_configuration() {
     let run = |variable: Option<&str>| {
         let mut command = Command::new(PLANNER);
         command.arg("platform").env_remove("RELAY_CONFIG");
--- a/crates/planner/tests/nodes_report_before_offers.rs
+++ b/crates/planner/tests/nodes_report_before_offers.rs
@@ -1,4 +1,5 @@
-//! A node gets no offers before it has reported its Pods.
+//! A node gets no offers before it has reported its Pods: a planner that has just started does not know what
+//! runs there.
 
 use serde_json::{Value, json};
 use tidespur_api::task::PlacementRequest;
@@ -22,7 +23,7 @@
 }
 
 impl SimulatedPlanner {
-    /// A planner with a list of these nodes, none of which has reported, and one task.
+    /// A planner with one pending task and a list of these nodes, none of which has reported its Pods.
     fn new(nodes: &[&str]) -> Self {
         let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
         let mut planner = Self { core, now: 100.0 };
@@ -33,7 +34,7 @@
             .iter()
             .filter(|output| matches!(output, Output::WatchNode { .. }))
             .count();
-        assert_eq!(watched, nodes.len(), "each is watched");
+        assert_eq!(watched, nodes.len(), "each node is watched");
         let request = PlacementRequest {
             uid: "u".into(),
             name: "n".into(),
@@ -61,8 +62,9 @@
         outputs
     }
 
-    /// Lets seconds pass while these nodes report; returns the nodes that got offers, and the published reasons.
-    fn pass(&mut self, seconds: u32, reporting: &[&str]) -> (Vec<String>, Vec<ReasonCode>) {
+    /// Advances time while the nodes of `reporting` send bookmarks. Returns the nodes that got offers, and the
+    /// published reasons.
+    fn advance(&mut self, seconds: u32, reporting: &[&str]) -> (Vec<String>, Vec<ReasonCode>) {
         let (mut offers, mut reasons) = (Vec::new(), Vec::new());
         for _ in 0..seconds * 10 {
             self.now += 0.1;
@@ -90,18 +92,18 @@
 }
 
 #[test]
-fn nothing_is_offered_to_a_node_that_has_not_reported_its_pods() {
+fn no_task_is_offered_to_a_node_that_has_not_reported_its_pods() {
     let mut planner = SimulatedPlanner::new(&["a", "b"]);
-    let (offers, reasons) = planner.pass(5, &[]);
+    let (offers, reasons) = planner.advance(5, &[]);
     assert_eq!(offers, [""; 0], "neither has reported");
     assert!(reasons.contains(&ReasonCode::Unheard), "{reasons:?}");
-    // Changes of the list make no difference.
+    // Changes of the node list do not count as reports.
     planner.step(vec![
         Input::NodeUpdated(node("a")),
         Input::NodeConnectionRefused("a".into()),
     ]);
     planner.step(vec![Input::NodesListed(vec![node("a"), node("b")])]);
-    assert_eq!(planner.pass(2, &[]).0, [""; 0]);
+    assert_eq!(planner.advance(2, &[]).0, [""; 0]);
     let outputs = planner.step(vec![Input::PodsListed {
         node: "b".into(),
         pods: vec![],
@@ -110,22 +112,26 @@
         .iter()
         .any(|output| matches!(output, Output::Offer(Offer { node, .. }) if node == "b"));
     assert!(
-        offered || planner.pass(2, &["b"]).0 == ["b"],
-        "the one that has reported"
+        offered || planner.advance(2, &["b"]).0 == ["b"],
+        "the node that has reported"
     );
 }
 
 #[test]
-fn a_node_that_left_the_list_before_it_reported_is_offered_nothing() {
+fn no_task_is_offered_to_a_node_that_left_the_list_before_it_reported() {
     let mut planner = SimulatedPlanner::new(&["a", "b"]);
     planner.step(vec![Input::NodesListed(vec![node("b")])]);
     planner.step(vec![Input::PodsListed {
         node: "a".into(),
         pods: vec![],
     }]);
-    assert_eq!(planner.pass(2, &["a"]).0, [""; 0]);
+    assert_eq!(planner.advance(2, &["a"]).0, [""; 0]);
     planner.step(vec![Input::NodeUpdated(node("a"))]);
-    assert_eq!(planner.pass(2, &["a"]).0, ["a"], "it is back on the list");
+    assert_eq!(
+        planner.advance(2, &["a"]).0,
+        ["a"],
+        "the node is listed again"
+    );
 }
 
 #[test]
@@ -139,14 +145,18 @@
         node: "a".into(),
         pods: vec![],
     }]);
-    assert_eq!(planner.pass(1, &["a"]).0, [""; 0], "it drains");
+    assert_eq!(
+        planner.advance(1, &["a"]).0,
+        [""; 0],
+        "the node is draining"
+    );
     planner.step(vec![Input::NodeWatchLost("a".into())]);
     let outputs = planner.step(vec![Input::NodeUpdated(node("a"))]);
     let offered = outputs
         .iter()
         .any(|output| matches!(output, Output::Offer(_)));
     assert!(
-        offered || planner.pass(2, &[]).0 == ["a"],
-        "its faults are left to the policy"
+        offered || planner.advance(2, &[]).0 == ["a"],
+        "the policy handles failures of a node with a broken watch"
     );
 }
--- a/crates/planner/tests/planner_count.rs
+++ b/crates/planner/tests/planner_count.rs
@@ -1,5 +1,5 @@
-//! The planner count that an edge sends under a lease: an older fencing token is rejected, also after a restart of the
-//! planner, and the count divides the planner's offers to nodes in slow start.
+//! The planner count that an edge sends under a lease. A count with an older fencing token is rejected, also after a
+//! restart of the planner. The count divides the planner's offers to nodes in slow start.
 
 use serde_json::json;
 use tidespur_api::task::PlacementRequest;
@@ -15,20 +15,20 @@
 const EDGE: EdgeId = EdgeId(1);
 
 fn stored_records(batch: &Batch) -> LoadedRecords {
-    let mut restarted = LoadedRecords {
+    let mut records = LoadedRecords {
         generation: 1,
         ..LoadedRecords::default()
     };
     for (record, value) in batch.changes() {
-        restarted
+        records
             .records
             .extend(value.map(|value| (record.clone(), value.to_vec())));
     }
-    restarted
+    records
 }
 
-/// A planner that restarts with these records.
-fn planner(records: &LoadedRecords) -> Core {
+/// A planner restarted with these records.
+fn restarted_planner(records: &LoadedRecords) -> Core {
     let core = Core::new(parse("built-in", DEFAULT_CONFIG).unwrap(), 0, "", 1).unwrap();
     core.with_restored_state(Attempts::load(records).unwrap(), Fence::load(records))
 }
@@ -58,7 +58,7 @@
 
 #[test]
 fn an_older_token_is_rejected_also_after_a_restart() {
-    let mut core = planner(&LoadedRecords::default());
+    let mut core = restarted_planner(&LoadedRecords::default());
     assert_eq!(
         receive_count(&mut core, "fleet", 3, 2),
         [Output::SetPlannerCount(2)]
@@ -68,18 +68,18 @@
     assert_eq!(
         receive_count(&mut core, "fleet", 3, 4),
         [Output::SetPlannerCount(4)],
-        "the same holder goes on"
+        "the holder of the newest token may send again"
     );
     assert_eq!(
         receive_count(&mut core, "another", 1, 4),
         [Output::SetPlannerCount(4)],
-        "each lease has tokens of its own"
+        "tokens of different leases are independent"
     );
-    let mut restarted = planner(&records);
+    let mut restarted = restarted_planner(&records);
     assert_eq!(
         receive_count(&mut restarted, "fleet", 2, 1),
         stale(2, 3),
-        "the fence outlives the process"
+        "the newest token is restored"
     );
     assert_eq!(
         receive_count(&mut restarted, "fleet", 4, 1),
@@ -87,14 +87,14 @@
     );
 }
 
-/// Number of offers to one node in slow start in three seconds; each offer ends at once.
+/// Number of offers to one node in slow start within three seconds. Each offer ends without being sent.
 fn offer_count(planners: u32) -> usize {
-    let mut core = planner(&LoadedRecords::default());
-    let cold = json!({"metadata": {"name": "a", "labels": {"node.kubernetes.io/instance-type": "std-24"},
+    let mut core = restarted_planner(&LoadedRecords::default());
+    let node = json!({"metadata": {"name": "a", "labels": {"node.kubernetes.io/instance-type": "std-24"},
         "annotations": {"node.tidespur.dev/address": "a:1", "node.tidespur.dev/up-since": "999"}},
         "status": {"allocatable": {"cpu": "24", "memory": "48Gi"}}});
     let mut inputs = vec![
-        Input::NodesListed(vec![cold]),
+        Input::NodesListed(vec![node]),
         Input::PodsListed {
             node: "a".into(),
             pods: vec![],
@@ -144,9 +144,9 @@
 
 #[test]
 fn the_planner_count_divides_the_offers_to_nodes_in_slow_start() {
-    let [alone, eight, hundred] = [1, 8, 100].map(offer_count);
+    let [one, eight, hundred] = [1, 8, 100].map(offer_count);
     assert!(
-        alone > 2 * eight && eight >= 2 && hundred <= 1,
-        "{alone}, {eight}, {hundred} offers"
+        one > 2 * eight && eight >= 2 && hundred <= 1,
+        "{one}, {eight}, {hundred} offers"
     );
 }
