--- a/crates/planner/tests/common/machine.rs
+++ b/crates/planner/tests/common/machine.rs
@@ -1,7 +1,7 @@
-//! Machines that hear on all of their connections at once.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A machine of the operators' platform that serves all of its connections at once.
+#![allow(dead_code, reason = "no test file uses all helpers")]
 
-use super::{PATIENCE, listen, message, next, set_up};
+use super::{TEST_TIMEOUT, listen, message, read_message, set_up};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,25 +12,28 @@
 
 pub struct Machine {
     listener: TcpListener,
-    pub at: SocketAddr,
-    /// Those it has closed are none.
+    pub address: SocketAddr,
+    /// In the order of acceptance: the stream, `None` once it is closed, and the received bytes that were not decoded
+    /// yet.
     connections: Vec<(Option<TcpStream>, Vec<u8>)>,
-    heard: VecDeque<(usize, u8, u64)>,
+    /// Decoded messages: index of the connection, type and id.
+    received: VecDeque<(usize, u8, u64)>,
 }
 
 impl Machine {
     pub fn new() -> Self {
-        let (listener, at) = listen();
+        let (listener, address) = listen();
         listener.set_nonblocking(true).unwrap();
         Self {
             listener,
-            at,
+            address,
             connections: Vec::new(),
-            heard: VecDeque::new(),
+            received: VecDeque::new(),
         }
     }
 
-    fn look(&mut self) {
+    /// Accepts connections, reads all bytes that have arrived, and answers health checks.
+    fn poll(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
             self.connections.push((Some(stream), Vec::new()));
@@ -53,64 +56,67 @@
                 if kind == 52 {
                     let _ = stream.write_all(&message(53, id, &[(222, &[1])]));
                 } else {
-                    self.heard.push_back((n, kind, id));
+                    self.received.push_back((n, kind, id));
                 }
             }
         }
     }
 
-    /// What it heard next, if anything: on which connection, type, id.
-    pub fn hears(&mut self) -> Option<(usize, u8, u64)> {
-        self.look();
-        self.heard.pop_front()
+    /// The next message that has arrived: index of the connection, type and id.
+    pub fn poll_message(&mut self) -> Option<(usize, u8, u64)> {
+        self.poll();
+        self.received.pop_front()
     }
 
-    /// The next set-up that it hears: on which connection, and its id.
-    pub fn next_set_up(&mut self) -> (usize, u64) {
-        let began = Instant::now();
+    /// Waits for the next set-up: index of the connection, and id of the task.
+    pub fn wait_for_set_up(&mut self) -> (usize, u64) {
+        let start = Instant::now();
         loop {
-            match self.hears() {
+            match self.poll_message() {
                 Some((connection, SET_UP, id)) => return (connection, id),
                 Some(_) => {}
                 None => std::thread::sleep(Duration::from_millis(1)),
             }
-            assert!(began.elapsed() < PATIENCE, "no set-up came");
+            assert!(start.elapsed() < TEST_TIMEOUT, "no set-up arrived");
         }
     }
 
-    /// A task of this owner is placed here: the connection of its offer.
-    pub fn places(&mut self, owner: &mut TcpStream, id: u64) -> usize {
+    /// Places a task of this owner here. Returns the index of the connection with its offer.
+    pub fn place_task(&mut self, owner: &mut TcpStream, id: u64) -> usize {
         owner.write_all(&set_up(id)).unwrap();
-        let (connection, heard) = self.next_set_up();
-        assert_eq!(heard, id);
-        self.accepts(connection, id);
-        let answer = next(owner);
+        let (connection, received) = self.wait_for_set_up();
+        assert_eq!(received, id);
+        self.accept_task(connection, id);
+        let answer = read_message(owner);
         assert_eq!((answer.0, answer.1), (9, id));
         connection
     }
 
-    pub fn connections(&self) -> usize {
+    /// Number of accepted connections, including closed ones.
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    pub fn says(&mut self, connection: usize, bytes: &[u8]) {
+    /// Sends bytes on a connection.
+    pub fn send(&mut self, connection: usize, bytes: &[u8]) {
         match self.connections[connection]
             .0
             .as_mut()
-            .expect("it is open")
+            .expect("the connection is open")
             .write_all(bytes)
         {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => panic!("it takes nothing"),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => panic!("the send buffer is full"),
             other => other.unwrap(),
         }
     }
 
-    /// Closes one of its connections, as it does with one that is idle.
-    pub fn closes(&mut self, connection: usize) {
+    /// Closes a connection, as a machine does with an idle one.
+    pub fn close(&mut self, connection: usize) {
         self.connections[connection].0 = None;
     }
 
-    pub fn accepts(&mut self, connection: usize, id: u64) {
-        self.says(connection, &message(9, id, &[(225, b"own")]));
+    /// Accepts the task of a set-up.
+    pub fn accept_task(&mut self, connection: usize, id: u64) {
+        self.send(connection, &message(9, id, &[(225, b"own")]));
     }
 }
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -1,29 +1,32 @@
-//! The gateway program on loopback, with a machine, a discovery stream and an owner scripted by the test.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers for tests of the gateway program on loopback: the test plays the machines, the discovery stream and the
+//! clients.
+#![allow(dead_code, reason = "no test file uses all helpers")]
 
 pub mod machine;
 mod process;
 mod system;
-#[allow(unused_imports, reason = "each test file uses a part")]
+#[allow(unused_imports, reason = "no test file uses all helpers")]
 pub use process::{GatewayProcess, config, write_config};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-#[allow(unused_imports, reason = "each test file uses a part")]
+#[allow(unused_imports, reason = "no test file uses all helpers")]
 pub use system::{
-    ConnectionEnd, connection_end, dials, is_in_transit, own_address, passes_health_check, sockets,
+    ConnectionEnd, connecting_sockets, connection_end, is_in_transit, passes_health_check,
+    reserve_address, sockets,
 };
 
-/// Nothing here judges by how fast it went; this only ends a test that hangs.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Ends a test that hangs. No test depends on how fast something happens within it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn event(number: u64, whole: bool, machine: &str, at: SocketAddr) -> String {
+/// The data of a discovery event with one instance; `is_reset` says that it replaces all instances.
+pub fn pool_event(revision: u64, is_reset: bool, instance: &str, address: SocketAddr) -> String {
     format!(
-        r#"{{"rev":{number},"pool":{{"generation":{number},"reset":{whole},"instances":[{{"instanceId":"{machine}","hostPort":"{at}","zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0,"left_over":[30,60]}}]}}}}"#
+        r#"{{"rev":{revision},"pool":{{"generation":{revision},"reset":{is_reset},"instances":[{{"instanceId":"{instance}","hostPort":"{address}","zone":"east","machineType":"std","cell":0,"lifecycle":"Ready","weight":1,"startedAtMs":0,"left_over":[30,60]}}]}}}}"#
     )
 }
 
-/// Bytes of a message: type, id, parameters.
+/// Encodes a message of the operators' protocol: type, id and parameters, each with its code.
 pub fn message(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(id.to_be_bytes());
@@ -32,14 +35,15 @@
         body.extend((value.len() as u16).to_be_bytes());
         body.extend(*value);
     }
-    let mut all = (body.len() as u16).to_be_bytes().to_vec();
-    all.extend(body);
-    all
+    let mut message = (body.len() as u16).to_be_bytes().to_vec();
+    message.extend(body);
+    message
 }
 
+/// A set-up message for a task with this id and a timeout of 6 s.
 pub fn set_up(id: u64) -> Vec<u8> {
     let name = format!("{id:016x}");
-    let asks = b"cores:1;memory:2;service:00000000b4d65521";
+    let requirements = b"cores:1;memory:2;service:00000000b4d65521";
     message(
         1,
         id,
@@ -47,19 +51,19 @@
             (180, b"web"),
             (183, b"6000"),
             (192, name.as_bytes()),
-            (195, asks),
+            (195, requirements),
             (225, b"v=0"),
         ],
     )
 }
 
-/// The next message that is not a test: type, id, and all of its bytes after that.
-pub fn next(stream: &mut TcpStream) -> (u8, u64, Vec<u8>) {
+/// Reads the next message: type, id and encoded parameters. Health checks are answered and skipped.
+pub fn read_message(stream: &mut TcpStream) -> (u8, u64, Vec<u8>) {
     loop {
         let mut length = [0; 2];
         stream.read_exact(&mut length).expect("a message");
         let mut body = vec![0; usize::from(u16::from_be_bytes(length))];
-        stream.read_exact(&mut body).expect("the rest of a message");
+        stream.read_exact(&mut body).expect("a complete message");
         let id = u64::from_be_bytes(body[1..9].try_into().unwrap());
         if body[0] == 52 {
             stream.write_all(&message(53, id, &[(222, &[1])])).unwrap();
@@ -69,29 +73,29 @@
     }
 }
 
-pub fn patient(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+pub fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    patient(listener.accept().expect("a connection").0)
+    with_read_timeout(listener.accept().expect("a connection").0)
 }
 
 pub fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// A connection of the board: the number that was asked from, and where events are written.
-pub fn board(listener: &TcpListener) -> (u64, TcpStream) {
+/// Accepts a discovery connection. Returns the last event id that the gateway sent, and the stream for events.
+pub fn accept_discovery(listener: &TcpListener) -> (u64, TcpStream) {
     let mut stream = accept(listener);
-    let mut from = 0;
+    let mut last_event_id = 0;
     for line in BufReader::new(stream.try_clone().unwrap()).lines() {
         let line = line.unwrap().to_lowercase();
         if let Some(number) = line.strip_prefix("last-event-id:") {
-            from = number.trim().parse().unwrap();
+            last_event_id = number.trim().parse().unwrap();
         }
         if line.is_empty() {
             break;
@@ -100,52 +104,52 @@
     stream
         .write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n: here\n\n")
         .unwrap();
-    (from, stream)
+    (last_event_id, stream)
 }
 
-pub fn tell(stream: &mut TcpStream, number: u64, data: &str) {
+pub fn send_event(stream: &mut TcpStream, revision: u64, data: &str) {
     stream
-        .write_all(format!("id: {number}\ndata: {data}\n\n").as_bytes())
+        .write_all(format!("id: {revision}\ndata: {data}\n\n").as_bytes())
         .unwrap();
 }
 
-/// Waits until this is so.
-pub fn until(what: &str, is_so: impl Fn() -> bool) {
-    let began = Instant::now();
-    while !is_so() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain: {what}");
+/// Polls until the condition holds; panics with its description after [`TEST_TIMEOUT`].
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out: {description}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A connection that the loop has accepted and read from.
-pub fn greeted(gateway: &GatewayProcess) -> TcpStream {
+/// Opens a connection that the event loop has accepted and read from: a health check was answered on it.
+pub fn connect_client(gateway: &GatewayProcess) -> TcpStream {
     let mut stream = gateway.connect();
     stream.write_all(&message(52, 9, &[(222, &[0])])).unwrap();
-    assert_eq!(next(&mut stream).0, 53);
+    assert_eq!(read_message(&mut stream).0, 53);
     stream
 }
 
-/// Task 5 is placed: the connection of its offer.
-pub fn placed(owner: &mut TcpStream, machine: &TcpListener) -> TcpStream {
+/// Places task 5 of this owner. Returns the machine's end of the connection with its offer.
+pub fn place_task(owner: &mut TcpStream, machine: &TcpListener) -> TcpStream {
     owner.write_all(&set_up(5)).unwrap();
     let mut offer = accept(machine);
-    assert_eq!(next(&mut offer).1, 5);
+    assert_eq!(read_message(&mut offer).1, 5);
     offer.write_all(&message(9, 5, &[(225, b"own")])).unwrap();
-    assert_eq!(next(owner).0, 9);
+    assert_eq!(read_message(owner).0, 9);
     offer
 }
 
-/// A listener whose one place is taken: further connections to it neither come up nor are refused, as in a zone
-/// that is cut off.
-pub fn unreachable() -> (socket2::Socket, TcpStream, SocketAddr) {
+/// A listener whose backlog of one is full: further connections are neither established nor refused, as in a network
+/// partition. Returns the listener, the connection in its backlog, and its address.
+pub fn unresponsive_listener() -> (socket2::Socket, TcpStream, SocketAddr) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
     listener.listen(0).unwrap();
-    let at = listener.local_addr().unwrap().as_socket().unwrap();
-    let taken = TcpStream::connect(at).unwrap();
-    (listener, taken, at)
+    let address = listener.local_addr().unwrap().as_socket().unwrap();
+    let queued = TcpStream::connect(address).unwrap();
+    (listener, queued, address)
 }
--- a/crates/planner/tests/gateway_client_disconnects.rs
+++ b/crates/planner/tests/gateway_client_disconnects.rs
@@ -1,32 +1,33 @@
-//! A client that has gone while nobody looked: no attempt of its begins. The loop is held (SIGSTOP) while the client
-//! leaves, so that it finds all at once; what a machine hears first afterwards is another's set-up, or the test fails.
+//! No attempt starts for a client that has disconnected. The gateway is stopped (SIGSTOP) while the client sends its
+//! set-up and disconnects, so that both are pending at once when it continues. The test fails unless the next set-up
+//! that a machine receives is that of another client.
 
 mod common;
 
 use common::machine::{Machine, SET_UP};
 use common::{
-    GatewayProcess, PATIENCE, connection_end, dials, event, greeted, listen, message, next, set_up,
-    unreachable, until,
+    GatewayProcess, TEST_TIMEOUT, connect_client, connecting_sockets, connection_end, listen,
+    message, pool_event, read_message, set_up, unresponsive_listener, wait_until,
 };
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-type Leave = fn(TcpStream);
+type Disconnect = fn(TcpStream);
 
-/// Waits until a close or a reset of a client has come to the program's socket: on a busy machine the system may carry it
-/// there only later, and the order would not be forced.
+/// Waits until the FIN or RST of a client has arrived at the gateway's socket. On a busy host the kernel may deliver it
+/// late, and the order of events would not be enforced.
 fn wait_for_close(gateway: &GatewayProcess, client: SocketAddr) {
     let established =
         || connection_end(gateway.child.id(), client).is_some_and(|end| end.state == "01");
-    until("its end has come", || !established());
+    wait_until("the FIN or RST has arrived", || !established());
 }
 
-/// However a client leaves.
-const WAYS: [(&str, Leave); 3] = [
+/// The ways in which a client disconnects.
+const DISCONNECTS: [(&str, Disconnect); 3] = [
     ("closes", drop),
     ("half-closes", |stream| {
         stream.shutdown(Shutdown::Write).unwrap();
-        // Held open: nobody reads it.
+        // Keeps the socket open: only the write side is shut down.
         std::mem::forget(stream);
     }),
     ("resets", |stream| {
@@ -35,107 +36,116 @@
     }),
 ];
 
-/// A gateway with one machine, to which a connection is open, and an owner.
-fn fresh(test: &str) -> (GatewayProcess, Machine, TcpStream, usize) {
-    let (mut machine, (_board, board_at)) = (Machine::new(), listen());
-    let gateway = GatewayProcess::start(test, board_at, &event(1, true, "s-1", machine.at));
-    let mut owner = greeted(&gateway);
-    let connection = machine.places(&mut owner, 5);
+/// A gateway, its only machine, a client whose task 5 is placed there, and the index of the offer's connection.
+fn start_with_placed_task(test: &str) -> (GatewayProcess, Machine, TcpStream, usize) {
+    let (mut machine, (_discovery, discovery_address)) = (Machine::new(), listen());
+    let gateway = GatewayProcess::start(
+        test,
+        discovery_address,
+        &pool_event(1, true, "s-1", machine.address),
+    );
+    let mut owner = connect_client(&gateway);
+    let connection = machine.place_task(&mut owner, 5);
     (gateway, machine, owner, connection)
 }
 
-/// The next set-up that reaches the machine is this owner's.
-fn only(machine: &mut Machine, owner: &mut TcpStream) {
+/// Asserts that the next set-up that reaches the machine is one that this client sends now.
+fn assert_next_set_up_is_of(machine: &mut Machine, owner: &mut TcpStream) {
     owner.write_all(&set_up(9_999)).unwrap();
     assert_eq!(
-        machine.next_set_up().1,
+        machine.wait_for_set_up().1,
         9_999,
-        "an attempt began for a client that has gone"
+        "an attempt was started for a disconnected client"
     );
 }
 
 #[test]
-fn a_set_up_and_its_end_in_the_kernel_never_leave() {
-    for (way, leave) in WAYS {
-        let (gateway, mut machine, mut owner, connection) = fresh(&format!("gone-{way}"));
-        let mut gone = greeted(&gateway);
+fn a_set_up_received_together_with_the_disconnect_starts_no_attempt() {
+    for (name, disconnect) in DISCONNECTS {
+        let (gateway, mut machine, mut owner, connection) =
+            start_with_placed_task(&format!("gone-{name}"));
+        let mut gone = connect_client(&gateway);
         let client = gone.local_addr().unwrap();
         gateway.while_stopped(|| {
-            // A word on it makes the connection one that carries a set-up at once.
-            machine.says(connection, &message(6, 5, &[]));
+            // A recent message of the machine makes the gateway select this connection for a set-up at once.
+            machine.send(connection, &message(6, 5, &[]));
             gone.write_all(&set_up(6)).unwrap();
-            leave(gone);
+            disconnect(gone);
             wait_for_close(&gateway, client);
         });
-        only(&mut machine, &mut owner);
+        assert_next_set_up_is_of(&mut machine, &mut owner);
     }
 }
 
 #[test]
-fn set_ups_taken_back_in_one_go_never_leave() {
-    let (gateway, mut machine, mut owner, connection) = fresh("taken-back");
-    let mut gone = greeted(&gateway);
+fn set_ups_cancelled_in_the_same_read_start_no_attempts() {
+    let (gateway, mut machine, mut owner, connection) = start_with_placed_task("taken-back");
+    let mut gone = connect_client(&gateway);
     gateway.while_stopped(|| {
-        machine.says(connection, &message(6, 5, &[]));
+        machine.send(connection, &message(6, 5, &[]));
         let set_ups: Vec<u8> = (100..170).flat_map(set_up).collect();
         let cancels: Vec<u8> = (100..170)
             .flat_map(|id| message(12, id, &[(222, &[16])]))
             .collect();
-        let all = [set_ups, cancels].concat();
-        gone.write_all(&all).unwrap();
+        let bytes = [set_ups, cancels].concat();
+        gone.write_all(&bytes).unwrap();
         let client = gone.local_addr().unwrap();
-        until("all of it has come", || {
+        wait_until("all bytes have arrived", || {
             connection_end(gateway.child.id(), client)
-                .is_some_and(|end| end.unread_bytes == all.len())
+                .is_some_and(|end| end.unread_bytes == bytes.len())
         });
     });
-    only(&mut machine, &mut owner);
+    assert_next_set_up_is_of(&mut machine, &mut owner);
 }
 
 #[test]
-fn a_close_behind_a_flood_is_known_before_the_flood_leaves() {
-    let (gateway, mut machine, mut owner, connection) = fresh("flood-gone");
-    let mut gone = greeted(&gateway);
+fn a_close_after_more_set_ups_than_one_read_takes_starts_no_attempts() {
+    let (gateway, mut machine, mut owner, connection) = start_with_placed_task("flood-gone");
+    let mut gone = connect_client(&gateway);
     gateway.while_stopped(|| {
-        machine.says(connection, &message(6, 5, &[]));
-        // More than one read takes in.
+        machine.send(connection, &message(6, 5, &[]));
+        // More bytes than the gateway takes in one read.
         gone.write_all(&(100..400).flat_map(set_up).collect::<Vec<u8>>())
             .unwrap();
         let client = gone.local_addr().unwrap();
         drop(gone);
         wait_for_close(&gateway, client);
     });
-    only(&mut machine, &mut owner);
+    assert_next_set_up_is_of(&mut machine, &mut owner);
 }
 
 #[test]
-fn no_second_attempt_begins_where_the_outcome_of_the_first_comes_before_the_close() {
-    let (mut machines, (_board, board_at)) = ([Machine::new(), Machine::new()], listen());
+fn a_rejection_received_together_with_the_disconnect_starts_no_second_attempt() {
+    let (mut machines, (_discovery, discovery_address)) =
+        ([Machine::new(), Machine::new()], listen());
     let known: Vec<String> = (0..2)
-        .map(|n| event(n as u64 + 1, n == 0, &format!("s-{n}"), machines[n].at))
+        .map(|n| pool_event(n as u64 + 1, n == 0, &format!("s-{n}"), machines[n].address))
         .collect();
-    let gateway = GatewayProcess::start("between", board_at, &known.join(","));
-    let mut owner = greeted(&gateway);
-    // Tasks are placed until both machines have a connection.
+    let gateway = GatewayProcess::start("between", discovery_address, &known.join(","));
+    let mut owner = connect_client(&gateway);
+    // Places tasks until the gateway has a connection to each machine.
     let mut id = 100;
-    while machines.iter().any(|machine| machine.connections() == 0) {
+    while machines
+        .iter()
+        .any(|machine| machine.connection_count() == 0)
+    {
         owner.write_all(&set_up(id)).unwrap();
-        let (n, connection, got) = either(&mut machines);
-        assert_eq!(got, id);
-        machines[n].accepts(connection, id);
-        assert_eq!(next(&mut owner).1, id);
+        let (n, connection, received) = wait_for_set_up_at_either(&mut machines);
+        assert_eq!(received, id);
+        machines[n].accept_task(connection, id);
+        assert_eq!(read_message(&mut owner).1, id);
         id += 1;
-        assert!(id < 200, "one machine is never chosen");
+        assert!(id < 200, "one machine is never selected");
     }
-    let mut gone = greeted(&gateway);
+    let mut gone = connect_client(&gateway);
     gone.write_all(&set_up(6)).unwrap();
-    let (n, connection, got) = either(&mut machines);
-    assert_eq!(got, 6);
+    let (n, connection, received) = wait_for_set_up_at_either(&mut machines);
+    assert_eq!(received, 6);
     gateway.while_stopped(|| {
-        for other in 0..machines[1 - n].connections() {
-            machines[1 - n].says(other, &message(6, 6, &[]));
+        for other in 0..machines[1 - n].connection_count() {
+            machines[1 - n].send(other, &message(6, 6, &[]));
         }
-        machines[n].says(
+        machines[n].send(
             connection,
             &message(12, 6, &[(222, &[34]), (201, b"lack_cpu")]),
         );
@@ -145,55 +155,60 @@
     });
     owner.write_all(&set_up(9_999)).unwrap();
     assert_eq!(
-        either(&mut machines).2,
+        wait_for_set_up_at_either(&mut machines).2,
         9_999,
-        "a second attempt began for a client that has gone"
+        "a second attempt was started for a disconnected client"
     );
 }
 
-/// The next set-up at one of the two: at which, on which connection, and its id.
-fn either(machines: &mut [Machine; 2]) -> (usize, usize, u64) {
-    let began = std::time::Instant::now();
+/// Waits for the next set-up at one of the machines: index of the machine, index of the connection, and id of the task.
+fn wait_for_set_up_at_either(machines: &mut [Machine; 2]) -> (usize, usize, u64) {
+    let start = std::time::Instant::now();
     loop {
         for (n, machine) in machines.iter_mut().enumerate() {
-            if let Some((connection, SET_UP, id)) = machine.hears() {
+            if let Some((connection, SET_UP, id)) = machine.poll_message() {
                 return (n, connection, id);
             }
         }
-        assert!(began.elapsed() < PATIENCE, "no set-up came");
+        assert!(start.elapsed() < TEST_TIMEOUT, "no set-up arrived");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
 
 #[test]
-fn a_set_up_behind_a_dial_never_leaves_once_its_client_has_gone() {
-    let (_board, board_at) = listen();
-    let (listener, taken, at) = unreachable();
+fn a_set_up_that_waits_for_a_connection_is_dropped_when_its_client_disconnects() {
+    let (_discovery, discovery_address) = listen();
+    let (listener, queued, address) = unresponsive_listener();
     let gateway = GatewayProcess::start_with(
         "gone-dial",
-        board_at,
-        &event(1, true, "s-1", at),
+        discovery_address,
+        &pool_event(1, true, "s-1", address),
         |config| {
             config
                 .replace(r#""connectTimeoutS":0.25"#, r#""connectTimeoutS":9"#)
                 .replace(r#""safe""#, r#""unsafe""#)
         },
     );
-    let mut gone = greeted(&gateway);
+    let mut gone = connect_client(&gateway);
     gone.write_all(&set_up(6)).unwrap();
-    until("a dial", || dials(gateway.child.id()) == 1);
-    let mut dialled = gateway.while_stopped(|| {
-        drop(taken);
+    wait_until("a connection attempt", || {
+        connecting_sockets(gateway.child.id()) == 1
+    });
+    let mut connection = gateway.while_stopped(|| {
+        drop(queued);
         drop(listener.accept().unwrap());
-        // The system tries again, and the connection is made while the loop is held.
-        let dialled = listener.accept().unwrap().0;
+        // The kernel sends the SYN again, and the connection is established while the gateway is stopped.
+        let connection = listener.accept().unwrap().0;
         let client = gone.local_addr().unwrap();
         drop(gone);
         wait_for_close(&gateway, client);
-        TcpStream::from(dialled)
+        TcpStream::from(connection)
     });
-    dialled.set_read_timeout(Some(PATIENCE)).unwrap();
-    let mut heard = Vec::new();
-    dialled.read_to_end(&mut heard).unwrap();
-    assert_eq!(heard, b"", "an attempt began for a client that has gone");
+    connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    let mut received = Vec::new();
+    connection.read_to_end(&mut received).unwrap();
+    assert_eq!(
+        received, b"",
+        "an attempt was started for a disconnected client"
+    );
 }
--- a/crates/planner/tests/gateway_startup.rs
+++ b/crates/planner/tests/gateway_startup.rs
@@ -1,9 +1,12 @@
-//! Many processes that start at once, each under a crowd of idle clients that fills its descriptors, with discovery down.
+//! Gateways that restart at the same time, each with idle clients that use up its descriptors, while discovery is
+//! unavailable: they must be ready in time and place tasks.
 
 mod common;
 
 use common::machine::Machine;
-use common::{GatewayProcess, config, event, own_address, passes_health_check, until};
+use common::{
+    GatewayProcess, config, passes_health_check, pool_event, reserve_address, wait_until,
+};
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -11,96 +14,109 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const ALL: usize = 10;
+const GATEWAYS: usize = 10;
 const KILLED: usize = 7;
-/// The platform's term: nine in ten are ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Descriptors that a process may hold, and idle clients that come to each.
+/// The platform requires that nine in ten gateways are ready within this time.
+const READY_DEADLINE: Duration = Duration::from_secs(10);
+/// Limit of descriptors of a gateway, as a setting.
 const SOCKETS: &str = r#""sockets":48"#;
-const CROWD: usize = 60;
+/// Idle clients of each gateway.
+const IDLE_CLIENTS: usize = 60;
 
-/// Idle clients of one process: as many as stay, and new ones for those that are closed or refused, until told to end.
-fn crowd(at: SocketAddr, ends: Arc<AtomicBool>) -> JoinHandle<usize> {
+/// Keeps idle connections to one gateway and replaces closed ones until `stop` is set. Returns the number of
+/// connections that were opened.
+fn keep_idle_clients(address: SocketAddr, stop: Arc<AtomicBool>) -> JoinHandle<usize> {
     std::thread::spawn(move || {
-        let (mut idle, mut came): (Vec<TcpStream>, usize) = (Vec::new(), 0);
-        while !ends.load(Ordering::Relaxed) {
+        let (mut idle, mut opened): (Vec<TcpStream>, usize) = (Vec::new(), 0);
+        while !stop.load(Ordering::Relaxed) {
             let mut byte = [0];
             idle.retain_mut(
                 |stream| matches!(stream.read(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock),
             );
-            while idle.len() < CROWD
-                && let Ok(stream) = TcpStream::connect(at)
+            while idle.len() < IDLE_CLIENTS
+                && let Ok(stream) = TcpStream::connect(address)
             {
                 stream.set_nonblocking(true).unwrap();
                 idle.push(stream);
-                came += 1;
+                opened += 1;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        came
+        opened
     })
 }
 
 #[test]
-fn seven_of_ten_killed_at_once_under_idle_clients_and_without_discovery_are_ready_in_time_and_place()
- {
-    let (mut machine, nobody) = (Machine::new(), own_address());
-    let known = event(1, true, "s-1", machine.at);
-    let start = |n: usize, at: Option<SocketAddr>| {
-        let few = |config: String| config.replace(r#""sockets":256"#, SOCKETS);
-        let change = |made| few(at.map_or(made, |at| config(at, nobody, &known)));
+fn seven_of_ten_killed_at_once_with_idle_clients_and_without_discovery_are_ready_in_time() {
+    let (mut machine, discovery) = (Machine::new(), reserve_address());
+    let known = pool_event(1, true, "s-1", machine.address);
+    let start = |n: usize, address: Option<SocketAddr>| {
+        let limit_sockets = |config: String| config.replace(r#""sockets":256"#, SOCKETS);
+        let change = |default| {
+            limit_sockets(address.map_or(default, |address| config(address, discovery, &known)))
+        };
         let mut gateway =
-            GatewayProcess::start_with(&format!("starts-{n}"), nobody, &known, change);
-        gateway.at = at.unwrap_or(gateway.at);
+            GatewayProcess::start_with(&format!("starts-{n}"), discovery, &known, change);
+        gateway.address = address.unwrap_or(gateway.address);
         gateway
     };
-    let mut fleet: Vec<GatewayProcess> = (0..ALL).map(|n| start(n, None)).collect();
-    let ends = Arc::new(AtomicBool::new(false));
+    let mut fleet: Vec<GatewayProcess> = (0..GATEWAYS).map(|n| start(n, None)).collect();
+    let stop = Arc::new(AtomicBool::new(false));
     for gateway in &fleet {
-        until("ready at first", || passes_health_check(gateway.at));
+        wait_until("ready after the first start", || {
+            passes_health_check(gateway.address)
+        });
     }
-    let crowds: Vec<_> = fleet
+    let idle_clients: Vec<_> = fleet
         .iter()
-        .map(|gateway| crowd(gateway.at, ends.clone()))
+        .map(|gateway| keep_idle_clients(gateway.address, stop.clone()))
         .collect();
     for gateway in &fleet {
-        until("its descriptors are filled", || gateway.descriptors() > 24);
+        wait_until("idle clients use the descriptors", || {
+            gateway.descriptor_count() > 24
+        });
     }
-    let before: Vec<SocketAddr> = fleet.drain(..KILLED).map(|gateway| gateway.at).collect();
-    let began = Instant::now();
-    let started: Vec<GatewayProcess> = before
+    let addresses: Vec<SocketAddr> = fleet
+        .drain(..KILLED)
+        .map(|gateway| gateway.address)
+        .collect();
+    let restart_time = Instant::now();
+    let restarted: Vec<GatewayProcess> = addresses
         .iter()
         .enumerate()
-        .map(|(n, &at)| start(n, Some(at)))
+        .map(|(n, &address)| start(n, Some(address)))
         .collect();
-    let watched = started.iter().map(|gateway| {
-        let at = gateway.at;
+    let probes = restarted.iter().map(|gateway| {
+        let address = gateway.address;
         std::thread::spawn(move || {
-            until("ready again", || passes_health_check(at));
-            began.elapsed()
+            wait_until("ready after the restart", || passes_health_check(address));
+            restart_time.elapsed()
         })
     });
-    let watched: Vec<_> = watched.collect();
-    let ready: Vec<Duration> = watched.into_iter().map(|one| one.join().unwrap()).collect();
+    let probes: Vec<_> = probes.collect();
+    let ready: Vec<Duration> = probes
+        .into_iter()
+        .map(|probe| probe.join().unwrap())
+        .collect();
     println!("ready after {ready:?}");
-    let in_time = ready.iter().filter(|&&took| took <= READY_WITHIN).count();
+    let in_time = ready.iter().filter(|&&time| time <= READY_DEADLINE).count();
     assert!(
         in_time * 10 >= KILLED * 9,
         "{in_time} of {KILLED} were ready in time: {ready:?}"
     );
-    fleet.extend(started);
+    fleet.extend(restarted);
     for (n, gateway) in fleet.iter().enumerate() {
         let id = 100 + n as u64;
         let mut owner = gateway.connect();
-        machine.places(&mut owner, id);
+        machine.place_task(&mut owner, id);
     }
-    ends.store(true, Ordering::Relaxed);
-    let came: Vec<usize> = crowds
+    stop.store(true, Ordering::Relaxed);
+    let opened: Vec<usize> = idle_clients
         .into_iter()
-        .map(|crowd| crowd.join().unwrap())
+        .map(|clients| clients.join().unwrap())
         .collect();
     assert!(
-        came.iter().all(|&came| came >= CROWD),
-        "the crowd was there: {came:?}"
+        opened.iter().all(|&opened| opened >= IDLE_CLIENTS),
+        "all idle clients were connected: {opened:?}"
     );
 }
