--- a/crates/site-settings/src/error.rs
+++ b/crates/site-settings/src/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with a settings object that is well-formed JSON.
+//! Errors in a settings object that is well-formed JSON.
 
-/// A settings object that can't be used. Each message names the key as the operators write it.
+/// Why a settings object can't be used. Messages name the key as the operators write it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SiteSettingsError {
-    /// A list has another length than the list that it belongs to.
+    /// A list by class or by machine type has the wrong length.
     #[error("settings: familyInfo.{key}: {found} values where {expected} are needed")]
     ListLength {
-        /// Key of the list in `familyInfo`.
+        /// Key of the list in the section `familyInfo`.
         key: &'static str,
-        /// How many values it has.
+        /// Number of values that it has.
         found: usize,
-        /// How many are needed.
+        /// Number of classes, or of machine types.
         expected: usize,
     },
-    /// The name of a failure domain is not known.
+    /// A failure domain has an unknown name.
     #[error("a place must be all, zone, cell, machine or none, not {0:?}")]
     UnknownFailureDomain(String),
-    /// The name of what a second run of a task would do is not known.
+    /// The retry safety of a class (`effect`) has an unknown name.
     #[error("settings: services[].effect: {0:?} is not known; use safe, keyed or unsafe")]
     UnknownRetrySafety(String),
 }
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' settings object and the numbers they use for load reports, causes and progress, read once for the
-//! simulator's adapter and for the gateway of the operators' platform.
+//! Parses the operators' settings object, and the codes that they use for load reports, failure causes and progress.
+//! Shared by the simulator adapter and by the gateway of the operators' platform.
 //!
-//! Owns no state and decides nothing. [`SettingsObject`] is deserialized from JSON and converted into [`Site`] or into
-//! the policy's settings alone; [`convert`] has the conversions of single values.
+//! [`SettingsObject`] is deserialized from JSON and converted into [`Site`] or into the policy's settings alone;
+//! [`convert`] has the conversions of single values. The crate holds no state.
 
 pub mod convert;
 mod error;
--- a/crates/site-settings/src/settings_object.rs
+++ b/crates/site-settings/src/settings_object.rs
@@ -1,116 +1,125 @@
-//! The operators' settings object, as it stands in the simulator's first message and in the platform's configuration.
+//! The operators' settings object, which the simulator's `Start` message and the platform's configuration contain.
 
 use crate::SiteSettingsError;
-use crate::wire::{Family, Limits, Realm, ReportInfo, SafetyInfo, Service, Tariffs};
+use crate::wire::{ClassInfo, CostInfo, FamilyInfo, Limits, ReportInfo, SafetyInfo, TenantInfo};
 use serde::Deserialize;
 use tidespur_policy::interface::{
     Class, CostModel, FailureDomain, LoadReportSource, MachineType, Resources, RetrySafety,
     SafetyLimits, Seconds, Settings, Tenant,
 };
 
-/// How long establishing a connection may take where the settings do not say.
+/// Time limit for establishing a connection if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Seconds = 0.25;
 
-/// What a protocol front end needs: the policy's settings, and the names and limits that matter to connections alone.
+/// The settings of a front end: those of the policy, and the names and time limits that only a front end uses.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// The policy's settings.
     pub settings: Settings,
     /// Names of the classes, in order of their index.
     pub classes: Vec<String>,
-    /// Names of the tenants, in order of their index; may be empty.
+    /// Names of the tenants, in order of their index; empty if the settings have no tenants.
     pub tenants: Vec<String>,
     /// Names of the machine types, in order of their index.
     pub machine_types: Vec<String>,
     /// Names of the zones, in order of their index.
     pub zones: Vec<String>,
-    /// How long establishing a connection may take.
+    /// Time limit for establishing a connection; 0.25 s if the settings have none.
     pub connect_timeout: Seconds,
-    /// After how long machines close an idle connection; infinite where the settings do not say.
+    /// Time after which machines close an idle connection; infinite if the settings have none.
     pub idle_connection_timeout: Seconds,
 }
 
 /// The settings object as the operators write it. Unknown keys are ignored.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct SettingsObject {
-    balancers: usize,
+    #[serde(rename = "balancers")]
+    scheduler_count: usize,
     ordinal: usize,
-    #[serde(default)]
-    locality: usize,
-    services: Vec<Service>,
-    #[serde(default)]
-    realms: Vec<Realm>,
+    #[serde(default, rename = "locality")]
+    zone: usize,
+    #[serde(rename = "services")]
+    classes: Vec<ClassInfo>,
+    #[serde(default, rename = "realms")]
+    tenants: Vec<TenantInfo>,
+    /// `ask` if the endpoint list must be subscribed to.
     #[serde(default)]
     discovery: String,
-    family_info: Family,
+    #[serde(rename = "familyInfo")]
+    family: FamilyInfo,
     limits: Limits,
-    #[serde(default)]
-    over_share_worth: f64,
+    #[serde(default, rename = "overShareWorth")]
+    over_quota_weight: f64,
     report: ReportInfo,
     safety: SafetyInfo,
-    tariffs: Tariffs,
-    #[serde(default)]
-    kinds: Vec<String>,
+    #[serde(rename = "tariffs")]
+    costs: CostInfo,
+    /// Names of the machine types; their capacities are lists in `family`.
+    #[serde(default, rename = "kinds")]
+    machine_types: Vec<String>,
     #[serde(default)]
     zones: Vec<String>,
 }
 
 impl SettingsObject {
-    /// What the policy is started with.
+    /// Converts the object into the policy's settings.
     ///
     /// # Errors
-    /// Names the key that can't be used.
+    /// Fails if a list has the wrong length or a value is unknown.
     pub fn into_settings(self) -> Result<Settings, SiteSettingsError> {
-        check_list_lengths(&self.family_info, self.services.len())?;
-        let family = self.family_info;
+        check_list_lengths(&self.family, self.classes.len())?;
+        let family = self.family;
         let limits = self.limits;
-        let classes = self.services.iter().enumerate();
-        let classes = classes.map(|(index, service)| class(service, &family, index));
+        let classes = self.classes.iter().enumerate();
+        let classes = classes.map(|(index, info)| class(info, &family, index));
         Ok(Settings {
             ordinal: self.ordinal,
-            scheduler_count: self.balancers,
-            zone: self.locality,
+            scheduler_count: self.scheduler_count,
+            zone: self.zone,
             classes: classes.collect::<Result<_, _>>()?,
-            tenants: self.realms.iter().map(tenant).collect(),
+            tenants: self.tenants.iter().map(tenant).collect(),
             machine_types: machine_types(&family),
-            overcommit: Resources::new(family.admit_cores, family.accepts_memory),
-            single_scheduler_per_service: family.one_home,
-            confirm_when_running: family.ack == "running",
+            overcommit: Resources::new(family.cpu_overcommit, family.memory_overcommit),
+            single_scheduler_per_service: family.single_scheduler_per_service,
+            confirm_when_running: family.confirmation == "running",
             requires_subscription: self.discovery == "ask",
-            lists_unclaimed: family.lists_free,
+            lists_unclaimed: family.lists_unclaimed,
             load_reports: load_report_source(&self.report),
-            reports_measured_usage: family.measured_by == "used",
-            allows_load_polls: limits.probes,
-            allows_gossip: limits.peers,
+            reports_measured_usage: family.usage_source == "used",
+            allows_load_polls: limits.allows_load_polls,
+            allows_gossip: limits.allows_gossip,
             max_attempts: limits.max_attempts,
-            max_retry_after: if limits.retry_after {
-                limits.max_retry_after_s
+            max_retry_after: if limits.allows_retry_after {
+                limits.max_retry_after
             } else {
                 0.0
             },
-            over_quota_weight: self.over_share_worth,
+            over_quota_weight: self.over_quota_weight,
             safety_limits: safety_limits(&self.safety, &family),
-            costs: cost_model(&self.tariffs, &family),
+            costs: cost_model(&self.costs, &family),
         })
     }
 
-    /// The same, with the names and limits that a protocol front end needs beside it.
+    /// Converts the object into the settings of a front end.
     ///
     /// # Errors
-    /// Names the key that can't be used.
+    /// Fails if a list has the wrong length or a value is unknown.
     pub fn into_site(self) -> Result<Site, SiteSettingsError> {
         let positive = |seconds: &Seconds| *seconds > 0.0;
-        let connect_timeout = self.limits.connect_timeout_s.filter(positive);
-        let idle_connection_timeout = self.limits.conn_idle_s.filter(positive);
+        let connect_timeout = self.limits.connect_timeout.filter(positive);
+        let idle_connection_timeout = self.limits.idle_connection_timeout.filter(positive);
         Ok(Site {
             classes: self
-                .services
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            tenants: self
+                .tenants
                 .iter()
-                .map(|service| service.name.clone())
+                .map(|tenant| tenant.name.clone())
                 .collect(),
-            tenants: self.realms.iter().map(|realm| realm.name.clone()).collect(),
-            machine_types: self.kinds.clone(),
+            machine_types: self.machine_types.clone(),
             zones: self.zones.clone(),
             connect_timeout: connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
             idle_connection_timeout: idle_connection_timeout.unwrap_or(f64::INFINITY),
@@ -119,21 +128,21 @@
     }
 }
 
-/// Checks that the lists by class and by machine type are complete.
-fn check_list_lengths(family: &Family, classes: usize) -> Result<(), SiteSettingsError> {
+/// Checks that each list by class or by machine type has one entry for each.
+fn check_list_lengths(family: &FamilyInfo, classes: usize) -> Result<(), SiteSettingsError> {
     let lists = [
         (
             "kindCores",
-            family.kind_cores.len(),
-            family.mem_of_kind.len(),
+            family.cpu_capacities.len(),
+            family.memory_capacities.len(),
         ),
-        ("classCalm", family.class_calm.len(), classes),
-        ("lostAfter", family.lost_after.len(), classes),
-        ("kindByClass", family.kind_by_class.len(), classes),
-        ("priorityByClass", family.priority_by_class.len(), classes),
-        ("apartBy", family.apart_by.len(), classes),
-        ("togetherMax", family.together_max.len(), classes),
-        ("startSeconds", family.start_seconds.len(), classes),
+        ("classCalm", family.full_service_utilizations.len(), classes),
+        ("lostAfter", family.degradation_ranges.len(), classes),
+        ("kindByClass", family.required_machine_types.len(), classes),
+        ("priorityByClass", family.priorities.len(), classes),
+        ("apartBy", family.spread_domains.len(), classes),
+        ("togetherMax", family.max_per_spread_domain.len(), classes),
+        ("startSeconds", family.start_weights.len(), classes),
     ];
     for (key, found, expected) in lists {
         if found != expected {
@@ -158,44 +167,44 @@
     }
 }
 
-fn retry_safety(service: &Service) -> Result<RetrySafety, SiteSettingsError> {
-    match service.effect.as_str() {
+fn retry_safety(class: &ClassInfo) -> Result<RetrySafety, SiteSettingsError> {
+    match class.retry_safety.as_str() {
         "safe" => Ok(RetrySafety::Idempotent),
         "unsafe" => Ok(RetrySafety::NonIdempotent),
         "keyed" => Ok(RetrySafety::IdempotencyKeyed {
-            domain: failure_domain(&service.group)?.unwrap_or(FailureDomain::Machine),
-            window: service.window_s,
+            domain: failure_domain(&class.deduplication_domain)?.unwrap_or(FailureDomain::Machine),
+            window: class.deduplication_window,
         }),
         other => Err(SiteSettingsError::UnknownRetrySafety(other.to_owned())),
     }
 }
 
-/// The class of this index. The lists of `family` have an entry for each class.
-fn class(service: &Service, family: &Family, index: usize) -> Result<Class, SiteSettingsError> {
+/// Converts the class at `index`; the lists by class of `family` have been checked to be long enough.
+fn class(info: &ClassInfo, family: &FamilyInfo, index: usize) -> Result<Class, SiteSettingsError> {
     Ok(Class {
-        latency_objective: service.aim_s,
-        deadline: service.deadline_s,
-        retry_safety: retry_safety(service)?,
-        priority_weight: service.credit,
-        start_weight: family.start_seconds[index],
-        full_service_utilization: family.class_calm[index],
-        degradation_range: family.lost_after[index],
-        machine_type: usize::try_from(family.kind_by_class[index]).ok(),
-        priority: family.priority_by_class[index],
-        spread_domain: failure_domain(&family.apart_by[index])?,
-        max_per_spread_domain: family.together_max[index],
+        latency_objective: info.latency_objective,
+        deadline: info.deadline,
+        retry_safety: retry_safety(info)?,
+        priority_weight: info.priority_weight,
+        start_weight: family.start_weights[index],
+        full_service_utilization: family.full_service_utilizations[index],
+        degradation_range: family.degradation_ranges[index],
+        machine_type: usize::try_from(family.required_machine_types[index]).ok(),
+        priority: family.priorities[index],
+        spread_domain: failure_domain(&family.spread_domains[index])?,
+        max_per_spread_domain: family.max_per_spread_domain[index],
     })
 }
 
-fn tenant(realm: &Realm) -> Tenant {
+fn tenant(info: &TenantInfo) -> Tenant {
     Tenant {
-        quota_fraction: realm.share,
-        quota_per_second: realm.quota_per_s,
+        quota_fraction: info.quota_fraction,
+        quota_per_second: info.quota_per_second,
     }
 }
 
-fn machine_types(family: &Family) -> Vec<MachineType> {
-    let capacities = family.kind_cores.iter().zip(&family.mem_of_kind);
+fn machine_types(family: &FamilyInfo) -> Vec<MachineType> {
+    let capacities = family.cpu_capacities.iter().zip(&family.memory_capacities);
     let machine_type = |(&cpu, &memory)| MachineType {
         capacity: Resources::new(cpu, memory),
     };
@@ -203,33 +212,33 @@
 }
 
 fn load_report_source(report: &ReportInfo) -> LoadReportSource {
-    match report.via.as_str() {
+    match report.source.as_str() {
         "answers" => LoadReportSource::OutcomesAndPolls,
         "probe" => LoadReportSource::PollsOnly,
         _ => LoadReportSource::None,
     }
 }
 
-fn safety_limits(safety: &SafetyInfo, family: &Family) -> SafetyLimits {
+fn safety_limits(safety: &SafetyInfo, family: &FamilyInfo) -> SafetyLimits {
     SafetyLimits {
-        answer_slack: safety.answer_slack_s,
-        max_poll_interval: safety.ask_within_s,
-        slow_start_speed: safety.cold_from,
-        slow_start_duration: safety.cold_s,
-        slow_start_offers: family.cold_bears,
-        drain_grace: safety.drain_grace_s,
-        overload_ratio: safety.fall_multiple,
-        overload_window: safety.overload_for_s,
+        answer_slack: safety.answer_slack,
+        max_poll_interval: safety.max_poll_interval,
+        slow_start_speed: safety.slow_start_speed,
+        slow_start_duration: safety.slow_start_duration,
+        slow_start_offers: family.slow_start_offers,
+        drain_grace: safety.drain_grace,
+        overload_ratio: safety.overload_ratio,
+        overload_window: safety.overload_window,
     }
 }
 
-fn cost_model(tariffs: &Tariffs, family: &Family) -> CostModel {
+fn cost_model(costs: &CostInfo, family: &FamilyInfo) -> CostModel {
     CostModel {
-        idle_machines: tariffs.fleet,
-        rejected_offer: family.refused_price,
-        migration: tariffs.moves,
-        eviction_in_migrations: family.eviction_as_moves,
-        load_poll: tariffs.probe,
-        gossip_message: tariffs.peer,
+        idle_machines: costs.idle_machines,
+        rejected_offer: family.rejected_offer_cost,
+        migration: costs.migration,
+        eviction_in_migrations: family.eviction_in_migrations,
+        load_poll: costs.load_poll,
+        gossip_message: costs.gossip_message,
     }
 }
--- a/crates/site-settings/src/wire.rs
+++ b/crates/site-settings/src/wire.rs
@@ -1,99 +1,150 @@
-//! Parts of the settings object, as they are told.
+//! Sections of the settings object as the operators write them. Times are in seconds.
 
 use serde::Deserialize;
 
+/// An entry of `services`: a class of tasks.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub(crate) struct Service {
+pub(crate) struct ClassInfo {
     #[serde(default)]
     pub(crate) name: String,
-    pub(crate) aim_s: f64,
-    pub(crate) deadline_s: f64,
-    pub(crate) effect: String,
-    #[serde(default)]
-    pub(crate) group: String,
-    #[serde(default)]
-    pub(crate) window_s: f64,
-    pub(crate) credit: f64,
+    #[serde(rename = "aimS")]
+    pub(crate) latency_objective: f64,
+    #[serde(rename = "deadlineS")]
+    pub(crate) deadline: f64,
+    /// `safe`, `keyed` or `unsafe`.
+    #[serde(rename = "effect")]
+    pub(crate) retry_safety: String,
+    /// Name of the failure domain within which a key is recognised; used for `keyed` only.
+    #[serde(default, rename = "group")]
+    pub(crate) deduplication_domain: String,
+    /// How long a key is remembered; used for `keyed` only.
+    #[serde(default, rename = "windowS")]
+    pub(crate) deduplication_window: f64,
+    #[serde(rename = "credit")]
+    pub(crate) priority_weight: f64,
 }
 
+/// An entry of `realms`: a tenant.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub(crate) struct Realm {
+pub(crate) struct TenantInfo {
     #[serde(default)]
     pub(crate) name: String,
-    #[serde(default)]
-    pub(crate) quota_per_s: f64,
-    pub(crate) share: f64,
+    #[serde(default, rename = "quotaPerS")]
+    pub(crate) quota_per_second: f64,
+    #[serde(rename = "share")]
+    pub(crate) quota_fraction: f64,
 }
 
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-#[derive(Default)]
-pub(crate) struct Family {
-    pub(crate) accepts_memory: f64,
-    pub(crate) ack: String,
-    pub(crate) admit_cores: f64,
-    pub(crate) apart_by: Vec<String>,
-    pub(crate) class_calm: Vec<f64>,
-    pub(crate) cold_bears: f64,
-    pub(crate) eviction_as_moves: f64,
-    pub(crate) kind_by_class: Vec<i64>,
-    pub(crate) kind_cores: Vec<f64>,
-    pub(crate) lists_free: bool,
-    pub(crate) lost_after: Vec<f64>,
-    pub(crate) measured_by: String,
-    pub(crate) mem_of_kind: Vec<f64>,
-    pub(crate) one_home: bool,
-    pub(crate) priority_by_class: Vec<u32>,
-    pub(crate) refused_price: f64,
-    pub(crate) start_seconds: Vec<f64>,
-    pub(crate) together_max: Vec<u32>,
+/// The section `familyInfo`. Each list has an entry by class or by machine type.
+#[derive(Default, Deserialize)]
+#[serde(default)]
+pub(crate) struct FamilyInfo {
+    #[serde(rename = "acceptsMemory")]
+    pub(crate) memory_overcommit: f64,
+    /// `running` if machines confirm an attempt once it runs, not as soon as they accept it.
+    #[serde(rename = "ack")]
+    pub(crate) confirmation: String,
+    #[serde(rename = "admitCores")]
+    pub(crate) cpu_overcommit: f64,
+    /// By class: name of a failure domain, or `none`.
+    #[serde(rename = "apartBy")]
+    pub(crate) spread_domains: Vec<String>,
+    /// By class.
+    #[serde(rename = "classCalm")]
+    pub(crate) full_service_utilizations: Vec<f64>,
+    #[serde(rename = "coldBears")]
+    pub(crate) slow_start_offers: f64,
+    #[serde(rename = "evictionAsMoves")]
+    pub(crate) eviction_in_migrations: f64,
+    /// By class: index of the machine type, negative for any.
+    #[serde(rename = "kindByClass")]
+    pub(crate) required_machine_types: Vec<i64>,
+    /// By machine type.
+    #[serde(rename = "kindCores")]
+    pub(crate) cpu_capacities: Vec<f64>,
+    #[serde(rename = "listsFree")]
+    pub(crate) lists_unclaimed: bool,
+    /// By class.
+    #[serde(rename = "lostAfter")]
+    pub(crate) degradation_ranges: Vec<f64>,
+    /// `used` if load reports hold measured usage.
+    #[serde(rename = "measuredBy")]
+    pub(crate) usage_source: String,
+    /// By machine type.
+    #[serde(rename = "memOfKind")]
+    pub(crate) memory_capacities: Vec<f64>,
+    #[serde(rename = "oneHome")]
+    pub(crate) single_scheduler_per_service: bool,
+    /// By class.
+    #[serde(rename = "priorityByClass")]
+    pub(crate) priorities: Vec<u32>,
+    #[serde(rename = "refusedPrice")]
+    pub(crate) rejected_offer_cost: f64,
+    /// By class.
+    #[serde(rename = "startSeconds")]
+    pub(crate) start_weights: Vec<f64>,
+    /// By class.
+    #[serde(rename = "togetherMax")]
+    pub(crate) max_per_spread_domain: Vec<u32>,
 }
 
+/// The section `limits`.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub(crate) struct Limits {
+    #[serde(rename = "maxAttempts")]
     pub(crate) max_attempts: u32,
-    #[serde(default)]
-    pub(crate) max_retry_after_s: f64,
-    #[serde(default)]
-    pub(crate) peers: bool,
-    #[serde(default)]
-    pub(crate) probes: bool,
-    #[serde(default)]
-    pub(crate) retry_after: bool,
-    #[serde(default)]
-    pub(crate) connect_timeout_s: Option<f64>,
-    #[serde(default)]
-    pub(crate) conn_idle_s: Option<f64>,
+    #[serde(default, rename = "maxRetryAfterS")]
+    pub(crate) max_retry_after: f64,
+    #[serde(default, rename = "peers")]
+    pub(crate) allows_gossip: bool,
+    #[serde(default, rename = "probes")]
+    pub(crate) allows_load_polls: bool,
+    /// Whether clients follow the time before a retry that a rejection advises.
+    #[serde(default, rename = "retryAfter")]
+    pub(crate) allows_retry_after: bool,
+    #[serde(default, rename = "connectTimeoutS")]
+    pub(crate) connect_timeout: Option<f64>,
+    #[serde(default, rename = "connIdleS")]
+    pub(crate) idle_connection_timeout: Option<f64>,
 }
 
+/// The section `report`.
 #[derive(Deserialize)]
 pub(crate) struct ReportInfo {
-    #[serde(default)]
-    pub(crate) via: String,
+    /// `answers`, `probe`, or anything else for no load reports.
+    #[serde(default, rename = "via")]
+    pub(crate) source: String,
 }
 
+/// The section `safety`.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub(crate) struct SafetyInfo {
-    pub(crate) answer_slack_s: f64,
-    #[serde(default)]
-    pub(crate) ask_within_s: f64,
-    pub(crate) cold_from: f64,
-    pub(crate) cold_s: f64,
-    pub(crate) drain_grace_s: f64,
-    pub(crate) fall_multiple: f64,
-    pub(crate) overload_for_s: f64,
+    #[serde(rename = "answerSlackS")]
+    pub(crate) answer_slack: f64,
+    #[serde(default, rename = "askWithinS")]
+    pub(crate) max_poll_interval: f64,
+    #[serde(rename = "coldFrom")]
+    pub(crate) slow_start_speed: f64,
+    #[serde(rename = "coldS")]
+    pub(crate) slow_start_duration: f64,
+    #[serde(rename = "drainGraceS")]
+    pub(crate) drain_grace: f64,
+    #[serde(rename = "fallMultiple")]
+    pub(crate) overload_ratio: f64,
+    #[serde(rename = "overloadForS")]
+    pub(crate) overload_window: f64,
 }
 
-#[derive(Deserialize)]
+/// The section `tariffs`.
+#[derive(Default, Deserialize)]
 #[serde(default)]
-#[derive(Default)]
-pub(crate) struct Tariffs {
-    pub(crate) fleet: f64,
-    pub(crate) moves: f64,
-    pub(crate) peer: f64,
-    pub(crate) probe: f64,
+pub(crate) struct CostInfo {
+    #[serde(rename = "fleet")]
+    pub(crate) idle_machines: f64,
+    #[serde(rename = "moves")]
+    pub(crate) migration: f64,
+    #[serde(rename = "peer")]
+    pub(crate) gossip_message: f64,
+    #[serde(rename = "probe")]
+    pub(crate) load_poll: f64,
 }
--- a/crates/site-settings/tests/compatibility.rs
+++ b/crates/site-settings/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! The operators' settings object is read as it always was: each key of the fixture has a value of its own, and each
-//! is looked for in what the policy and the front ends are given.
+//! Guards the keys and values of the operators' settings object: a renamed key would be ignored or rejected at deployed
+//! sites. Each key of the fixture has a distinct value, which must reach the settings of the policy or the front ends.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,19 +13,19 @@
 
 fn site_of(settings: Value) -> Site {
     serde_json::from_value::<SettingsObject>(settings)
-        .expect("readable settings")
+        .expect("settings are valid JSON of the expected types")
         .into_site()
-        .expect("usable settings")
+        .expect("settings are accepted")
 }
 
 fn fixture() -> Value {
-    serde_json::from_str(SETTINGS).expect("the fixture is JSON")
+    serde_json::from_str(SETTINGS).expect("fixture is JSON")
 }
 
-/// The fixture with one value replaced, named by a JSON pointer.
+/// The settings of the fixture with the value at a JSON pointer replaced.
 fn settings_with(pointer: &str, value: Value) -> Settings {
     let mut settings = fixture();
-    *settings.pointer_mut(pointer).expect("a key of the fixture") = value;
+    *settings.pointer_mut(pointer).expect("fixture has the key") = value;
     site_of(settings).settings
 }
 
@@ -65,7 +65,7 @@
 fn classes_keep_their_keys() {
     let classes = site_of(fixture()).settings.classes;
     let [web, keyed, slot] = classes.as_slice() else {
-        panic!("three classes")
+        panic!("expected three classes")
     };
 
     assert_eq!(
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn tenants_and_machine_kinds_keep_their_keys() {
+fn tenants_and_machine_types_keep_their_keys() {
     let settings = site_of(fixture()).settings;
     let tenants: Vec<(f64, f64)> = settings
         .tenants
@@ -142,16 +142,16 @@
         .map(|tenant| (tenant.quota_fraction, tenant.quota_per_second))
         .collect();
     assert_eq!(tenants, [(0.625, 11.5), (0.375, 12.5)]);
-    let kinds: Vec<(f64, f64)> = settings
+    let capacities: Vec<(f64, f64)> = settings
         .machine_types
         .iter()
-        .map(|kind| (kind.capacity.cpu, kind.capacity.memory))
+        .map(|machine_type| (machine_type.capacity.cpu, machine_type.capacity.memory))
         .collect();
-    assert_eq!(kinds, [(32.0, 128.0), (64.0, 256.0)]);
+    assert_eq!(capacities, [(32.0, 128.0), (64.0, 256.0)]);
 }
 
 #[test]
-fn safety_figures_keep_their_keys() {
+fn safety_limits_keep_their_keys() {
     let safety = site_of(fixture()).settings.safety_limits;
     assert_eq!(safety.answer_slack, 0.0625);
     assert_eq!(safety.max_poll_interval, 24.5);
@@ -164,36 +164,36 @@
 }
 
 #[test]
-fn prices_keep_their_keys() {
-    let prices = site_of(fixture()).settings.costs;
-    assert_eq!(prices.idle_machines, 29.5);
-    assert_eq!(prices.rejected_offer, 10.5);
-    assert_eq!(prices.migration, 30.5);
-    assert_eq!(prices.eviction_in_migrations, 9.5);
-    assert_eq!(prices.load_poll, 32.5);
-    assert_eq!(prices.gossip_message, 31.5);
+fn costs_keep_their_keys() {
+    let costs = site_of(fixture()).settings.costs;
+    assert_eq!(costs.idle_machines, 29.5);
+    assert_eq!(costs.rejected_offer, 10.5);
+    assert_eq!(costs.migration, 30.5);
+    assert_eq!(costs.eviction_in_migrations, 9.5);
+    assert_eq!(costs.load_poll, 32.5);
+    assert_eq!(costs.gossip_message, 31.5);
 }
 
 #[test]
-fn words_in_settings_keep_their_meaning() {
-    let places = [
+fn named_values_keep_their_meaning() {
+    let domains = [
         ("all", FailureDomain::All),
         ("zone", FailureDomain::Zone),
         ("cell", FailureDomain::Cell),
         ("machine", FailureDomain::Machine),
     ];
-    for (word, place) in places {
+    for (word, domain) in domains {
         let settings = settings_with("/familyInfo/apartBy/0", json!(word));
         assert_eq!(
             settings.classes[0].spread_domain,
-            Some(place),
+            Some(domain),
             "apartBy {word}"
         );
         let settings = settings_with("/services/1/group", json!(word));
         assert_eq!(
             settings.classes[1].retry_safety,
             RetrySafety::IdempotencyKeyed {
-                domain: place,
+                domain,
                 window: 4.5
             },
             "group {word}"
@@ -209,14 +209,14 @@
         };
         assert_eq!(settings.classes[1].retry_safety, expected, "group {word:?}");
     }
-    for (word, reports) in [
+    for (word, source) in [
         ("probe", LoadReportSource::PollsOnly),
         ("none", LoadReportSource::None),
         ("", LoadReportSource::None),
     ] {
         assert_eq!(
             settings_with("/report/via", json!(word)).load_reports,
-            reports,
+            source,
             "via {word:?}"
         );
     }
@@ -229,8 +229,8 @@
     );
 }
 
-/// Every key of the fixture outside of lists, as JSON pointers.
-fn keys_of(value: &Value, prefix: &str, keys: &mut Vec<String>) {
+/// Collects the JSON pointers of all keys in objects and in lists of objects.
+fn collect_keys(value: &Value, prefix: &str, keys: &mut Vec<String>) {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(object) => object
             .iter()
@@ -248,39 +248,39 @@
         if value.is_object() {
             keys.push(pointer.clone());
         }
-        keys_of(child, &pointer, keys);
+        collect_keys(child, &pointer, keys);
     }
 }
 
-/// What comes of the fixture without this key: an error, or other settings.
+/// The `Debug` output of the settings, or the error, that the fixture without this key leads to.
 fn outcome_without(pointer: &str) -> String {
     let mut settings = fixture();
     let (parent, key) = pointer
         .rsplit_once('/')
-        .expect("a pointer begins with a slash");
+        .expect("pointer starts with a slash");
     let parent = settings
         .pointer_mut(parent)
-        .expect("a parent in the fixture");
+        .expect("fixture has the parent");
     parent
         .as_object_mut()
-        .expect("keys stand in objects")
+        .expect("parent is an object")
         .remove(key);
     match serde_json::from_value::<SettingsObject>(settings) {
         Err(error) => error.to_string(),
-        Ok(info) => format!("{:?}", info.into_site()),
+        Ok(settings) => format!("{:?}", settings.into_site()),
     }
 }
 
 #[test]
-fn every_key_but_unknown_ones_and_unused_groups_has_an_effect() {
-    let with_all = format!("{:?}", Ok::<_, String>(site_of(fixture())));
+fn every_known_and_used_key_has_an_effect() {
+    let unchanged = format!("{:?}", Ok::<_, String>(site_of(fixture())));
     let mut keys = Vec::new();
-    keys_of(&fixture(), "", &mut keys);
+    collect_keys(&fixture(), "", &mut keys);
     let without_effect: Vec<String> = keys
         .into_iter()
-        .filter(|key| outcome_without(key) == with_all)
+        .filter(|key| outcome_without(key) == unchanged)
         .collect();
-    // A group and a window mean something for keyed work alone, and `news` is not known.
+    // `group` and `windowS` are used for classes with the effect `keyed` only; `news` is an unknown key.
     let expected = [
         "/news",
         "/services/0/group",
@@ -292,8 +292,8 @@
 }
 
 #[test]
-fn reason_numbers_keep_their_meaning() {
-    let reasons = [
+fn failure_cause_codes_keep_their_meaning() {
+    let causes = [
         (0, FailureCause::Unspecified),
         (1, FailureCause::InsufficientCpu),
         (2, FailureCause::InsufficientMemory),
@@ -304,14 +304,14 @@
         (7, FailureCause::Drained),
         (8, FailureCause::Unspecified),
     ];
-    for (number, reason) in reasons {
-        assert_eq!(convert::failure_cause(number), reason, "{number}");
+    for (code, cause) in causes {
+        assert_eq!(convert::failure_cause(code), cause, "{code}");
     }
 }
 
 #[test]
-fn note_numbers_keep_their_meaning() {
-    let notes = [
+fn progress_codes_keep_their_meaning() {
+    let codes = [
         (0, None),
         (1, Some(AttemptProgress::Started)),
         (2, Some(AttemptProgress::CpuUsage(1.5))),
@@ -320,16 +320,16 @@
         (5, Some(AttemptProgress::MachineMemoryUtilization(1.5))),
         (6, None),
     ];
-    for (number, note) in notes {
-        assert_eq!(convert::attempt_progress(number, 1.5), note, "{number}");
+    for (code, progress) in codes {
+        assert_eq!(convert::attempt_progress(code, 1.5), progress, "{code}");
     }
 }
 
 #[test]
 fn load_reports_keep_their_keys() {
-    let report = |figures: &[(&str, f64)]| {
+    let report = |values: &[(&str, f64)]| {
         convert::load_report(
-            &figures
+            &values
                 .iter()
                 .map(|(name, value)| ((*name).to_owned(), *value))
                 .collect::<BTreeMap<_, _>>(),
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn hash_of_a_name_stays_the_same_at_all_instances() {
+fn hash_is_the_same_in_every_build() {
     assert_eq!(convert::stable_hash(""), 0xcbf2_9ce4_8422_2325);
     assert_eq!(convert::stable_hash("service-1"), 0x11ec_c33b_f6dd_cb2e);
 }
