--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,3 +1,3 @@
-//! The adapter between the operators' simulator and the policy. Decides nothing.
+//! Adapter between the operators' simulator and the scheduling policy, which makes all decisions.
 
 pub mod wire;
--- a/crates/simulator-adapter/tests/compatibility.rs
+++ b/crates/simulator-adapter/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! The simulator's wire stays what it was: a conversation with every kind of message that the simulator sends, with
-//! the answers of an earlier build. Its choices are the same for the same salt, so the answers are compared whole.
+//! Guards the simulator's protocol: a recorded conversation with every kind of message that the simulator sends must
+//! get the replies of an earlier build. Decisions depend on the messages and the seed alone, so replies are compared
+//! exactly.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -10,31 +11,27 @@
 use tidespur_simulator_adapter::wire::SchedulerHost;
 
 const INPUT: &str = include_str!("fixtures/conversation.input.jsonl");
-/// What the operators' simulator is told of this program's wire: the names of messages, fields and states.
+/// The configuration of the operators' simulator for this program: the names of messages, fields and states.
 const WIRE: &str = include_str!("../../../deploy/sites/archiv-sued/wire.json");
 
 fn replies(input: &str) -> Vec<String> {
     let mut host = SchedulerHost::default();
     input
         .lines()
-        .map(|line| {
-            host.handle_line(line)
-                .expect("a readable line")
-                .expect("a reply")
-        })
+        .map(|line| host.handle_line(line).expect("line is valid"))
         .collect()
 }
 
-/// The names of the messages in all lists under this key.
+/// The names of all messages in the lists under the key `list` of each line.
 fn message_names<'a>(lines: impl Iterator<Item = &'a str>, list: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for line in lines {
         let line: Value = serde_json::from_str(line).expect("a line is JSON");
-        for message in line[list].as_array().expect("a list of messages") {
+        for message in line[list].as_array().expect("value is a list of messages") {
             names.extend(
                 message
                     .as_object()
-                    .expect("a message is an object")
+                    .expect("message is an object")
                     .keys()
                     .cloned(),
             );
@@ -43,7 +40,7 @@
     names
 }
 
-fn wire() -> Value {
+fn wire_config() -> Value {
     serde_json::from_str(WIRE).expect("wire.json is JSON")
 }
 
@@ -58,19 +55,19 @@
 }
 
 #[test]
-fn conversation_holds_every_message_that_the_simulator_sends() {
-    let wire = wire();
-    let events = wire["events"].as_object().expect("events by their role");
+fn conversation_contains_every_message_that_the_simulator_sends() {
+    let wire = wire_config();
+    let events = wire["events"].as_object().expect("events is an object");
     let expected: BTreeSet<String> = events
         .values()
-        .map(|event| event["name"].as_str().expect("a name").to_owned())
+        .map(|event| event["name"].as_str().expect("name is a string").to_owned())
         .collect();
     assert_eq!(message_names(INPUT.lines(), "arrivals"), expected);
 }
 
 #[test]
-fn conversation_holds_every_state_and_outcome_that_the_simulator_names() {
-    let wire = wire();
+fn conversation_contains_every_state_and_outcome_of_the_simulator() {
+    let wire = wire_config();
     for (table, field) in [
         ("status", "result"),
         ("state", "health"),
@@ -78,7 +75,7 @@
     ] {
         for word in wire[table]
             .as_object()
-            .expect("words by their role")
+            .expect("table is an object")
             .values()
         {
             assert!(
@@ -90,10 +87,10 @@
 }
 
 #[test]
-fn conversation_brings_about_every_reply_that_the_policy_asks_for() {
+fn conversation_leads_to_every_reply_that_the_policy_causes() {
     let replies = replies(INPUT);
     let names = message_names(replies.iter().map(String::as_str), "do");
-    // `Relocate` and `WriteLog` can be written too; the policy asks for neither.
+    // The adapter can also encode `Relocate` and `WriteLog`; the policy uses neither.
     let expected = [
         "BroadcastTo",
         "Check",
@@ -108,7 +105,7 @@
 }
 
 #[test]
-fn message_is_refused_when_a_key_that_it_needs_is_missing() {
+fn message_without_a_required_key_is_rejected() {
     let required = [
         ("Start", "schedulerId"),
         ("Start", "salt"),
@@ -145,29 +142,31 @@
         ("Heard", "payload"),
     ];
     for (message, key) in required {
-        assert!(is_refused_without(message, key), "{message} without {key}");
+        assert!(is_rejected_without(message, key), "{message} without {key}");
     }
 }
 
-/// Whether the conversation ends in an error once the first message of this name lacks this key.
-fn is_refused_without(message: &str, key: &str) -> bool {
+/// Whether the first message of this name in the conversation is rejected if the key is removed from it.
+fn is_rejected_without(message: &str, key: &str) -> bool {
     let mut host = SchedulerHost::default();
     for line in INPUT.lines() {
         let mut line: Value = serde_json::from_str(line).expect("a line is JSON");
-        let arrivals = line["arrivals"].as_array_mut().expect("a list of messages");
+        let arrivals = line["arrivals"]
+            .as_array_mut()
+            .expect("value is a list of messages");
         let removed = arrivals
             .iter_mut()
             .find_map(|arrival| arrival.get_mut(message))
             .map(|fields| {
                 fields
                     .as_object_mut()
-                    .expect("fields")
+                    .expect("message is an object")
                     .remove(key)
-                    .expect("the key stands there")
+                    .expect("message has the key")
             });
-        let answer = host.handle_line(&line.to_string());
+        let reply = host.handle_line(&line.to_string());
         if removed.is_some() {
-            return answer.is_err();
+            return reply.is_err();
         }
     }
     panic!("no {message} in the conversation");
