--- a/crates/gateway-net/src/config.rs
+++ b/crates/gateway-net/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform gives a scheduler.
+//! The configuration file that the operators' platform writes for a scheduler.
 
 use crate::StartError;
 use serde::Deserialize;
@@ -6,50 +6,54 @@
 use tidespur_gateway::discovery::{self, WatchEvent, WireEvent};
 use tidespur_site_settings::{SettingsObject, Site};
 
+/// The file as the platform writes it. Unknown keys are ignored.
 #[derive(Deserialize)]
-struct Wire {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: String,
     #[serde(default)]
     seed: String,
-    limits: WireLimits,
-    board: String,
-    known: WireKnown,
+    limits: ProcessLimits,
+    #[serde(rename = "board")]
+    discovery_address: String,
+    #[serde(rename = "known")]
+    discovery_snapshot: DiscoverySnapshot,
     settings: SettingsObject,
 }
 
 #[derive(Deserialize)]
-struct WireLimits {
-    sockets: usize,
+struct ProcessLimits {
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
 #[derive(Deserialize)]
-struct WireKnown {
-    #[serde(default)]
-    notices: Vec<WireEvent>,
+struct DiscoverySnapshot {
+    #[serde(default, rename = "notices")]
+    events: Vec<WireEvent>,
 }
 
-/// A configuration that was parsed.
+/// A parsed configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Name of this scheduler.
+    /// Name of this scheduler, which its log lines carry; empty where the file has none.
     pub name: String,
-    /// The address that clients connect to, `IP:PORT`.
+    /// The address that clients connect to, `IP:PORT`. It is parsed at the start only.
     pub listen: String,
-    /// Seed of the policy's random numbers.
+    /// Seed of the policy's random number generator.
     pub seed: u64,
-    /// Bound on descriptors.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// Address of the discovery stream.
+    /// Address of the discovery stream, `IP:PORT`.
     pub discovery_address: String,
-    /// The stream's events up to now.
+    /// Events that the discovery stream had sent when the file was written.
     pub watch_events: Vec<WatchEvent>,
     /// Settings of the policy and the gateway.
     pub site: Site,
 }
 
-/// The path of the configuration, from the variable `RELAY_CONFIG`.
+/// The path of the configuration file, from the environment variable `RELAY_CONFIG`.
 ///
 /// # Errors
 /// Fails if the variable is not set.
@@ -59,36 +63,36 @@
         .ok_or(StartError::ConfigNotSet)
 }
 
-/// Parses a configuration.
+/// Parses the text of a configuration file. A seed that is not a hexadecimal number is hashed.
 ///
 /// # Errors
-/// Fails if it can't be read or parsed, or if a setting can't be used.
+/// Fails if the text can't be parsed, or if a setting can't be used.
 pub fn parse(text: &str) -> Result<Config, StartError> {
-    let wire: Wire = serde_json::from_str(text)?;
-    let site = wire.settings.into_site()?;
-    let known = wire
-        .known
-        .notices
+    let file: ConfigFile = serde_json::from_str(text)?;
+    let site = file.settings.into_site()?;
+    let watch_events = file
+        .discovery_snapshot
+        .events
         .into_iter()
-        .map(|notice| discovery::convert_event(&site, notice))
+        .map(|event| discovery::convert_event(&site, event))
         .collect();
-    let seed = u64::from_str_radix(&wire.seed, 16)
-        .unwrap_or_else(|_| tidespur_site_settings::convert::stable_hash(&wire.seed));
+    let seed = u64::from_str_radix(&file.seed, 16)
+        .unwrap_or_else(|_| tidespur_site_settings::convert::stable_hash(&file.seed));
     Ok(Config {
-        name: wire.name,
-        listen: wire.listen,
+        name: file.name,
+        listen: file.listen,
         seed,
-        max_descriptors: wire.limits.sockets,
-        discovery_address: wire.board,
-        watch_events: known,
+        max_descriptors: file.limits.max_descriptors,
+        discovery_address: file.discovery_address,
+        watch_events,
         site,
     })
 }
 
-/// Reads the configuration that the platform names.
+/// Loads the configuration file that `RELAY_CONFIG` names.
 ///
 /// # Errors
-/// Fails if it can't be read or parsed, or if a setting can't be used.
+/// Fails if the file can't be read or parsed, or if a setting can't be used.
 pub fn load() -> Result<Config, StartError> {
     let path = path()?;
     let text = std::fs::read_to_string(&path).map_err(|e| StartError::ConfigUnreadable(path, e))?;
--- a/crates/gateway-net/src/error.rs
+++ b/crates/gateway-net/src/error.rs
@@ -1,37 +1,39 @@
-//! What keeps the program from starting on the platform.
+//! Errors at the start of the gateway and when its configuration is loaded again.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the scheduler does not start, or does not read its configuration again; each tells what an operator can do.
+/// Why the gateway can't start, or can't load its configuration again. Each message tells the operator what to do.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system takes no handlers for signals.
-    #[error("signals can't be handled: {0}; look at the limit on descriptors")]
+    /// The signal handlers can't be installed, for example for lack of file descriptors.
+    #[error("cannot install the signal handlers: {0}; check the limit on file descriptors")]
     Signals(std::io::Error),
-    /// The variable that names the configuration is not set.
+    /// The environment variable `RELAY_CONFIG` is not set.
     #[error(
-        "RELAY_CONFIG is not set; start it as `run` in deploy/balancer.toml says, on the platform"
+        "RELAY_CONFIG is not set; start the program on the platform, with the `run` command of deploy/balancer.toml"
     )]
     ConfigNotSet,
-    /// The configuration is not there.
-    #[error("{0:?}: {1}; look at the path and at who may read it")]
+    /// The configuration file does not exist or can't be read.
+    #[error("cannot read {0:?}: {1}; check the path and the permissions of the file")]
     ConfigUnreadable(PathBuf, std::io::Error),
-    /// It is not of the platform's form.
+    /// The configuration is not valid JSON, or a key is missing or has a value of another type.
     #[error(
-        "the configuration can't be read: {0}; write it anew, whole, and send SIGHUP or start again"
+        "cannot parse the configuration: {0}; write the complete file again, then send SIGHUP or restart"
     )]
     ConfigMalformed(#[from] serde_json::Error),
     /// A field of the settings object has a value that can't be used.
-    #[error("{0}; correct that field of the settings")]
+    #[error("{0}; correct this field of the settings object")]
     SiteSettings(#[from] tidespur_site_settings::SiteSettingsError),
     /// The scheduling policy rejects a setting.
-    #[error("{0}; correct that field of the settings")]
+    #[error("{0}; correct this field of the settings object")]
     Gateway(#[from] tidespur_gateway::GatewayError),
-    /// The address is none.
-    #[error("listen: {0:?} is no address; it has to be IP:PORT")]
+    /// The listen address is not of the form `IP:PORT`.
+    #[error("listen: {0:?} is not an address; expected IP:PORT")]
     InvalidAddress(String),
-    /// Nobody can connect there.
-    #[error("{0} can't be listened on: {1}; end who holds it, or give another address")]
+    /// The listen address can't be bound, for example because another process still uses it.
+    #[error(
+        "cannot listen on {0}: {1}; stop the process that uses the address, or configure another one"
+    )]
     Bind(SocketAddr, std::io::Error),
 }
--- a/crates/gateway-net/src/lib.rs
+++ b/crates/gateway-net/src/lib.rs
@@ -1,7 +1,7 @@
 //! The event loop that runs the gateway on sockets, timers and signals.
 //!
-//! It decides nothing: inputs go to [`tidespur_gateway::Gateway`], and its outputs are carried out. The planner's `main`
-//! calls [`run`] on the operators' platform.
+//! [`tidespur_gateway::Gateway`] makes all decisions: the loop passes inputs to it and executes its outputs. The
+//! planner's `main` calls [`run`] for its subcommand `platform`.
 
 pub mod config;
 mod connection;
--- a/crates/gateway-net/tests/compatibility.rs
+++ b/crates/gateway-net/tests/compatibility.rs
@@ -1,12 +1,13 @@
-//! The configuration that the operators' platform writes for a scheduler is read as it always was.
+//! Guards the format of the configuration file that the operators' platform writes: a renamed or dropped key would keep
+//! deployed schedulers from starting.
 
 use tidespur_gateway_net::config;
 
 const CONFIG: &str = include_str!("fixtures/scheduler_config.json");
 
 #[test]
-fn every_key_of_the_configuration_is_read() {
-    let config = config::parse(CONFIG).expect("a readable configuration");
+fn every_key_of_the_configuration_is_parsed() {
+    let config = config::parse(CONFIG).expect("configuration is valid");
     assert_eq!(config.name, "scheduler-3");
     assert_eq!(config.listen, "127.0.0.1:7001");
     assert_eq!(config.seed, 0x1f);
@@ -14,7 +15,7 @@
     assert_eq!(config.discovery_address, "127.0.0.1:7002");
     assert_eq!(config.site.settings.ordinal, 3);
     let [event] = config.watch_events.as_slice() else {
-        panic!("one known event")
+        panic!("expected one event")
     };
     assert_eq!(
         (
@@ -27,8 +28,8 @@
 }
 
 #[test]
-fn seed_is_hashed_when_it_is_no_hexadecimal_number() {
-    let config = config::parse(&CONFIG.replace("\"1f\"", "\"service-1\""))
-        .expect("a readable configuration");
+fn seed_is_hashed_if_it_is_not_a_hexadecimal_number() {
+    let config =
+        config::parse(&CONFIG.replace("\"1f\"", "\"service-1\"")).expect("configuration is valid");
     assert_eq!(config.seed, 0x11ec_c33b_f6dd_cb2e);
 }
