--- a/crates/gateway-net/src/connection.rs
+++ b/crates/gateway-net/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection as its reader knows it: its socket, and how far its messages were read.
+//! An open connection: its socket and the state of its reader.
 
 use crate::socket::Socket;
 use async_io::Async;
@@ -9,22 +9,23 @@
 use tidespur_gateway::message::Decoder;
 use tidespur_net::clock;
 
-/// An open connection and what its reader knows of it.
+/// An open connection, with the state of the task that reads it.
 #[derive(Debug)]
 pub struct Connection {
-    /// The socket, which writers use too.
+    /// The socket, which the reader shares with writers.
     pub socket: Rc<Socket>,
-    /// Decodes the peer's messages; holds the incomplete one.
+    /// Decodes the peer's messages, and buffers the incomplete one.
     pub decoder: RefCell<Decoder>,
-    /// Since when a message is incomplete.
+    /// When the first bytes of an incomplete message were read; `None` without one.
     pub partial_since: Cell<Option<f64>>,
-    /// When the connection was opened.
+    /// Time at which the connection was opened, in seconds of [`clock::now`].
     pub opened_at: f64,
     /// Whether the peer has sent a complete message.
     pub has_sent_message: Cell<bool>,
-    /// Whether its end or malformed bytes were read: nothing more is read.
+    /// Set once the end of the stream, an error or malformed bytes were read, or the connection is closed here; nothing
+    /// more is read then.
     pub ended: Cell<bool>,
-    /// The last input of this connection in the queue.
+    /// Step of the input queue before which the last message was added; set for clients only.
     pub last_input: Cell<StepNumber>,
 }
 
--- a/crates/gateway-net/src/socket.rs
+++ b/crates/gateway-net/src/socket.rs
@@ -1,26 +1,25 @@
-//! A non-blocking socket: writes at once or as soon as the peer accepts bytes, reads a bounded number at a time.
+//! A non-blocking socket with a bounded buffer of unsent bytes.
 
 use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Bytes that may wait for a peer that does not read; beyond that a write fails.
+/// Maximum number of unsent bytes for a peer that does not read; a write beyond that fails.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
-/// Bytes that are read at once, before other connections have their turn.
+/// Maximum number of bytes of one read, so that one connection does not delay the others.
 pub const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Bytes that are still read from a connection that was half-closed here: closing a socket with unread bytes resets its
-/// connection, and the reset may destroy an answer that was sent. Bounds the work for a peer that never stops.
+/// Maximum number of bytes that [`Socket::discard`] reads. Bounds the work for a peer that never stops sending.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// The result of a write.
+/// How far a write got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All bytes were sent or wait to be sent.
+    /// All bytes were sent or buffered.
     Accepted,
     /// The peer accepts no bytes now, and none of these were sent.
     Blocked,
-    /// A part of the bytes was sent; the rest waits to be sent.
+    /// A part of the bytes was sent, and the rest buffered.
     PartiallyWritten,
     /// No byte was sent, and none will be.
     NotWritten,
@@ -35,14 +34,16 @@
     unsent: RefCell<Vec<u8>>,
     /// Whether a task drains the unsent bytes.
     draining: Cell<bool>,
-    /// Whether it is half-closed once all bytes were sent; else a release that waits behind an offer would be lost.
+    /// Whether to half-close the connection once all bytes were sent. If it were half-closed before, a release that is
+    /// buffered behind an offer would be lost.
     half_closing: Cell<bool>,
 }
 
 impl Socket {
     /// Wraps an open connection.
     pub fn new(stream: Async<TcpStream>) -> Self {
-        // Without TCP_NODELAY answers wait for acknowledgements; a socket that rejects the option still works.
+        // Without TCP_NODELAY small writes are delayed until earlier ones are acknowledged. The socket works without
+        // the option too, so an error is ignored.
         let _ = stream.get_ref().set_nodelay(true);
         Self {
             stream,
@@ -52,15 +53,16 @@
         }
     }
 
-    /// Writes what the peer accepts at once; the rest waits. Also returns whether the caller has to [`Socket::drain`].
+    /// Writes what the peer accepts at once and buffers the rest. Also returns whether the caller has to call
+    /// [`Socket::drain`].
     pub fn write(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         {
-            let mut waiting = self.unsent.borrow_mut();
-            if !waiting.is_empty() {
-                if waiting.len() + bytes.len() > MAX_UNSENT_BYTES {
+            let mut unsent = self.unsent.borrow_mut();
+            if !unsent.is_empty() {
+                if unsent.len() + bytes.len() > MAX_UNSENT_BYTES {
                     return (WriteOutcome::NotWritten, false);
                 }
-                waiting.extend_from_slice(bytes);
+                unsent.extend_from_slice(bytes);
                 return (WriteOutcome::Accepted, false);
             }
         }
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Writes only if the peer accepts at least a part at once; also returns whether the caller has to drain.
+    /// Writes only if the peer accepts at least a part at once, else buffers nothing. Also returns whether the caller
+    /// has to call [`Socket::drain`].
     pub fn try_write(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
         if !self.unsent.borrow().is_empty() {
             return (WriteOutcome::Blocked, false);
@@ -85,23 +88,27 @@
         }
     }
 
+    /// Writes without looking at the unsent bytes. Buffers the rest of a partial write, but nothing if the peer accepts
+    /// none.
     fn write_now(&self, bytes: &[u8]) -> (WriteOutcome, bool) {
-        let mut done = 0;
-        while done < bytes.len() {
-            match self.stream.get_ref().write(&bytes[done..]) {
+        let mut written = 0;
+        while written < bytes.len() {
+            match self.stream.get_ref().write(&bytes[written..]) {
                 Ok(0) => break,
-                Ok(n) => done += n,
+                Ok(n) => written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && done == 0 => {
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock && written == 0 => {
                     return (WriteOutcome::Blocked, false);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.unsent.borrow_mut().extend_from_slice(&bytes[done..]);
+                    self.unsent
+                        .borrow_mut()
+                        .extend_from_slice(&bytes[written..]);
                     return (WriteOutcome::PartiallyWritten, !self.draining.replace(true));
                 }
                 Err(_) => {
                     return (
-                        if done == 0 {
+                        if written == 0 {
                             WriteOutcome::NotWritten
                         } else {
                             WriteOutcome::Failed
@@ -114,10 +121,10 @@
         (WriteOutcome::Accepted, false)
     }
 
-    /// Writes the unsent bytes until none are left and the peer accepts more, or the connection ends.
+    /// Writes the unsent bytes; returns once none are left and the peer accepts more.
     ///
     /// # Errors
-    /// The connection has ended.
+    /// Fails if the connection has ended.
     pub async fn drain(&self) -> io::Result<()> {
         let drained = self.drain_all().await;
         self.draining.set(false);
@@ -127,16 +134,16 @@
     async fn drain_all(&self) -> io::Result<()> {
         loop {
             self.stream.writable().await?;
-            let mut waiting = self.unsent.borrow_mut();
-            if !waiting.is_empty() {
-                match self.stream.get_ref().write(&waiting) {
-                    Ok(n) => drop(waiting.drain(..n)),
+            let mut unsent = self.unsent.borrow_mut();
+            if !unsent.is_empty() {
+                match self.stream.get_ref().write(&unsent) {
+                    Ok(n) => drop(unsent.drain(..n)),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                     Err(e) => return Err(e),
                 }
             }
-            if waiting.is_empty() {
-                *waiting = Vec::new();
+            if unsent.is_empty() {
+                *unsent = Vec::new();
                 if self.half_closing.get() {
                     self.shutdown_write();
                 }
@@ -145,7 +152,7 @@
         }
     }
 
-    /// Whether all bytes were sent.
+    /// Whether no bytes are left to be sent.
     pub fn is_flushed(&self) -> bool {
         self.unsent.borrow().is_empty()
     }
@@ -153,15 +160,15 @@
     /// Waits until there may be something to read.
     ///
     /// # Errors
-    /// The system's.
+    /// Fails if the operating system can't poll the socket.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Reads available bytes into `buffer`; returns 0 at the end, and `None` if there are none now.
+    /// Reads available bytes into `buffer`; returns 0 at the end of the stream, and `None` if there are none now.
     ///
     /// # Errors
-    /// The connection has ended.
+    /// Fails if the connection was reset.
     pub fn try_read(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<Option<usize>> {
         loop {
             match self.stream.get_ref().read(&mut buffer.borrow_mut()) {
@@ -173,10 +180,10 @@
         }
     }
 
-    /// Waits until there is something to read, and reads it into `buffer`; 0 at the end.
+    /// Waits until there is something to read, and reads it into `buffer`; returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// The connection has ended.
+    /// Fails if the connection was reset.
     pub async fn read(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<usize> {
         loop {
             self.readable().await?;
@@ -186,19 +193,21 @@
         }
     }
 
-    /// Reads to the end, within a bound, and drops the bytes.
+    /// Reads and drops bytes until the peer closes the connection, up to a fixed limit. Called between a half-close and
+    /// the close: closing a socket with unread bytes resets its connection, and the peer may lose an answer that was
+    /// sent.
     pub async fn discard(&self, buffer: &RefCell<Vec<u8>>) {
-        let mut left = MAX_DISCARDED_BYTES;
+        let mut remaining = MAX_DISCARDED_BYTES;
         while let Ok(n) = self.read(buffer).await
             && n > 0
-            && n <= left
+            && n <= remaining
         {
-            left -= n;
+            remaining -= n;
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Writes the unsent bytes and then no more; the connection can still be read.
+    /// Closes the connection for writing once the unsent bytes were sent; it can still be read.
     pub fn half_close(&self) {
         self.half_closing.set(true);
         if self.is_flushed() {
@@ -210,7 +219,7 @@
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    /// Ends the connection in both directions. Bytes that the system has received can still be read.
+    /// Shuts the connection down in both directions. Bytes that the system has received before can still be read.
     pub fn close(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Both);
     }
--- a/crates/gateway-net/tests/socket.rs
+++ b/crates/gateway-net/tests/socket.rs
@@ -1,4 +1,4 @@
-//! A connection whose peer reads nothing, on real sockets.
+//! Partial writes, half-close and discard on real TCP connections with a slow peer.
 
 use async_io::Async;
 use std::cell::RefCell;
@@ -6,26 +6,30 @@
 use std::net::{TcpListener, TcpStream};
 use tidespur_gateway_net::socket::{Socket, WriteOutcome};
 
-fn pair() -> (Socket, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let stream =
-        TcpStream::connect(listener.local_addr().expect("its address")).expect("a connection");
-    let (peer, _) = listener.accept().expect("the other end");
-    (Socket::new(Async::new(stream).expect("a socket")), peer)
+fn connected_pair() -> (Socket, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener is bound");
+    let stream = TcpStream::connect(listener.local_addr().expect("listener has an address"))
+        .expect("connection is made");
+    let (peer, _) = listener.accept().expect("connection is accepted");
+    (
+        Socket::new(Async::new(stream).expect("socket is registered")),
+        peer,
+    )
 }
 
-/// Fills it with what the system takes for a peer that does not read; tells how much, with what waits.
+/// Writes until the system's buffers are full and bytes are left unsent. Returns the number of bytes written, the
+/// unsent ones included.
 fn fill(socket: &Socket) -> usize {
-    let (mut sent, mut waits) = (0, false);
-    while !waits {
-        let (wrote, drain) = socket.write(&[7; 64 * 1024]);
-        assert_eq!(wrote, WriteOutcome::Accepted);
-        (sent, waits) = (sent + 64 * 1024, drain);
+    let (mut written, mut has_unsent) = (0, false);
+    while !has_unsent {
+        let (outcome, must_drain) = socket.write(&[7; 64 * 1024]);
+        assert_eq!(outcome, WriteOutcome::Accepted);
+        (written, has_unsent) = (written + 64 * 1024, must_drain);
     }
-    sent
+    written
 }
 
-fn read_all(mut peer: TcpStream) -> std::thread::JoinHandle<std::io::Result<Vec<u8>>> {
+fn spawn_reader(mut peer: TcpStream) -> std::thread::JoinHandle<std::io::Result<Vec<u8>>> {
     std::thread::spawn(move || {
         let mut read = Vec::new();
         peer.read_to_end(&mut read).map(|_| read)
@@ -33,85 +37,89 @@
 }
 
 #[test]
-fn what_waits_for_a_slow_peer_still_leaves_after_the_connection_is_half_closed() {
-    let (socket, peer) = pair();
-    let sent = fill(&socket);
+fn unsent_bytes_are_sent_after_half_close() {
+    let (socket, peer) = connected_pair();
+    let written = fill(&socket);
     assert_eq!(socket.write(b"cancelled").0, WriteOutcome::Accepted);
     socket.half_close();
-    let reader = read_all(peer);
-    smol::block_on(socket.drain()).expect("all of it leaves");
+    let reader = spawn_reader(peer);
+    smol::block_on(socket.drain()).expect("all bytes are sent");
     let read = reader
         .join()
-        .expect("the reader ends")
-        .expect("and sees a plain end");
-    assert_eq!((read.len(), &read[sent..]), (sent + 9, &b"cancelled"[..]));
+        .expect("reader thread ends")
+        .expect("connection ends without a reset");
+    assert_eq!(
+        (read.len(), &read[written..]),
+        (written + 9, &b"cancelled"[..])
+    );
 }
 
 #[test]
-fn a_set_up_for_a_peer_that_does_not_read_stays_here() {
-    let (socket, peer) = pair();
-    let sent = fill(&socket);
-    let (wrote, drain) = socket.try_write(b"set-up");
+fn try_write_sends_nothing_while_bytes_are_unsent() {
+    let (socket, peer) = connected_pair();
+    let written = fill(&socket);
+    let (outcome, must_drain) = socket.try_write(b"set-up");
     assert_eq!(
-        (wrote, drain),
+        (outcome, must_drain),
         (WriteOutcome::Blocked, false),
-        "somebody sees to what waits already"
+        "the unsent bytes are being drained already"
     );
-    let reader = read_all(peer);
-    smol::block_on(socket.drain()).expect("all of it leaves");
+    let reader = spawn_reader(peer);
+    smol::block_on(socket.drain()).expect("all bytes are sent");
     assert_eq!(socket.try_write(b"after").0, WriteOutcome::Accepted);
     socket.half_close();
     let read = reader
         .join()
-        .expect("the reader ends")
-        .expect("and sees a plain end");
-    assert_eq!(read.len(), sent + 5, "the set-up never left");
+        .expect("reader thread ends")
+        .expect("connection ends without a reset");
+    assert_eq!(read.len(), written + 5, "the set-up was never sent");
 }
 
 #[test]
-fn a_set_up_that_leaves_in_part_is_told_so() {
-    let (socket, _peer) = pair();
-    // Set-ups as large as can be, until one does not go whole.
-    let told = (0..)
+fn try_write_reports_a_partial_write() {
+    let (socket, _peer) = connected_pair();
+    // Large messages, until one is not sent completely.
+    let outcome = (0..)
         .map(|_| socket.try_write(&[7; 16 * 1024]).0)
-        .find(|wrote| *wrote != WriteOutcome::Accepted);
+        .find(|outcome| *outcome != WriteOutcome::Accepted);
     assert!(
         matches!(
-            told,
+            outcome,
             Some(WriteOutcome::PartiallyWritten | WriteOutcome::Blocked)
         ),
-        "{told:?}"
+        "{outcome:?}"
     );
-    assert_eq!(socket.is_flushed(), told == Some(WriteOutcome::Blocked));
+    assert_eq!(socket.is_flushed(), outcome == Some(WriteOutcome::Blocked));
     assert_eq!(socket.try_write(b"next").0, WriteOutcome::Blocked);
 }
 
 #[test]
-fn bytes_that_come_while_it_closes_do_not_reset_what_is_on_its_way() {
-    let (socket, mut peer) = pair();
+fn bytes_received_during_the_close_do_not_reset_the_connection() {
+    let (socket, mut peer) = connected_pair();
     assert_eq!(socket.write(b"answer").0, WriteOutcome::Accepted);
-    // They lie unread when it is closed; a plain close over them is a reset.
-    peer.write_all(&[1; 1000]).expect("they fit");
+    // Unread when the socket is half-closed. Without the discard the close would reset the connection.
+    peer.write_all(&[1; 1000]).expect("bytes are buffered");
     socket.half_close();
     let mut answer = Vec::new();
-    peer.read_to_end(&mut answer).expect("a plain end");
+    peer.read_to_end(&mut answer)
+        .expect("connection ends without a reset");
     assert_eq!(answer, b"answer");
     drop(peer);
     smol::block_on(socket.discard(&RefCell::new(vec![0; 1024])));
 }
 
 #[test]
-fn one_that_never_stops_is_not_read_without_end() {
-    let (socket, mut peer) = pair();
+fn discard_is_bounded_if_the_peer_never_stops_sending() {
+    let (socket, mut peer) = connected_pair();
     socket.half_close();
     let writer = std::thread::spawn(move || {
-        let mut wrote = 0usize;
+        let mut written = 0usize;
         while peer.write_all(&[1; 16 * 1024]).is_ok() {
-            wrote += 16 * 1024;
+            written += 16 * 1024;
         }
-        wrote
+        written
     });
     smol::block_on(socket.discard(&RefCell::new(vec![0; 16 * 1024])));
     drop(socket);
-    assert!(writer.join().expect("it ends") >= 256 * 1024);
+    assert!(writer.join().expect("writer ends") >= 256 * 1024);
 }
