--- a/crates/gateway-net/src/run.rs
+++ b/crates/gateway-net/src/run.rs
@@ -1,7 +1,7 @@
-//! The event loop: listens, dials, reads, writes, and handles signals and timers.
+//! The event loop: accepts, dials, reads and writes connections, and handles signals and timers.
 //!
-//! It owns the gateway and all connections, and runs on one thread. Its tasks live as long as the process: a reader ends
-//! with its connection, a dial with its entry in the table of connections.
+//! It owns the gateway and all connections, and runs on one thread. Tasks that serve the whole loop run as long as the
+//! process; a reader ends with its connection, a dial with its entry in the table of connections.
 
 mod bind;
 mod control;
@@ -35,23 +35,27 @@
     gateway: RefCell<Gateway>,
     executor: Rc<LocalExecutor<'static>>,
     listener: RefCell<Option<Rc<Async<TcpListener>>>>,
-    listening: RefCell<Option<Task<()>>>,
+    /// Accepts connections; dropped when the gateway stops listening.
+    accept_task: RefCell<Option<Task<()>>>,
     downstreams: RefCell<BTreeMap<DownstreamId, Rc<Connection>>>,
-    /// Connections half-closed here and not yet closed by their peers.
+    /// Connections that are half-closed here and not yet closed by their peers, the oldest first.
     closing: RefCell<VecDeque<Rc<Socket>>>,
     max_closing: usize,
     upstreams: RefCell<BTreeMap<UpstreamId, Upstream>>,
-    buffer: RefCell<Vec<u8>>,
-    next_client: Cell<u64>,
-    /// Signals that the next tick may be due earlier.
+    /// Shared by all reads; each read is decoded before the next one.
+    read_buffer: RefCell<Vec<u8>>,
+    next_client_id: Cell<u64>,
+    /// Ends the wait for the next tick: it may be due earlier, or the process is to exit.
     wake: async_lock::Semaphore,
-    /// Inputs that wait for the next step.
+    /// Inputs for the next step.
     queue: RefCell<InputQueue>,
+    /// Holds one message while [`EventLoop::handle_queue`] has inputs to handle.
     input_signal: (Sender<()>, Receiver<()>),
     discovery_address: Rc<DiscoveryAddress>,
+    /// Name of this scheduler, for log lines.
     name: String,
-    /// Set once the process is to exit: the seconds that sending what was written may take.
-    exit_within: Cell<Option<f64>>,
+    /// Set once the process is to exit: time limit for sending the unsent bytes, in seconds.
+    flush_timeout: Cell<Option<f64>>,
 }
 
 /// Runs the scheduler on the platform until its shutdown is complete.
@@ -59,12 +63,12 @@
 /// # Errors
 /// Fails if it can't start.
 pub fn run() -> Result<(), StartError> {
-    // Before anything else: a signal without a handler ends the program.
+    // The handlers are installed first: a signal without a handler ends the process.
     let signals = Signals::new([Signal::Hup, Signal::Term]).map_err(StartError::Signals)?;
     let config = config::load()?;
     let executor = Rc::new(LocalExecutor::new());
-    let run = EventLoop::new(config, executor.clone(), signals)?;
-    smol::block_on(executor.run(run.run_until_exit()));
+    let event_loop = EventLoop::new(config, executor.clone(), signals)?;
+    smol::block_on(executor.run(event_loop.run_until_exit()));
     Ok(())
 }
 
@@ -79,19 +83,19 @@
             gateway: RefCell::new(Gateway::new(config.site, limits, config.seed)?),
             executor,
             listener: RefCell::default(),
-            listening: RefCell::default(),
+            accept_task: RefCell::default(),
             downstreams: RefCell::default(),
             closing: RefCell::default(),
             max_closing: limits.closing,
             upstreams: RefCell::default(),
-            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
-            next_client: Cell::new(0),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            next_client_id: Cell::new(0),
             wake: async_lock::Semaphore::new(0),
             queue: RefCell::default(),
             input_signal: smol::channel::bounded(1),
             discovery_address: Rc::new(DiscoveryAddress::new(config.discovery_address.clone())),
             name: config.name,
-            exit_within: Cell::new(None),
+            flush_timeout: Cell::new(None),
         });
         this.step(
             config
@@ -108,9 +112,9 @@
         tracing::info!(scheduler = this.name, %address, sockets = config.max_descriptors, "started");
         this.spawn(this.clone().handle_queue());
         this.spawn(this.clone().measure_lag());
-        this.listening
-            .replace(Some(this.executor.spawn(this.clone().listen())));
-        this.spawn(this.clone().signals(signals));
+        this.accept_task
+            .replace(Some(this.executor.spawn(this.clone().accept_clients())));
+        this.spawn(this.clone().handle_signals(signals));
         this.follow_discovery();
         Ok(this)
     }
@@ -119,10 +123,10 @@
         self.executor.spawn(future).detach();
     }
 
-    /// Runs ticks and logs the counters until the process is to exit, and then sends what was written.
+    /// Runs ticks and logs the counters until the process is to exit, and then sends the unsent bytes.
     async fn run_until_exit(self: Rc<Self>) {
-        let mut reported = clock::now();
-        while self.exit_within.get().is_none() {
+        let mut reported_at = clock::now();
+        while self.flush_timeout.get().is_none() {
             let now = clock::now();
             let due = self.gateway.borrow().next_wake() - now;
             if due > 0.0
@@ -132,24 +136,25 @@
             }
             let now = clock::now();
             if now >= self.gateway.borrow().next_wake() {
-                // An answer that has come must not be overtaken by the end of its attempt's time.
+                // An answer that was received in time is handled before the tick that would time its attempt out.
                 let mut inputs = self.queue.borrow_mut().take_completions();
                 inputs.push(Input::Tick);
                 self.step(inputs);
             }
-            if now - reported > REPORT_INTERVAL {
-                reported = now;
-                self.report();
+            if now - reported_at > REPORT_INTERVAL {
+                reported_at = now;
+                self.log_counters();
             }
         }
-        self.report();
-        self.flush(self.exit_within.get().unwrap_or_default()).await;
+        self.log_counters();
+        self.flush(self.flush_timeout.get().unwrap_or_default())
+            .await;
     }
 
-    /// Adds an input to the queue. It is handled with all others that arrive meanwhile, as the reactor wakes readers before
-    /// the queue is handled.
+    /// Adds an input to the queue. Inputs that arrive meanwhile are handled in the same step, as the reactor wakes
+    /// readers before the task that handles the queue.
     fn enqueue(&self, input: Input) -> StepNumber {
-        // The channel holds one signal; if it is full, the queue is handled anyway.
+        // The channel holds one message; if it is full, the queue will be handled already.
         let _ = self.input_signal.0.try_send(());
         self.queue.borrow_mut().push(input)
     }
--- a/crates/gateway-net/src/run/control.rs
+++ b/crates/gateway-net/src/run/control.rs
@@ -1,8 +1,8 @@
-//! The discovery stream, signals, the measuring of lag, and the counters in the log.
+//! Discovery, signals, reload of the configuration, lag measurement and logging of the counters.
 
 use super::EventLoop;
-use crate::config::{self};
-use crate::discovery::{self};
+use crate::config;
+use crate::discovery;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use std::rc::Rc;
@@ -11,16 +11,16 @@
 
 /// Interval at which the lag of the event loop is measured, in seconds.
 const LAG_INTERVAL: f64 = 0.05;
-/// Pause before a configuration that could not be read is read again, in seconds.
+/// Pause between attempts to load the configuration, in seconds: the file may be incomplete while it is written.
 const RELOAD_BACKOFF: f64 = 0.1;
-/// Attempts to read the configuration after a signal.
-const MAX_RELOAD_RETRIES: u32 = 50;
-/// Interval at which the shutdown checks whether all bytes were sent, in seconds.
+/// Attempts to load the configuration after a SIGHUP.
+const MAX_RELOAD_ATTEMPTS: u32 = 50;
+/// Interval at which [`EventLoop::flush`] checks whether all bytes were sent, in seconds.
 const FLUSH_POLL_INTERVAL: f64 = 0.005;
 
 impl EventLoop {
-    /// Measures the lag of the event loop: a timer is handled as late as a message that arrives when it is due, as both
-    /// wait for the reactor and for all tasks that were woken before them.
+    /// Measures the lag of the event loop by how late a timer is handled. A message that arrives when the timer is due
+    /// is delayed as much: both wait for the reactor and for all tasks that were woken before them.
     pub(super) async fn measure_lag(self: Rc<Self>) {
         loop {
             let due = clock::now() + LAG_INTERVAL;
@@ -29,37 +29,37 @@
         }
     }
 
-    /// Follows the discovery stream at its present address.
+    /// Starts a task that reads the discovery stream at its current address.
     pub(super) fn follow_discovery(self: &Rc<Self>) {
-        let (this, that) = (self.clone(), self.clone());
-        let delivered = move || this.gateway.borrow().last_revision();
-        let take = move |data: &str| {
+        let this = self.clone();
+        let last_revision = move || this.gateway.borrow().last_revision();
+        let this = self.clone();
+        let on_event = move |data: &str| {
             let event =
-                tidespur_gateway::discovery::parse_event(that.gateway.borrow().site(), data);
+                tidespur_gateway::discovery::parse_event(this.gateway.borrow().site(), data);
             match event {
-                Ok(event) => that.step(vec![Input::EndpointsDelivered(event)]),
-                Err(error) => tracing::warn!(scheduler = that.name, %error),
+                Ok(event) => this.step(vec![Input::EndpointsDelivered(event)]),
+                Err(error) => {
+                    tracing::warn!(scheduler = this.name, %error, "ignored a malformed discovery event");
+                }
             }
         };
         self.spawn(discovery::follow(
             self.discovery_address.clone(),
-            delivered,
-            take,
+            last_revision,
+            on_event,
         ));
     }
 
-    pub(super) async fn signals(self: Rc<Self>, mut signals: Signals) {
+    pub(super) async fn handle_signals(self: Rc<Self>, mut signals: Signals) {
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Term) => {
-                    tracing::info!(scheduler = self.name, "told to end");
+                    tracing::info!(scheduler = self.name, "SIGTERM: told to end, shutting down");
                     self.step(vec![Input::Shutdown]);
                 }
                 Ok(Signal::Hup) => {
-                    tracing::info!(
-                        scheduler = self.name,
-                        "told to read its configuration again"
-                    );
+                    tracing::info!(scheduler = self.name, "SIGHUP: reloading the configuration");
                     self.spawn(self.clone().reload());
                 }
                 _ => {}
@@ -67,43 +67,49 @@
         }
     }
 
-    /// Reads the configuration again; until that succeeds the previous one stays in use.
+    /// Loads the configuration again, and applies a changed discovery address; the other settings stay as they were at
+    /// the start. Retries on failure, and keeps the current address meanwhile.
     async fn reload(self: Rc<Self>) {
-        for _ in 0..MAX_RELOAD_RETRIES {
+        for _ in 0..MAX_RELOAD_ATTEMPTS {
             match config::load() {
                 Ok(config) => {
-                    if self.discovery_address.move_to(&config.discovery_address) {
+                    if self.discovery_address.change_to(&config.discovery_address) {
                         tracing::info!(
                             scheduler = self.name,
                             board = config.discovery_address,
-                            "another discovery stream"
+                            "discovery address changed"
                         );
                         self.follow_discovery();
                     }
                     return;
                 }
                 Err(error) => {
-                    tracing::warn!(scheduler = self.name, %error, "the old settings hold")
+                    tracing::warn!(
+                        scheduler = self.name,
+                        %error,
+                        "cannot reload the configuration; the old settings hold"
+                    );
                 }
             }
             clock::sleep(RELOAD_BACKOFF).await;
         }
     }
 
-    /// Waits until all bytes were sent, for at most `within` seconds.
-    pub(super) async fn flush(self: &Rc<Self>, within: f64) {
-        let left: Vec<DownstreamId> = self.downstreams.borrow().keys().copied().collect();
-        left.into_iter()
+    /// Closes the connections of clients, and waits until all bytes were sent, for at most `timeout` seconds.
+    pub(super) async fn flush(self: &Rc<Self>, timeout: f64) {
+        let clients: Vec<DownstreamId> = self.downstreams.borrow().keys().copied().collect();
+        clients
+            .into_iter()
             .for_each(|client| self.close_client(client));
-        let until = clock::now() + within;
-        while clock::now() < until
+        let deadline = clock::now() + timeout;
+        while clock::now() < deadline
             && !(self.closing.borrow().is_empty() && self.upstreams_flushed())
         {
             clock::sleep(FLUSH_POLL_INTERVAL).await;
         }
     }
 
-    pub(super) fn report(&self) {
+    pub(super) fn log_counters(&self) {
         let gateway = self.gateway.borrow();
         let sizes = gateway.sizes();
         let counts = gateway.counts();
--- a/crates/gateway-net/src/run/downstream.rs
+++ b/crates/gateway-net/src/run/downstream.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: accepted, read, checked, written and closed.
+//! Connections of clients: accepts, reads, checks, writes and closes them.
 
 use super::EventLoop;
 use crate::connection::Connection;
@@ -10,52 +10,57 @@
 use tidespur_gateway::{DownstreamId, Input, PeerCheck};
 use tidespur_net::clock;
 
-/// Pause of the listener after a failed accept, such as for lack of descriptors, in seconds.
+/// Pause after a failed accept, in seconds. Without it the loop would spin while file descriptors are exhausted.
 const ACCEPT_BACKOFF: f64 = 0.02;
-/// A message must be complete this long after its first byte, in seconds. Guards against clients that send a part and
-/// stay: the platform allows 3 s from the connection on until they are closed. A client that needs longer for one message
-/// is closed too.
+/// A message must be complete this long after its first byte, in seconds. Guards against clients that send an
+/// incomplete message and keep the connection open: the platform requires that they are closed within 3 s after they
+/// connect. It also closes clients that need longer than this to send one message.
 const PARTIAL_MESSAGE_TIMEOUT: f64 = 2.5;
-/// The first message, once begun, must be complete this long after the connection was opened, in seconds.
+/// The first message, once its first byte was read, must be complete this long after the connection was opened, in
+/// seconds.
 const FIRST_MESSAGE_TIMEOUT: f64 = 2.6;
-/// Bytes that a check reads at most.
+/// Maximum number of bytes that one check reads.
 const MAX_CHECK_BYTES: usize = 4 * READ_BUFFER_BYTES;
-/// A check reads no more from a client with this many requests in the queue.
+/// A check stops reading from a client that has this many requests in the queue.
 const MAX_QUEUED_REQUESTS: usize = 256;
-/// A connection that was half-closed here is read for at most this long, until its peer closes it too, in seconds.
+/// A half-closed connection is read for at most this long if its peer does not close it, in seconds.
 const LINGER_TIMEOUT: f64 = 1.0;
 
-/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadOutcome {
+    /// So many bytes were read.
     Bytes(usize),
+    /// There is nothing to read now.
     Empty,
+    /// The end of the stream or an error was read.
     Ended,
 }
 
 impl EventLoop {
-    pub(super) async fn listen(self: Rc<Self>) {
+    /// Accepts connections until the gateway stops listening.
+    pub(super) async fn accept_clients(self: Rc<Self>) {
         loop {
             let Some(listener) = self.listener.borrow().clone() else {
                 return;
             };
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    let sequence = self.accept_client(stream, from);
-                    // Other connections have their turn after each one that is accepted, also in a flood of them.
-                    while !self.queue.borrow().are_completions_taken(sequence) {
+                    let step = self.accept_client(stream, from);
+                    // The queue is handled between two accepts, so that a flood of new connections does not delay the
+                    // open ones.
+                    while !self.queue.borrow().are_completions_taken(step) {
                         futures_lite::future::yield_now().await;
                     }
                 }
                 Err(error) => {
-                    tracing::warn!(scheduler = self.name, %error, "accept");
+                    tracing::warn!(scheduler = self.name, %error, "accept failed");
                     clock::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Accepts the connections that wait, and then no more.
+    /// Accepts the connections in the listener's backlog and closes the listener.
     pub(super) fn stop_listening(self: &Rc<Self>) {
         let Some(listener) = self.listener.borrow_mut().take() else {
             return;
@@ -63,37 +68,38 @@
         while let Ok((stream, from)) = listener.get_ref().accept() {
             match Async::new(stream) {
                 Ok(stream) => drop(self.accept_client(stream, from)),
-                Err(error) => tracing::warn!(scheduler = self.name, %error, "accept"),
+                Err(error) => tracing::warn!(scheduler = self.name, %error, "accept failed"),
             }
         }
-        // Cancels the task that listens, which holds the listener too.
-        self.listening.borrow_mut().take();
+        // Cancels the task that accepts connections, which also holds the listener.
+        self.accept_task.borrow_mut().take();
     }
 
     fn accept_client(self: &Rc<Self>, stream: Async<TcpStream>, from: SocketAddr) -> StepNumber {
-        let client = DownstreamId(self.next_client.replace(self.next_client.get() + 1));
+        let client = DownstreamId(self.next_client_id.replace(self.next_client_id.get() + 1));
         let connection = Connection::new(stream);
         self.downstreams
             .borrow_mut()
             .insert(client, connection.clone());
-        let sequence = self.enqueue(Input::DownstreamOpened(client, from.ip()));
-        self.spawn(self.clone().serve(client, connection));
-        sequence
+        let step = self.enqueue(Input::DownstreamOpened(client, from.ip()));
+        self.spawn(self.clone().serve_client(client, connection));
+        step
     }
 
-    async fn serve(self: Rc<Self>, client: DownstreamId, connection: Rc<Connection>) {
+    /// Reads a client's messages until its connection ends, or an incomplete message times out.
+    async fn serve_client(self: Rc<Self>, client: DownstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
-            let first = if connection.has_sent_message.get() {
+            let first_message_deadline = if connection.has_sent_message.get() {
                 f64::INFINITY
             } else {
                 connection.opened_at + FIRST_MESSAGE_TIMEOUT
             };
-            let half = connection
+            let deadline = connection
                 .partial_since
                 .get()
-                .map(|since| (since + PARTIAL_MESSAGE_TIMEOUT).min(first));
-            let patience = half.map_or(f64::INFINITY, |until| until - clock::now());
-            let ready = clock::timeout(patience, connection.socket.readable()).await;
+                .map(|since| (since + PARTIAL_MESSAGE_TIMEOUT).min(first_message_deadline));
+            let timeout = deadline.map_or(f64::INFINITY, |deadline| deadline - clock::now());
+            let ready = clock::timeout(timeout, connection.socket.readable()).await;
             if connection.ended.get() {
                 return;
             }
@@ -101,15 +107,15 @@
                 tracing::debug!(
                     scheduler = self.name,
                     ?client,
-                    "half a message, and no more"
+                    "incomplete message timed out"
                 );
                 connection.ended.set(true);
                 self.enqueue(Input::DownstreamMalformed(client));
                 return;
             }
             if let ReadOutcome::Bytes(_) = self.read_client(client, &connection) {
-                // No more is read until these inputs were handled, so that a flood waits in its own socket; only a check
-                // reads on.
+                // Nothing more is read until these inputs were handled, so that a flood of requests stays in the
+                // client's own socket buffer. Only a check reads further.
                 while !self
                     .queue
                     .borrow()
@@ -123,7 +129,7 @@
 
     /// Reads once, and adds the complete messages to the queue.
     fn read_client(&self, client: DownstreamId, connection: &Connection) -> ReadOutcome {
-        let read = match connection.socket.try_read(&self.buffer) {
+        let read = match connection.socket.try_read(&self.read_buffer) {
             Ok(None) => return ReadOutcome::Empty,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
@@ -134,8 +140,9 @@
             Ok(Some(read)) => read,
         };
         let mut decoder = connection.decoder.borrow_mut();
-        let said = |message| Input::DownstreamMessage(client, message);
-        let inputs = self.decode(&mut decoder, read, said, Input::DownstreamMalformed(client));
+        let to_input = |message| Input::DownstreamMessage(client, message);
+        let malformed = Input::DownstreamMalformed(client);
+        let inputs = self.decode(&mut decoder, read, to_input, malformed);
         let partial_since = if !decoder.has_partial_message() {
             None
         } else if inputs.is_empty() {
@@ -159,7 +166,7 @@
         ReadOutcome::Bytes(read)
     }
 
-    /// Reads what a client has sent by now, within bounds.
+    /// Reads what a client has sent so far, within [`MAX_CHECK_BYTES`] and [`MAX_QUEUED_REQUESTS`].
     pub(super) fn check_client(&self, client: DownstreamId) -> PeerCheck {
         let connection = self.downstreams.borrow().get(&client).cloned();
         let mut read = 0;
@@ -177,9 +184,10 @@
                 ReadOutcome::Empty | ReadOutcome::Ended => break,
             }
         }
-        let half = connection.is_some_and(|connection| connection.partial_since.get().is_some());
+        let has_partial_message =
+            connection.is_some_and(|connection| connection.partial_since.get().is_some());
         match self.queue.borrow().waiting_requests(client) {
-            0 if half => PeerCheck::PartialMessage,
+            0 if has_partial_message => PeerCheck::PartialMessage,
             0 => PeerCheck::Idle,
             _ => PeerCheck::Queued,
         }
@@ -188,25 +196,27 @@
     /// Writes to a client; returns an input if the client can't be reached any more.
     pub(super) fn write_client(&self, client: DownstreamId, bytes: &[u8]) -> Option<Input> {
         let connection = self.downstreams.borrow().get(&client).cloned()?;
-        let (wrote, drain) = connection.socket.write(bytes);
-        if drain {
+        let (outcome, must_drain) = connection.socket.write(bytes);
+        if must_drain {
             let socket = connection.socket.clone();
             self.spawn(async move { drop(socket.drain().await) });
         }
-        if wrote == WriteOutcome::Accepted || connection.ended.get() {
+        if outcome == WriteOutcome::Accepted || connection.ended.get() {
             return None;
         }
-        // What the client has sent before is still read, to its end.
+        // Bytes that the client sent before are still read, up to the end of the stream.
         connection.socket.close();
         Some(Input::DownstreamPeerClosed(client))
     }
 
-    /// Forgets a connection that has ended; returns whether it was known.
+    /// Removes a connection that has ended; returns false if it was removed before.
     pub(super) fn remove_client(&self, client: DownstreamId) -> bool {
         self.downstreams.borrow_mut().remove(&client).is_some()
     }
 
-    /// Half-closes a connection, and reads it until its client closes it too, so that no reset destroys what was sent.
+    /// Half-closes a connection, and reads it until its client closes it too: closing a socket with unread bytes resets
+    /// the connection, and the client may lose what was sent to it. Closes the oldest one at once if too many are
+    /// half-closed.
     pub(super) fn close_client(self: &Rc<Self>, client: DownstreamId) {
         let Some(connection) = self.downstreams.borrow_mut().remove(&client) else {
             return;
@@ -217,13 +227,13 @@
         let mut closing = self.closing.borrow_mut();
         closing.push_back(socket.clone());
         if closing.len() > self.max_closing
-            && let Some(first) = closing.pop_front()
+            && let Some(oldest) = closing.pop_front()
         {
-            first.close();
+            oldest.close();
         }
         let this = self.clone();
         self.spawn(async move {
-            clock::timeout(LINGER_TIMEOUT, socket.discard(&this.buffer)).await;
+            clock::timeout(LINGER_TIMEOUT, socket.discard(&this.read_buffer)).await;
             socket.close();
             this.closing
                 .borrow_mut()
--- a/crates/gateway-net/src/run/step.rs
+++ b/crates/gateway-net/src/run/step.rs
@@ -1,4 +1,4 @@
-//! One step of the event loop: inputs go to the gateway, and its outputs are carried out.
+//! One step of the event loop: passes inputs to the gateway and executes its outputs.
 
 use super::EventLoop;
 use std::rc::Rc;
@@ -8,17 +8,17 @@
 use tidespur_net::clock;
 
 impl EventLoop {
-    pub(super) fn step(self: &Rc<Self>, inputs: Vec<Input>) {
-        let mut inputs = inputs;
+    /// Passes inputs to the gateway and executes its outputs, until they result in no further inputs.
+    pub(super) fn step(self: &Rc<Self>, mut inputs: Vec<Input>) {
         while !inputs.is_empty() {
-            // The gateway knows of connections that were closed here meanwhile.
+            // Connections that were closed here before are skipped: the gateway knows of their ends.
             inputs.retain(|input| match input {
                 Input::DownstreamClosed(client) => self.remove_client(*client),
                 Input::UpstreamEnded(upstream) => self.close_upstream(*upstream),
                 _ => true,
             });
-            let mut out = Vec::new();
-            let before = self.gateway.borrow().next_wake();
+            let mut outputs = Vec::new();
+            let previous_wake = self.gateway.borrow().next_wake();
             for input in &inputs {
                 match input {
                     Input::DownstreamMessage(..) | Input::UpstreamMessage(..) => {
@@ -30,11 +30,11 @@
             }
             self.gateway
                 .borrow_mut()
-                .step(clock::now(), std::mem::take(&mut inputs), &mut out);
-            if self.gateway.borrow().next_wake() < before {
+                .step(clock::now(), std::mem::take(&mut inputs), &mut outputs);
+            if self.gateway.borrow().next_wake() < previous_wake {
                 self.wake.add_permits(1);
             }
-            for output in out {
+            for output in outputs {
                 match &output {
                     Output::CloseDownstream(_)
                     | Output::Upstream(
@@ -44,57 +44,59 @@
                     }
                     _ => tracing::trace!(?output),
                 }
-                self.apply_output(output, &mut inputs);
+                self.execute_output(output, &mut inputs);
             }
         }
     }
 
-    fn apply_output(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
+    /// Executes an output, and adds the inputs that result at once.
+    fn execute_output(self: &Rc<Self>, output: Output, inputs: &mut Vec<Input>) {
         match output {
             Output::WriteDownstream(client, bytes) => {
                 inputs.extend(self.write_client(client, &bytes))
             }
             Output::CloseDownstream(client) => self.close_client(client),
             Output::CheckDownstream(client) => {
-                let seen = self.check_client(client);
-                self.answer_after_completions(inputs, Input::DownstreamChecked(client, seen));
+                let check = self.check_client(client);
+                self.push_after_completions(inputs, Input::DownstreamChecked(client, check));
             }
             Output::Upstream(PoolAction::CheckPeer(upstream)) => {
                 self.check_upstream(upstream);
-                self.answer_after_completions(inputs, Input::UpstreamChecked(upstream));
+                self.push_after_completions(inputs, Input::UpstreamChecked(upstream));
             }
-            Output::Upstream(action) => inputs.extend(self.on_upstream(action)),
+            Output::Upstream(action) => inputs.extend(self.execute_pool_action(action)),
             Output::Log(line) => tracing::info!(scheduler = self.name, "{line}"),
             Output::StopListening => {
                 self.stop_listening();
-                self.answer_after_completions(inputs, Input::ListeningStopped);
+                self.push_after_completions(inputs, Input::ListeningStopped);
             }
-            Output::Exit(within) => {
-                self.exit_within.set(Some(within));
+            Output::Exit(flush_timeout) => {
+                self.flush_timeout.set(Some(flush_timeout));
                 self.wake.add_permits(1);
             }
         }
     }
 
-    /// Answers an output, after the completions that have arrived until now.
-    fn answer_after_completions(&self, inputs: &mut Vec<Input>, answer: Input) {
+    /// Adds the completions that have arrived so far, and then the input that answers an output.
+    fn push_after_completions(&self, inputs: &mut Vec<Input>, answer: Input) {
         inputs.extend(self.queue.borrow_mut().take_completions());
         inputs.push(answer);
     }
 
-    /// Decodes the bytes that were read last into inputs.
+    /// Decodes the first `read` bytes of the read buffer. Returns an input for each complete message, and `malformed`
+    /// at the first message that can't be decoded.
     pub(super) fn decode(
         &self,
         decoder: &mut Decoder,
         read: usize,
-        said: impl Fn(Message) -> Input,
+        to_input: impl Fn(Message) -> Input,
         malformed: Input,
     ) -> Vec<Input> {
-        decoder.feed(&self.buffer.borrow()[..read]);
+        decoder.feed(&self.read_buffer.borrow()[..read]);
         let mut inputs = Vec::new();
         loop {
             match decoder.next_message() {
-                Ok(Some(message)) => inputs.push(said(message)),
+                Ok(Some(message)) => inputs.push(to_input(message)),
                 Ok(None) => return inputs,
                 Err(error) => {
                     tracing::debug!(scheduler = self.name, %error, ?malformed);
--- a/crates/gateway-net/src/run/upstream.rs
+++ b/crates/gateway-net/src/run/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to machines: dialled, written, read, checked and closed.
+//! Connections to machines: dials, writes, reads, checks and closes them.
 
 use super::EventLoop;
 use crate::connection::Connection;
@@ -11,19 +11,19 @@
 use tidespur_gateway::pool::PoolAction;
 use tidespur_gateway::{Input, UpstreamId};
 
-/// Reads of one check at most: machines send little at a time.
+/// Maximum number of reads in one check. Machines send little at a time.
 const MAX_CHECK_READS: usize = 4;
 
 /// A connection to a machine.
 pub(super) enum Upstream {
-    /// Being dialled by this task, which is cancelled with the entry, so that it holds no descriptor.
+    /// Being dialled by this task. Removing the entry cancels the task, which frees its file descriptor.
     Dialling(Task<()>),
     Open(Rc<Connection>),
 }
 
 impl EventLoop {
-    /// Carries out what is to be done with a connection to a machine.
-    pub(super) fn on_upstream(self: &Rc<Self>, action: PoolAction) -> Option<Input> {
+    /// Executes an action on a connection to a machine; returns the input that results at once, if any.
+    pub(super) fn execute_pool_action(self: &Rc<Self>, action: PoolAction) -> Option<Input> {
         match action {
             PoolAction::Dial(upstream, address) => {
                 let dial = self.executor.spawn(self.clone().dial(upstream, address));
@@ -33,23 +33,23 @@
                 None
             }
             PoolAction::Write(upstream, bytes) => {
-                // The connection may have ended without the gateway's knowledge.
+                // The connection may have ended, and the gateway has not handled that input yet.
                 let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, None));
                 };
-                let wrote = socket.write(&bytes);
-                self.handle_write(upstream, None, socket, wrote)
+                let result = socket.write(&bytes);
+                self.handle_write(upstream, None, socket, result)
             }
             PoolAction::Offer(upstream, id, bytes) => {
                 let Some(socket) = self.open_socket(upstream) else {
                     return Some(Input::UpstreamWriteFailed(upstream, Some(id)));
                 };
-                let wrote = socket.try_write(&bytes);
-                if wrote.0 == WriteOutcome::Blocked {
-                    let _ = self.handle_write(upstream, Some(id), socket, wrote);
+                let result = socket.try_write(&bytes);
+                if result.0 == WriteOutcome::Blocked {
+                    let _ = self.handle_write(upstream, Some(id), socket, result);
                     return Some(Input::UpstreamBlocked(upstream, id, bytes));
                 }
-                self.handle_write(upstream, Some(id), socket, wrote)
+                self.handle_write(upstream, Some(id), socket, result)
             }
             PoolAction::HalfClose(upstream) => {
                 self.open_socket(upstream)?.half_close();
@@ -64,15 +64,16 @@
         }
     }
 
-    /// Handles the outcome of writing the offer `offer`, or another message, and starts to drain what is unsent.
+    /// Handles the outcome of writing the offer `offer`, or another message if `None`, and starts a task that drains
+    /// the unsent bytes where one is needed.
     fn handle_write(
         self: &Rc<Self>,
         upstream: UpstreamId,
         offer: Option<RequestId>,
         socket: Rc<Socket>,
-        (wrote, drain): (WriteOutcome, bool),
+        (outcome, must_drain): (WriteOutcome, bool),
     ) -> Option<Input> {
-        if drain {
+        if must_drain {
             let this = self.clone();
             self.spawn(async move {
                 if socket.drain().await.is_ok() {
@@ -80,7 +81,7 @@
                 }
             });
         }
-        match (wrote, offer) {
+        match (outcome, offer) {
             (WriteOutcome::PartiallyWritten, Some(id)) => {
                 Some(Input::UpstreamPartiallyWritten(upstream, id))
             }
@@ -88,7 +89,7 @@
                 WriteOutcome::Accepted | WriteOutcome::Blocked | WriteOutcome::PartiallyWritten,
                 _,
             ) => None,
-            // The machine may have written something before it ended the connection: it is read on.
+            // The connection is still read: the machine may have sent messages before it closed it.
             (WriteOutcome::NotWritten, offer) => Some(Input::UpstreamWriteFailed(upstream, offer)),
             (WriteOutcome::Failed, _) => self
                 .close_upstream(upstream)
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The connection to a machine, where it is open.
+    /// The socket of a connection to a machine; `None` while it is dialled and after it has ended.
     fn open_socket(&self, upstream: UpstreamId) -> Option<Rc<Socket>> {
         match self.upstreams.borrow().get(&upstream) {
             Some(Upstream::Open(connection)) => Some(connection.socket.clone()),
@@ -104,10 +105,11 @@
         }
     }
 
+    /// Closes a connection or cancels its dial; returns false if it has ended before.
     pub(super) fn close_upstream(&self, upstream: UpstreamId) -> bool {
         match self.upstreams.borrow_mut().remove(&upstream) {
             Some(Upstream::Open(connection)) => connection.socket.close(),
-            // The dial ends here, and its descriptor is free again.
+            // Cancels the dial and frees its file descriptor.
             Some(Upstream::Dialling(dial)) => drop(dial),
             None => return false,
         }
@@ -125,17 +127,18 @@
             })
     }
 
+    /// Connects to a machine, and then reads the connection until it ends.
     async fn dial(self: Rc<Self>, upstream: UpstreamId, address: String) {
-        let made = match address.parse::<SocketAddr>() {
+        let result = match address.parse::<SocketAddr>() {
             Ok(address) => Async::<TcpStream>::connect(address).await,
             Err(e) => Err(std::io::Error::new(std::io::ErrorKind::InvalidInput, e)),
         };
-        // The task reads the connection from here on, and is not cancelled with the dial any more.
+        // From here on the task reads the connection; closing the connection no longer cancels it.
         match self.upstreams.borrow_mut().remove(&upstream) {
             Some(Upstream::Dialling(dial)) => dial.detach(),
             _ => return,
         }
-        let connection = match made {
+        let connection = match result {
             Ok(stream) => Connection::new(stream),
             Err(error) => {
                 let refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
@@ -156,20 +159,20 @@
 
     async fn read_upstream(self: &Rc<Self>, upstream: UpstreamId, connection: Rc<Connection>) {
         while !connection.ended.get() {
-            // The read returns the error.
+            // An error is returned again by the read.
             let _ = connection.socket.readable().await;
             if connection.ended.get() || !self.upstreams.borrow().contains_key(&upstream) {
                 return;
             }
             self.read_upstream_once(upstream, &connection);
-            // The next step, with these completions, comes before this task is polled again.
+            // The next step handles these completions before this task is polled again.
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Reads once, and adds the complete messages to the queue; returns whether there was something to read.
+    /// Reads once, and adds the complete messages to the queue; returns false if there was nothing to read.
     fn read_upstream_once(&self, upstream: UpstreamId, connection: &Connection) -> bool {
-        let read = match connection.socket.try_read(&self.buffer) {
+        let read = match connection.socket.try_read(&self.read_buffer) {
             Ok(None) => return false,
             Ok(Some(0)) | Err(_) => {
                 connection.ended.set(true);
@@ -178,9 +181,10 @@
             }
             Ok(Some(read)) => read,
         };
-        let said = |message| Input::UpstreamMessage(upstream, message);
+        let to_input = |message| Input::UpstreamMessage(upstream, message);
+        let malformed = Input::UpstreamMalformed(upstream);
         let mut decoder = connection.decoder.borrow_mut();
-        for input in self.decode(&mut decoder, read, said, Input::UpstreamMalformed(upstream)) {
+        for input in self.decode(&mut decoder, read, to_input, malformed) {
             connection
                 .ended
                 .set(matches!(input, Input::UpstreamMalformed(_)));
@@ -189,7 +193,7 @@
         true
     }
 
-    /// Reads what a machine has sent by now, as far as [`MAX_CHECK_READS`] go.
+    /// Reads what a machine has sent so far, with at most [`MAX_CHECK_READS`] reads.
     pub(super) fn check_upstream(&self, upstream: UpstreamId) {
         let connection = match self.upstreams.borrow().get(&upstream) {
             Some(Upstream::Open(connection)) => connection.clone(),
