--- a/crates/gateway-net/src/connection.rs
+++ b/crates/gateway-net/src/connection.rs
@@ -22,8 +22,8 @@
     pub opened_at: f64,
     /// Whether the peer has sent a complete message.
     pub has_sent_message: Cell<bool>,
-    /// Set once the end of the stream, an error or malformed bytes were read, or the connection is closed here; nothing
-    /// more is read then.
+    /// Set once nothing more is to be read: the end of the stream, an error or malformed bytes were read, or the gateway
+    /// has closed a client's connection.
     pub ended: Cell<bool>,
     /// Step of the input queue before which the last message was added; set for clients only.
     pub last_input: Cell<StepNumber>,
