--- a/crates/load-shedding/tests/load_shedder.rs
+++ b/crates/load-shedding/tests/load_shedder.rs
@@ -1,42 +1,43 @@
-//! The load shedder on a loop with a modelled speed, under more work than the loop can do, and after that.
+//! The load shedder on a simulated event loop with a fixed capacity: below capacity, under overload, and after it.
 
 use tidespur_load_shedding::LoadShedder;
 
-/// Latency objective of the modelled loop, in seconds.
+/// Latency objective of the simulated loop, in seconds.
 const LATENCY_OBJECTIVE: f64 = 0.5;
-/// Steps of a second of the model.
+/// Simulation steps per second.
 const STEPS_PER_SECOND: u32 = 100;
 
-/// What a second of the model looked like.
-struct Second {
-    /// Lag at its end, in seconds.
+/// Result of one simulated second.
+struct Sample {
+    /// Lag at the end of the second, in seconds.
     lag: f64,
     shed_fraction: f64,
-    /// Pieces of work that were rejected, of weight 1 and of weight 5.
+    /// Rejected work items of weight 1 and of weight 5.
     rejected: [u32; 2],
 }
 
-impl Second {
+impl Sample {
     fn rejected_nothing(&self) -> bool {
         self.rejected == [0, 0]
     }
 }
 
-/// Plays `rate(t)` pieces of work a second, of weight 1 and 5 by turns, to a loop that does `speed` pieces a second and
-/// rejects those that the shedder does not admit.
-fn play(rate: impl Fn(f64) -> f64, speed: f64, seconds: u32) -> Vec<Second> {
+/// Simulates a loop that processes `capacity` work items per second, and to which `rate(t)` work items per second
+/// arrive, alternately of weight 1 and 5. The loop rejects what the shedder does not admit.
+fn simulate(rate: impl Fn(f64) -> f64, capacity: f64, seconds: u32) -> Vec<Sample> {
     let mut shedder = LoadShedder::new(LATENCY_OBJECTIVE, vec![1.0, 5.0]);
     let mut queue = 0.0_f64;
-    let mut due = 0.0;
+    // Work items that have arrived and were not offered to the shedder yet; fractional.
+    let mut arrivals = 0.0;
     let mut count = 0_usize;
-    let mut played = Vec::new();
+    let mut samples = Vec::new();
     for second in 0..seconds {
         let mut rejected = [0, 0];
         for step in 0..STEPS_PER_SECOND {
             let now = f64::from(second) + f64::from(step) / f64::from(STEPS_PER_SECOND);
-            due += rate(now) / f64::from(STEPS_PER_SECOND);
-            while due >= 1.0 {
-                due -= 1.0;
+            arrivals += rate(now) / f64::from(STEPS_PER_SECOND);
+            while arrivals >= 1.0 {
+                arrivals -= 1.0;
                 count += 1;
                 let class = count % 2;
                 if shedder.admit(class) {
@@ -45,26 +46,26 @@
                     rejected[class] += 1;
                 }
             }
-            queue = (queue - speed / f64::from(STEPS_PER_SECOND)).max(0.0);
-            shedder.observe_lag(now, queue / speed);
+            queue = (queue - capacity / f64::from(STEPS_PER_SECOND)).max(0.0);
+            shedder.observe_lag(now, queue / capacity);
         }
-        played.push(Second {
-            lag: queue / speed,
+        samples.push(Sample {
+            lag: queue / capacity,
             shed_fraction: shedder.shed_fraction(),
             rejected,
         });
     }
-    played
+    samples
 }
 
 #[test]
 fn nothing_is_shed_when_the_loop_keeps_up() {
-    let played = play(|_| 90.0, 100.0, 30);
-    assert!(played.iter().all(Second::rejected_nothing));
+    let samples = simulate(|_| 90.0, 100.0, 30);
+    assert!(samples.iter().all(Sample::rejected_nothing));
 }
 
 #[test]
-fn nothing_is_shed_when_a_burst_is_worked_off_within_a_window() {
+fn nothing_is_shed_when_a_burst_is_processed_within_a_window() {
     let burst = |t: f64| {
         if (3.0..3.05).contains(&t) {
             400.0
@@ -72,36 +73,36 @@
             50.0
         }
     };
-    let played = play(burst, 100.0, 10);
-    assert!(played.iter().all(Second::rejected_nothing));
+    let samples = simulate(burst, 100.0, 10);
+    assert!(samples.iter().all(Sample::rejected_nothing));
 }
 
 #[test]
-fn lag_stays_bounded_and_light_work_goes_first_under_twice_the_loops_speed() {
-    let played = play(|_| 200.0, 100.0, 60);
-    for (number, second) in played.iter().enumerate().skip(20) {
-        let (lag, rejected) = (second.lag, second.rejected);
-        assert!(lag < 1.5, "{lag} s of lag after {number} s");
+fn lag_is_bounded_and_low_weight_work_is_shed_first_when_twice_the_capacity_arrives() {
+    let samples = simulate(|_| 200.0, 100.0, 60);
+    for (second, sample) in samples.iter().enumerate().skip(20) {
+        let (lag, rejected) = (sample.lag, sample.rejected);
+        assert!(lag < 1.5, "{lag} s of lag after {second} s");
         assert!(
             rejected[0] > 3 * rejected[1],
-            "second {number}: {rejected:?}"
+            "second {second}: {rejected:?}"
         );
     }
-    // It does not oscillate: the shed fraction stays within a band.
-    let fractions = played.iter().skip(20).map(|second| second.shed_fraction);
-    let least = fractions.clone().fold(1.0_f64, f64::min);
-    let most = fractions.fold(0.0_f64, f64::max);
-    assert!(most - least <= 0.5, "from {least} to {most}");
+    // The shed fraction must not oscillate.
+    let fractions = samples.iter().skip(20).map(|sample| sample.shed_fraction);
+    let min = fractions.clone().fold(1.0_f64, f64::min);
+    let max = fractions.fold(0.0_f64, f64::max);
+    assert!(max - min <= 0.5, "from {min} to {max}");
 }
 
 #[test]
-fn everything_is_admitted_again_once_the_overload_is_over() {
-    let played = play(|t| if t < 10.0 { 300.0 } else { 50.0 }, 100.0, 30);
-    assert!(played[9].shed_fraction > 0.5);
-    let recovered = played.iter().skip(20);
+fn everything_is_admitted_when_the_overload_has_ended() {
+    let samples = simulate(|t| if t < 10.0 { 300.0 } else { 50.0 }, 100.0, 30);
+    assert!(samples[9].shed_fraction > 0.5);
+    let recovered = samples.iter().skip(20);
     assert!(
         recovered
             .into_iter()
-            .all(|second| second.rejected_nothing() && second.shed_fraction == 0.0)
+            .all(|sample| sample.rejected_nothing() && sample.shed_fraction == 0.0)
     );
 }
