--- a/crates/daemon/src/batch.rs
+++ b/crates/daemon/src/batch.rs
@@ -1,13 +1,13 @@
-//! Receiving inputs of a state machine in batches.
+//! Receiving the inputs of an event loop in batches.
 
 use async_channel::Receiver;
 use tidespur_net::clock;
 use tidespur_units::Seconds;
 
-/// Waits for an input, for progress of the disk, or for `timeout` to elapse, whichever is first, and returns all inputs
-/// that are waiting then, `max` at most. The batch is empty after progress of the disk alone, and after the timeout.
+/// Waits until an input arrives, the disk reports progress, or `timeout` elapses, whichever comes first, and returns
+/// the queued inputs, at most `max`. The batch is empty if only the disk made progress or the timeout elapsed.
 ///
-/// Returns `None` once the channel of inputs, or that of the disk's progress, is closed: the loop ends.
+/// Returns `None` once the channel of inputs or that of the disk's progress is closed, which ends the event loop.
 pub async fn receive_batch<T>(
     inputs: &Receiver<T>,
     disk_progress: Option<&Receiver<()>>,
--- a/crates/daemon/src/lag_probe.rs
+++ b/crates/daemon/src/lag_probe.rs
@@ -1,16 +1,16 @@
-//! Measuring how far a loop lags behind its inputs.
+//! Measuring how far an event loop lags behind its inputs.
 
 use async_channel::Sender;
 use tidespur_net::clock;
 use tidespur_units::Seconds;
 
-/// How often an input is sent whose delay is the lag of the loop.
+/// Interval between two lag probes.
 const LAG_PROBE_INTERVAL: Seconds = 0.1;
 
-/// Sends the current time through a loop's channel of inputs again and again, until the channel is closed. The loop
-/// compares it with the time at which it takes the input: the difference is its lag. `input` wraps the time.
-pub async fn send_lag_probes<T>(inputs: Sender<T>, input: impl Fn(Seconds) -> T) {
-    while inputs.send(input(clock::now())).await.is_ok() {
+/// Sends the current time through the input channel of an event loop at a fixed interval, until the channel is closed.
+/// The lag of the loop is the time from then until the loop handles the input. `make_input` wraps the time.
+pub async fn send_lag_probes<T>(inputs: Sender<T>, make_input: impl Fn(Seconds) -> T) {
+    while inputs.send(make_input(clock::now())).await.is_ok() {
         clock::sleep(LAG_PROBE_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the long-running programs share: command-line options, opening their store, receiving inputs in batches,
-//! measuring loop lag, and shutdown. Called by the edge, the planner and the voter's event loop; owns no state and
-//! decides nothing.
+//! Support code of the long-running programs: command-line options, opening the store, receiving inputs in batches,
+//! measuring the lag of an event loop, and shutdown. Used by the edge, the planner and the voter's event loop; owns no
+//! state and makes no decisions.
 
 mod batch;
 mod lag_probe;
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,9 +1,9 @@
-//! Command-line options that edge and planner have in common. The comments of the fields are their help texts.
+//! Command-line options that the edge and the planner share. The doc comments of the fields are the help texts.
 
 use std::path::PathBuf;
 use tidespur_membership_net::JoinOptions;
 
-/// Options that each program accepts.
+/// Options that the edge and the planner accept in addition to their own.
 #[derive(Clone, Debug, clap::Args)]
 pub struct SharedOptions {
     /// Settings (HCL); without it the built-in ones hold
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,9 +1,10 @@
-//! Shutdown of a process that is in no fleet.
+//! Shutdown of a process that is not a member of a fleet.
 
 use tidespur_membership_net::{ShutdownReason, shutdown_signal};
 
-/// Waits for the reason to shut down of a process that has not joined a fleet. One with a store waits for SIGTERM and
-/// then closes it in order; one without a store has nothing to close, so SIGTERM ends it at once as the system does.
+/// Waits until a process that has not joined a fleet is to shut down. With a store it waits for SIGTERM, so that the
+/// store is closed cleanly. Without a store there is nothing to close: no handler is installed, and SIGTERM terminates
+/// the process by its default action.
 pub async fn wait_for_shutdown_without_membership(has_store: bool) -> ShutdownReason {
     if !has_store {
         return std::future::pending().await;
@@ -11,7 +12,7 @@
     match shutdown_signal().await {
         Ok(reason) => reason,
         Err(error) => {
-            tracing::error!(%error, "cannot wait for SIGTERM; shutting down in order now");
+            tracing::error!(%error, "cannot install the SIGTERM handler; shutting down cleanly now");
             ShutdownReason::Signalled
         }
     }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -1,14 +1,14 @@
-//! Opening the store of a process.
+//! Opening the persistent store of a process.
 
 use std::path::Path;
 use tidespur_config::Config;
 use tidespur_persistence::{Disk, Identity, LoadedRecords, PersistenceError, RecordStore};
 
-/// Opens the store of the process `name` beneath the data directory that the command line (`data`) or the settings
-/// name; `None` where neither names one and all state is kept in memory only.
+/// Opens the store of the process `name` beneath the data directory, which is set on the command line (`data`) or in
+/// the settings. Returns `None` if neither sets one: all state is then kept in memory only.
 ///
 /// # Errors
-/// Why the store can't be used, and what an operator can do.
+/// If the store cannot be opened. The message says what an operator can do.
 pub fn open_store(
     config: &Config,
     data: Option<&Path>,
@@ -19,7 +19,7 @@
         tracing::warn!(
             process = name,
             role,
-            "no data directory: all state is lost at the end of the process (see --data)"
+            "no data directory is configured; all state is lost when the process ends (set --data to keep it)"
         );
         return Ok(None);
     };
--- a/crates/daemon/tests/receive_batch.rs
+++ b/crates/daemon/tests/receive_batch.rs
@@ -1,14 +1,14 @@
-//! Batches of inputs: what ends the wait, and what is in a batch.
+//! Receiving batches of inputs: what ends the wait, and which inputs a batch holds.
 
 use async_channel::{Receiver, Sender};
 use tidespur_daemon::receive_batch;
 
-/// Longer than any of these tests may take, in seconds.
-const NEVER: f64 = 1e6;
-const MAX: usize = 4;
+/// Timeout that does not elapse during a test, in seconds.
+const LONG_TIMEOUT: f64 = 1e6;
+const MAX_BATCH: usize = 4;
 
-/// A queue that holds these inputs.
-fn queue(inputs: &[u32]) -> (Sender<u32>, Receiver<u32>) {
+/// A channel that holds these inputs.
+fn channel(inputs: &[u32]) -> (Sender<u32>, Receiver<u32>) {
     let (sender, receiver) = async_channel::unbounded();
     for input in inputs {
         sender.try_send(*input).unwrap();
@@ -17,20 +17,20 @@
 }
 
 #[test]
-fn all_waiting_inputs_are_returned_in_order_when_they_are_fewer_than_the_maximum() {
-    let (_sender, inputs) = queue(&[1, 2, 3]);
+fn all_queued_inputs_are_returned_in_order_when_they_are_fewer_than_the_maximum() {
+    let (_sender, inputs) = channel(&[1, 2, 3]);
 
-    let batch = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
+    let batch = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
 
     assert_eq!(batch, Some(vec![1, 2, 3]));
 }
 
 #[test]
-fn batch_is_bounded_and_the_rest_stays_in_the_queue_when_more_inputs_wait() {
-    let (_sender, inputs) = queue(&[1, 2, 3, 4, 5, 6]);
+fn batch_is_bounded_and_the_rest_stays_queued_when_more_inputs_are_queued() {
+    let (_sender, inputs) = channel(&[1, 2, 3, 4, 5, 6]);
 
-    let first = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
-    let second = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
+    let first = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
+    let second = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
 
     assert_eq!(first, Some(vec![1, 2, 3, 4]));
     assert_eq!(second, Some(vec![5, 6]));
@@ -38,14 +38,14 @@
 
 #[test]
 fn wait_ends_with_an_input_that_is_sent_later() {
-    let (sender, inputs) = queue(&[]);
+    let (sender, inputs) = channel(&[]);
 
     let batch = smol::block_on(async {
         let send = async {
             smol::future::yield_now().await;
             sender.send(7).await.unwrap();
         };
-        let receive = receive_batch(&inputs, None, NEVER, MAX);
+        let receive = receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH);
         smol::future::zip(receive, send).await.0
     });
 
@@ -54,43 +54,56 @@
 
 #[test]
 fn batch_is_empty_when_only_the_disk_has_made_progress() {
-    let (_sender, inputs) = queue(&[]);
+    let (_sender, inputs) = channel(&[]);
     let (progress, disk_progress) = async_channel::bounded(1);
     progress.try_send(()).unwrap();
 
-    let batch = smol::block_on(receive_batch(&inputs, Some(&disk_progress), NEVER, MAX));
+    let batch = smol::block_on(receive_batch(
+        &inputs,
+        Some(&disk_progress),
+        LONG_TIMEOUT,
+        MAX_BATCH,
+    ));
 
     assert_eq!(batch, Some(vec![]));
-    assert!(disk_progress.is_empty(), "the notification was taken");
+    assert!(
+        disk_progress.is_empty(),
+        "the progress notification was not consumed"
+    );
 }
 
 #[test]
 fn batch_is_empty_when_the_timeout_elapses() {
-    let (_sender, inputs) = queue(&[]);
+    let (_sender, inputs) = channel(&[]);
     let (_progress, disk_progress) = async_channel::bounded(1);
 
-    let batch = smol::block_on(receive_batch(&inputs, Some(&disk_progress), 1e-3, MAX));
+    let batch = smol::block_on(receive_batch(
+        &inputs,
+        Some(&disk_progress),
+        1e-3,
+        MAX_BATCH,
+    ));
 
     assert_eq!(batch, Some(vec![]));
 }
 
 #[test]
 fn batch_is_none_when_the_channel_of_inputs_is_closed() {
-    let (sender, inputs) = queue(&[]);
+    let (sender, inputs) = channel(&[]);
     drop(sender);
 
-    let batch = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
+    let batch = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
 
     assert_eq!(batch, None);
 }
 
 #[test]
-fn inputs_that_wait_are_returned_first_when_their_channel_is_closed() {
-    let (sender, inputs) = queue(&[1, 2]);
+fn queued_inputs_are_returned_before_none_when_their_channel_is_closed() {
+    let (sender, inputs) = channel(&[1, 2]);
     drop(sender);
 
-    let batch = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
-    let end = smol::block_on(receive_batch(&inputs, None, NEVER, MAX));
+    let batch = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
+    let end = smol::block_on(receive_batch(&inputs, None, LONG_TIMEOUT, MAX_BATCH));
 
     assert_eq!(batch, Some(vec![1, 2]));
     assert_eq!(end, None);
@@ -98,11 +111,16 @@
 
 #[test]
 fn batch_is_none_when_the_channel_of_the_disks_progress_is_closed() {
-    let (_sender, inputs) = queue(&[]);
+    let (_sender, inputs) = channel(&[]);
     let (progress, disk_progress) = async_channel::bounded::<()>(1);
     drop(progress);
 
-    let batch = smol::block_on(receive_batch(&inputs, Some(&disk_progress), NEVER, MAX));
+    let batch = smol::block_on(receive_batch(
+        &inputs,
+        Some(&disk_progress),
+        LONG_TIMEOUT,
+        MAX_BATCH,
+    ));
 
     assert_eq!(batch, None);
 }
