--- a/crates/edge/src/dispatcher.rs
+++ b/crates/edge/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! The dispatcher: which planner has an open task, and what the task's one answer is. A state machine without I/O, owned
-//! by the edge's core.
+//! The dispatcher: assigns each open task to a planner and determines its answer. A state machine without I/O, owned by
+//! the edge's core.
 //!
-//! It guarantees that each task gets exactly one answer before its owner gives up, also where a planner is lost, hangs
-//! or answers late, and that a task is with at most one planner at a time.
+//! It guarantees that each task gets exactly one answer before its owner gives up, even if a planner is lost, hangs or
+//! answers late, and that at most one planner has a task at any time.
 
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_api::task::PlacementRequest;
@@ -18,23 +18,23 @@
 use locate::LocateQuery;
 pub use messages::{Action, Event, Settings};
 
-/// Identifies the connection to a planner.
+/// Identifies the connection to a planner. A planner that reconnects gets a new one.
 pub type PlannerId = u64;
 
-/// How long planners that connect are told to stop a task that was to be stopped, in seconds.
+/// How long a request to stop a task is kept and sent to planners that connect, in seconds.
 const STOP_REQUEST_RETENTION: f64 = 120.0;
 
-/// State of a task.
+/// State of a task. An offered task returns to the queue if its planner does not acknowledge it or is lost.
 #[derive(Clone, Debug, PartialEq)]
 enum TaskState {
-    /// No planner has it.
+    /// No planner has the task.
     Queued,
-    /// It was sent to this planner, at that time. The planner may not offer it to nodes before it gets the commit, so it
-    /// can be taken back, and it is certain that it never ran.
+    /// The task was sent to this planner at time `at`. The planner must not offer it to nodes before it gets the
+    /// commit, so the task can be withdrawn and certainly has not run.
     Offered { planner: PlannerId, at: f64 },
-    /// This planner has acknowledged it and got the commit; its answer is due.
+    /// This planner has acknowledged the task and got the commit; its answer is due.
     Assigned { planner: PlannerId },
-    /// A node has accepted it. This planner reports on it, or none for now.
+    /// A node has accepted the task. `planner` reports its progress; `None` while no planner is connected.
     Placed {
         planner: Option<PlannerId>,
         node: String,
@@ -52,22 +52,22 @@
 #[derive(Debug, Default)]
 struct Planner {
     open_tasks: usize,
-    /// It did not acknowledge a task in time and has sent nothing since.
+    /// It did not acknowledge a task in time and has not sent a message since.
     is_unresponsive: bool,
 }
 
-/// Assigns open tasks to planners and keeps track of their answers.
+/// Assigns open tasks to planners and ensures that each gets one answer.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: Settings,
     tasks: BTreeMap<String, Task>,
-    /// Uids of tasks that no planner has, in order of arrival.
+    /// Uids of tasks that no planner has: withdrawn ones first, then in order of arrival.
     queue: VecDeque<String>,
     planners: BTreeMap<PlannerId, Planner>,
     locate_queries: BTreeMap<String, LocateQuery>,
-    /// Tasks of which nothing may run any more, and until when planners that connect are told so.
+    /// Uids of tasks that must not run any more, and until when planners that connect are asked to stop them.
     stop_requests: BTreeMap<String, f64>,
-    /// Unanswered tasks.
+    /// Number of tasks without an answer.
     open_tasks: usize,
 }
 
@@ -95,14 +95,15 @@
         self.planners.len()
     }
 
-    /// Whether this planner has the task and may offer it to nodes.
+    /// Whether this planner has got the commit for the task and has not answered yet.
     pub fn is_assigned_to(&self, uid: &str, planner: PlannerId) -> bool {
         self.tasks
             .get(uid)
             .is_some_and(|task| task.state == TaskState::Assigned { planner })
     }
 
-    /// Tasks that no planner has acknowledged, and why. A task that was sent to a planner just now is not among them.
+    /// Tasks that no planner has acknowledged, and why. Omits a task that was sent to a planner less than half the
+    /// acknowledgement timeout ago.
     pub fn unassigned_tasks(&self, now: f64) -> impl Iterator<Item = (&str, ReasonCode)> {
         let is_unresponsive = |planner: &Planner| planner.is_unresponsive;
         let queued_reason = if self.planners.is_empty() {
@@ -123,10 +124,10 @@
         })
     }
 
-    /// Observes `events`, all of time `now` (seconds since 1970), and appends the actions that follow.
+    /// Handles `events`, which occurred at `now` (seconds since 1970), and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: f64, events: Vec<Event>, actions: &mut Vec<Action>) {
         for event in events {
-            self.observe(now, event, actions);
+            self.handle(now, event, actions);
         }
         self.answer_expired_tasks(now, actions);
         self.offer_queued_tasks(now, actions);
@@ -134,14 +135,14 @@
         self.stop_requests.retain(|_, until| now < *until);
     }
 
-    /// When to step next though no event occurs, in seconds since 1970.
+    /// When the next step is due even without an event, in seconds since 1970; `None` if no timer is pending.
     pub fn next_wake(&self) -> Option<f64> {
         let tasks = self.tasks.values().filter_map(|task| self.expiry(task));
         let queries = self.locate_queries.values().map(LocateQuery::deadline);
         tasks.chain(queries).min_by(f64::total_cmp)
     }
 
-    fn observe(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::TaskSubmitted {
                 request,
--- a/crates/edge/src/dispatcher/assignment.rs
+++ b/crates/edge/src/dispatcher/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of tasks to planners.
+//! Assigns tasks to planners.
 
 use super::{Action, Dispatcher, Planner, PlannerId, TaskState};
 use std::collections::VecDeque;
@@ -6,12 +6,12 @@
 use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::ToPlanner;
 
-/// Odd multiplier that spreads the last bytes of an FNV hash: 2^64 divided by the golden ratio (Knuth, The Art of
-/// Computer Programming, volume 3, section 6.4).
+/// Multiplier of Fibonacci hashing, 2^64 divided by the golden ratio and odd (Knuth, The Art of Computer Programming,
+/// volume 3, section 6.4). FNV mixes the last bytes of its input poorly; the multiplication spreads them.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Dispatcher {
-    /// Sends queued tasks to planners with capacity.
+    /// Sends queued tasks to planners that have capacity.
     pub(super) fn offer_queued_tasks(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut still_queued = VecDeque::new();
         while let Some(uid) = self.queue.pop_front() {
@@ -24,7 +24,7 @@
             let Some(planner) = self.choose_planner(&task.request.service, &uid) else {
                 still_queued.push_back(uid);
                 if self.planners.is_empty() || !self.settings.single_planner_per_service {
-                    // No planner has capacity for this task, so none has for the next one.
+                    // The choice does not depend on the task, so there is no capacity for the remaining tasks either.
                     still_queued.append(&mut self.queue);
                 }
                 continue;
@@ -49,9 +49,9 @@
         actions.push(Action::send(planner, ToPlanner::Place(request)));
     }
 
-    /// The planner for a task: the planner of its service where each service has one, else the one with the fewest open
-    /// tasks. Ties are broken by a hash, so that at low load all planners get some tasks, and no planner's part of the
-    /// slow-start budget is spent alone.
+    /// Chooses the planner for a task: the planner of its service if each service has a single one, else the planner
+    /// with the fewest open tasks. Ties are broken by a hash, so that all planners get tasks even at low load;
+    /// otherwise one planner would use up its share of the slow-start budget while the shares of the others are unused.
     fn choose_planner(&self, service: &str, uid: &str) -> Option<PlannerId> {
         let has_capacity =
             |planner: &Planner| planner.open_tasks < self.settings.max_tasks_per_planner;
@@ -60,7 +60,8 @@
             .iter()
             .filter(|(_, planner)| !planner.is_unresponsive);
         if self.settings.single_planner_per_service {
-            // Rendezvous hashing: a service changes its planner only when that planner connects or is lost.
+            // Rendezvous hashing: a service moves to another planner only if that one connects or the present one is
+            // lost.
             let (&id, planner) = responsive.max_by_key(|(id, _)| rank(service, **id))?;
             return has_capacity(planner).then_some(id);
         }
@@ -70,7 +71,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Hands a placed task to a planner, which reports on it from then on; without planners it stays as it is.
+    /// Hands over a placed task to a planner, which reports its progress from then on. Does nothing without planners.
     pub(super) fn hand_over_placed_task(&mut self, uid: &str, actions: &mut Vec<Action>) {
         let Some(task) = self.tasks.get_mut(uid) else {
             return;
--- a/crates/edge/src/dispatcher/deadlines.rs
+++ b/crates/edge/src/dispatcher/deadlines.rs
@@ -1,9 +1,9 @@
-//! Answers for tasks whose deadline has passed without one.
+//! Answers tasks whose deadline has passed.
 
 use super::{Action, Dispatcher, PlannerId, Task, TaskState};
 
 impl Dispatcher {
-    /// When the dispatcher itself acts on a task, in seconds since 1970.
+    /// When the dispatcher withdraws or answers a task itself, in seconds since 1970; `None` if it never does.
     pub(super) fn expiry(&self, task: &Task) -> Option<f64> {
         match task.state {
             TaskState::Queued => Some(task.deadline),
@@ -15,9 +15,9 @@
         }
     }
 
-    /// Answers the tasks whose deadline has passed. A planner that works has answered by then, so this is for planners
-    /// that hang without losing their connection, and for tasks that no planner had capacity for. Tasks that a planner
-    /// has not acknowledged in time are queued again.
+    /// Answers tasks whose deadline has passed, and queues tasks again that a planner has not acknowledged in time. A
+    /// working planner answers before the deadline, so this covers planners that hang without losing their connection,
+    /// and tasks that no planner had capacity for.
     pub(super) fn answer_expired_tasks(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut expired: Vec<String> = Vec::new();
         for (uid, task) in &self.tasks {
@@ -54,7 +54,7 @@
         actions.push(Action::reject(uid, reason));
     }
 
-    /// The planner has not acknowledged the task in time.
+    /// Withdraws a task from a planner that has not acknowledged it in time.
     fn withdraw_offer(
         &mut self,
         now: f64,
--- a/crates/edge/src/dispatcher/locate.rs
+++ b/crates/edge/src/dispatcher/locate.rs
@@ -1,4 +1,4 @@
-//! Queries to all planners where a task is.
+//! Queries for the location of a task, which are sent to all planners.
 
 use super::{Action, Dispatcher, PlannerId};
 use tidespur_planner_protocol::{Location, TerminationReason, ToPlanner};
@@ -8,9 +8,9 @@
 pub(super) struct LocateQuery {
     tenant: String,
     name: String,
-    /// Planners that have not answered.
+    /// Planners that have not answered yet.
     unanswered: Vec<PlannerId>,
-    /// The answer that binds among those received.
+    /// The answer that takes precedence among those received.
     location: Location,
     deadline: f64,
 }
@@ -28,16 +28,16 @@
         }
     }
 
-    /// A planner that connected after the query began may know the task as well.
+    /// Adds a planner that connected after the query was sent, since it may know the task.
     fn add_planner(&mut self, planner: PlannerId) {
         self.unanswered.push(planner);
     }
 
-    /// Takes an answer of a planner, at most one of each.
+    /// Records the answer of a planner; a second answer of the same planner is ignored.
     fn add_answer(&mut self, planner: PlannerId, location: Location) {
         if let Some(index) = self.unanswered.iter().position(|id| *id == planner) {
             self.unanswered.swap_remove(index);
-            self.location = binding_location(self.location.clone(), location);
+            self.location = prevailing_location(self.location.clone(), location);
         }
     }
 
@@ -83,14 +83,14 @@
         }
     }
 
-    /// A planner that is lost takes with it what it might have known.
-    pub(super) fn forget_locate_answers(&mut self, planner: PlannerId) {
+    /// Counts the answer of a lost planner as unknown, since it may have known the location.
+    pub(super) fn abandon_locate_answers(&mut self, planner: PlannerId) {
         for query in self.locate_queries.values_mut() {
             query.add_answer(planner, Location::Unknown);
         }
     }
 
-    /// Answers the queries whose result is certain, that all planners have answered, or whose time is over.
+    /// Answers each query whose result is certain, that all planners have answered, or whose deadline has passed.
     pub(super) fn answer_locate_queries(&mut self, now: f64, actions: &mut Vec<Action>) {
         let is_finished = |query: &LocateQuery| {
             query.unanswered.is_empty() || query.is_certain() || now >= query.deadline
@@ -116,9 +116,9 @@
     }
 }
 
-/// The one of two answers that binds: a task that runs before one that succeeded, that before an unknown location, and
-/// that before one that ended otherwise or is not found.
-fn binding_location(first: Location, second: Location) -> Location {
+/// The one of two answers that takes precedence: running, succeeded, unknown, ended otherwise, not found, in this
+/// order.
+fn prevailing_location(first: Location, second: Location) -> Location {
     let rank = |location: &Location| match location {
         Location::At(_) => 4,
         Location::Ended(TerminationReason::Succeeded) => 3,
--- a/crates/edge/src/dispatcher/messages.rs
+++ b/crates/edge/src/dispatcher/messages.rs
@@ -4,64 +4,65 @@
 use tidespur_api::task::PlacementRequest;
 use tidespur_planner_protocol::{Location, TerminationReason, ToEdge, ToPlanner};
 
-/// Bounds and durations.
+/// Limits and timeouts of the dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Open tasks that one planner may have.
+    /// Maximum number of open tasks that one planner may have.
     pub max_tasks_per_planner: usize,
     /// Whether all tasks of one service go to one planner while that planner is connected.
     pub single_planner_per_service: bool,
-    /// A planner answers by the deadline; the edge answers for it this much later, in seconds.
+    /// How long after its deadline an assigned task fails if its planner has not answered, in seconds.
     pub answer_slack: f64,
-    /// How long planners may take to say where a task is, in seconds.
+    /// How long planners may take to answer a query for the location of a task, in seconds.
     pub locate_timeout: f64,
-    /// A planner that has not acknowledged a task within this, in seconds, gets no tasks until it sends a message.
+    /// A planner that does not acknowledge a task within this time, in seconds, gets no further tasks until it sends a
+    /// message.
     pub acknowledge_timeout: f64,
 }
 
 /// An event that the dispatcher observes.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A task to place was created.
+    /// A task was created and is to be placed.
     TaskSubmitted {
-        /// The request.
+        /// Identity and requirements of the task.
         request: PlacementRequest,
         /// When its owner gives up, in seconds since 1970.
         deadline: f64,
         /// Whether a second run is harmless.
         is_idempotent: bool,
     },
-    /// A task exists that runs at a node already.
+    /// A task that already runs on a node was created or restored.
     RunningTaskAdopted {
-        /// The request.
+        /// Identity and requirements of the task.
         request: PlacementRequest,
         /// Name of the node.
         node: String,
     },
-    /// An earlier process of this edge had let a planner offer this task, and has no answer: it may run.
+    /// An earlier process of this edge committed the task to a planner and persisted no answer: it may run.
     TaskInterrupted {
-        /// The request.
+        /// Identity and requirements of the task.
         request: PlacementRequest,
         /// Whether a second run is harmless.
         is_idempotent: bool,
     },
-    /// The owner does not want the task any more.
+    /// The owner deleted the task.
     TaskCancelled {
         /// Uid of the task.
         uid: String,
     },
-    /// Whatever runs of this request is to be stopped.
+    /// Any running instance of the task is to be stopped.
     StopRequested {
         /// Uid of the task.
         uid: String,
     },
-    /// The owner asks where a task is.
+    /// The Job controller asks for the location of a task whose outcome is unknown.
     LocateRequested {
         /// Uid of the task.
         uid: String,
-        /// Its namespace.
+        /// Namespace of the task.
         tenant: String,
-        /// Its name at nodes.
+        /// Name of the task on nodes.
         name: String,
     },
     /// A planner connected.
@@ -70,42 +71,42 @@
     PlannerLost(PlannerId),
     /// A planner sent a message.
     MessageReceived {
-        /// The planner.
+        /// Connection that the message was received on.
         planner: PlannerId,
-        /// The message.
+        /// The message; about any task, or none.
         message: ToEdge,
     },
 }
 
-/// An action that the dispatcher asks for.
+/// An action that the caller of the dispatcher carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to a planner.
     SendToPlanner {
-        /// The planner.
+        /// Connection to send the message on.
         planner: PlannerId,
-        /// The message.
+        /// The message to send.
         message: ToPlanner,
     },
-    /// Record the task's one answer: a node has accepted it.
+    /// Record the answer of the task: a node has accepted it.
     MarkPlaced {
         /// Uid of the task.
         uid: String,
         /// Name of the node.
         node: String,
     },
-    /// Record the task's one answer: it was not placed and never ran, or a second run is harmless.
+    /// Record the answer of the task: it was not placed and has not run, or a second run is harmless.
     MarkRejected {
         /// Uid of the task.
         uid: String,
-        /// Why.
+        /// Explanation for the owner of the task.
         reason: String,
     },
-    /// Record the task's one answer: it is unknown whether it runs.
+    /// Record the answer of the task: it is unknown whether it runs.
     MarkFailed {
         /// Uid of the task.
         uid: String,
-        /// Why.
+        /// Explanation for the owner of the task.
         reason: String,
     },
     /// Record that a placed task runs.
@@ -113,7 +114,7 @@
         /// Uid of the task.
         uid: String,
     },
-    /// Record that a placed task ended.
+    /// Record that a placed task has ended.
     MarkEnded {
         /// Uid of the task.
         uid: String,
@@ -124,7 +125,7 @@
     ReportLocation {
         /// Uid of the task.
         uid: String,
-        /// Where it is.
+        /// The combined answer of all planners.
         location: Location,
     },
 }
--- a/crates/edge/src/dispatcher/planners.rs
+++ b/crates/edge/src/dispatcher/planners.rs
@@ -1,16 +1,16 @@
-//! Connections of planners, and the messages that planners send.
+//! Handles connected and lost planners, and the messages that planners send.
 
 use super::{Action, Dispatcher, PlannerId, TaskState};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
-/// What the sender of a message has to do with the task that the message is about.
+/// Relation of a planner that sent a message to the task that the message is about.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SenderRole {
-    /// Its answer on the task is due.
+    /// The task is assigned to it, and its answer is due.
     Answers,
-    /// It reports on the placed task.
+    /// The task is placed, and it reports its progress.
     Reports,
-    /// The task is not with it.
+    /// It does not have the task.
     Unrelated,
 }
 
@@ -20,21 +20,22 @@
         for uid in self.stop_requests.keys() {
             actions.push(Action::cancel(planner, uid));
         }
-        let mut without_planner: Vec<String> = Vec::new();
+        let mut unattended: Vec<String> = Vec::new();
         for (uid, task) in &self.tasks {
             if matches!(task.state, TaskState::Placed { planner: None, .. }) {
-                without_planner.push(uid.clone());
+                unattended.push(uid.clone());
             }
         }
-        for uid in without_planner {
+        for uid in unattended {
             self.hand_over_placed_task(&uid, actions);
         }
         self.send_locate_queries(planner, actions);
     }
 
-    /// Tasks that the lost planner had not got the commit for are queued again. Those that it had may have been offered
-    /// to nodes: they fail, which claims nothing, or are rejected where a second run is harmless, and what may run of
-    /// them is stopped. Placed tasks are handed to another planner; without one they stay as they are.
+    /// Requeues the tasks for which the lost planner has no commit. Tasks with a commit may have been offered to nodes:
+    /// they fail, which leaves open whether they run. If a second run is harmless, they are rejected instead, and any
+    /// running instance is stopped. Placed tasks are handed over to another planner; if there is none, they stay as
+    /// they are.
     pub(super) fn on_planner_lost(&mut self, now: f64, lost: PlannerId, actions: &mut Vec<Action>) {
         if self.planners.remove(&lost).is_none() {
             return;
@@ -66,7 +67,7 @@
             }
             self.hand_over_placed_task(&uid, actions);
         }
-        self.forget_locate_answers(lost);
+        self.abandon_locate_answers(lost);
     }
 
     fn answer_for_lost_planner(&mut self, now: f64, uid: String, actions: &mut Vec<Action>) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A task that its planner has not got the commit for is first in the queue again.
+    /// Puts a task for which its planner has not got the commit back at the front of the queue.
     pub(super) fn requeue(&mut self, uid: &str) {
         let Some(task) = self.tasks.get_mut(uid) else {
             return;
@@ -135,7 +136,7 @@
         let is_rejection = matches!(message, ToEdge::Rejected { .. });
         match &task.state {
             TaskState::Assigned { planner } if *planner == sender => SenderRole::Answers,
-            // It may reject at once what it cannot read as a task.
+            // A planner may reject an invalid task without acknowledging it first.
             TaskState::Offered { planner, .. } if *planner == sender && is_rejection => {
                 SenderRole::Answers
             }
@@ -187,14 +188,14 @@
                 }
                 actions.push(Action::MarkPlaced { uid, node });
             }
-            // The task was answered already, so nobody waits for what this planner has placed.
+            // The task was answered without this planner: the instance that it has placed is stopped.
             SenderRole::Unrelated => actions.push(Action::cancel(planner, &uid)),
             SenderRole::Reports => {}
         }
     }
 }
 
-/// Uid of the task that a message is about.
+/// Uid of the task that a message is about; `None` for messages about the connection.
 fn task_uid(message: &ToEdge) -> Option<&str> {
     match message {
         ToEdge::Acknowledged { uid }
--- a/crates/edge/src/dispatcher/tasks.rs
+++ b/crates/edge/src/dispatcher/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks as their owners create, cancel and stop them, and the count of open tasks.
+//! Creates, cancels and stops tasks on behalf of their owners, and counts the open ones.
 
 use super::{Action, Dispatcher, PlannerId, STOP_REQUEST_RETENTION, Task, TaskState};
 use tidespur_api::task::PlacementRequest;
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Stops whatever runs of a task, also by planners that connect soon: after a restart of the edge there is none yet.
+    /// Asks all planners to stop any running instance of a task. The request is kept for planners that connect later:
+    /// after a restart of the edge, none is connected yet.
     pub(super) fn stop(&mut self, now: f64, uid: String, actions: &mut Vec<Action>) {
         self.broadcast(&ToPlanner::Cancel { uid: uid.clone() }, actions);
         self.stop_requests.insert(uid, now + STOP_REQUEST_RETENTION);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Removes a task, and counts it as answered where it was open.
+    /// Removes a task; an open task counts as answered.
     pub(super) fn close(&mut self, uid: &str) -> Option<Task> {
         let state = self.tasks.get(uid)?.state.clone();
         match state {
@@ -104,7 +105,7 @@
         self.tasks.remove(uid)
     }
 
-    /// Counts a task that a planner had as answered.
+    /// Counts an open task that was with this planner as answered.
     pub(super) fn count_answer(&mut self, uid: &str, planner: PlannerId) {
         self.release_capacity(planner);
         if self.tasks.contains_key(uid) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A planner has one open task less.
+    /// Counts one open task less for a planner.
     pub(super) fn release_capacity(&mut self, planner: PlannerId) {
         if let Some(planner) = self.planners.get_mut(&planner) {
             planner.open_tasks = planner.open_tasks.saturating_sub(1);
--- a/crates/edge/tests/common/dispatcher.rs
+++ b/crates/edge/tests/common/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with small bounds, and the messages of planners to it.
+//! A dispatcher with small limits, and its events in short form.
 
 use tidespur_api::task::PlacementRequest;
 use tidespur_edge::dispatcher::{Action, Dispatcher, Event, Settings};
--- a/crates/edge/tests/dispatcher.rs
+++ b/crates/edge/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher gives one answer for each task, whatever planners do.
+//! Property test of the dispatcher: each task gets exactly one answer, whatever planners do.
 
 #[path = "common/dispatcher.rs"]
 mod common;
@@ -9,7 +9,7 @@
 use tidespur_edge::dispatcher::{Action, Dispatcher, Event};
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 
-/// How long owners wait, in seconds.
+/// How long owners wait for the answer, in seconds.
 const TIMEOUT: f64 = 1.0;
 
 #[derive(Clone, Debug)]
@@ -27,13 +27,14 @@
         (0u8..12).prop_map(Step::Submit),
         (0u8..3).prop_map(Step::Connect),
         (0u8..3).prop_map(Step::Lose),
-        (0u8..3, 0u8..12, 0u8..7).prop_map(|(p, t, k)| Step::Answer(p, t, k)),
+        (0u8..3, 0u8..12, 0u8..7)
+            .prop_map(|(planner, task, kind)| Step::Answer(planner, task, kind)),
         (0u8..12).prop_map(Step::Cancel),
         Just(Step::Wait),
     ]
 }
 
-/// A message of a planner about a task, one of seven kinds.
+/// A message of a planner about a task; `kind` ranges from 0 to 6.
 fn answer(uid: String, kind: u8) -> ToEdge {
     match kind {
         0 => placed(&uid),
@@ -54,18 +55,18 @@
     }
 }
 
-/// A dispatcher among planners that come and go, and what it has done.
+/// A dispatcher with planners that connect and get lost, and the actions that it has taken.
 struct Scenario {
     dispatcher: Dispatcher,
     now: f64,
-    /// Connection of each planner; 0 where it is not connected.
+    /// Connection of each planner; 0 if it is not connected.
     connections: [u64; 3],
     last_connection: u64,
     submitted: BTreeSet<String>,
     cancelled: BTreeSet<String>,
-    /// Answers of each task.
+    /// Number of answers of each task.
     answers: BTreeMap<String, usize>,
-    /// The planner that has got the commit for each task without an answer.
+    /// Planner with the commit for each task that has no answer yet.
     assigned: BTreeMap<String, u64>,
 }
 
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The event of a step; none where the step only lets time pass.
+    /// The event of a step; `None` if it does not apply or only lets time pass.
     fn event(&mut self, step: &Step) -> Option<Event> {
         match *step {
             Step::Submit(task) => {
@@ -135,7 +136,7 @@
                     message: ToPlanner::Commit { uid, .. },
                 } => {
                     let previous = self.assigned.insert(uid.clone(), planner);
-                    assert!(previous.is_none(), "{uid} is with two planners");
+                    assert!(previous.is_none(), "{uid} is committed to two planners");
                 }
                 _ => {}
             }
@@ -144,8 +145,8 @@
 }
 
 proptest! {
-    /// Planners connect, are lost, answer twice, late, or for tasks of others: still each task gets one answer, none is
-    /// missing after its deadline, and each task is with one planner at a time.
+    /// Planners connect, get lost, and answer twice, late, or for tasks of other planners. Each task must still have
+    /// exactly one answer after its deadline, and be with at most one planner at a time.
     #[test]
     fn one_answer_for_each_task(steps in proptest::collection::vec(any_step(), 1..80)) {
         let mut scenario = Scenario::new();
--- a/crates/edge/tests/planner_faults/locate.rs
+++ b/crates/edge/tests/planner_faults/locate.rs
@@ -1,10 +1,10 @@
-//! Queries to all planners where a task is.
+//! Queries for the location of a task, which are sent to all planners.
 
 use crate::common::{new_dispatcher, received, step};
 use tidespur_edge::dispatcher::{Action, Dispatcher, Event};
 use tidespur_planner_protocol::{Location, ToEdge};
 
-/// Asks two planners where a task is, and lets some of them answer.
+/// Sends a query to two planners, and delivers these answers.
 fn locate(dispatcher: &mut Dispatcher, answers: Vec<(u64, Location)>) -> Vec<Action> {
     let query = Event::LocateRequested {
         uid: "x".into(),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_task_is_not_found_only_if_every_planner_is_certain() {
+fn a_task_is_not_found_only_if_every_planner_answers_so() {
     let not_found = |planner| (planner, Location::NotFound);
     let at_node = Location::At("n1".into());
 
--- a/crates/edge/tests/planner_faults/main.rs
+++ b/crates/edge/tests/planner_faults/main.rs
@@ -1,4 +1,4 @@
-//! Tasks of planners that are lost, hang or are full.
+//! Tasks of planners that are lost, hang or have no capacity.
 
 #[path = "../common/dispatcher.rs"]
 mod common;
@@ -8,7 +8,7 @@
 use tidespur_edge::dispatcher::{Action, Dispatcher, Event};
 use tidespur_planner_protocol::{TerminationReason, ToEdge, ToPlanner};
 
-/// The planner acknowledges these tasks and gets the commit for each.
+/// Acknowledges these tasks, and checks that the planner gets the commit for each.
 fn acknowledge(dispatcher: &mut Dispatcher, now: f64, planner: u64, uids: &[&str]) {
     let events = uids
         .iter()
@@ -21,7 +21,7 @@
     assert_eq!(commits.count(), uids.len(), "{actions:?}");
 }
 
-/// The message of an action to this planner.
+/// The message that an action sends to this planner; `None` for any other action.
 fn sent(action: &Action, to: u64) -> Option<&ToPlanner> {
     match action {
         Action::SendToPlanner { planner, message } if *planner == to => Some(message),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn tasks_of_a_lost_planner_fail_and_what_runs_goes_to_another() {
+fn assigned_tasks_of_a_lost_planner_fail_and_placed_ones_are_handed_over() {
     let mut dispatcher = new_dispatcher();
     let events = vec![
         Event::PlannerConnected(1),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_runs_waits_for_a_planner_where_there_is_none() {
+fn placed_tasks_are_handed_over_to_the_next_planner_that_connects_when_there_is_none() {
     let mut dispatcher = new_dispatcher();
     let events = vec![Event::PlannerConnected(1), submitted("a", 5.0)];
     step(&mut dispatcher, 0.0, events);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_planner_that_hangs_is_answered_for_and_its_late_placement_is_stopped() {
+fn tasks_of_a_hanging_planner_fail_and_its_late_placement_is_cancelled() {
     let mut dispatcher = new_dispatcher();
     let events = vec![Event::PlannerConnected(1), submitted("a", 1.0)];
     step(&mut dispatcher, 0.0, events);
@@ -141,8 +141,7 @@
 }
 
 #[test]
-fn what_a_silent_planner_has_not_acknowledged_goes_to_another_and_the_rest_is_answered_truthfully()
-{
+fn unacknowledged_tasks_of_a_hanging_planner_go_to_another_and_the_others_fail_or_are_rejected() {
     let mut dispatcher = new_dispatcher();
     let idempotent = Event::TaskSubmitted {
         request: request("idempotent"),
@@ -157,10 +156,14 @@
     step(&mut dispatcher, 0.0, events);
     acknowledge(&mut dispatcher, 0.1, 1, &["idempotent", "other"]);
 
-    // The planner hangs from here on; what is sent to it stays in its socket.
+    // The planner hangs from here on: it does not read what is sent to it.
     step(&mut dispatcher, 0.2, vec![submitted("late", 6.0)]);
     let actions = step(&mut dispatcher, 0.7, vec![]);
-    assert_eq!(actions, [cancel(1, "late")], "there is no other planner");
+    assert_eq!(
+        actions,
+        [cancel(1, "late")],
+        "no other planner is connected"
+    );
     let actions = step(&mut dispatcher, 0.8, vec![Event::PlannerConnected(2)]);
     assert_eq!(actions.len(), 1, "{actions:?}");
     assert!(
@@ -169,7 +172,7 @@
         "{actions:?}"
     );
 
-    // It reads on: its acknowledgement of a task that was withdrawn gets no commit.
+    // It continues: its acknowledgement of a withdrawn task gets no commit.
     let actions = step(
         &mut dispatcher,
         0.9,
@@ -182,12 +185,12 @@
     assert!(is_failed(&actions, "other"), "{actions:?}");
     assert!(
         actions.contains(&cancel(2, "idempotent")),
-        "what may run of it occupies no capacity: {actions:?}"
+        "any running instance of it must be stopped: {actions:?}"
     );
 }
 
 #[test]
-fn while_all_planners_hang_nothing_is_answered_as_unknown_that_was_not_offered() {
+fn unacknowledged_tasks_are_rejected_and_do_not_fail_when_all_planners_hang() {
     let mut dispatcher = new_dispatcher();
     let tasks = (0..3).map(|i| submitted(&format!("t{i}"), 2.0));
     let events = tasks.chain([Event::PlannerConnected(1)]).collect();
