--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -1,6 +1,6 @@
-//! The edge as a state machine over its store, without I/O: changes of the store go to the dispatcher and the Job
-//! controller as events, and their actions are applied to the store or sent to planners. It decides nothing itself. The
-//! server's event loop owns it.
+//! The edge as a state machine over its store, without I/O: it passes changes of the store to the dispatcher and the
+//! Job controller as events, and applies their actions to the store or sends them to planners. It makes no decisions
+//! itself. Owned by the server's event loop.
 
 use crate::dispatcher::{self, Dispatcher, PlannerId};
 use crate::garbage_collector::GarbageCollector;
@@ -34,11 +34,11 @@
     pub(crate) name: String,
 }
 
-/// Pods that have ended and are kept for people to read; the oldest beyond this are deleted.
+/// Ended Pods that are kept for users to read; the oldest ones above this number are deleted.
 const MAX_ENDED_PODS: usize = 12_500;
-/// Events that are kept; the oldest beyond this are deleted.
+/// Events that are kept; the oldest ones above this number are deleted.
 const MAX_EVENTS: usize = 5_000;
-/// Changes of the store that are read at a time.
+/// Changes of one resource that are read from the store at a time.
 const MAX_CHANGES_PER_READ: usize = 1_024;
 
 /// The state machine of the edge.
@@ -49,18 +49,18 @@
     pub(crate) controller: Controller,
     pub(crate) job_changes: ChangeReader,
     pub(crate) pod_changes: ChangeReader,
-    /// Names of the Pods that the dispatcher or planners know, by uid.
+    /// Names of the Pods that wait for an answer or are placed, by uid.
     pub(crate) pod_names: BTreeMap<String, PodName>,
     pub(crate) ended_pods: GarbageCollector,
     pub(crate) events: GarbageCollector,
     pub(crate) pending_status: PendingStatus,
-    /// What is to be persisted since the last batch.
+    /// Changes that the next batch persists.
     pub(crate) pending_writes: PendingWrites,
-    /// Events for the dispatcher that follow from what was restored; the first step delivers them.
+    /// Events of the restored tasks; the first step delivers them to the dispatcher.
     pub(crate) restored_events: Vec<dispatcher::Event>,
 }
 
-/// What the handlers of one step share: the store, and the events and messages that follow from what they do.
+/// What the handlers of one step share: the store, and the events and messages that they produce.
 pub(crate) struct StepContext<'a> {
     pub(crate) now: f64,
     pub(crate) store: &'a mut Store,
@@ -76,7 +76,7 @@
 }
 
 impl Core {
-    /// The core of an edge that has read nothing of its store yet. All its random draws follow from `seed`.
+    /// The core of an edge that has not read its store yet. `seed` determines all its random numbers.
     pub fn new(config: Config, seed: u64) -> Self {
         Self {
             dispatcher: Dispatcher::new(dispatcher_settings(&config)),
@@ -98,12 +98,12 @@
         self.dispatcher.open_tasks()
     }
 
-    /// The records of pending work, shared with those who answer queries about it.
+    /// The records of pending work, shared with the handlers of API requests.
     pub fn pending_records(&self) -> Arc<Mutex<PendingRecords>> {
         self.pending_status.records()
     }
 
-    /// How often the core read its store's history too late and compared all objects instead.
+    /// How often the core was too late to read changes from the store's history and compared all objects instead.
     pub fn resync_count(&self) -> u64 {
         self.job_changes.resync_count() + self.pod_changes.resync_count()
     }
@@ -113,7 +113,7 @@
         self.dispatcher.connected_planners()
     }
 
-    /// When to step next though there is no input, in seconds since 1970.
+    /// When the next step is due even without input, in seconds since 1970; `None` if no timer is pending.
     pub fn next_wake(&self) -> Option<f64> {
         let times = [
             self.dispatcher.next_wake(),
@@ -123,8 +123,8 @@
         times.into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Handles `inputs` and all changes of the store, until nothing more follows from them. Appends the messages to
-    /// planners.
+    /// Handles `inputs` and all changes of the store, including those that the step itself causes, and appends the
+    /// messages for planners to `messages`.
     pub fn step(
         &mut self,
         now: f64,
@@ -149,7 +149,7 @@
             context.store,
             &mut self.events,
         );
-        while !self.settle(&mut context) {}
+        while !self.run_round(&mut context) {}
     }
 
     fn handle_input(&mut self, input: Input, context: &mut StepContext<'_>) {
@@ -198,8 +198,8 @@
         }
     }
 
-    /// One round of reading changes and applying actions; whether nothing more follows.
-    fn settle(&mut self, context: &mut StepContext<'_>) -> bool {
+    /// One round of reading changes and applying the resulting actions. Returns whether there is nothing left to do.
+    fn run_round(&mut self, context: &mut StepContext<'_>) -> bool {
         let now = context.now;
         self.read_job_changes(context);
         self.read_pod_changes(context);
@@ -212,17 +212,17 @@
         let events = std::mem::take(&mut context.controller_events);
         let mut actions = Vec::new();
         self.controller.step(now, events.into(), &mut actions);
-        let is_quiet = actions.is_empty()
+        let is_idle = actions.is_empty()
             && self.pod_changes.is_current(context.store)
             && self.job_changes.is_current(context.store);
         for action in actions {
             self.apply_controller_action(action, context);
         }
-        is_quiet && context.has_no_events()
+        is_idle && context.has_no_events()
     }
 }
 
-/// Uid of the controlling owner; "" where there is none.
+/// Uid of the controlling owner of a Pod; empty if there is none.
 pub(crate) fn owner_uid(pod: &Object) -> &str {
     let owners = meta::value_at(pod, &["metadata", "ownerReferences"]).as_array();
     let owner = owners
--- a/crates/edge/src/core/apply_actions.rs
+++ b/crates/edge/src/core/apply_actions.rs
@@ -1,4 +1,4 @@
-//! Actions of the dispatcher: written into the store, or sent to planners.
+//! Applies the actions of the dispatcher: writes them to the store, or sends them to planners.
 
 use super::{Core, OutgoingMessage, StepContext};
 use crate::dispatcher::{Action, PlannerId};
@@ -36,7 +36,11 @@
                 self.pod_names.remove(&uid);
             }
             Action::ReportLocation { uid, location } => {
-                tracing::info!(uid, ?location, "located a task whose outcome is unknown");
+                tracing::info!(
+                    uid,
+                    ?location,
+                    "finished locating a task whose outcome was unknown"
+                );
                 let event = controller::Event::PodLocated { uid, location };
                 context.controller_events.push_back(event);
             }
@@ -45,7 +49,7 @@
 
     fn send(&mut self, planner: PlannerId, message: ToPlanner, context: &mut StepContext<'_>) {
         if let ToPlanner::Commit { uid, timeout } = &message {
-            // From here on the task may be offered to nodes, which must be known after a restart.
+            // Once it has the commit, the planner may offer the task to nodes; a restarted edge must know that.
             self.pending_writes
                 .put_open_request(uid, context.now + timeout, true);
             self.pending_status.clear_edge_reason(context.now, uid);
@@ -64,7 +68,7 @@
         self.create_event(uid, EventType::Normal, "Scheduled", &message, context);
     }
 
-    /// The answer that a Pod was not placed, or that it is unknown whether it runs.
+    /// Records that a Pod was not placed, or that it is unknown whether it runs.
     fn mark_unplaced(
         &mut self,
         uid: &str,
@@ -125,7 +129,7 @@
         };
         let name = format!("{}.{}", pod_name.name, context.store.random_suffix());
         let event = events::pod_event(&pod, &name, event_type, reason, message, context.now);
-        tracing::debug!(uid, reason, message, "event of a Pod");
+        tracing::debug!(uid, reason, message, "creating an Event of a Pod");
         match context.store.create(EVENTS, event, context.now) {
             Ok(event) => self.events.add(&event, context.store),
             Err(error) => tracing::debug!(uid, reason, %error, "cannot create an Event"),
--- a/crates/edge/src/core/changes.rs
+++ b/crates/edge/src/core/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of Jobs and Pods in the store, as events for the dispatcher and the Job controller.
+//! Translates changes of Jobs and Pods in the store into events for the dispatcher and the Job controller.
 
 use super::{Core, MAX_CHANGES_PER_READ, PodName, StepContext, owner_uid};
 use crate::dispatcher;
@@ -10,9 +10,9 @@
 use tidespur_job_controller::{Event, JobView, PodPhase, PodView};
 use tidespur_store::{Change, ChangeKind, Precondition, Store};
 
-/// What the class of a request says of its placement.
+/// Conditions of a placement, from the request and its class.
 pub(crate) struct PlacementTerms {
-    /// How long its owner waits, in seconds.
+    /// How long the owner waits for the answer, in seconds.
     pub(crate) timeout: f64,
     /// Whether a second run is harmless.
     pub(crate) is_idempotent: bool,
@@ -61,7 +61,7 @@
                     self.ended_pods.add(&change.object, context.store);
                 }
             }
-            // A Pod that was created and ended between two reads needs no answer any more.
+            // A Pod that was created and has ended between two reads does not need an answer.
             if change.kind == ChangeKind::Added && !has_ended {
                 self.on_pod_created(&change.object, view, context);
             }
@@ -110,7 +110,7 @@
     previous.map(|pod| PodView::read(pod).phase) != Some(phase)
 }
 
-/// Deletes the Pods of a Job that was deleted.
+/// Deletes the Pods that a deleted Job owned.
 fn delete_owned_pods(job_uid: &str, namespace: &str, store: &mut Store) {
     let owned: Vec<Arc<Object>> = store
         .iter(PODS, namespace)
@@ -118,7 +118,7 @@
         .cloned()
         .collect();
     for pod in owned {
-        // It was listed under the same lock, so it exists.
+        // It was listed under the same lock, so the deletion cannot fail.
         drop(store.delete(PODS, namespace, meta::name(&pod), &Precondition::default()));
     }
 }
--- a/crates/edge/src/core/controller_actions.rs
+++ b/crates/edge/src/core/controller_actions.rs
@@ -1,4 +1,5 @@
-//! Actions of the Job controller: written into the store, handed to the dispatcher, or persisted.
+//! Applies the actions of the Job controller: writes objects to the store, passes requests on to the dispatcher, or
+//! persists records.
 
 use super::{Core, StepContext};
 use crate::dispatcher;
@@ -8,8 +9,9 @@
 use tidespur_job_controller::{Action, Adoption, Event, JobStatus, PodView, SlotId};
 use tidespur_store::{Precondition, Store};
 
-/// Bytes of a Job's name that the names of its Pods begin with, so that the random suffix fits into a published name.
-const MAX_POD_NAME_PREFIX: usize = 240;
+/// Length of the prefix of a Job's name that the names of its Pods begin with, in bytes. It leaves room for the random
+/// suffix within the maximum length of a name.
+const MAX_POD_NAME_PREFIX_BYTES: usize = 240;
 
 fn with_uid(uid: String) -> Precondition {
     Precondition {
@@ -18,8 +20,8 @@
     }
 }
 
-/// What [`Action::CreatePod`] asks for.
-struct PodToCreate<'a> {
+/// Arguments of [`Action::CreatePod`].
+struct NewPod<'a> {
     namespace: &'a str,
     job: &'a str,
     is_retry: bool,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Carries out an action that writes objects; there is nothing to do for others.
+    /// Applies an action that writes objects; ignores all others.
     fn write_object(&mut self, action: Action, context: &mut StepContext<'_>) {
         match action {
             Action::CreatePod {
@@ -66,7 +68,7 @@
                 is_retry,
                 adoption,
             } => {
-                let pod = PodToCreate {
+                let pod = NewPod {
                     namespace: &namespace,
                     job: &job,
                     is_retry,
@@ -75,7 +77,8 @@
                 let event = self.create_pod(slot, &pod, context);
                 context.controller_events.push_back(event);
             }
-            // Objects may be deleted already, or replaced by others of the same name: then there is nothing to do.
+            // The object may have been deleted, or replaced by another one of the same name: there is nothing to do
+            // then.
             Action::DeletePod {
                 namespace,
                 name,
@@ -107,24 +110,25 @@
     fn create_pod(
         &self,
         slot: SlotId,
-        pod_to_create: &PodToCreate<'_>,
+        new_pod: &NewPod<'_>,
         context: &mut StepContext<'_>,
     ) -> Event {
         let job = context
             .store
-            .get(JOBS, pod_to_create.namespace, pod_to_create.job)
+            .get(JOBS, new_pod.namespace, new_pod.job)
             .filter(|job| meta::uid(job) == slot.job)
             .cloned();
         let Some(job) = job else {
             return Event::PodCreationFailed(slot);
         };
-        let adoption = pod_to_create.adoption;
-        // What runs already is always adopted; new work waits at its owner while the edge is full.
+        let adoption = new_pod.adoption;
+        // A running Pod is always adopted. While the edge is full, new work stays with the Job controller, which
+        // retries it.
         if adoption.is_none() && !self.has_capacity() {
             return Event::PodCreationFailed(slot);
         }
         let name = pod_name(meta::name(&job), context.store);
-        let mut pod = pod_status::pod_of_job(&job, &name, &slot, pod_to_create.is_retry, adoption);
+        let mut pod = pod_status::pod_of_job(&job, &name, &slot, new_pod.is_retry, adoption);
         if let Some(adoption) = adoption {
             pod_status::set_placed(&mut pod, &adoption.node, context.now);
         }
@@ -146,7 +150,7 @@
 }
 
 fn pod_name(job: &str, store: &mut Store) -> String {
-    let prefix = &job[..job.len().min(MAX_POD_NAME_PREFIX)];
+    let prefix = &job[..job.len().min(MAX_POD_NAME_PREFIX_BYTES)];
     format!("{prefix}-{}", store.random_suffix())
 }
 
--- a/crates/edge/src/core/input.rs
+++ b/crates/edge/src/core/input.rs
@@ -1,4 +1,4 @@
-//! Inputs of the core, and the messages that it sends.
+//! Inputs of the core, and the messages that it sends to planners.
 
 use crate::dispatcher::PlannerId;
 use tidespur_api::Object;
@@ -7,7 +7,7 @@
 /// An input of the edge.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The store may have changed.
+    /// A client may have changed the store.
     StoreChanged,
     /// A planner connected.
     PlannerConnected(PlannerId),
@@ -15,29 +15,29 @@
     PlannerLost(PlannerId),
     /// A planner sent a message.
     MessageReceived {
-        /// The planner.
+        /// Connection that the message was received on.
         planner: PlannerId,
-        /// The message.
+        /// The message; heartbeats are not passed on.
         message: ToEdge,
     },
-    /// The node registry listed all Nodes.
+    /// A list of all Nodes of the node registry, which replaces the edge's copy.
     NodesListed(Vec<Object>),
-    /// A Node was created or changed.
+    /// A Node was created or changed in the node registry.
     NodeUpdated(Object),
-    /// A Node was deleted; as it was last.
+    /// A Node was deleted from the node registry; its last state.
     NodeDeleted(Object),
     /// Measures the lag of the event loop; the core ignores it.
     LagProbe {
-        /// When it was put into the queue, in seconds since 1970.
+        /// When it was queued, in seconds since 1970.
         sent_at: f64,
     },
 }
 
-/// A message that is to be sent to a planner.
+/// A message for a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The planner.
+    /// Connection to send the message on.
     pub planner: PlannerId,
-    /// The message.
+    /// The message to send.
     pub message: ToPlanner,
 }
--- a/crates/edge/src/core/nodes.rs
+++ b/crates/edge/src/core/nodes.rs
@@ -1,4 +1,4 @@
-//! The edge's copy of the node registry's Nodes, for clients to read.
+//! The edge's copy of the Nodes of the node registry, which clients read.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,9 +6,10 @@
 use tidespur_api::{ApiError, Object, meta};
 use tidespur_store::{Precondition, Store};
 
+/// Status code of an error that is not logged: the Node is deleted already.
 const NOT_FOUND: u16 = 404;
 
-/// Replaces all Nodes by those that the registry listed.
+/// Replaces all Nodes by those that the node registry listed.
 pub(super) fn replace_all(listed: Vec<Object>, store: &mut Store, now: f64) {
     let names: BTreeSet<&str> = listed.iter().map(meta::name).collect();
     let removed: Vec<Arc<Object>> = store
--- a/crates/edge/src/core/settings.rs
+++ b/crates/edge/src/core/settings.rs
@@ -1,21 +1,22 @@
-//! Settings of the dispatcher and the Job controller, from those of the program.
+//! Settings of the dispatcher and the Job controller, derived from the configuration.
 
 use crate::dispatcher;
 use std::collections::BTreeSet;
 use tidespur_config::{Config, RetrySafety};
 use tidespur_job_controller as controller;
 
-/// How long planners may take to say where a task is, in seconds.
+/// How long planners may take to answer a query for the location of a task, in seconds.
 const LOCATE_TIMEOUT: f64 = 3.0;
 
 pub(super) fn dispatcher_settings(config: &Config) -> dispatcher::Settings {
     dispatcher::Settings {
         max_tasks_per_planner: config.edge.max_tasks_per_planner as usize,
         single_planner_per_service: config.edge.single_planner_per_service,
-        // The other half is the planner's, for its answer's way to the edge.
+        // The other half is reserved for the planner, whose answer needs time to reach the edge.
         answer_slack: config.safety_limits.answer_slack / 2.0,
         locate_timeout: LOCATE_TIMEOUT,
-        // A planner that stands still gives up what was open before it counts as lost.
+        // Half the timeout of the connection, so that the open tasks of a hanging planner are withdrawn before the
+        // planner counts as lost.
         acknowledge_timeout: config.edge.planner_timeout / 2.0,
     }
 }
--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -1,9 +1,9 @@
-//! Event objects about Pods, as published clients read them.
+//! Event objects about Pods, in the format of the Kubernetes API.
 
 use serde_json::json;
 use tidespur_api::{Object, meta};
 
-/// Type of an Event.
+/// The `type` of an Event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventType {
     Normal,
@@ -19,7 +19,7 @@
     }
 }
 
-/// An Event about a Pod.
+/// Creates an Event about a Pod, which has occurred once.
 pub(crate) fn pod_event(
     pod: &Object,
     name: &str,
@@ -38,7 +38,7 @@
         "source": {"component": "tidespur"}, "reportingComponent": "tidespur", "reportingInstance": ""})
 }
 
-/// Updates an Event that occurred again.
+/// Updates an Event that has occurred again, `count` times in total.
 pub(crate) fn repeat(event: &mut Object, message: &str, count: u32, now: f64) {
     event["message"] = message.into();
     event["count"] = count.into();
--- a/crates/edge/src/garbage_collector.rs
+++ b/crates/edge/src/garbage_collector.rs
@@ -1,4 +1,4 @@
-//! Deletion of the oldest objects of one resource beyond a bound, for objects that nobody else deletes.
+//! Bounds the number of objects of one resource by deleting the oldest, for objects that nothing else deletes.
 
 use std::collections::VecDeque;
 use tidespur_api::{Object, Resource, meta};
@@ -11,7 +11,7 @@
     uid: String,
 }
 
-/// Objects of one resource that are kept for people to read.
+/// Deletes the oldest objects of one resource above a maximum number.
 #[derive(Debug)]
 pub(crate) struct GarbageCollector {
     resource: &'static Resource,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds an object, and deletes the oldest ones beyond the bound.
+    /// Adds an object, and deletes the oldest ones above the maximum number.
     pub(crate) fn add(&mut self, object: &Object, store: &mut Store) {
         self.oldest_first.push_back(ObjectRef {
             namespace: meta::namespace(object).to_owned(),
@@ -43,7 +43,7 @@
                 uid: Some(oldest.uid),
                 version: None,
             };
-            // It may be deleted already, or replaced by another of the same name: then there is nothing to delete.
+            // It may have been deleted, or replaced by another one of the same name: there is nothing to delete then.
             drop(store.delete(
                 self.resource,
                 &oldest.namespace,
--- a/crates/edge/src/job_status.rs
+++ b/crates/edge/src/job_status.rs
@@ -1,11 +1,11 @@
-//! The status of Jobs: how their counters and phases are published.
+//! Renders the status of Jobs: counters, phases and conditions.
 
 use crate::pod_status::condition;
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
 use tidespur_job_controller::{JobPhase, JobStatus};
 
-/// The published status of a Job.
+/// The `status` of a Job in the format of the Kubernetes API. Conditions that the object already has are kept.
 pub(crate) fn render(job: &Object, status: &JobStatus, now: f64) -> Value {
     let mut rendered = json!({"status": {"active": status.active, "ready": status.ready,
         "succeeded": status.succeeded, "failed": status.failed, "startTime": meta::timestamp(status.started)}});
@@ -54,7 +54,8 @@
     }
 }
 
-/// Tells whether and why slots of the Job wait. A Job that never had to wait has no such condition.
+/// Sets the condition that tells whether and why slots of the Job wait. A Job whose slots never waited does not have
+/// it.
 fn set_pending_condition(rendered: &mut Object, job: &Object, status: &JobStatus, now: f64) {
     let retrying = status.waiting_for_retry;
     let unknown = status.outcome_unknown;
--- a/crates/edge/src/pending_status.rs
+++ b/crates/edge/src/pending_status.rs
@@ -1,5 +1,5 @@
-//! Why work is pending, at the edge: the record of each open task, and what of it is written to Pods and Events. Owned by
-//! the core, which tells it of answers and of planners' updates.
+//! Tracks why each open task is pending, and writes the reasons to Pods and Events. Owned by the core, which reports
+//! answers and updates of planners to it.
 
 use crate::core::PodName;
 use crate::dispatcher::{Dispatcher, PlannerId};
@@ -15,15 +15,16 @@
 use tidespur_store::{Precondition, Store};
 use tidespur_units::Resources;
 
-/// How often the reasons of tasks that no planner has are updated, in seconds.
+/// How often the reasons are updated and written, in seconds.
 const UPDATE_INTERVAL: f64 = 0.25;
 
-/// Records of pending work, shared with those who answer queries about it.
+/// Records of pending work, and the Events that show them.
 #[derive(Debug)]
 pub(crate) struct PendingStatus {
+    /// Shared with the handlers of API requests.
     records: Arc<Mutex<PendingRecords>>,
     next_update: f64,
-    /// Name of the one Event of each Pod that tells why it is pending, by the Pod's uid.
+    /// Name of the Event that shows why a Pod is pending, by uid of the Pod.
     event_names: BTreeMap<String, String>,
 }
 
@@ -41,7 +42,7 @@
         self.records.clone()
     }
 
-    /// A task to place was created.
+    /// Opens a record for a task that was created.
     pub(crate) fn open(&mut self, now: f64, request: &PlacementRequest, pod: &str) {
         let record = PendingRecord {
             namespace: request.tenant.clone(),
@@ -60,13 +61,13 @@
         self.records.lock().open(now, &request.uid, record);
     }
 
-    /// A task was answered, or its owner does not want it any more.
+    /// Closes the record of a task that was answered or deleted.
     pub(crate) fn close(&mut self, uid: &str) {
         self.records.lock().close(uid);
         self.event_names.remove(uid);
     }
 
-    /// Applies a planner's updates of the tasks that it has; updates of other tasks are late.
+    /// Applies the updates of a planner. Updates of tasks that are not assigned to it are outdated and ignored.
     pub(crate) fn apply_updates(
         &mut self,
         now: f64,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A planner has the task now: the edge's own reason does not apply any more.
+    /// Clears the reason that the edge itself has set, since a planner has the task now.
     pub(crate) fn clear_edge_reason(&mut self, now: f64, uid: &str) {
         self.records.lock().clear_edge_reason(now, uid);
     }
@@ -91,7 +92,8 @@
         (dispatcher.open_tasks() > 0).then_some(self.next_update)
     }
 
-    /// Updates the reasons of tasks that no planner has, and writes what is due to Pods and Events.
+    /// Updates the reasons of tasks that no planner has acknowledged, and writes the updates that are due to Pods and
+    /// Events.
     pub(crate) fn update(
         &mut self,
         now: f64,
@@ -128,7 +130,8 @@
         records.due_updates(now)
     }
 
-    /// Each Pod gets one Event for the whole time that it is pending, whose count and series grow, as published ones do.
+    /// Creates the Event of a pending Pod, or increments its count. A Pod has one Event for the whole time that it is
+    /// pending, as in the Kubernetes API.
     fn write_event(
         &mut self,
         now: f64,
--- a/crates/edge/src/pod_status.rs
+++ b/crates/edge/src/pod_status.rs
@@ -1,11 +1,12 @@
-//! Pods of Jobs, and the status of Pods: how placements, rejections and ends are published. No other module writes them.
+//! Creates the Pods of Jobs, and writes placements, rejections and terminations into the status of Pods. No other
+//! module writes the status of a Pod.
 
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
 use tidespur_job_controller::{Adoption, SlotId};
 use tidespur_planner_protocol::TerminationReason;
 
-/// Copy of a map in an object; empty where there is none.
+/// A copy of the map at `path`; empty if there is none.
 fn map_at(object: &Object, path: &[&str]) -> serde_json::Map<String, Value> {
     meta::value_at(object, path)
         .as_object()
@@ -13,7 +14,7 @@
         .unwrap_or_default()
 }
 
-/// The Pod for a slot of a Job.
+/// Creates the Pod for a slot of a Job.
 pub(crate) fn pod_of_job(
     job: &Object,
     name: &str,
@@ -49,7 +50,7 @@
         "spec": spec, "status": {"phase": "Pending"}})
 }
 
-/// A condition of a Pod or Job. Empty reasons and messages are left out.
+/// Creates a condition of a Pod or Job; empty reasons and messages are left out.
 pub(crate) fn condition(
     condition_type: &str,
     is_true: bool,
@@ -69,14 +70,14 @@
     condition
 }
 
-/// A node has accepted the Pod.
+/// Records that a node has accepted the Pod.
 pub(crate) fn set_placed(pod: &mut Object, node: &str, now: f64) {
     meta::map_mut(pod, "spec").insert("nodeName".into(), node.into());
     meta::map_mut(pod, "status").insert("phase".into(), "Pending".into());
     meta::set_condition(pod, condition("PodScheduled", true, now, "", ""));
 }
 
-/// The Pod runs.
+/// Records that the Pod runs.
 pub(crate) fn set_running(pod: &mut Object, now: f64) {
     let status = meta::map_mut(pod, "status");
     status.insert("phase".into(), "Running".into());
@@ -86,13 +87,13 @@
     }
 }
 
-/// The Pod is pending, for this reason.
+/// Records why the Pod is pending.
 pub(crate) fn set_unschedulable(pod: &mut Object, message: &str, now: f64) {
     let unschedulable = condition("PodScheduled", false, now, "Unschedulable", message);
     meta::set_condition(pod, unschedulable);
 }
 
-/// The Pod was not placed, or it is unknown whether it was.
+/// Records that the Pod was not placed, or that it is unknown whether it was.
 pub(crate) fn set_unplaced(pod: &mut Object, reason: &str, message: &str, now: f64) {
     let status = meta::map_mut(pod, "status");
     status.insert("phase".into(), "Failed".into());
@@ -101,25 +102,25 @@
     meta::set_condition(pod, condition("PodScheduled", false, now, reason, message));
 }
 
-/// How the end of a Pod is published.
-struct PublishedEnd {
+/// Phase, reason and message of a terminated Pod in the API.
+struct TerminationStatus {
     phase: &'static str,
     reason: &'static str,
     message: &'static str,
 }
 
-fn failed(reason: &'static str, message: &'static str) -> PublishedEnd {
+fn failed(reason: &'static str, message: &'static str) -> TerminationStatus {
     let phase = "Failed";
-    PublishedEnd {
+    TerminationStatus {
         phase,
         reason,
         message,
     }
 }
 
-fn published_end(reason: TerminationReason) -> PublishedEnd {
+fn termination_status(reason: TerminationReason) -> TerminationStatus {
     match reason {
-        TerminationReason::Succeeded => PublishedEnd {
+        TerminationReason::Succeeded => TerminationStatus {
             phase: "Succeeded",
             reason: "",
             message: "",
@@ -135,13 +136,13 @@
     }
 }
 
-/// The Pod has ended.
+/// Records that the Pod has ended.
 pub(crate) fn set_ended(pod: &mut Object, end: TerminationReason, now: f64) {
-    let PublishedEnd {
+    let TerminationStatus {
         phase,
         reason,
         message,
-    } = published_end(end);
+    } = termination_status(end);
     let status = meta::map_mut(pod, "status");
     status.insert("phase".into(), phase.into());
     if !reason.is_empty() {
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -1,4 +1,5 @@
-//! The edge's core over its store: no write is missed, however short the history.
+//! The edge's core over its store: no change is missed when more changes are written between two steps than the history
+//! of the store holds.
 
 use serde_json::{Value, json};
 use tidespur_api::resource::{JOBS, NAMESPACES, PODS};
@@ -9,13 +10,13 @@
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 use tidespur_store::{Limits, Precondition, Store};
 
-struct World {
+struct TestEdge {
     core: Core,
     store: Store,
 }
 
-impl World {
-    /// An edge whose store keeps four changes of each resource.
+impl TestEdge {
+    /// An edge whose store keeps a history of four changes of each resource.
     fn new() -> Self {
         let limits = Limits {
             max_history: 4,
@@ -56,43 +57,46 @@
 }
 
 #[test]
-fn pods_written_faster_than_the_history_holds_are_all_submitted() {
-    let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerConnected(1)]);
+fn pods_are_all_submitted_when_more_are_created_than_the_history_holds() {
+    let mut edge = TestEdge::new();
+    edge.step(0.0, vec![Input::PlannerConnected(1)]);
     for i in 0..40 {
-        world.create_pod(&format!("p{i}"));
+        edge.create_pod(&format!("p{i}"));
     }
-    let messages = world.step(0.1, vec![Input::StoreChanged]);
-    assert_eq!(world.core.resync_count(), 1, "the gap was provoked");
+    let messages = edge.step(0.1, vec![Input::StoreChanged]);
+    assert_eq!(
+        edge.core.resync_count(),
+        1,
+        "the changes must exceed the history"
+    );
     assert_eq!(placements(&messages), 40);
-    // Those that nobody answers are answered at their deadline all the same.
-    world.step(60.0, vec![Input::PlannerLost(1)]);
+    // Tasks that no planner answers get an answer at their deadline.
+    edge.step(60.0, vec![Input::PlannerLost(1)]);
     for i in 0..40 {
         assert_eq!(
-            meta::text_at(&world.pod(&format!("p{i}")), &["status", "phase"]),
+            meta::text_at(&edge.pod(&format!("p{i}")), &["status", "phase"]),
             "Failed"
         );
     }
 }
 
 #[test]
-fn a_pod_deleted_within_a_gap_is_withdrawn_and_one_of_its_name_is_a_new_request() {
-    let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerConnected(1)]);
-    let (gone, again) = (world.create_pod("gone"), world.create_pod("again"));
-    world.step(0.1, vec![Input::StoreChanged]);
-    for name in ["gone", "again"] {
-        world
-            .store
+fn a_pod_deleted_within_a_gap_is_cancelled_and_a_new_one_of_its_name_is_submitted() {
+    let mut edge = TestEdge::new();
+    edge.step(0.0, vec![Input::PlannerConnected(1)]);
+    let (deleted, recreated) = (edge.create_pod("deleted"), edge.create_pod("recreated"));
+    edge.step(0.1, vec![Input::StoreChanged]);
+    for name in ["deleted", "recreated"] {
+        edge.store
             .delete(PODS, "default", name, &Precondition::default())
             .unwrap();
     }
     for i in 0..20 {
-        world.create_pod(&format!("p{i}"));
+        edge.create_pod(&format!("p{i}"));
     }
-    let second = world.create_pod("again");
-    let messages = world.step(0.2, vec![Input::StoreChanged]);
-    for pod in [&gone, &again] {
+    let second = edge.create_pod("recreated");
+    let messages = edge.step(0.2, vec![Input::StoreChanged]);
+    for pod in [&deleted, &recreated] {
         let cancel = ToPlanner::Cancel {
             uid: meta::uid(pod).to_owned(),
         };
@@ -100,8 +104,8 @@
     }
     let placed: Vec<&str> = messages
         .iter()
-        .filter_map(|m| {
-            if let ToPlanner::Place(request) = m {
+        .filter_map(|message| {
+            if let ToPlanner::Place(request) = message {
                 Some(request.uid.as_str())
             } else {
                 None
@@ -115,79 +119,79 @@
 }
 
 #[test]
-fn a_job_deleted_within_a_gap_takes_its_pods_with_it() {
-    let mut world = World::new();
+fn pods_of_a_job_deleted_within_a_gap_are_deleted() {
+    let mut edge = TestEdge::new();
     let job = |name: &str| {
         json!({"metadata": {"name": name, "namespace": "default"}, "spec": {"parallelism": 2, "completions": 2,
             "template": {"spec": {"restartPolicy": "Never", "containers": [{"name": "m"}]}}}, "status": {}})
     };
-    world.store.create(JOBS, job("j"), 0.0).unwrap();
-    world.step(0.1, vec![Input::StoreChanged]);
-    assert_eq!(world.store.count(PODS), 2);
-    world
-        .store
+    edge.store.create(JOBS, job("j"), 0.0).unwrap();
+    edge.step(0.1, vec![Input::StoreChanged]);
+    assert_eq!(edge.store.count(PODS), 2);
+    edge.store
         .delete(JOBS, "default", "j", &Precondition::default())
         .unwrap();
     for i in 0..20 {
-        world
-            .store
-            .create(JOBS, job(&format!("k{i}")), 0.0)
-            .unwrap();
+        edge.store.create(JOBS, job(&format!("k{i}")), 0.0).unwrap();
     }
-    world.step(0.2, vec![Input::StoreChanged]);
-    assert!(world.core.resync_count() > 0);
+    edge.step(0.2, vec![Input::StoreChanged]);
+    assert!(edge.core.resync_count() > 0);
     assert_eq!(
-        world.store.count(PODS),
+        edge.store.count(PODS),
         40,
-        "the pods of the twenty, none of the one that is gone"
+        "two Pods of each of the 20 Jobs, and none of the deleted one"
     );
 }
 
 #[test]
 fn a_task_has_a_reason_while_its_planner_does_not_acknowledge_it_and_none_before_and_after() {
-    let mut world = World::new();
-    world.step(0.0, vec![Input::PlannerConnected(1)]);
-    let pod = world.create_pod("p");
-    let records = world.core.pending_records();
+    let mut edge = TestEdge::new();
+    edge.step(0.0, vec![Input::PlannerConnected(1)]);
+    let pod = edge.create_pod("p");
+    let records = edge.core.pending_records();
     let codes = || records.lock().find("default", "p").unwrap().codes.clone();
     let mut now = 0.0;
     while now < 0.45 {
         now += 0.05;
-        world.step(now, vec![Input::StoreChanged]);
-        assert_eq!(codes(), [], "at {now}: it was offered just now");
+        edge.step(now, vec![Input::StoreChanged]);
+        assert_eq!(
+            codes(),
+            [],
+            "at {now}: the planner has more time to acknowledge it"
+        );
     }
     while codes().is_empty() {
         now += 0.05;
-        world.step(now, vec![]);
-        assert!(now < 1.5, "the silence of the planner is not reported");
+        edge.step(now, vec![]);
+        assert!(now < 1.5, "the missing acknowledgement is not reported");
     }
     assert_eq!(codes(), [ReasonCode::PlannersSilent]);
-    // The planner sends a message, is offered the task again and acknowledges it.
+    // The planner sends a message, gets the task again and acknowledges it.
     let acknowledged = Input::MessageReceived {
         planner: 1,
         message: ToEdge::Acknowledged {
             uid: meta::uid(&pod).to_owned(),
         },
     };
-    let messages = world.step(now, vec![acknowledged.clone()]);
+    let messages = edge.step(now, vec![acknowledged.clone()]);
     let messages = if messages
         .iter()
-        .any(|m| matches!(m, ToPlanner::Commit { .. }))
+        .any(|message| matches!(message, ToPlanner::Commit { .. }))
     {
         messages
     } else {
-        world.step(now, vec![acknowledged])
+        edge.step(now, vec![acknowledged])
     };
     assert!(
         messages
             .iter()
-            .any(|m| matches!(m, ToPlanner::Commit { .. })),
+            .any(|message| matches!(message, ToPlanner::Commit { .. })),
         "{messages:?}"
     );
     assert_eq!(codes(), []);
     let spans = records.lock().find("default", "p").unwrap().spans.clone();
     assert!(
         spans.len() == 1 && spans[0].is_over,
-        "the history keeps it: {spans:?}"
+        "the record must keep the reason as a past one: {spans:?}"
     );
 }
