--- a/crates/edge/examples/restore.rs
+++ b/crates/edge/examples/restore.rs
@@ -1,4 +1,5 @@
-//! How long an edge takes to restore so many Pods: `cargo run --release -p tidespur-edge --example restore`.
+//! Measures how long an edge takes to restore 1,000, 10,000 and 100,000 Pods:
+//! `cargo run --release -p tidespur-edge --example restore`.
 
 use serde_json::json;
 use std::time::Instant;
@@ -13,13 +14,13 @@
         "pods", "MB", "opened in s", "restored in s"
     );
     for count in [1_000, 10_000, 100_000] {
-        let folder = tempfile::tempdir()?;
-        let owner = Identity {
+        let directory = tempfile::tempdir()?;
+        let identity = Identity {
             role: "edge".into(),
             name: "e".into(),
             cluster: "c".into(),
         };
-        let (mut record_store, _) = RecordStore::open(folder.path(), &owner)?;
+        let (mut record_store, _) = RecordStore::open(directory.path(), &identity)?;
         let mut batch = Batch::default();
         for i in 0..count {
             let pod = json!({"kind": "Pod", "apiVersion": "v1",
@@ -36,11 +37,11 @@
         }
         record_store.write(&batch)?;
         drop(record_store);
-        let size = std::fs::metadata(folder.path().join(tidespur_persistence::STORE_FILE))?.len()
+        let size = std::fs::metadata(directory.path().join(tidespur_persistence::STORE_FILE))?.len()
             as f64
             / 1e6;
         let start = Instant::now();
-        let (_record_store, records) = RecordStore::open(folder.path(), &owner)?;
+        let (_record_store, records) = RecordStore::open(directory.path(), &identity)?;
         let opened = start.elapsed().as_secs_f64();
         let config = parse("built-in", DEFAULT_CONFIG)?;
         let mut store = Store::new(Limits::default(), 1, 1_000_000);
--- a/crates/edge/src/event_loop.rs
+++ b/crates/edge/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: inputs are stepped through the core, what follows is persisted, and only then sent to planners and
-//! shown to clients. It owns the core.
+//! The event loop: passes inputs to the core, persists the resulting changes, and only then sends messages to planners
+//! and publishes changes to clients. Owns the core.
 
 use crate::core::{Core, Input, OutgoingMessage};
 use crate::persisted_records::CollectedWrites;
@@ -12,17 +12,17 @@
 use tidespur_persistence::Outbox;
 use tidespur_planner_protocol::ToPlanner;
 
-/// Inputs that are handled in one step.
+/// Maximum number of inputs that one step handles.
 const MAX_INPUTS_PER_STEP: usize = 512;
 
-/// Outputs that may wait for the disk; beyond this, obsolete ones are dropped.
+/// Number of outputs waiting for the disk above which obsolete ones are dropped.
 const MAX_HELD_OUTPUTS: usize = 16_384;
 
-/// An output that waits until what it rests on is durable.
+/// An output that is held until the changes that it depends on are durable.
 enum Output {
     Send(Box<OutgoingMessage>),
-    /// All up to this resource version may be shown to clients.
-    ShowVersion(u64),
+    /// Make all changes up to this resource version visible to clients.
+    PublishVersion(u64),
 }
 
 /// The event loop of an edge.
@@ -30,18 +30,18 @@
     server: Arc<EdgeServer>,
     core: Core,
     outbox: Outbox<Output>,
-    /// The last resource version that clients were, or will be, shown.
-    shown_version: u64,
+    /// The last resource version that was published or is held in the outbox.
+    queued_version: u64,
 }
 
 impl EventLoop {
     pub(crate) fn new(server: Arc<EdgeServer>, core: Core) -> Self {
-        let shown_version = server.api.store().version();
+        let queued_version = server.api.store().version();
         Self {
             server,
             core,
             outbox: Outbox::default(),
-            shown_version,
+            queued_version,
         }
     }
 
@@ -84,12 +84,12 @@
             Some((storage, writes)) => {
                 self.output_when_durable(&storage, writes, messages, version)
             }
-            None => self.output_at_once(messages, version),
+            None => self.output_immediately(messages, version),
         }
     }
 
-    /// Nothing is persisted, so nothing waits.
-    fn output_at_once(&mut self, messages: Vec<OutgoingMessage>, version: u64) {
+    /// Without persistence, outputs do not wait.
+    fn output_immediately(&mut self, messages: Vec<OutgoingMessage>, version: u64) {
         for message in messages {
             self.server.send_to_planner(message);
         }
@@ -111,14 +111,14 @@
         let batch = storage.disk.write(writes.batch);
         for message in messages {
             if matches!(message.message, ToPlanner::Place(_)) {
-                // It does not wait: the planner offers nothing to nodes before the commit, which does.
+                // It need not wait: the planner offers the task to nodes only after the commit, which does wait.
                 self.server.send_to_planner(message);
             } else {
                 self.outbox.hold(batch, Output::Send(Box::new(message)));
             }
         }
         if self.has_new_version(version) {
-            self.outbox.hold(batch, Output::ShowVersion(version));
+            self.outbox.hold(batch, Output::PublishVersion(version));
         }
         if self.outbox.len() > MAX_HELD_OUTPUTS {
             self.drop_obsolete_outputs(version);
@@ -129,29 +129,29 @@
     }
 
     fn has_new_version(&mut self, version: u64) -> bool {
-        std::mem::replace(&mut self.shown_version, version) != version
+        std::mem::replace(&mut self.queued_version, version) != version
     }
 
-    /// The disk makes no progress. Messages to planners that have disconnected reach nobody, and the last version that
-    /// may be shown includes all before it.
+    /// Bounds the memory that held outputs take while the disk makes no progress. Messages to disconnected planners are
+    /// obsolete, and so are all versions before `last_version`, since publishing it includes them.
     fn drop_obsolete_outputs(&mut self, last_version: u64) {
         let planners = self.server.planners.lock();
         let is_obsolete = |output: &Output| match output {
             Output::Send(message) => !planners.contains_key(&message.planner),
-            Output::ShowVersion(version) => *version != last_version,
+            Output::PublishVersion(version) => *version != last_version,
         };
         let dropped = self.outbox.remove_matching(is_obsolete);
         tracing::debug!(
             dropped = dropped.len(),
             held = self.outbox.len(),
-            "dropped obsolete outputs that waited for the disk"
+            "dropped obsolete outputs that were waiting for the disk"
         );
     }
 
     fn release(&self, output: Output, storage: &Storage) {
         match output {
             Output::Send(message) => self.server.send_to_planner(*message),
-            Output::ShowVersion(version) => {
+            Output::PublishVersion(version) => {
                 self.server.api.store().set_visible_version(version);
                 storage.mark_durable(version);
                 self.server.api.notify_watchers();
--- a/crates/edge/src/persisted_records.rs
+++ b/crates/edge/src/persisted_records.rs
@@ -1,16 +1,17 @@
-//! What the edge persists: the records of its objects, open requests and Jobs, and which of them go into the next batch.
-//! [`crate::restore`] reads them after a restart. No I/O.
+//! The records that the edge persists, and collecting their changes for the next batch. [`crate::restore`] reads them
+//! after a restart. No I/O.
 //!
 //! | kind | key | value |
 //! | --- | --- | --- |
 //! | `object` | resource/namespace/name | the object |
-//! | `version` | - | no resource version above this was ever published |
-//! | `open` | uid | a Pod without an answer: its deadline, and whether a planner may have offered it |
-//! | `slot` | uid of the Job/number | a slot that no Pod tells of |
-//! | `job` | uid of the Job | slot numbers that were allocated |
-//! | `stray` | uid | a Pod that may run, belongs to no Job and is to be stopped |
+//! | `version` | empty | upper bound of all resource versions that were published |
+//! | `open` | uid of the Pod | a Pod without an answer: its deadline, and whether it may have been offered to nodes |
+//! | `slot` | uid of the Job/number | state of a slot that no Pod represents |
+//! | `job` | uid of the Job | the next slot number |
+//! | `stray` | uid of the Pod | a Pod that may run, belongs to no Job and is to be stopped |
 //!
-//! Nodes belong to the node registry and are read from it again; Events are for people and are not persisted.
+//! Nodes are not persisted, since they are read from the node registry again, and neither are Events, which nothing
+//! depends on.
 
 use crate::core::Core;
 use serde::{Deserialize, Serialize};
@@ -27,27 +28,27 @@
 pub(crate) const JOB_KIND: &str = "job";
 pub(crate) const STRAY_POD_KIND: &str = "stray";
 
-/// Resource versions that are reserved at a time. A restored store begins above all reserved ones, so that none is
-/// published twice.
+/// Number of resource versions that are reserved at a time. A restored store begins above all reserved versions, so
+/// that none is published twice.
 const RESERVED_VERSIONS: u64 = 1 << 20;
 
-/// A Pod without an answer.
+/// The `open` record of a Pod without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct OpenRequest {
     /// When its owner gives up, in seconds since 1970.
     pub(crate) deadline: f64,
-    /// A planner got the commit: it may have offered the Pod to nodes.
+    /// A planner got the commit, and may have offered the Pod to nodes.
     #[serde(rename = "gone")]
     pub(crate) may_be_offered: bool,
 }
 
-/// Changes that are to be persisted since the last batch.
+/// Changes of records since the last batch. Changes of objects are tracked by the store.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     batch: Batch,
     /// Resource versions up to this are reserved.
     reserved_version: u64,
-    /// Nothing is persisted, so nothing is collected.
+    /// Changes are discarded, since the edge does not persist anything.
     is_disabled: bool,
 }
 
@@ -91,7 +92,7 @@
         if self.is_disabled {
             return;
         }
-        // These records are a few numbers and names, which serialize always and are far below the bound of a record.
+        // These records consist of a few numbers and names: they always serialize and are far below the maximum size.
         if let Ok(bytes) = serde_json::to_vec(value) {
             drop(self.batch.put(kind, key, bytes));
         }
@@ -104,12 +105,12 @@
     }
 }
 
-/// What is to be persisted since the last call of [`Core::take_writes`].
+/// All changes since the last call of [`Core::take_writes`].
 #[derive(Debug)]
 pub struct CollectedWrites {
     /// The changes, which become durable together.
     pub batch: Batch,
-    /// Records that are too large, which are not in the batch.
+    /// Errors of records that are too large and are therefore not in the batch.
     pub errors: Vec<PersistenceError>,
 }
 
@@ -121,13 +122,13 @@
 }
 
 impl Core {
-    /// Nothing is persisted: no writes are collected from here on.
+    /// Stops collecting changes, for an edge without a data directory.
     pub fn disable_persistence(&mut self) {
         self.pending_writes.is_disabled = true;
     }
 
-    /// All that is to be persisted since the last call. It has to be called under the same lock as the step before it, so
-    /// that objects, open requests and slots are of one moment.
+    /// Takes all changes since the last call. Must be called under the same lock of the store as the preceding step, so
+    /// that objects, open requests and slots are consistent.
     pub fn take_writes(&mut self, store: &mut Store) -> CollectedWrites {
         let mut batch = std::mem::take(&mut self.pending_writes.batch);
         let mut errors = Vec::new();
@@ -140,7 +141,7 @@
             match object {
                 None => batch.remove(OBJECT_KIND, &key),
                 Some(object) => {
-                    // An object of JSON values serializes always.
+                    // A JSON value always serializes.
                     let bytes = serde_json::to_vec::<Object>(&object).unwrap_or_default();
                     errors.extend(batch.put(OBJECT_KIND, &key, bytes).err());
                 }
--- a/crates/edge/src/restore.rs
+++ b/crates/edge/src/restore.rs
@@ -1,5 +1,5 @@
-//! Restoring the edge after a restart, from the records of [`crate::persisted_records`]: its objects, the request of each Pod and
-//! the slots of each Job. No I/O; called once, before the first step.
+//! Restores the edge after a restart from the records of [`crate::persisted_records`]: its objects, the request of each
+//! Pod, and the slots of each Job. No I/O; called once, before the first step.
 
 use crate::core::{Core, PodName, owner_uid};
 use crate::dispatcher;
@@ -23,11 +23,11 @@
         "the stored record {kind} {key:?} is malformed: {reason}; restore the data directory from a copy, or move it away: running Pods are then located by asking the nodes"
     )]
     MalformedRecord {
-        /// Kind of the record.
+        /// Kind of the record, as listed in [`crate::persisted_records`].
         kind: String,
         /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         reason: serde_json::Error,
     },
     /// The key of a record is malformed.
@@ -35,7 +35,7 @@
         "the stored record {kind} {key:?} has a malformed key; restore the data directory from a copy, or move it away: running Pods are then located by asking the nodes"
     )]
     MalformedKey {
-        /// Kind of the record.
+        /// Kind of the record, as listed in [`crate::persisted_records`].
         kind: String,
         /// Key of the record.
         key: String,
@@ -45,17 +45,17 @@
 /// Counts of what was restored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredCounts {
-    /// Objects.
+    /// All objects.
     pub objects: usize,
-    /// Pods that a node had accepted.
+    /// Pods that a node had accepted and that have not ended.
     pub placed: usize,
-    /// Pods without an answer that were never offered to nodes.
+    /// Pods without an answer that were certainly not offered to nodes.
     pub queued: usize,
     /// Pods without an answer that may have been offered to nodes.
     pub interrupted: usize,
 }
 
-/// Pods that occupy slots, with the slot's number, by uid of the Job.
+/// Pods of Jobs with their slot numbers, by uid of the Job.
 type PodsByJob = BTreeMap<String, Vec<(u32, PodView)>>;
 
 fn malformed_key(kind: &str, key: &str) -> RestoreError {
@@ -77,10 +77,10 @@
     })
 }
 
-/// The resource version that no earlier process published a higher one than; 0 where there was none.
+/// Upper bound of the resource versions that earlier processes published; 0 without records.
 ///
 /// # Errors
-/// [`RestoreError`] where its record cannot be read.
+/// [`RestoreError`] if its record is malformed.
 pub fn reserved_version(records: &LoadedRecords) -> Result<u64, RestoreError> {
     let mut highest = 0;
     for (key, bytes) in records.records_of_kind(VERSION_KIND) {
@@ -90,12 +90,13 @@
 }
 
 impl Core {
-    /// Restores what an earlier process persisted, into a store without objects. Placed Pods are adopted where they run.
-    /// Pods that were never offered to nodes are placed. Pods that may have been offered are reported as unknown, so that
-    /// the Job controller locates them, or, where a second run is harmless, rejected, and whatever runs of them stopped.
+    /// Restores the state that an earlier process persisted into a store without objects. Placed Pods are adopted on
+    /// their nodes, and Pods that were not offered to nodes are placed. Pods that may have been offered fail with an
+    /// unknown outcome, so that the Job controller locates them; if a second run is harmless, they are rejected instead
+    /// and any running instance is stopped.
     ///
     /// # Errors
-    /// [`RestoreError`]; the edge must not serve then.
+    /// [`RestoreError`] if a record is malformed. The edge must not serve requests then.
     pub fn restore(
         &mut self,
         now: f64,
@@ -157,7 +158,7 @@
             }
         } else {
             restored.queued += 1;
-            // A clock that was set back must not make the owner wait for longer than it asked for.
+            // If the clock was set back, the owner must not wait longer than its timeout.
             let latest = now + terms.timeout;
             let deadline = open_request.map_or(latest, |open| open.deadline.min(latest));
             self.pending_status.open(now, &request, &view.name);
--- a/crates/edge/src/restore/jobs.rs
+++ b/crates/edge/src/restore/jobs.rs
@@ -1,4 +1,4 @@
-//! Restoring the Job controller: each Job's slots, counters and phase, and Pods that belong to no Job.
+//! Restores the Job controller: slots, counters and phase of each Job, and Pods that belong to no Job.
 
 use super::{PodsByJob, RestoreError, malformed_key, read};
 use crate::core::Core;
@@ -42,7 +42,7 @@
             let uid = uid.to_owned();
             events.push(Event::StrayPodRestored { uid });
         }
-        // Events of restored state ask for no actions.
+        // Events of restored state result in no actions.
         let mut actions = Vec::new();
         self.controller.observe_all(now, events, &mut actions);
         Ok(())
@@ -64,7 +64,7 @@
     Ok(slots_by_job)
 }
 
-/// Adds the Job's Pods: those that occupy slots, and those that ended without success.
+/// Adds the Pods of a Job: those that occupy slots, and those that ended without success.
 fn add_pods(restored: &mut RestoredJob, pods: Vec<(u32, PodView)>) {
     for (number, pod) in pods {
         match pod.phase {
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a Job's object tells; its slots and Pods are still empty.
+/// The state that the object of a Job contains, without slots and Pods.
 fn restored_job(job: &Object, now: f64) -> RestoredJob {
     let status = meta::value_at(job, &["status"]);
     let count = |key: &str| {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The condition of this type, where it is true.
+/// The condition of this type, if its status is `True`.
 fn true_condition<'a>(status: &'a Value, condition_type: &str) -> Option<&'a Value> {
     let conditions = status["conditions"].as_array()?;
     conditions
--- a/crates/edge/src/storage.rs
+++ b/crates/edge/src/storage.rs
@@ -1,5 +1,5 @@
-//! The edge's storage on disk: restored before anything is served, and waited for by those who must not be told what a
-//! power loss could revert. The server owns it; without a data directory there is none.
+//! The storage of the edge on disk. It is restored before the edge serves requests, and answers wait for it, so that
+//! clients are not told of changes that a power loss could revert. Owned by the server.
 
 use crate::core::Core;
 use crate::error::RunError;
@@ -10,22 +10,23 @@
 use tidespur_persistence::{LoadedRecords, RecordStore};
 use tidespur_store::Store;
 
-/// The storage as all parts of the edge share it; `None` where all state is kept in memory only.
+/// The storage, shared by all parts of the edge; `None` without a data directory, when all state is kept in memory
+/// only.
 pub(crate) type SharedStorage = Option<Arc<Storage>>;
 
-/// The disk, and how much of what clients may be told is durable.
+/// The disk, and the resource version up to which changes are durable.
 pub(crate) struct Storage {
-    /// Where batches are written.
+    /// Writes the batches of records.
     pub(crate) disk: Arc<tidespur_persistence::Disk>,
-    /// Resource versions up to this are durable.
+    /// All changes up to this resource version are durable.
     durable_version: AtomicU64,
     version_became_durable: Event,
 }
 
-/// A store that begins above all resource versions that an earlier process may have published.
+/// Creates a store whose versions begin above all resource versions that earlier processes may have published.
 ///
 /// # Errors
-/// [`RunError::Restore`] where the record of the version cannot be read.
+/// [`RunError::Restore`] if the record of the version is malformed.
 pub(crate) fn open_object_store(
     limits: tidespur_store::Limits,
     seed: u64,
@@ -36,8 +37,8 @@
         Some(records) => restore::reserved_version(records)?,
         None => 0,
     };
-    // Without records, versions begin at the clock in milliseconds: a watch that resumes from an older one gets 410 and
-    // lists again.
+    // Without records, versions begin at the current time in milliseconds: a watch that resumes from a version of an
+    // earlier process gets 410 and lists again.
     let first_version = if reserved_version > 0 {
         reserved_version
     } else {
@@ -49,10 +50,10 @@
 }
 
 impl Storage {
-    /// Restores what an earlier process persisted into `core` and `store`, and starts to write.
+    /// Restores the state of an earlier process into `core` and `store`, and starts the writer.
     ///
     /// # Errors
-    /// Where a record cannot be read, or the writer cannot be started.
+    /// If a record is malformed, or the writer cannot be started.
     pub(crate) fn start(
         record_store: RecordStore,
         records: &LoadedRecords,
@@ -78,13 +79,13 @@
         })
     }
 
-    /// All up to this version is durable: those who wait for it may be answered.
+    /// Records that all changes up to this version are durable, and wakes those who wait for them.
     pub(crate) fn mark_durable(&self, version: u64) {
         self.durable_version.fetch_max(version, Ordering::Release);
         self.version_became_durable.notify(usize::MAX);
     }
 
-    /// Waits until all up to this version is durable, for `timeout` seconds at most. Returns whether it is.
+    /// Waits until all changes up to this version are durable, at most `timeout` seconds. Returns whether they are.
     pub(crate) async fn wait_durable(&self, version: u64, timeout: f64) -> bool {
         let is_durable = || self.durable_version.load(Ordering::Acquire) >= version;
         let wait = async {
--- a/crates/edge/tests/compatibility/edge.rs
+++ b/crates/edge/tests/compatibility/edge.rs
@@ -1,4 +1,4 @@
-//! An edge without I/O, and a planner that answers it.
+//! An edge without I/O, and a simulated planner.
 
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 const FIRST_VERSION: u64 = 1_000;
 const STEP: f64 = 0.1;
 
-/// An edge's core over its store, without I/O.
+/// The core of an edge and its store, and the records that it has persisted.
 pub struct Edge {
     core: Core,
     pub store: Store,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Loads what an earlier process left, as the program does.
-    pub fn load(records: &LoadedRecords) -> (Self, RestoredCounts) {
+    /// Restores the state of an earlier process in the same way as the program.
+    pub fn restore(records: &LoadedRecords) -> (Self, RestoredCounts) {
         let version = reserved_version(records).unwrap();
         let mut edge = Self::new();
         edge.store = Store::new(Limits::default(), 7, version);
@@ -74,15 +74,16 @@
     }
 }
 
-/// A planner that answers each task by the task's name.
+/// A planner whose answer to a task depends on the task's name.
 #[derive(Default)]
 pub struct Planner {
     names: BTreeMap<String, String>,
-    guarded_count: usize,
+    /// Number of answers to tasks whose names begin with "guarded"; the first one is a failure.
+    guarded_answers: usize,
 }
 
 impl Planner {
-    pub fn answers(&mut self, message: ToPlanner) -> Vec<ToEdge> {
+    pub fn answer(&mut self, message: ToPlanner) -> Vec<ToEdge> {
         match message {
             ToPlanner::Place(request) => {
                 self.names.insert(request.uid.clone(), request.name);
@@ -119,16 +120,16 @@
             return vec![failed];
         }
         if name.starts_with("guarded") {
-            self.guarded_count += 1;
-            let refused = ToEdge::Rejected {
+            self.guarded_answers += 1;
+            let rejected = ToEdge::Rejected {
                 uid,
                 reason: "no room".into(),
                 retry_after: 0.0,
             };
-            return vec![if self.guarded_count == 1 {
+            return vec![if self.guarded_answers == 1 {
                 failed
             } else {
-                refused
+                rejected
             }];
         }
         vec![]
--- a/crates/edge/tests/compatibility/main.rs
+++ b/crates/edge/tests/compatibility/main.rs
@@ -1,4 +1,4 @@
-//! The data folder of an edge: what an earlier version wrote comes back whole and is carried on with, and this version
+//! Compatibility of the data directory of an edge: this version restores all records that an earlier version wrote, and
 //! writes the same records.
 
 mod edge;
@@ -14,14 +14,15 @@
 use tidespur_persistence::Identity;
 
 const PLANNER: u64 = 1;
-/// Steps in which the planner answers, and steps after that.
+/// Steps in which the planner answers.
 const ANSWERED_STEPS: usize = 10;
+/// Steps after these, in which it does not answer.
 const UNANSWERED_STEPS: usize = 3;
-/// All kinds of records that an edge writes but for the end in order, which is the disk's.
+/// All kinds of records that an edge writes. The record of a clean shutdown is written by the disk and not one of them.
 const KINDS: [&str; 6] = ["job", "object", "open", "slot", "stray", "version"];
 
-/// Runs an edge until there are records of each kind: Jobs with Pods that run, that may run and that were refused; Pods
-/// that ended, that may have been offered, that were not offered yet, and that nobody owns.
+/// Runs an edge until it has records of each kind: Jobs with Pods that run, that may run and that were rejected, and
+/// Pods without a Job that have ended, that may have been offered to nodes, and that have not been offered yet.
 fn run_edge() -> Edge {
     let mut edge = Edge::new();
     let namespace = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
@@ -35,9 +36,7 @@
     let mut inputs = vec![Input::PlannerConnected(PLANNER)];
     for _ in 0..ANSWERED_STEPS {
         let sent = edge.step(inputs);
-        let answers = sent
-            .into_iter()
-            .flat_map(|message| planner.answers(message));
+        let answers = sent.into_iter().flat_map(|message| planner.answer(message));
         inputs = answers
             .map(|answer| Input::MessageReceived {
                 planner: PLANNER,
@@ -68,7 +67,7 @@
 }
 
 #[test]
-fn records_of_each_kind_are_loaded_from_an_earlier_versions_folder() {
+fn records_of_each_kind_are_loaded_from_the_data_directory_of_an_earlier_version() {
     let stored = stored_edge();
 
     for kind in KINDS {
@@ -80,20 +79,28 @@
     let is_known = |kind: &str| KINDS.contains(&kind);
     let mut records = stored.loaded.records.keys();
     assert!(records.all(|record| is_known(&record.kind)));
-    let opens: Vec<String> = stored
+    let open_requests: Vec<String> = stored
         .loaded
         .records_of_kind("open")
         .map(|(_, value)| String::from_utf8(value.to_vec()).unwrap())
         .collect();
-    assert!(opens.iter().any(|open| open.contains("true")), "{opens:?}");
-    assert!(opens.iter().any(|open| open.contains("false")), "{opens:?}");
+    assert!(
+        open_requests.iter().any(|request| request.contains("true")),
+        "{open_requests:?}"
+    );
+    assert!(
+        open_requests
+            .iter()
+            .any(|request| request.contains("false")),
+        "{open_requests:?}"
+    );
 }
 
 #[test]
-fn objects_are_whole_when_loaded_from_an_earlier_versions_folder() {
+fn objects_are_unchanged_when_restored_from_the_data_directory_of_an_earlier_version() {
     let stored = stored_edge();
 
-    let (edge, restored) = Edge::load(&stored.loaded);
+    let (edge, restored) = Edge::restore(&stored.loaded);
 
     let mut loaded: BTreeMap<String, Object> = BTreeMap::new();
     for resource in [NAMESPACES, JOBS, PODS] {
@@ -135,11 +142,12 @@
     );
 }
 
-/// Open requests, slots and strays can't be read from outside: what is sent for them shows that each came back.
+/// Open requests, slots and stray Pods are not visible from outside; the messages that are sent for them show that each
+/// was restored.
 #[test]
-fn requests_slots_and_strays_are_carried_on_with_when_loaded_from_an_earlier_versions_folder() {
+fn requests_slots_and_stray_pods_are_restored_from_the_data_directory_of_an_earlier_version() {
     let stored = stored_edge();
-    let (mut edge, _) = Edge::load(&stored.loaded);
+    let (mut edge, _) = Edge::restore(&stored.loaded);
 
     let mut lines = Vec::new();
     let mut inputs = vec![Input::PlannerConnected(PLANNER)];
--- a/crates/edge/tests/restore/world.rs
+++ b/crates/edge/tests/restore/simulation.rs
@@ -1,4 +1,4 @@
-//! An edge without I/O, a planner that answers it truthfully, and what runs at nodes.
+//! An edge without I/O, a simulated planner, and the state of the nodes.
 
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,25 +17,25 @@
 const STEP: f64 = 0.1;
 const FIRST_VERSION: u64 = 1_000;
 
-/// What runs at nodes, whoever knows of it: it outlives every restart of the edge.
+/// What runs on nodes. It does not depend on the edge and persists over its restarts.
 #[derive(Clone, Debug, Default)]
 pub struct NodeState {
-    /// Name at the node, by uid of the request that it was started for.
+    /// Names of the running tasks on nodes, by uid of the request that started them.
     pub running: BTreeMap<String, String>,
-    /// Starts, by idempotency key.
+    /// Number of starts, by idempotency key.
     pub starts: BTreeMap<String, u32>,
 }
 
-/// An edge and its planner.
-pub struct World {
+/// An edge and its only planner.
+pub struct Simulation {
     core: Core,
     pub store: Store,
     pub now: f64,
-    /// Tasks that the planner has acknowledged.
+    /// Tasks that the planner has acknowledged and for which it has no commit yet, by uid.
     acknowledged: BTreeMap<String, PlacementRequest>,
     /// Messages of the planner that the edge has not received yet.
     in_flight: Vec<ToEdge>,
-    /// What each step persisted.
+    /// The batch of each step.
     pub batches: Vec<Batch>,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Restores an edge from these records.
     pub fn new(now: f64, records: &LoadedRecords) -> Self {
         let config = parse("built-in", DEFAULT_CONFIG).unwrap();
@@ -56,7 +56,7 @@
         core.restore(now, records, &mut store).unwrap();
         store.track_writes();
         let namespace = json!({"kind": "Namespace", "metadata": {"name": "default"}, "spec": {}, "status": {"phase": "Active"}});
-        // A restored one exists already.
+        // Creation fails if the namespace was restored.
         drop(store.create(NAMESPACES, namespace, now));
         Self {
             core,
@@ -78,7 +78,8 @@
         outgoing.into_iter().map(|sent| sent.message).collect()
     }
 
-    /// The planner receives these messages: it starts tasks at one node, and answers truthfully.
+    /// Delivers messages to the planner, which starts tasks on one node and answers according to the state of the
+    /// nodes.
     pub fn deliver(&mut self, messages: Vec<ToPlanner>, nodes: &mut NodeState) {
         for message in messages {
             match message {
