--- a/crates/edge/src/admission.rs
+++ b/crates/edge/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of new objects: defaults of Jobs and Namespaces, and which Pods are accepted while the edge is loaded. Called
-//! by the REST API, before an object is created.
+//! Admission control for new objects: sets the defaults of Jobs and Namespaces, and rejects Pods while the edge is
+//! overloaded. Called by the REST API before it creates an object.
 
 use parking_lot::Mutex;
 use serde_json::json;
@@ -11,13 +11,13 @@
 use tidespur_load_shedding::LoadShedder;
 use tidespur_store::Store;
 
-/// Clients may retry a Pod that was rejected because of load after this long, in seconds.
-const RETRY_AFTER: u32 = 1;
+/// Retry-After of Pods that are rejected because of load, in seconds.
+const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// Failed runs that a Job tolerates where it sets no limit, as in the published API.
+/// Default of a Job's `backoffLimit`, as in the Kubernetes API.
 const DEFAULT_BACKOFF_LIMIT: u32 = 6;
 
-/// Admits new objects.
+/// Admits new objects, or rejects them with an error for the client.
 #[derive(Debug)]
 pub struct AdmissionControl {
     /// Names of the priority classes, in the order of the shedder's weights.
@@ -28,8 +28,8 @@
 }
 
 impl AdmissionControl {
-    /// Admits up to `max_open_tasks` tasks without an answer, of these priority classes; `shedder` knows their weights in
-    /// the same order.
+    /// Admits Pods while fewer than `max_open_tasks` tasks are without an answer. `classes` are the names of the
+    /// priority classes, in the order of their weights in `shedder`.
     pub fn new(classes: Vec<String>, max_open_tasks: usize, shedder: LoadShedder) -> Self {
         Self {
             classes,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Admission as the settings describe it.
+    /// Creates the admission control with the limits and classes of the configuration.
     pub fn from_config(config: &Config) -> Self {
         let weights = config
             .classes
@@ -52,31 +52,32 @@
         )
     }
 
-    /// Names of the priority classes.
+    /// Names of the priority classes, in the order of the configuration.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// Number of tasks without an answer, after the last step of the core.
+    /// Number of tasks without an answer, as of the last step of the core.
     pub fn open_tasks(&self) -> usize {
         self.open_tasks.load(Ordering::Relaxed)
     }
 
-    /// Sets the number of tasks without an answer.
+    /// Sets the number of tasks without an answer; called after each step of the core.
     pub fn set_open_tasks(&self, open_tasks: usize) {
         self.open_tasks.store(open_tasks, Ordering::Relaxed);
     }
 
-    /// Observes the lag of the event loop, in seconds: beyond the shortest latency objective, Pods are shed.
+    /// Records the lag of the event loop at `now`, in seconds. Pods are shed while it is above the shortest latency
+    /// objective.
     pub fn observe_lag(&self, now: f64, lag: f64) {
         self.shedder.lock().observe_lag(now, lag);
     }
 
-    /// Checks a new object, and sets its defaults and its first status.
+    /// Validates a new object, and sets its defaults and its initial status.
     ///
     /// # Errors
-    /// 404 where its namespace does not exist, 422 for a Pod that names its node, and 429 for a Pod while the edge has
-    /// too many open tasks or sheds load.
+    /// 404 if its namespace does not exist, 422 for a Pod with a `nodeName`, and 429 for a Pod while the edge has too
+    /// many open tasks or sheds load.
     pub fn admit(
         &self,
         store: &Store,
@@ -109,13 +110,13 @@
                 "{} tasks wait for an answer, which is the most; try again",
                 self.max_open_tasks
             );
-            return Err(ApiError::too_many_requests(message, RETRY_AFTER));
+            return Err(ApiError::too_many_requests(message, RETRY_AFTER_SECONDS));
         }
         if !self.admit_class(meta::text_at(pod, &["spec", "priorityClassName"])) {
             let message = "the edge is behind its work; try again";
-            return Err(ApiError::too_many_requests(message, RETRY_AFTER));
+            return Err(ApiError::too_many_requests(message, RETRY_AFTER_SECONDS));
         }
-        // Only the Job controller may set it.
+        // Only the Job controller may set this annotation.
         if let Some(annotations) = pod["metadata"]["annotations"].as_object_mut() {
             annotations.remove(names::ADOPTED_POD_NAME);
         }
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// Whether a Pod of this class is accepted at the present lag.
+    /// Whether a Pod of this class is admitted at the present lag; an unknown class counts as the first one.
     fn admit_class(&self, class: &str) -> bool {
         let index = self.classes.iter().position(|name| name == class);
         self.shedder.lock().admit(index.unwrap_or(0))
@@ -134,7 +135,7 @@
     let spec = meta::map_mut(job, "spec");
     spec.entry("backoffLimit")
         .or_insert_with(|| DEFAULT_BACKOFF_LIMIT.into());
-    // Neither is set: a Job of one Pod.
+    // A Job that sets neither runs one Pod.
     if spec.get("parallelism").is_none() && spec.get("completions").is_none() {
         spec.insert("completions".into(), 1.into());
     }
--- a/crates/edge/src/error.rs
+++ b/crates/edge/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the edge cannot start or run on.
+//! Errors that end the edge, or prevent its start.
 
 use crate::restore::RestoreError;
 use std::error::Error;
@@ -7,44 +7,46 @@
 use tidespur_membership_net::{JoinError, ReplacedError};
 use tidespur_persistence::PersistenceError;
 
-/// Why the edge ended, or did not start.
+/// An error that ended the edge, or prevented its start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RunError {
-    /// An address cannot be listened on.
-    #[error("cannot listen on {address}; name a free address of this machine with --api or --link")]
+    /// The API or the planner link cannot listen on its address.
+    #[error("cannot listen on {address}; set --api or --link to a free address of this machine")]
     Listen {
-        /// The address.
+        /// The address as it was configured.
         address: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file for recorded traffic cannot be opened.
-    #[error("cannot open the record {path}; name a file that this user may write with --record")]
+    /// The file that traffic is recorded in cannot be opened.
+    #[error(
+        "cannot open the recording file {path}; set --record to a file that this user may write"
+    )]
     OpenRecord {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The data directory cannot be used.
     #[error(transparent)]
     Persistence(#[from] PersistenceError),
-    /// What an earlier process persisted cannot be restored.
+    /// The state that an earlier process persisted cannot be restored.
     #[error(transparent)]
     Restore(#[from] RestoreError),
-    /// The voter of the coordination log cannot start.
+    /// The voter of the coordination log cannot be started.
     #[error(transparent)]
     StartVoter(#[from] StartError),
     /// The edge cannot join its fleet.
     #[error(transparent)]
     JoinFleet(#[from] JoinError),
-    /// A newer process took this one's place.
+    /// A newer process has joined the fleet under the name of this one.
     #[error(transparent)]
     Replaced(#[from] ReplacedError),
 }
 
-/// An error and its causes, in one line.
+/// The messages of an error and its causes on one line, separated by colons.
 pub fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/edge/src/hooks.rs
+++ b/crates/edge/src/hooks.rs
@@ -1,5 +1,5 @@
-//! What the edge adds to the plain REST API. Each hook is called by the API's server, under the store's lock where it gets
-//! the store.
+//! Hooks that extend the generic REST API: admission, deletion, health, metrics and debug endpoints. Called by the API
+//! server; hooks that receive the store run under its lock.
 
 use crate::admission::AdmissionControl;
 use crate::core::Input;
@@ -24,7 +24,7 @@
 mod health;
 mod nodes;
 
-/// State that the hooks read, and where they send to.
+/// State that the hooks share with the event loop.
 pub(crate) struct EdgeHooks {
     pub(crate) admission: AdmissionControl,
     pub(crate) connected_planners: AtomicUsize,
@@ -32,7 +32,7 @@
     pub(crate) registry: Client,
     pub(crate) recorder: Recorder,
     pub(crate) pending_records: Arc<Mutex<PendingRecords>>,
-    /// How often the core had to compare all objects instead of reading its store's history.
+    /// How often the core was too late to read changes from the store's history and compared all objects instead.
     pub(crate) resync_count: AtomicU64,
     pub(crate) member: Option<Arc<MemberHandle>>,
     pub(crate) storage: SharedStorage,
@@ -109,7 +109,7 @@
     }
 
     fn on_write(&self) {
-        // A full queue is being worked through, and the core reads the store after each step.
+        // If the queue is full, inputs are being handled, and the core reads the store in each step.
         let _ = self.inputs.try_send(Input::StoreChanged);
     }
 
--- a/crates/edge/src/hooks/debug.rs
+++ b/crates/edge/src/hooks/debug.rs
@@ -1,4 +1,4 @@
-//! `/debug`: pending work, the coordination log's voter, and the fleet.
+//! The `/debug` endpoints: pending work, the voter of the coordination log, and the fleet.
 
 use super::EdgeHooks;
 use serde_json::{Value, json};
@@ -8,10 +8,10 @@
 use tidespur_net::clock;
 use tidespur_pending::{PendingRecord, PendingRecords};
 
-/// Records in one answer, those pending for longest first.
+/// Maximum number of records in one answer; the ones that have been pending longest come first.
 const MAX_RECORDS: usize = 1_000;
 
-/// Answers a request beneath `/debug`; `None` for any other.
+/// Handles a request beneath `/debug`; `None` for any other path.
 pub(super) fn handle(
     edge: &EdgeHooks,
     method: &str,
@@ -27,7 +27,9 @@
             Some(coordination(voter, method, rest))
         }
         (["debug", "fleet"], "GET") => Some(fleet(edge)),
-        (["debug", "waits", rest @ ..], "GET") => Some(pending(&edge.pending_records.lock(), rest)),
+        (["debug", "waits", rest @ ..], "GET") => {
+            Some(pending_work(&edge.pending_records.lock(), rest))
+        }
         (["debug", "waits", ..], _) => Some(Err(ApiError::method_not_allowed())),
         _ => None,
     }
@@ -55,9 +57,9 @@
     }
 }
 
-/// `waits/NAMESPACE/POD` is the record of one Pod, `waits/NAMESPACE` all of a namespace, and `waits` counts of the whole
-/// edge: owners see only names of their own.
-fn pending(records: &PendingRecords, rest: &[&str]) -> Result<Object, ApiError> {
+/// Answers `waits/NAMESPACE/POD` with the record of one Pod, `waits/NAMESPACE` with the records of a namespace, and
+/// `waits` with totals of the whole edge, which name no Pods: owners see only the names of their own.
+fn pending_work(records: &PendingRecords, rest: &[&str]) -> Result<Object, ApiError> {
     match rest {
         [] => Ok(pending_totals(records)),
         [namespace] => Ok(pending_in_namespace(records, namespace)),
--- a/crates/edge/src/hooks/deletion.rs
+++ b/crates/edge/src/hooks/deletion.rs
@@ -1,4 +1,4 @@
-//! What is deleted, or released, together with an object.
+//! Deletes or releases the dependents of a deleted object.
 
 use crate::core::owner_uid;
 use serde_json::json;
@@ -17,12 +17,12 @@
     match resource.kind {
         "Job" if options.propagation.as_deref() == Some("Orphan") => release_pods(store, deleted),
         "Namespace" => delete_contents(store, meta::name(deleted)),
-        // Pods of other Jobs are deleted by the core, once it reads the change.
+        // The core deletes the Pods of other Jobs when it reads the change.
         _ => {}
     }
 }
 
-/// Removes the owner of the Pods of a deleted Job, so that they stay.
+/// Removes the owner reference from the Pods of a deleted Job, so that they are not deleted with it.
 fn release_pods(store: &mut Store, job: &Object) {
     let uid = meta::uid(job);
     let owned: Vec<Arc<Object>> = store
@@ -39,13 +39,13 @@
     }
 }
 
-/// Deletes all objects of a deleted Namespace.
+/// Deletes all objects in a deleted Namespace.
 fn delete_contents(store: &mut Store, namespace: &str) {
     for resource in [JOBS, PODS, EVENTS] {
         let objects: Vec<Arc<Object>> = store.iter(resource, namespace).cloned().collect();
         for object in objects {
             let name = meta::name(&object);
-            // It was listed under the same lock, so it exists.
+            // It was listed under the same lock, so the deletion cannot fail.
             drop(store.delete(resource, namespace, name, &Precondition::default()));
         }
     }
--- a/crates/edge/src/hooks/health.rs
+++ b/crates/edge/src/hooks/health.rs
@@ -1,31 +1,31 @@
-//! Readiness of the edge and its components, and waiting until answers are durable.
+//! Readiness of the edge and its components, and waiting for the durability of answers.
 
 use super::EdgeHooks;
 use std::sync::atomic::Ordering;
 use tidespur_api::ApiError;
 
-/// How long an answer waits until what it rests on is durable, in seconds.
+/// How long an answer waits until the state that it shows is durable, in seconds.
 const DURABILITY_TIMEOUT: f64 = 10.0;
-/// Clients may retry after this long while the disk fails, in seconds.
-const DISK_RETRY_AFTER: u32 = 5;
-/// Clients may retry after this long while there is no planner, in seconds.
-const PLANNER_RETRY_AFTER: u32 = 1;
+/// Retry-After while the disk fails, in seconds.
+const DISK_RETRY_AFTER_SECONDS: u32 = 5;
+/// Retry-After while no planner is connected, in seconds.
+const PLANNER_RETRY_AFTER_SECONDS: u32 = 1;
 
-/// A component, with its status or with what it waits for and what an operator can do.
+/// Name of a component, and its status: a summary if it is ready, else the problem and what an operator can do.
 type ComponentStatus = (&'static str, Result<String, String>);
 
-/// Why the disk cannot be written to, if so.
+/// Why the disk cannot be written to; `None` if it can, or without persistence.
 fn disk_error(edge: &EdgeHooks) -> Option<String> {
     edge.storage.as_ref()?.disk.error()
 }
 
-/// Fails while the disk cannot be written to.
+/// Fails with 503 while the disk cannot be written to.
 pub(super) fn check_disk(edge: &EdgeHooks) -> Result<(), ApiError> {
     match disk_error(edge) {
         None => Ok(()),
         Some(error) => {
             let message = format!("nothing can be kept now: {error}");
-            Err(ApiError::unavailable(message, DISK_RETRY_AFTER))
+            Err(ApiError::unavailable(message, DISK_RETRY_AFTER_SECONDS))
         }
     }
 }
@@ -35,13 +35,13 @@
     match edge.connected_planners.load(Ordering::Relaxed) {
         0 => Err(ApiError::unavailable(
             "no planner is connected",
-            PLANNER_RETRY_AFTER,
+            PLANNER_RETRY_AFTER_SECONDS,
         )),
         planners => Ok(format!("ok, planners: {planners}")),
     }
 }
 
-/// Status of each component.
+/// Status of each component of this edge; the voter is omitted if it does not run one.
 pub(super) fn components(edge: &EdgeHooks) -> Vec<ComponentStatus> {
     let mut components = vec![planners_status(edge), storage_status(edge)];
     if let Some(voter) = &edge.voter {
@@ -76,11 +76,11 @@
     ("memory", status)
 }
 
-/// Waits until all up to this version is durable. While the disk fails, a read does not wait, but its answer comes with a
-/// warning.
+/// Waits until all changes up to this version are durable. While the disk fails, a read does not wait; returns the text
+/// of a warning for its answer instead.
 ///
 /// # Errors
-/// 504 for a write that did not become durable in time.
+/// 504 for a write that does not become durable in time.
 pub(super) async fn wait_durable(
     edge: &EdgeHooks,
     version: u64,
--- a/crates/edge/src/hooks/nodes.rs
+++ b/crates/edge/src/hooks/nodes.rs
@@ -1,4 +1,4 @@
-//! Writes of Nodes. They belong to the node registry: a change is requested there, and comes back by the watch.
+//! Writes of Nodes. The node registry owns them: a write is forwarded to it, and its effect arrives through the watch.
 
 use super::EdgeHooks;
 use hyper::Method;
@@ -7,13 +7,13 @@
 use tidespur_net::NetError;
 use tidespur_rest::Verb;
 
-/// Bound of a request to the node registry, in seconds.
+/// Timeout of a request to the node registry, in seconds.
 const REQUEST_TIMEOUT: f64 = 2.0;
-/// Clients may retry after this long where the registry cannot be reached, in seconds.
-const RETRY_AFTER: u32 = 1;
+/// Retry-After while the node registry cannot be reached, in seconds.
+const RETRY_AFTER_SECONDS: u32 = 1;
 
 pub(super) async fn write(
-    hooks: &EdgeHooks,
+    edge: &EdgeHooks,
     verb: Verb,
     resource: &'static Resource,
     node: &Object,
@@ -24,7 +24,7 @@
     let path = resource.path("", meta::name(node));
     let unschedulable = meta::value_at(node, &["spec", "unschedulable"]);
     let patch = json!({"spec": {"unschedulable": unschedulable}});
-    let sent = hooks
+    let response = edge
         .registry
         .send(
             Method::PATCH,
@@ -34,13 +34,13 @@
             REQUEST_TIMEOUT,
         )
         .await;
-    match sent {
-        Ok(reply) if reply.status.is_success() => Ok(node.clone()),
-        Ok(reply) => {
-            let status = reply.json();
+    match response {
+        Ok(response) if response.status.is_success() => Ok(node.clone()),
+        Ok(response) => {
+            let status = response.json();
             let reason = meta::text_at(&status, &["message"]);
             let message = format!("the register says: {reason}");
-            Err(ApiError::new(reply.status.as_u16(), "Conflict", message))
+            Err(ApiError::new(response.status.as_u16(), "Conflict", message))
         }
         Err(NetError::Timeout) => Err(ApiError::new(
             504,
@@ -49,7 +49,7 @@
         )),
         Err(error) => {
             let message = format!("the register can't be reached: {error}");
-            Err(ApiError::unavailable(message, RETRY_AFTER))
+            Err(ApiError::unavailable(message, RETRY_AFTER_SECONDS))
         }
     }
 }
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/initial_state.rs
@@ -1,4 +1,4 @@
-//! The state that the edge starts with: restored from its data directory, or empty.
+//! The initial state of the edge: restored from its data directory, or empty.
 
 use crate::core::Core;
 use crate::error::RunError;
@@ -13,23 +13,23 @@
 use tidespur_persistence::LoadedRecords;
 use tidespur_store::Store;
 
-/// The namespace that always exists.
+/// The namespace that exists regardless of the configuration.
 const DEFAULT_NAMESPACE: &str = "default";
 
-/// The edge's state as it was restored, or an empty one.
-pub(crate) struct State {
+/// State that the edge starts with.
+pub(crate) struct InitialState {
     pub(crate) core: Core,
     pub(crate) store: Store,
     pub(crate) storage: SharedStorage,
-    /// What was loaded from the disk, if there is one.
+    /// The records that were loaded from the disk; `None` without a data directory.
     pub(crate) records: Option<LoadedRecords>,
 }
 
-impl State {
-    /// Restores the state of an earlier process, where there is a data directory.
+impl InitialState {
+    /// Restores the state of an earlier process from the data directory; without one, starts empty.
     ///
     /// # Errors
-    /// Where the data directory cannot be used, or what is in it cannot be restored.
+    /// If the data directory cannot be used, or its records cannot be restored.
     pub(crate) fn open(config: &Config, options: &Options) -> Result<Self, RunError> {
         let data = options.shared.data.as_deref();
         let opened = open_store(config, data, "edge", &options.name)?;
@@ -68,7 +68,7 @@
     for name in [DEFAULT_NAMESPACE].into_iter().chain(tenants) {
         let namespace = json!({"kind": "Namespace", "apiVersion": "v1", "metadata": {"name": name},
             "spec": {}, "status": {"phase": "Active"}});
-        // One that was restored, or that is named twice, exists already.
+        // Creation fails if the namespace was restored or is configured twice.
         drop(store.create(NAMESPACES, namespace, clock::now()));
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,9 @@
-//! The edge: the program that clients talk to. It serves the REST API over its store, runs the Job controller, and shares
-//! open tasks out to planners.
+//! The edge: the API server. It serves the REST API from its store, runs the Job controller, and distributes open tasks
+//! among planners.
 //!
-//! [`dispatcher::Dispatcher`] assigns each open task to a planner and keeps its one answer; [`core::Core`] connects
-//! dispatcher, Job controller and store. Both are state machines without I/O. [`run()`] is the program around them.
+//! [`dispatcher::Dispatcher`] assigns each open task to a planner and ensures that it gets exactly one answer;
+//! [`core::Core`] connects dispatcher, Job controller and store. Both are state machines without I/O. [`run()`] is the
+//! program around them.
 
 pub mod admission;
 pub mod core;
@@ -12,6 +13,7 @@
 mod events;
 mod garbage_collector;
 mod hooks;
+mod initial_state;
 mod job_status;
 mod metrics;
 mod node_watch;
@@ -24,7 +26,6 @@
 pub mod restore;
 mod run;
 mod server;
-mod state;
 mod storage;
 
 pub use error::{RunError, error_chain};
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidespur-edge`: the program that clients talk to.
+//! `tidespur-edge`: the API server.
 
 use clap::Parser;
 use std::process::ExitCode;
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,5 +1,5 @@
-//! `/metrics`: state of the edge and totals of pending work, in the published text format. Labels are bounded: classes are
-//! those of the settings; namespaces and zones beyond a number count as `other`.
+//! `/metrics`: state of the edge and totals of pending work, in the OpenMetrics text format. The number of label values
+//! is bounded: classes are those of the configuration, and namespaces and zones above a maximum count as `other`.
 
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::{family::Family, gauge::Gauge};
@@ -9,11 +9,11 @@
 use tidespur_pending::{PendingRecords, ReasonCode};
 use tidespur_persistence::Disk;
 
-/// Namespaces that have a label of their own.
+/// Maximum number of namespaces with a label value of their own.
 const MAX_NAMESPACE_LABELS: usize = 50;
-/// Zones that have a label of their own.
+/// Maximum number of zones with a label value of their own.
 const MAX_ZONE_LABELS: usize = 20;
-/// Label of all others.
+/// Label value of all others.
 const OTHER_LABEL: &str = "other";
 
 /// Labels of the totals of pending work.
@@ -28,7 +28,7 @@
 
 type GaugeFamily = Family<Labels, Gauge<f64, AtomicU64>>;
 
-/// State of the edge beside its pending work.
+/// State of the edge besides its pending work.
 pub(crate) struct EdgeState<'a> {
     pub(crate) open_tasks: usize,
     pub(crate) connected_planners: usize,
@@ -36,7 +36,7 @@
     pub(crate) disk: Option<&'a Disk>,
 }
 
-/// The text of `/metrics`.
+/// Renders the text of `/metrics`.
 pub(crate) fn render(records: &PendingRecords, state: &EdgeState<'_>) -> String {
     let mut registry = Registry::with_prefix("tidespur");
     let families = PendingFamilies::register(&mut registry);
@@ -94,7 +94,7 @@
     );
 }
 
-/// Sums of pending work with the same labels.
+/// Sums of the pending work with the same labels.
 #[derive(Default)]
 struct Totals {
     tasks: f64,
@@ -102,7 +102,7 @@
     memory: f64,
 }
 
-/// Totals of pending work, by reason.
+/// Metric families of the totals of pending work.
 struct PendingFamilies {
     tasks: GaugeFamily,
     cores: GaugeFamily,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Values of a label, bounded in number.
+/// Values of a label, limited to a maximum number.
 struct BoundedLabels {
     max: usize,
     known: BTreeSet<String>,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The value itself while there are few enough, else the common one.
+    /// Returns the value itself if it is among the first `max`, else [`OTHER_LABEL`].
     fn label(&mut self, value: String) -> String {
         let has_own_label = self.known.contains(&value) || self.known.len() < self.max;
         let label = if has_own_label {
--- a/crates/edge/src/node_watch.rs
+++ b/crates/edge/src/node_watch.rs
@@ -1,4 +1,4 @@
-//! The list and watch of the node registry's Nodes, as inputs of the event loop.
+//! Lists and watches the Nodes of the node registry, and sends changes to the event loop.
 
 use crate::core::Input;
 use crate::server::EdgeServer;
@@ -6,26 +6,26 @@
 use tidespur_net::follow::{ListWatchEvent, list_and_watch};
 use tidespur_net::{Client, clock};
 
-/// Connections to the node registry: the list and the watch.
+/// Connections to the node registry: one for the list and one for the watch.
 const REGISTRY_CONNECTIONS: usize = 2;
-/// Bound of a request to the node registry, in seconds.
+/// Timeout of a request to the node registry, in seconds.
 const REQUEST_TIMEOUT: f64 = 2.0;
-/// Silence after which the watch counts as lost, in seconds.
+/// Time without data after which the watch counts as lost, in seconds.
 const WATCH_TIMEOUT: f64 = 1.6;
-/// Pause before the Nodes are listed again, in seconds.
+/// Delay before the Nodes are listed again after the watch ended, in seconds.
 const RETRY_INTERVAL: f64 = 0.5;
 
 impl EdgeServer {
-    /// Lists and watches Nodes, again and again.
+    /// Lists and watches Nodes, and starts over whenever the watch ends. Does not return.
     pub(crate) async fn watch_nodes(self: Arc<Self>) {
-        let register = &self.options.shared.registry;
+        let registry = &self.options.shared.registry;
         let to_input = |event| match event {
             ListWatchEvent::Listed(nodes) => Input::NodesListed(nodes),
             ListWatchEvent::Updated(node) => Input::NodeUpdated(node),
             ListWatchEvent::Deleted(node) => Input::NodeDeleted(node),
         };
         loop {
-            let client = Client::new(register, REGISTRY_CONNECTIONS, vec![]);
+            let client = Client::new(registry, REGISTRY_CONNECTIONS, vec![]);
             let error = list_and_watch(
                 &client,
                 "/api/v1/nodes",
@@ -36,7 +36,7 @@
             )
             .await;
             let edge = &self.options.name;
-            tracing::warn!(edge, register, %error, "the watch of the node registry ended");
+            tracing::warn!(edge, registry, %error, "the watch of the node registry ended");
             clock::sleep(RETRY_INTERVAL).await;
         }
     }
--- a/crates/edge/src/options.rs
+++ b/crates/edge/src/options.rs
@@ -1,4 +1,4 @@
-//! Command-line options of the edge.
+//! Command-line options of the edge. The doc comments of the fields are the help texts.
 
 /// Command-line options of the edge.
 #[derive(Clone, Debug, clap::Args)]
--- a/crates/edge/src/planner_count.rs
+++ b/crates/edge/src/planner_count.rs
@@ -1,5 +1,5 @@
-//! Counting the planners of the fleet, while this edge holds the fleet's lease: the loop around [`PlannerCount`], which
-//! decides.
+//! Counts the planners of the fleet while this edge holds the fleet's lease. This is the loop around the state machine
+//! [`PlannerCount`], which makes the decisions.
 
 use crate::core::OutgoingMessage;
 use crate::server::EdgeServer;
@@ -12,16 +12,17 @@
 use tidespur_planner_protocol::ToPlanner;
 use tidespur_recovery::{Observed, Output, PlannerCount};
 
-/// Keys of the planners that are counted, in the coordination log, begin with this.
+/// Prefix of the keys of counted planners in the coordination log.
 const PLANNER_KEY_PREFIX: &str = "planner/";
-/// Value of such a key; an empty one removes it.
+/// Value of the key of a counted planner.
 const COUNTED: &[u8] = b"1";
+/// Empty value, which removes a key.
 const NOT_COUNTED: &[u8] = b"";
 /// How often planners are counted, in seconds.
 const COUNT_INTERVAL: f64 = 0.2;
 
 impl EdgeServer {
-    /// Counts planners again and again; ends at once where this edge runs no voter.
+    /// Counts planners periodically. Returns immediately if this edge does not run a voter.
     pub(crate) async fn count_planners(self: Arc<Self>) {
         let Some(voter) = self.api.hooks.voter.clone() else {
             return;
@@ -59,8 +60,8 @@
                     token,
                     planners,
                 } => {
-                    // Checked again when it is sent, since the step may have been long. What is late all the same, the
-                    // planner rejects by the fencing token.
+                    // The lease is checked again before sending, since the step may have taken long. If it expires
+                    // after this check, the planner rejects the message by its fencing token.
                     if voter.valid_token(FLEET_LEASE) == Some(token) {
                         let lease = FLEET_LEASE.into();
                         let message = ToPlanner::PlannerCount {
@@ -86,7 +87,8 @@
         names
     }
 
-    /// Planners that have told the fleet that they leave; silent or failed members are not among them.
+    /// Names of the planners that have left the fleet voluntarily. Members that failed or are suspected are not
+    /// included.
     fn departed_planners(&self) -> BTreeSet<String> {
         let Some(member) = &self.api.hooks.member else {
             return BTreeSet::new();
--- a/crates/edge/src/planner_sessions.rs
+++ b/crates/edge/src/planner_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of planners: accepts their connections, and passes their messages on to the event loop.
+//! Sessions of planners: accepts connections, and passes messages on to the event loop.
 
 use crate::core::Input;
 use crate::dispatcher::PlannerId;
@@ -12,7 +12,7 @@
 use tidespur_net::{Recorder, clock};
 use tidespur_planner_protocol::{ToEdge, ToPlanner};
 
-/// Pause after a connection that could not be accepted, in seconds.
+/// Delay after a connection could not be accepted, in seconds.
 const ACCEPT_RETRY_INTERVAL: f64 = 0.05;
 
 /// Why the session of a planner ended.
@@ -20,7 +20,7 @@
 enum SessionError {
     #[error("cannot set up the socket: {0}")]
     Socket(#[from] std::io::Error),
-    #[error("no Hello within {timeout} s")]
+    #[error("no Hello message within {timeout} s")]
     HelloTimeout { timeout: f64 },
     #[error("the first message is not Hello: {received:?}")]
     NotHello { received: Option<ToEdge> },
@@ -31,7 +31,7 @@
 }
 
 impl EdgeServer {
-    /// Accepts planners until the task is cancelled, which ends their sessions.
+    /// Accepts planners until the future is dropped, which ends their sessions.
     pub(crate) async fn accept_planners(self: Arc<Self>, listener: TcpListener) {
         let mut sessions: Vec<Task<()>> = Vec::new();
         let mut last_id: PlannerId = 0;
@@ -44,7 +44,7 @@
                     sessions.push(smol::spawn(session));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept the connection of a planner");
+                    tracing::warn!(%error, "cannot accept a planner connection");
                     clock::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
@@ -54,14 +54,14 @@
     async fn run_session(self: Arc<Self>, planner: PlannerId, socket: TcpStream, peer: String) {
         let edge = &self.options.name;
         match self.serve_planner(planner, socket).await {
-            Ok(()) => tracing::info!(edge, planner, peer, "the session of a planner ended"),
+            Ok(()) => tracing::info!(edge, planner, peer, "the planner session ended"),
             Err(error) => {
-                tracing::info!(edge, planner, peer, %error, "the session of a planner failed");
+                tracing::info!(edge, planner, peer, %error, "the planner session failed");
             }
         }
         self.planners.lock().remove(&planner);
         if self.inputs.send(Input::PlannerLost(planner)).await.is_err() {
-            tracing::debug!(edge, planner, "the event loop has ended already");
+            tracing::debug!(edge, planner, "the event loop has already ended");
         }
     }
 
@@ -120,7 +120,8 @@
     }
 }
 
-/// The input of a message, which is recorded unless it is frequent; heartbeats are none.
+/// Converts a message to an input; `None` for a heartbeat. Records the message, except for the frequent pending
+/// reasons.
 fn message_to_input(
     planner: PlannerId,
     name: &str,
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -1,13 +1,13 @@
-//! Starts and runs the edge: sockets, storage, voter, membership and tasks. It decides nothing.
+//! Starts and runs the edge: sockets, storage, voter, membership and tasks. Makes no decisions.
 
 use crate::admission::AdmissionControl;
 use crate::core::{Core, Input};
 use crate::error::RunError;
 use crate::event_loop::EventLoop;
 use crate::hooks::EdgeHooks;
+use crate::initial_state::InitialState;
 use crate::options::Options;
 use crate::server::EdgeServer;
-use crate::state::State;
 use async_channel::Sender;
 use parking_lot::Mutex;
 use smol::Task;
@@ -24,29 +24,29 @@
 use tidespur_persistence::LoadedRecords;
 use tidespur_rest::{Api, ApiHandler, Limits};
 
-/// Inputs that may wait for the event loop.
+/// Capacity of the input queue of the event loop.
 const MAX_QUEUED_INPUTS: usize = 16_384;
 /// Connections to the node registry for writes of Nodes.
 const REGISTRY_CONNECTIONS: usize = 4;
 
-/// A socket that is listened on, and its address.
+/// A listening socket, and its address.
 struct Listener {
     socket: TcpListener,
     address: String,
 }
 
-/// The edge as a part of its cluster.
-struct Cluster {
+/// Handles to the coordination log and the fleet; `None` if the edge takes no part in them.
+struct ClusterHandles {
     voter: Option<Arc<VoterHandle>>,
     member: Option<Arc<MemberHandle>>,
     metadata: MemberMetadata,
 }
 
-/// Runs the edge until the process is shut down. `on_ready` is called with the addresses of the API, of the link to
-/// planners and, where the edge joins a fleet, of its datagrams.
+/// Runs the edge until the process is shut down. `on_ready` is called with the listening addresses of the API, of the
+/// link to planners and, if the edge joins a fleet, of the membership protocol.
 ///
 /// # Errors
-/// [`RunError`]: why it could not start, or an end that an operator should look at.
+/// [`RunError`] if the edge cannot start, or if it ends for a reason that requires an operator.
 pub async fn run(
     config: Config,
     options: Options,
@@ -55,7 +55,7 @@
     let api_listener = listen(&options.api).await?;
     let link_listener = listen(&options.link).await?;
     let recorder = open_recorder(&options)?;
-    let state = State::open(&config, &options)?;
+    let state = InitialState::open(&config, &options)?;
     let api_address = api_listener.address.clone();
     let link_address = link_listener.address.clone();
     let cluster = join_cluster(&config, &options, &state, &api_address, &link_address).await?;
@@ -63,7 +63,7 @@
     let metadata = cluster.metadata.clone();
     let (inputs_sender, inputs) = async_channel::bounded(MAX_QUEUED_INPUTS);
     let (edge, core) = build_server(config, options, state, cluster, recorder, inputs_sender);
-    // Held until the process ends: dropping them cancels the tasks.
+    // Dropping the tasks cancels them.
     let tasks = spawn_tasks(&edge, api_listener, link_listener);
     tracing::info!(
         edge = edge.options.name,
@@ -107,14 +107,14 @@
     })
 }
 
-/// Starts the voter of the coordination log, and joins the fleet, where the settings and options say so.
+/// Starts the voter of the coordination log and joins the fleet, if the configuration and options say so.
 async fn join_cluster(
     config: &Config,
     options: &Options,
-    state: &State,
+    state: &InitialState,
     api_address: &str,
     link_address: &str,
-) -> Result<Cluster, RunError> {
+) -> Result<ClusterHandles, RunError> {
     let disk = state.storage.as_ref().map(|storage| storage.disk.clone());
     let records = state.records.as_ref();
     let routes = Routes::from_file(options.shared.routes.clone());
@@ -133,7 +133,7 @@
         records.map(LoadedRecords::incarnation),
     )
     .await?;
-    Ok(Cluster {
+    Ok(ClusterHandles {
         voter: voter.map(Arc::new),
         member: member.map(Arc::new),
         metadata,
@@ -143,8 +143,8 @@
 fn build_server(
     config: Config,
     options: Options,
-    state: State,
-    cluster: Cluster,
+    state: InitialState,
+    cluster: ClusterHandles,
     recorder: Recorder,
     inputs: Sender<Input>,
 ) -> (Arc<EdgeServer>, Core) {
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -1,4 +1,4 @@
-//! The edge's server: what its tasks share, and sending to planners.
+//! State that the tasks of the edge share, and sending messages to planners.
 
 use crate::core::{Input, OutgoingMessage};
 use crate::dispatcher::PlannerId;
@@ -17,16 +17,16 @@
 use tidespur_planner_protocol::ToPlanner;
 use tidespur_rest::Api;
 
-/// How often the fleet is told the number of open tasks, in seconds.
+/// How often the number of open tasks is published in the fleet, in seconds.
 const METADATA_UPDATE_INTERVAL: f64 = 1.0;
 
-/// A planner that is connected.
+/// A connected planner, and the queue of the messages that its session sends.
 pub(crate) struct ConnectedPlanner {
     pub(crate) name: String,
     pub(crate) messages: Sender<ToPlanner>,
 }
 
-/// What the tasks of the edge share.
+/// State that the tasks of the edge share.
 pub(crate) struct EdgeServer {
     pub(crate) config: Config,
     pub(crate) options: Options,
@@ -38,19 +38,19 @@
 }
 
 impl EdgeServer {
-    /// Sends a message to a planner; one that has disconnected gets nothing.
+    /// Queues a message for a planner; drops it if the planner has disconnected.
     pub(crate) fn send_to_planner(&self, outgoing: OutgoingMessage) {
         let planners = self.planners.lock();
         let Some(planner) = planners.get(&outgoing.planner) else {
             return;
         };
         if planner.messages.try_send(outgoing.message).is_err() {
-            // A full queue means that the planner reads nothing: its session ends, and its tasks with it.
+            // The queue is full because the planner does not read: closing it ends the session.
             planner.messages.close();
         }
     }
 
-    /// Keeps the fleet informed about this edge, until the process is to shut down.
+    /// Publishes the metadata of this edge in the fleet periodically, until the process is to shut down.
     pub(crate) async fn update_membership(
         &self,
         member: &MemberHandle,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Publishes the core's counters to those who answer requests.
+    /// Copies the counters of the core to the API hooks.
     pub(crate) fn publish_counters(&self, core: &crate::core::Core) {
         let hooks = &self.api.hooks;
         hooks.admission.set_open_tasks(core.open_tasks());
--- a/crates/edge/tests/interface_compatibility.rs
+++ b/crates/edge/tests/interface_compatibility.rs
@@ -1,4 +1,4 @@
-//! Flags of `tidespur-edge` stay as scripts use them.
+//! The command-line flags of `tidespur-edge` stay compatible with scripts that use them.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
--- a/crates/edge/tests/status_reasons.rs
+++ b/crates/edge/tests/status_reasons.rs
@@ -1,4 +1,4 @@
-//! Phases, conditions and reason codes that the edge writes into Pods, Jobs and Events stay as they are.
+//! The phases, conditions and reason codes that the edge writes to Pods, Jobs and Events stay compatible.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -15,7 +15,7 @@
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const PLANNER: u64 = 1;
 
-/// How a Pod may end.
+/// All ways in which a Pod may end, by name in the fixture.
 const ENDS: [(&str, TerminationReason); 7] = [
     ("succeeded", TerminationReason::Succeeded),
     ("failed", TerminationReason::Failed),
@@ -64,7 +64,7 @@
         }]);
     }
 
-    /// The only Pod, as it is now.
+    /// The only Pod in its present state.
     fn pod(&self) -> Object {
         (**self.store.iter(PODS, "default").next().expect("a Pod")).clone()
     }
@@ -76,7 +76,7 @@
         self.step(vec![Input::StoreChanged]);
     }
 
-    /// Creates a Job of one Pod with more in its `spec`.
+    /// Creates a Job of one Pod; `spec` is merged into its specification.
     fn create_job(&mut self, spec: &Value) {
         let class = "slot-abgleich";
         let template = json!({"spec": {"restartPolicy": "Never", "priorityClassName": class,
@@ -116,7 +116,7 @@
         self.receive(ToEdge::Ended { uid, reason });
     }
 
-    /// Reasons of all Events.
+    /// Types and reasons of all Events.
     fn events(&self) -> Vec<String> {
         let event = |event: &Object| format!("{} {}", event["type"], event["reason"]);
         self.store
@@ -126,15 +126,15 @@
     }
 }
 
-/// A status in one line, without times and messages.
+/// Summarizes a status on one line, without times and messages.
 fn summary(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or("-").to_owned();
-    let condition = |c: &Value| {
+    let condition = |condition: &Value| {
         format!(
             "{}={}({})",
-            text(&c["type"]),
-            text(&c["status"]),
-            text(&c["reason"])
+            text(&condition["type"]),
+            text(&condition["status"]),
+            text(&condition["reason"])
         )
     };
     let conditions: Vec<String> = status["conditions"]
@@ -153,12 +153,12 @@
 }
 
 #[test]
-fn pods_tell_their_state_in_the_same_codes() {
+fn phases_conditions_and_reasons_of_pods_are_unchanged() {
     let mut lines = Vec::new();
-    let mut add = |case: &str, act: &dyn Fn(&mut Edge)| {
+    let mut add = |case: &str, action: &dyn Fn(&mut Edge)| {
         let mut edge = Edge::new();
         edge.create_pod();
-        act(&mut edge);
+        action(&mut edge);
         lines.push(format!("{case}: {}", summary(&edge.pod()["status"])));
         lines.extend(
             edge.events()
@@ -199,12 +199,12 @@
 }
 
 #[test]
-fn jobs_tell_their_state_in_the_same_codes() {
+fn conditions_and_reasons_of_jobs_are_unchanged() {
     let mut lines = Vec::new();
-    let mut add = |case: &str, spec: Value, act: &dyn Fn(&mut Edge)| {
+    let mut add = |case: &str, spec: Value, action: &dyn Fn(&mut Edge)| {
         let mut edge = Edge::new();
         edge.create_job(&spec);
-        act(&mut edge);
+        action(&mut edge);
         lines.push(format!("{case}: {}", summary(&edge.job()["status"])));
     };
     add("open", json!({}), &|_| {});
