--- a/crates/edge/src/error.rs
+++ b/crates/edge/src/error.rs
@@ -14,7 +14,7 @@
     /// The API or the planner link cannot listen on its address.
     #[error("cannot listen on {address}; set --api or --link to a free address of this machine")]
     Listen {
-        /// The address as it was configured.
+        /// The address as given on the command line.
         address: String,
         /// The error of the operating system.
         source: std::io::Error,
--- a/crates/edge/src/restore.rs
+++ b/crates/edge/src/restore.rs
@@ -42,10 +42,10 @@
     },
 }
 
-/// Counts of what was restored.
+/// Numbers of restored objects and Pods.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredCounts {
-    /// All objects.
+    /// Objects of all resources.
     pub objects: usize,
     /// Pods that a node had accepted and that have not ended.
     pub placed: usize,
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -45,7 +45,8 @@
             return;
         };
         if planner.messages.try_send(outgoing.message).is_err() {
-            // The queue is full because the planner does not read: closing it ends the session.
+            // The queue is full because the planner does not read. Closing it ends the session, and the planner counts as
+            // lost.
             planner.messages.close();
         }
     }
