--- a/crates/edge/src/planner_count.rs
+++ b/crates/edge/src/planner_count.rs
@@ -1,5 +1,5 @@
-//! Counting the planners of the fleet, while this edge holds the fleet's lease: the loop around [`PlannerCount`], which
-//! decides.
+//! Counting the planners of the fleet, while this edge holds the fleet's lease: the loop around [`PlannerCounter`],
+//! which decides.
 
 use crate::core::OutgoingMessage;
 use crate::server::EdgeServer;
@@ -10,7 +10,7 @@
 use tidespur_membership::{MemberStatus, Role};
 use tidespur_net::clock;
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_recovery::{Observed, Output, PlannerCount};
+use tidespur_recovery::{Observation, Output, PlannerCounter};
 
 /// Keys of the planners that are counted, in the coordination log, begin with this.
 const PLANNER_KEY_PREFIX: &str = "planner/";
@@ -26,14 +26,14 @@
         let Some(voter) = self.api.hooks.voter.clone() else {
             return;
         };
-        let mut planner_count = PlannerCount::default();
+        let mut planner_count = PlannerCounter::default();
         loop {
             clock::sleep(COUNT_INTERVAL).await;
             self.step_planner_count(&mut planner_count, &voter);
         }
     }
 
-    fn step_planner_count(&self, planner_count: &mut PlannerCount, voter: &VoterHandle) {
+    fn step_planner_count(&self, planner_count: &mut PlannerCounter, voter: &VoterHandle) {
         let connected = self.connected_planner_names();
         let token = voter.valid_token(FLEET_LEASE);
         let (counted, departed) = if token.is_some() {
@@ -42,20 +42,20 @@
         } else {
             Default::default()
         };
-        let observed = Observed {
+        let observation = Observation {
             token,
             connected: &connected,
             counted: &counted,
             departed: &departed,
         };
         let mut outputs = Vec::new();
-        planner_count.step(clock::now(), &observed, &mut outputs);
+        planner_count.step(clock::now(), &observation, &mut outputs);
         for output in outputs {
             match output {
                 Output::AddPlanner(name) => put_planner(voter, &name, COUNTED),
                 Output::RemovePlanner(name) => put_planner(voter, &name, NOT_COUNTED),
                 Output::NotifyPlanner {
-                    link,
+                    connection_id,
                     token,
                     planners,
                 } => {
@@ -68,10 +68,10 @@
                             token,
                             planners,
                         };
-                        let planner = link;
+                        let planner = connection_id;
                         self.send_to_planner(OutgoingMessage { planner, message });
                     } else {
-                        planner_count.notification_failed(link);
+                        planner_count.notification_failed(connection_id);
                     }
                 }
             }
--- a/crates/recovery/src/planner_count.rs
+++ b/crates/recovery/src/planner_count.rs
@@ -18,7 +18,7 @@
 
 /// What the edge observes at a step.
 #[derive(Clone, Copy, Debug)]
-pub struct Observed<'a> {
+pub struct Observation<'a> {
     /// The fencing token, if this process may act for the fleet now.
     pub token: Option<u64>,
     /// Names of the planners that are connected to this edge, by connection.
@@ -39,7 +39,7 @@
     /// Notify the planner on this connection of the count.
     NotifyPlanner {
         /// The connection.
-        link: u64,
+        connection_id: u64,
         /// The fencing token.
         token: u64,
         /// The count.
@@ -56,33 +56,33 @@
 
 /// Counts the planners.
 #[derive(Debug, Default)]
-pub struct PlannerCount {
+pub struct PlannerCounter {
     /// The last notification on each connection.
     notified: BTreeMap<u64, Notification>,
     /// When a change was last requested for each planner.
     requested_at: BTreeMap<String, Seconds>,
 }
 
-impl PlannerCount {
+impl PlannerCounter {
     /// Appends what is to be done at `now`. Nothing is to be done without a token.
-    pub fn step(&mut self, now: Seconds, observed: &Observed<'_>, outputs: &mut Vec<Output>) {
+    pub fn step(&mut self, now: Seconds, observation: &Observation<'_>, outputs: &mut Vec<Output>) {
         self.requested_at
             .retain(|_, requested_at| now < *requested_at + RETRY_INTERVAL);
         self.notified
-            .retain(|link, _| observed.connected.contains_key(link));
-        let Some(token) = observed.token else {
+            .retain(|connection_id, _| observation.connected.contains_key(connection_id));
+        let Some(token) = observation.token else {
             return;
         };
-        let connected: BTreeSet<&String> = observed
+        let connected: BTreeSet<&String> = observation
             .connected
             .values()
             .filter(|name| is_valid_name(name))
             .collect();
-        let added = self.add_connected(now, &connected, observed, outputs);
-        self.remove_departed(now, &connected, observed, outputs);
+        let added = self.add_connected(now, &connected, observation, outputs);
+        self.remove_departed(now, &connected, observation, outputs);
         // A planner that is being added counts for the others already, so that they reduce their shares first.
-        let planners = u32::try_from(observed.counted.len() + added).unwrap_or(u32::MAX);
-        self.notify(Notification { token, planners }, observed, outputs);
+        let planners = u32::try_from(observation.counted.len() + added).unwrap_or(u32::MAX);
+        self.notify(Notification { token, planners }, observation, outputs);
     }
 
     /// Requests that the connected planners are counted; returns the number of those that are not yet.
@@ -90,13 +90,13 @@
         &mut self,
         now: Seconds,
         connected: &BTreeSet<&String>,
-        observed: &Observed<'_>,
+        observation: &Observation<'_>,
         outputs: &mut Vec<Output>,
     ) -> usize {
-        let capacity = MAX_COUNTED_PLANNERS.saturating_sub(observed.counted.len());
+        let capacity = MAX_COUNTED_PLANNERS.saturating_sub(observation.counted.len());
         let uncounted = connected
             .iter()
-            .filter(|name| !observed.counted.contains(**name));
+            .filter(|name| !observation.counted.contains(**name));
         let mut added = 0;
         for name in uncounted.take(capacity) {
             added += 1;
@@ -112,11 +112,11 @@
         &mut self,
         now: Seconds,
         connected: &BTreeSet<&String>,
-        observed: &Observed<'_>,
+        observation: &Observation<'_>,
         outputs: &mut Vec<Output>,
     ) {
-        for name in observed.counted {
-            let has_departed = observed.departed.contains(name) && !connected.contains(name);
+        for name in observation.counted {
+            let has_departed = observation.departed.contains(name) && !connected.contains(name);
             if has_departed && self.is_request_due(now, name) {
                 outputs.push(Output::RemovePlanner(name.clone()));
             }
@@ -127,16 +127,16 @@
     fn notify(
         &mut self,
         notification: Notification,
-        observed: &Observed<'_>,
+        observation: &Observation<'_>,
         outputs: &mut Vec<Output>,
     ) {
-        for (&link, name) in observed.connected {
-            if !observed.counted.contains(name) {
+        for (&connection_id, name) in observation.connected {
+            if !observation.counted.contains(name) {
                 continue;
             }
-            if self.notified.insert(link, notification) != Some(notification) {
+            if self.notified.insert(connection_id, notification) != Some(notification) {
                 outputs.push(Output::NotifyPlanner {
-                    link,
+                    connection_id,
                     token: notification.token,
                     planners: notification.planners,
                 });
@@ -145,8 +145,8 @@
     }
 
     /// The notification on this connection could not be sent; it is repeated at the next step.
-    pub fn notification_failed(&mut self, link: u64) {
-        self.notified.remove(&link);
+    pub fn notification_failed(&mut self, connection_id: u64) {
+        self.notified.remove(&connection_id);
     }
 
     /// Whether a change of this planner is to be requested now; remembers the request.
--- a/crates/recovery/tests/planner_count.rs
+++ b/crates/recovery/tests/planner_count.rs
@@ -1,11 +1,11 @@
 //! The count of planners rises at once, and falls only when a planner has announced its departure.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tidespur_recovery::{MAX_NAME_BYTES, Observed, Output, PlannerCount, Seconds};
+use tidespur_recovery::{MAX_NAME_BYTES, Observation, Output, PlannerCounter, Seconds};
 
 #[derive(Default)]
 struct Fleet {
-    count: PlannerCount,
+    count: PlannerCounter,
     now: Seconds,
     token: Option<u64>,
     connected: BTreeMap<u64, String>,
@@ -27,21 +27,21 @@
 
     fn step(&mut self, seconds: Seconds) -> Vec<Output> {
         self.now += seconds;
-        let observed = Observed {
+        let observation = Observation {
             token: self.token,
             connected: &self.connected,
             counted: &self.counted,
             departed: &self.departed,
         };
         let mut outputs = Vec::new();
-        self.count.step(self.now, &observed, &mut outputs);
+        self.count.step(self.now, &observation, &mut outputs);
         outputs
     }
 }
 
-fn notify(link: u64, token: u64, planners: u32) -> Output {
+fn notify(connection_id: u64, token: u64, planners: u32) -> Output {
     Output::NotifyPlanner {
-        link,
+        connection_id,
         token,
         planners,
     }
@@ -126,7 +126,7 @@
     fleet.connected.insert(2, "x".repeat(MAX_NAME_BYTES + 1));
     fleet.connected.insert(3, String::new());
     assert_eq!(fleet.step(0.0), [notify(1, 1, 1)]);
-    let many = (10..6_000).map(|link| (link, format!("p-{link}")));
+    let many = (10..6_000).map(|connection_id| (connection_id, format!("p-{connection_id}")));
     fleet.connected.extend(many);
     let outputs = fleet.step(1.0);
     let added = outputs
