--- a/crates/edge/src/planner_count.rs
+++ b/crates/edge/src/planner_count.rs
@@ -1,5 +1,5 @@
-//! Counting the planners of the fleet, while this edge holds the fleet's lease: the loop around [`PlannerCount`], which
-//! decides.
+//! Counts the planners of the fleet while this edge holds the fleet's lease. This is the loop around the state machine
+//! [`PlannerCounter`], which makes the decisions.
 
 use crate::core::OutgoingMessage;
 use crate::server::EdgeServer;
@@ -10,30 +10,31 @@
 use tidespur_membership::{MemberStatus, Role};
 use tidespur_net::clock;
 use tidespur_planner_protocol::ToPlanner;
-use tidespur_recovery::{Observed, Output, PlannerCount};
+use tidespur_recovery::{Observation, Output, PlannerCounter};
 
-/// Keys of the planners that are counted, in the coordination log, begin with this.
+/// Prefix of the keys of counted planners in the coordination log.
 const PLANNER_KEY_PREFIX: &str = "planner/";
-/// Value of such a key; an empty one removes it.
+/// Value of the key of a counted planner.
 const COUNTED: &[u8] = b"1";
+/// Empty value, which removes a key.
 const NOT_COUNTED: &[u8] = b"";
 /// How often planners are counted, in seconds.
 const COUNT_INTERVAL: f64 = 0.2;
 
 impl EdgeServer {
-    /// Counts planners again and again; ends at once where this edge runs no voter.
+    /// Counts planners periodically. Returns immediately if this edge does not run a voter.
     pub(crate) async fn count_planners(self: Arc<Self>) {
         let Some(voter) = self.api.hooks.voter.clone() else {
             return;
         };
-        let mut planner_count = PlannerCount::default();
+        let mut planner_count = PlannerCounter::default();
         loop {
             clock::sleep(COUNT_INTERVAL).await;
             self.step_planner_count(&mut planner_count, &voter);
         }
     }
 
-    fn step_planner_count(&self, planner_count: &mut PlannerCount, voter: &VoterHandle) {
+    fn step_planner_count(&self, planner_count: &mut PlannerCounter, voter: &VoterHandle) {
         let connected = self.connected_planner_names();
         let token = voter.valid_token(FLEET_LEASE);
         let (counted, departed) = if token.is_some() {
@@ -42,25 +43,25 @@
         } else {
             Default::default()
         };
-        let observed = Observed {
+        let observation = Observation {
             token,
             connected: &connected,
             counted: &counted,
             departed: &departed,
         };
         let mut outputs = Vec::new();
-        planner_count.step(clock::now(), &observed, &mut outputs);
+        planner_count.step(clock::now(), &observation, &mut outputs);
         for output in outputs {
             match output {
                 Output::AddPlanner(name) => put_planner(voter, &name, COUNTED),
                 Output::RemovePlanner(name) => put_planner(voter, &name, NOT_COUNTED),
                 Output::NotifyPlanner {
-                    link,
+                    connection_id,
                     token,
                     planners,
                 } => {
-                    // Checked again when it is sent, since the step may have been long. What is late all the same, the
-                    // planner rejects by the fencing token.
+                    // The lease is checked again before sending, since the step may have taken long. If it expires
+                    // after this check, the planner rejects the message by its fencing token.
                     if voter.valid_token(FLEET_LEASE) == Some(token) {
                         let lease = FLEET_LEASE.into();
                         let message = ToPlanner::PlannerCount {
@@ -68,10 +69,10 @@
                             token,
                             planners,
                         };
-                        let planner = link;
+                        let planner = connection_id;
                         self.send_to_planner(OutgoingMessage { planner, message });
                     } else {
-                        planner_count.notification_failed(link);
+                        planner_count.notification_failed(connection_id);
                     }
                 }
             }
@@ -86,7 +87,8 @@
         names
     }
 
-    /// Planners that have told the fleet that they leave; silent or failed members are not among them.
+    /// Names of the planners that have left the fleet voluntarily. Members that failed or are suspected are not
+    /// included.
     fn departed_planners(&self) -> BTreeSet<String> {
         let Some(member) = &self.api.hooks.member else {
             return BTreeSet::new();
