--- a/crates/api/src/decode.rs
+++ b/crates/api/src/decode.rs
@@ -95,7 +95,7 @@
         }
     }
     let mut unknown = Vec::new();
-    let mut object = (resource.through_type)(value, &mut unknown).map_err(|problem| {
+    let mut object = (resource.convert)(value, &mut unknown).map_err(|problem| {
         let (kind, version) = (resource.kind, resource.version);
         ApiError::bad_request(format!(
             "{kind} in version \"{version}\" cannot be handled as a {kind}: {problem}"
--- a/crates/api/src/meta.rs
+++ b/crates/api/src/meta.rs
@@ -108,7 +108,7 @@
 }
 
 /// The Unix seconds of a time in the published format.
-pub fn unix(text: &str) -> Option<f64> {
+pub fn parse_timestamp(text: &str) -> Option<f64> {
     text.parse::<jiff::Timestamp>()
         .ok()
         .map(|t| t.as_millisecond() as f64 / 1e3)
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 /// Converts a value to its published type and back; the paths of unknown fields are appended.
-pub type ThroughType = fn(Value, &mut Vec<String>) -> Result<Value, TypeError>;
+pub type TypeConversion = fn(Value, &mut Vec<String>) -> Result<Value, TypeError>;
 
 /// A value that does not have the published type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -36,16 +36,16 @@
     /// Kind of its objects.
     pub kind: &'static str,
     /// Short names.
-    pub short: &'static [&'static str],
+    pub short_names: &'static [&'static str],
     /// Whether it lives in namespaces.
     pub namespaced: bool,
     /// Whether it has a status subresource.
-    pub status: bool,
+    pub has_status_subresource: bool,
     /// Brings a value through the published type.
-    pub through_type: ThroughType,
+    pub convert: TypeConversion,
 }
 
-fn through<T: Serialize + DeserializeOwned>(
+fn convert_through<T: Serialize + DeserializeOwned>(
     value: Value,
     unknown: &mut Vec<String>,
 ) -> Result<Value, TypeError> {
@@ -80,10 +80,10 @@
         plural: "namespaces",
         singular: "namespace",
         kind: "Namespace",
-        short: &["ns"],
+        short_names: &["ns"],
         namespaced: false,
-        status: true,
-        through_type: through::<core::Namespace>,
+        has_status_subresource: true,
+        convert: convert_through::<core::Namespace>,
     },
     Resource {
         index: 1,
@@ -92,10 +92,10 @@
         plural: "nodes",
         singular: "node",
         kind: "Node",
-        short: &["no"],
+        short_names: &["no"],
         namespaced: false,
-        status: true,
-        through_type: through::<core::Node>,
+        has_status_subresource: true,
+        convert: convert_through::<core::Node>,
     },
     Resource {
         index: 2,
@@ -104,10 +104,10 @@
         plural: "pods",
         singular: "pod",
         kind: "Pod",
-        short: &["po"],
+        short_names: &["po"],
         namespaced: true,
-        status: true,
-        through_type: through::<core::Pod>,
+        has_status_subresource: true,
+        convert: convert_through::<core::Pod>,
     },
     Resource {
         index: 3,
@@ -116,10 +116,10 @@
         plural: "events",
         singular: "event",
         kind: "Event",
-        short: &["ev"],
+        short_names: &["ev"],
         namespaced: true,
-        status: false,
-        through_type: through::<core::Event>,
+        has_status_subresource: false,
+        convert: convert_through::<core::Event>,
     },
     Resource {
         index: 4,
@@ -128,10 +128,10 @@
         plural: "jobs",
         singular: "job",
         kind: "Job",
-        short: &[],
+        short_names: &[],
         namespaced: true,
-        status: true,
-        through_type: through::<batch::Job>,
+        has_status_subresource: true,
+        convert: convert_through::<batch::Job>,
     },
 ];
 
@@ -170,7 +170,7 @@
             r.plural == word
                 || r.singular == word
                 || r.kind.eq_ignore_ascii_case(&word)
-                || r.short.contains(&word.as_str())
+                || r.short_names.contains(&word.as_str())
         })
     }
 
@@ -212,9 +212,9 @@
     for r in RESOURCES.iter().filter(|r| r.group == group) {
         list.push(
             json!({"name": r.plural, "singularName": r.singular, "namespaced": r.namespaced,
-            "kind": r.kind, "verbs": VERBS, "shortNames": r.short}),
+            "kind": r.kind, "verbs": VERBS, "shortNames": r.short_names}),
         );
-        if r.status {
+        if r.has_status_subresource {
             list.push(
                 json!({"name": format!("{}/status", r.plural), "singularName": "",
                 "namespaced": r.namespaced, "kind": r.kind, "verbs": ["get", "patch", "update"]}),
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -17,7 +17,9 @@
 pub(crate) use say;
 
 fn age(object: &Value) -> String {
-    let Some(made) = meta::unix(meta::text_at(object, &["metadata", "creationTimestamp"])) else {
+    let Some(made) =
+        meta::parse_timestamp(meta::text_at(object, &["metadata", "creationTimestamp"]))
+    else {
         return "?".into();
     };
     let seconds = (clock::now() - made).max(0.0) as u64;
--- a/crates/edge/src/node_watch.rs
+++ b/crates/edge/src/node_watch.rs
@@ -3,7 +3,7 @@
 use crate::core::Input;
 use crate::server::EdgeServer;
 use std::sync::Arc;
-use tidespur_net::follow::{ListWatchEvent, list_and_watch};
+use tidespur_net::list_watch::{ListWatchEvent, list_and_watch};
 use tidespur_net::{Client, clock};
 
 /// Connections to the node registry: the list and the watch.
--- a/crates/edge/src/restore/jobs.rs
+++ b/crates/edge/src/restore/jobs.rs
@@ -82,7 +82,7 @@
         let count = status[key].as_u64().unwrap_or(0);
         u32::try_from(count).unwrap_or(0)
     };
-    let start_time = meta::unix(meta::text_at(status, &["startTime"]));
+    let start_time = meta::parse_timestamp(meta::text_at(status, &["startTime"]));
     RestoredJob {
         view: JobView::read(job),
         succeeded: count("succeeded"),
@@ -124,6 +124,6 @@
 fn end_time(status: &Value, now: f64) -> Option<f64> {
     let condition =
         true_condition(status, "Failed").or_else(|| true_condition(status, "Complete"))?;
-    let transition = meta::unix(meta::text_at(condition, &["lastTransitionTime"]));
+    let transition = meta::parse_timestamp(meta::text_at(condition, &["lastTransitionTime"]));
     Some(transition.unwrap_or(now))
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -3,8 +3,8 @@
 pub mod body;
 pub mod client;
 pub mod clock;
-pub mod follow;
 pub mod frames;
+pub mod list_watch;
 pub mod record;
 pub mod routes;
 pub mod server;
--- a/crates/planner/src/node_watches.rs
+++ b/crates/planner/src/node_watches.rs
@@ -4,7 +4,7 @@
 use crate::process::{PlannerProcess, RECONNECT_BACKOFF, WATCH_HEADER_TIMEOUT, WATCH_TIMEOUT};
 use serde_json::{Value, json};
 use tidespur_api::{Object, meta, names};
-use tidespur_net::follow::{ListWatchEvent, list_and_watch};
+use tidespur_net::list_watch::{ListWatchEvent, list_and_watch};
 use tidespur_net::{NetError, clock};
 
 /// Watches a node's Pods. The response starts with one event for each Pod and a bookmark; changes and bookmarks follow.
--- a/crates/rest/src/handle.rs
+++ b/crates/rest/src/handle.rs
@@ -1,7 +1,7 @@
 //! Requests to verbs, answers to responses.
 
 use crate::verbs::Answer;
-use crate::{Api, Hooks, Options, RequestLog, Route, Target, route};
+use crate::{Api, Hooks, RequestLog, RequestOptions, Route, Target, route};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -193,7 +193,7 @@
     target: &Target,
     body: Bytes,
 ) -> Result<Good, ApiError> {
-    let mut options = Options::parse(head.uri.query().unwrap_or(""))?;
+    let mut options = RequestOptions::parse(head.uri.query().unwrap_or(""))?;
     options.watch |= target.watch;
     let header = |name: &str| {
         head.headers
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -8,7 +8,7 @@
 mod watch;
 
 pub use handle::ApiHandler;
-pub use options::Options;
+pub use options::RequestOptions;
 pub use route::{Route, Target};
 
 use event_listener::Event;
--- a/crates/rest/src/options.rs
+++ b/crates/rest/src/options.rs
@@ -7,7 +7,7 @@
 
 /// What a request's query says.
 #[derive(Clone, Debug, Default)]
-pub struct Options {
+pub struct RequestOptions {
     /// Narrowed to these.
     pub selector: Selector,
     /// Page size, 0 for all.
@@ -23,23 +23,23 @@
     /// The watch wants bookmarks.
     pub bookmarks: bool,
     /// The watch wants what stands first.
-    pub initial: Option<bool>,
+    pub send_initial_events: Option<bool>,
     /// The watch ends after this.
     pub timeout: Option<f64>,
     /// Nothing is to be changed.
     pub dry_run: bool,
     /// Fields that the type does not have.
-    pub fields: FieldValidation,
+    pub field_validation: FieldValidation,
     /// For deletions.
     pub propagation: Option<String>,
     /// For deletions: seconds until the end.
-    pub grace: Option<u64>,
+    pub grace_period_seconds: Option<u64>,
 }
 
 /// A watch ends after at most this.
-pub const WATCH_MOST: f64 = 3600.0;
+pub const MAX_WATCH_SECONDS: f64 = 3600.0;
 
-impl Options {
+impl RequestOptions {
     /// Reads a query; unknown parameters are left alone, as published servers do.
     pub fn parse(query: &str) -> Result<Self, ApiError> {
         let pairs: Vec<(String, String)> = serde_urlencoded::from_str(query)
@@ -79,7 +79,7 @@
                 )));
             }
         };
-        let initial = match get("sendInitialEvents") {
+        let send_initial_events = match get("sendInitialEvents") {
             None => None,
             Some(_) => Some(flag("sendInitialEvents")?),
         };
@@ -91,19 +91,20 @@
             version_match,
             watch: flag("watch")?,
             bookmarks: flag("allowWatchBookmarks")?,
-            initial,
-            timeout: number("timeoutSeconds")?.map(|s| (s as f64).min(WATCH_MOST)),
+            send_initial_events,
+            timeout: number("timeoutSeconds")?.map(|s| (s as f64).min(MAX_WATCH_SECONDS)),
             dry_run,
-            fields: FieldValidation::parse(get("fieldValidation"))?,
+            field_validation: FieldValidation::parse(get("fieldValidation"))?,
             propagation: get("propagationPolicy").map(str::to_owned),
-            grace: number("gracePeriodSeconds")?,
+            grace_period_seconds: number("gracePeriodSeconds")?,
         };
-        if options.watch && options.initial.is_some() && options.version_match.is_none() {
+        if options.watch && options.send_initial_events.is_some() && options.version_match.is_none()
+        {
             return Err(ApiError::bad_request(
                 "sendInitialEvents needs resourceVersionMatch=NotOlderThan",
             ));
         }
-        if !options.watch && options.initial.is_some() {
+        if !options.watch && options.send_initial_events.is_some() {
             return Err(ApiError::bad_request(
                 "sendInitialEvents is for watches only",
             ));
@@ -117,7 +118,10 @@
     }
 
     /// Takes in the body of a deletion.
-    pub fn deletion(&self, body: &serde_json::Value) -> Result<crate::DeleteOptions, ApiError> {
+    pub fn delete_options(
+        &self,
+        body: &serde_json::Value,
+    ) -> Result<crate::DeleteOptions, ApiError> {
         let text = |path: &[&str]| meta::value_at(body, path).as_str().map(str::to_owned);
         let propagation = text(&["propagationPolicy"]).or_else(|| self.propagation.clone());
         if let Some(how) = &propagation
@@ -137,7 +141,7 @@
         }
         let grace = meta::value_at(body, &["gracePeriodSeconds"])
             .as_u64()
-            .or(self.grace)
+            .or(self.grace_period_seconds)
             .unwrap_or(0);
         let refused = [
             (
@@ -179,7 +183,7 @@
     }
 
     /// Whether the body of a deletion asks for a dry run.
-    pub fn dry_deletion(&self, body: &serde_json::Value) -> bool {
+    pub fn is_dry_run_delete(&self, body: &serde_json::Value) -> bool {
         self.dry_run
             || meta::value_at(body, &["dryRun"])
                 .as_array()
--- a/crates/rest/src/route.rs
+++ b/crates/rest/src/route.rs
@@ -95,7 +95,7 @@
     } else {
         !namespace.is_empty()
     };
-    if misplaced || (status && !resource.status) {
+    if misplaced || (status && !resource.has_status_subresource) {
         return Err(ApiError::no_such_path());
     }
     let (namespace, name) = (namespace.to_owned(), name.to_owned());
--- a/crates/rest/src/verbs.rs
+++ b/crates/rest/src/verbs.rs
@@ -1,6 +1,6 @@
 //! Verbs on objects, without sockets.
 
-use crate::{Api, DeleteOptions, Hooks, Options, Target, Verb};
+use crate::{Api, DeleteOptions, Hooks, RequestOptions, Target, Verb};
 use hyper::HeaderMap;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
         Ok((200, (*found).clone(), vec![]))
     }
 
-    pub(crate) fn list(&self, target: &Target, options: &Options) -> Answer {
+    pub(crate) fn list(&self, target: &Target, options: &RequestOptions) -> Answer {
         let mut store = self.store();
         let now_at = store.version();
         if options.version.is_some_and(|version| version > now_at) {
@@ -73,12 +73,12 @@
     pub(crate) async fn create(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
     ) -> Answer {
         let r = target.resource;
-        let (mut object, warnings) = decode::object(r, body, options.fields)?;
+        let (mut object, warnings) = decode::object(r, body, options.field_validation)?;
         if !object["metadata"].is_object() {
             object["metadata"] = json!({});
         }
@@ -145,12 +145,12 @@
     pub(crate) async fn replace(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
     ) -> Answer {
         let r = target.resource;
-        let (mut object, warnings) = decode::object(r, body, options.fields)?;
+        let (mut object, warnings) = decode::object(r, body, options.field_validation)?;
         for (key, wanted) in [("name", &target.name), ("namespace", &target.namespace)] {
             let found = meta::text_at(&object, &["metadata", key]);
             if !found.is_empty() && found != wanted {
@@ -185,7 +185,7 @@
     pub(crate) async fn patch(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         headers: &HeaderMap,
         media: &str,
         body: &[u8],
@@ -200,8 +200,12 @@
         loop {
             let old = find(&self.store(), target)?;
             let after = patch::apply(kind, &old, change.clone())?;
-            let (after, warnings) =
-                decode::typed(target.resource, after, repeated.clone(), options.fields)?;
+            let (after, warnings) = decode::typed(
+                target.resource,
+                after,
+                repeated.clone(),
+                options.field_validation,
+            )?;
             // A patch that names a version demands it; another is tried again where a write came between.
             let demanded = meta::version(&after) != meta::version(&old);
             let version = if demanded {
@@ -228,7 +232,7 @@
     async fn write(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         headers: &HeaderMap,
         mut object: Object,
         expect: &Precondition,
@@ -258,7 +262,7 @@
             {
                 meta::set(&mut object, key, value);
             }
-        } else if r.status && r.kind != "Node" {
+        } else if r.has_status_subresource && r.kind != "Node" {
             keep(&mut object, &old, "status");
         }
         validate::check(r, &object, Some(&old), self.hooks.classes())?;
@@ -280,7 +284,7 @@
     pub(crate) async fn delete(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
     ) -> Answer {
@@ -289,9 +293,9 @@
         } else {
             decode::json(body)?.0
         };
-        let how = options.deletion(&body)?;
+        let how = options.delete_options(&body)?;
         let object = find(&self.store(), target)?;
-        if options.dry_deletion(&body) {
+        if options.is_dry_run_delete(&body) {
             return Ok((200, (*object).clone(), vec![]));
         }
         if let Some(done) = self
@@ -316,7 +320,7 @@
     pub(crate) fn delete_collection(
         &self,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
         body: &[u8],
     ) -> Answer {
         let body = if body.is_empty() {
@@ -327,7 +331,7 @@
         let how = DeleteOptions {
             uid: None,
             version: None,
-            ..options.deletion(&body)?
+            ..options.delete_options(&body)?
         };
         let mut store = self.store();
         let all: Vec<Arc<Object>> = store
@@ -337,7 +341,7 @@
             .collect();
         let mut gone = Vec::new();
         for object in all {
-            if options.dry_deletion(&body) {
+            if options.is_dry_run_delete(&body) {
                 gone.push((*object).clone());
                 continue;
             }
--- a/crates/rest/src/watch.rs
+++ b/crates/rest/src/watch.rs
@@ -1,6 +1,6 @@
 //! Watches: a cursor into the store for each, and a bounded pipe to its reader.
 
-use crate::{Api, Hooks, Options, Target};
+use crate::{Api, Hooks, RequestOptions, Target};
 use bytes::Bytes;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -78,14 +78,15 @@
     pub(crate) fn watch(
         self: &Arc<Self>,
         target: &Target,
-        options: &Options,
+        options: &RequestOptions,
     ) -> Result<Body, ApiError> {
         let (send, receive) = async_channel::bounded(PIPE);
         let mut store = self.store();
         // Without a version, or from 0, a watch begins with what stands.
-        let from_now = options.initial == Some(true) || matches!(options.version, None | Some(0));
+        let from_now =
+            options.send_initial_events == Some(true) || matches!(options.version, None | Some(0));
         let mut first = Vec::new();
-        let version = if from_now && options.initial != Some(false) {
+        let version = if from_now && options.send_initial_events != Some(false) {
             let request = PageRequest {
                 namespace: target.namespace.clone(),
                 ..PageRequest::default()
@@ -97,7 +98,7 @@
                     line(&mut first, "ADDED", item);
                 }
             }
-            if options.initial == Some(true) {
+            if options.send_initial_events == Some(true) {
                 line(
                     &mut first,
                     "BOOKMARK",
@@ -119,7 +120,7 @@
             name: target.name.clone(),
             selector: options.selector.clone(),
             bookmarks: options.bookmarks,
-            ends: clock::now() + options.timeout.unwrap_or(crate::options::WATCH_MOST),
+            ends: clock::now() + options.timeout.unwrap_or(crate::options::MAX_WATCH_SECONDS),
             generation: self.watch_generation.load(Ordering::Relaxed),
             pipe: send,
         };
--- a/crates/testbed/src/sample.rs
+++ b/crates/testbed/src/sample.rs
@@ -57,8 +57,9 @@
             .filter(|pod| meta::text_at(pod, &["spec", "nodeName"]).is_empty())
             .map(|pod| {
                 // Written in whole seconds: it may have come up to a second later.
-                let since = meta::unix(meta::text_at(pod, &["metadata", "creationTimestamp"]))
-                    .map(|t| t + 1.0);
+                let since =
+                    meta::parse_timestamp(meta::text_at(pod, &["metadata", "creationTimestamp"]))
+                        .map(|t| t + 1.0);
                 json!({"name": meta::name(pod), "since": since})
             })
             .collect();
