--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client for one peer, which keeps what a caller must know: was the request never sent, or may the
-//! peer have acted on it?
+//! HTTP/1.1 client for one peer. Its errors tell whether the request was never sent or the peer may have acted on it,
+//! which decides whether a caller may retry.
 
 use crate::clock;
 use bytes::Bytes;
@@ -11,18 +11,18 @@
 use smol_hyper::rt::FuturesIo;
 use std::sync::{Arc, Mutex};
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NetError {
-    /// No connection; the request was never sent.
+    /// The connection could not be opened; the request was never sent.
     Connect(String),
-    /// The peer's machine says that nobody listens there; the request was never sent.
+    /// The peer's host refused the connection because no process listens on the port; the request was never sent.
     Refused,
-    /// No answer in time; the peer may have acted on it.
+    /// No response in time; the peer may have acted on the request.
     Timeout,
-    /// The connection broke before the answer was whole; the peer may have acted on it.
+    /// The connection failed before the response was complete; the peer may have acted on the request.
     Interrupted(String),
-    /// The request itself can't be built.
+    /// The request could not be built and was never sent.
     Request(String),
 }
 
@@ -40,19 +40,19 @@
 
 impl std::error::Error for NetError {}
 
-/// An answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status, including those of errors.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers as the peer sent them.
     pub headers: HeaderMap,
-    /// All of the body.
+    /// The whole body; empty if there is none.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// The body as JSON; null where it is none.
+    /// The body parsed as JSON; null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
@@ -60,14 +60,14 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Answers may have so many bytes.
-const REPLY_MOST: usize = 64 << 20;
-/// One line of a watch may have so many bytes.
-const LINE_MOST: usize = 4 << 20;
-/// Connections that are kept without use.
-const IDLE_MOST: usize = 8;
-/// A connection not made within this is given up.
-const CONNECT_WITHIN: f64 = 1.0;
+/// Longest response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Longest line of a watch, in bytes.
+const MAX_LINE_BYTES: usize = 4 << 20;
+/// Idle connections that are kept for reuse.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Time limit for opening a connection, in seconds.
+const CONNECT_TIMEOUT: f64 = 1.0;
 
 /// A client for one address; clones share its connections.
 #[derive(Clone)]
@@ -75,7 +75,7 @@
     address: String,
     headers: Vec<(&'static str, String)>,
     idle: Arc<Mutex<Vec<Connection>>>,
-    places: Arc<async_lock::Semaphore>,
+    permits: Arc<async_lock::Semaphore>,
 }
 
 impl std::fmt::Debug for Client {
@@ -85,17 +85,18 @@
 }
 
 impl Client {
-    /// A client for `host:port` with at most so many connections; `headers` go with each request.
+    /// A client for `host:port` with at most `connections` calls of [`Self::send`] at a time; `headers` are added to
+    /// each request.
     pub fn new(address: &str, connections: usize, headers: Vec<(&'static str, String)>) -> Self {
         Self {
             address: address.to_owned(),
             headers,
             idle: Arc::default(),
-            places: Arc::new(async_lock::Semaphore::new(connections.max(1))),
+            permits: Arc::new(async_lock::Semaphore::new(connections.max(1))),
         }
     }
 
-    /// The same client with one more header.
+    /// A clone that shares the connections and adds one more header to its own requests.
     #[must_use]
     pub fn with_header(&self, name: &'static str, value: String) -> Self {
         let mut other = self.clone();
@@ -103,35 +104,37 @@
         other
     }
 
-    /// Where it goes.
+    /// The peer, as `host:port`.
     pub fn address(&self) -> &str {
         &self.address
     }
 
     async fn connect(&self) -> Result<Connection, NetError> {
-        let lost = |e: String| NetError::Connect(e);
+        let connect_error = |e: String| NetError::Connect(e);
         let dial = async {
             let socket = TcpStream::connect(&self.address)
                 .await
                 .map_err(|e| match e.kind() {
                     std::io::ErrorKind::ConnectionRefused => NetError::Refused,
-                    _ => lost(e.to_string()),
+                    _ => connect_error(e.to_string()),
                 })?;
-            socket.set_nodelay(true).map_err(|e| lost(e.to_string()))?;
+            socket
+                .set_nodelay(true)
+                .map_err(|e| connect_error(e.to_string()))?;
             let (send, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(socket))
                 .await
-                .map_err(|e| lost(e.to_string()))?;
+                .map_err(|e| connect_error(e.to_string()))?;
             smol::spawn(async move {
-                if let Err(problem) = connection.await {
-                    tracing::trace!(%problem, "client connection ended");
+                if let Err(error) = connection.await {
+                    tracing::trace!(%error, "client connection ended");
                 }
             })
             .detach();
             Ok(send)
         };
-        clock::timeout(CONNECT_WITHIN, dial)
+        clock::timeout(CONNECT_TIMEOUT, dial)
             .await
-            .unwrap_or_else(|| Err(lost("timed out".into())))
+            .unwrap_or_else(|| Err(connect_error("timed out".into())))
     }
 
     fn request(
@@ -156,8 +159,9 @@
             .map_err(|e| NetError::Request(e.to_string()))
     }
 
-    /// Sends a request on a kept or new connection. One that was closed meanwhile, before anything of the request
-    /// went out, is replaced; one that breaks later is not, as the peer may have acted.
+    /// Sends a request on an idle or new connection. If an idle connection turns out to be closed before any of the
+    /// request was sent, another one is tried. A failure after that is returned, as the peer may have acted on the
+    /// request.
     async fn exchange(
         &self,
         method: &Method,
@@ -166,14 +170,14 @@
         body: &Bytes,
     ) -> Result<(hyper::Response<hyper::body::Incoming>, Connection), NetError> {
         loop {
-            let kept = self.idle.lock().ok().and_then(|mut idle| idle.pop());
-            let fresh = kept.is_none();
-            let mut connection = match kept {
-                Some(kept) => kept,
+            let idle = self.idle.lock().ok().and_then(|mut idle| idle.pop());
+            let is_new = idle.is_none();
+            let mut connection = match idle {
+                Some(connection) => connection,
                 None => self.connect().await?,
             };
             if connection.ready().await.is_err() {
-                if fresh {
+                if is_new {
                     return Err(NetError::Connect("closed at once".into()));
                 }
                 continue;
@@ -182,12 +186,12 @@
             match connection.try_send_request(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(mut failed) => {
-                    let unsent = failed.take_message().is_some();
-                    if unsent && !fresh {
+                    let is_unsent = failed.take_message().is_some();
+                    if is_unsent && !is_new {
                         continue;
                     }
                     let why = failed.into_error().to_string();
-                    return Err(if unsent {
+                    return Err(if is_unsent {
                         NetError::Connect(why)
                     } else {
                         NetError::Interrupted(why)
@@ -197,7 +201,7 @@
         }
     }
 
-    /// One request and its whole answer, within so many seconds from now, waiting for a connection included.
+    /// Sends a request and reads the whole response within `seconds`, which include the wait for a free connection.
     pub async fn send(
         &self,
         method: Method,
@@ -207,13 +211,13 @@
         seconds: f64,
     ) -> Result<Reply, NetError> {
         let sent = async {
-            let _place = self.places.acquire().await;
+            let _permit = self.permits.acquire().await;
             let (response, connection) = self.exchange(&method, path, media, &body).await?;
             let (head, body) = response.into_parts();
-            let body = crate::body::read(body, REPLY_MOST, seconds).await;
+            let body = crate::body::read(body, MAX_RESPONSE_BYTES, seconds).await;
             let body = body.map_err(|e| NetError::Interrupted(format!("{e:?}")))?;
             if let Ok(mut idle) = self.idle.lock()
-                && idle.len() < IDLE_MOST
+                && idle.len() < MAX_IDLE_CONNECTIONS
             {
                 idle.push(connection);
             }
@@ -228,8 +232,9 @@
             .unwrap_or(Err(NetError::Timeout))
     }
 
-    /// A GET whose answer comes line by line, on a connection of its own.
-    pub async fn stream_lines(&self, path: &str, head_within: f64) -> Result<Lines, NetError> {
+    /// Sends a GET on a connection of its own and returns the response to be read line by line. `head_timeout` is the
+    /// time limit for the response's head, in seconds.
+    pub async fn stream_lines(&self, path: &str, head_timeout: f64) -> Result<Lines, NetError> {
         let open = async {
             let mut connection = self.connect().await?;
             let request = self.request(&Method::GET, path, "", &Bytes::new())?;
@@ -238,54 +243,55 @@
                 .await
                 .map_err(|e| NetError::Interrupted(e.to_string()))
         };
-        let response = clock::timeout(head_within, open)
+        let response = clock::timeout(head_timeout, open)
             .await
             .unwrap_or(Err(NetError::Timeout))?;
         Ok(Lines {
             status: response.status(),
             body: response.into_body(),
-            rest: Vec::new(),
+            buffer: Vec::new(),
         })
     }
 }
 
-/// An answer that comes line by line.
+/// A response that is read line by line.
 #[derive(Debug)]
 pub struct Lines {
-    /// Status.
+    /// HTTP status, including those of errors.
     pub status: StatusCode,
     body: hyper::body::Incoming,
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Lines {
-    /// The next line, where it comes within so many seconds; else why there is none.
+    /// The next line, if it arrives within `seconds`; otherwise the reason why there is none, which also covers the
+    /// end of the response.
     pub async fn next_with_timeout(&mut self, seconds: f64) -> Result<Vec<u8>, String> {
         match clock::timeout(seconds, self.next()).await {
             None => Err("silence".into()),
             Some(Ok(Some(line))) => Ok(line),
             Some(Ok(None)) => Err("it ended".into()),
-            Some(Err(problem)) => Err(problem.to_string()),
+            Some(Err(error)) => Err(error.to_string()),
         }
     }
 
-    /// The next line; `None` at the end.
+    /// The next line, without its line break; `None` at the end of the response.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, NetError> {
         loop {
-            if let Some(end) = self.rest.iter().position(|&b| b == b'\n') {
-                let mut line: Vec<u8> = self.rest.drain(..=end).collect();
+            if let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
+                let mut line: Vec<u8> = self.buffer.drain(..=end).collect();
                 line.pop();
                 return Ok(Some(line));
             }
-            if self.rest.len() > LINE_MOST {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(NetError::Interrupted("a line without end".into()));
             }
             match self.body.frame().await {
-                None if self.rest.is_empty() => return Ok(None),
-                None => return Ok(Some(std::mem::take(&mut self.rest))),
+                None if self.buffer.is_empty() => return Ok(None),
+                None => return Ok(Some(std::mem::take(&mut self.buffer))),
                 Some(Ok(frame)) => {
                     if let Some(data) = frame.data_ref() {
-                        self.rest.extend_from_slice(data);
+                        self.buffer.extend_from_slice(data);
                     }
                 }
                 Some(Err(e)) => return Err(NetError::Interrupted(e.to_string())),
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -1,4 +1,4 @@
-//! The link's frames on a socket.
+//! Framed messages over TCP: reading, writing, and a session with heartbeats on top of them.
 
 use crate::clock;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -7,14 +7,14 @@
 use std::sync::Mutex;
 use tidespur_planner_protocol::{Decoder, FrameError, Liveness, encode};
 
-/// Reads frames until the socket ends; `Err` says why it can't go on.
+/// Reads and decodes messages from a socket.
 pub struct FrameReader {
     socket: TcpStream,
     decoder: Decoder,
 }
 
 impl FrameReader {
-    /// Reads from this socket.
+    /// A reader that starts at the next unread byte of the socket, which has to be the start of a frame.
     pub fn new(socket: TcpStream) -> Self {
         Self {
             socket,
@@ -22,7 +22,10 @@
         }
     }
 
-    /// The next message; `None` at the end.
+    /// The next message; `None` once the peer has closed its side.
+    ///
+    /// # Errors
+    /// The read fails, or the frame or its message is malformed; the stream can't be read any further.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, String> {
         let mut buffer = [0; 16 * 1024];
         loop {
@@ -42,10 +45,11 @@
     }
 }
 
-/// Messages that may wait for a slow peer; then the link counts as broken.
+/// Messages that may be queued for a slow peer; beyond that, the session counts as broken.
 pub const MAX_QUEUED_MESSAGES: usize = 16_384;
 
-/// Writes what comes from the channel until either ends; all that waits goes out in one write.
+/// Writes the messages of the channel until the channel is closed or a write fails. All messages that are queued are
+/// combined into one write.
 pub async fn write_all<T: Serialize>(
     mut socket: TcpStream,
     messages: async_channel::Receiver<T>,
@@ -60,58 +64,66 @@
     socket.flush().await.map_err(|e| e.to_string())
 }
 
-/// The sending side of a link.
+/// Outgoing side of a session with one peer.
 pub struct Session<Out> {
-    /// What waits to go out.
+    /// Messages that wait to be written.
     pub queue: async_channel::Receiver<Out>,
-    /// Where it is put.
+    /// The sender of `queue`, which heartbeats go through.
     pub send: async_channel::Sender<Out>,
-    /// Says only that this end lives.
+    /// Message that is sent as heartbeat.
     pub heartbeat: Out,
 }
 
-/// Keeps a link going until either end is lost: what comes goes to `to` as `read` puts it, what waits in `queue` goes out, and `ping`
-/// goes out often enough for the peer's patience. Says why it ended.
+/// Runs a session until either side closes it or the peer is lost. Received messages are converted by `convert` and
+/// sent to `inputs`; those that it maps to `None` are dropped. A peer that is silent for `peer_timeout` seconds is
+/// lost; a heartbeat is sent every quarter of that time. `Err` is the reason why the session failed.
 pub async fn run_session<In: DeserializeOwned + Send, Out: Serialize + Clone + Send, T: Send>(
     socket: TcpStream,
     mut reader: FrameReader,
-    link: Session<Out>,
-    patience: f64,
-    read: impl Fn(In) -> Option<T> + Send,
-    to: &async_channel::Sender<T>,
+    session: Session<Out>,
+    peer_timeout: f64,
+    convert: impl Fn(In) -> Option<T> + Send,
+    inputs: &async_channel::Sender<T>,
 ) -> Result<(), String> {
     let Session {
         queue,
         send,
-        heartbeat: ping,
-    } = link;
-    let life = Mutex::new(Liveness::new(patience / 4.0, patience, clock::now()));
-    let reading = async {
+        heartbeat,
+    } = session;
+    let liveness = Mutex::new(Liveness::new(
+        peer_timeout / 4.0,
+        peer_timeout,
+        clock::now(),
+    ));
+    let receive = async {
         while let Some(message) = reader.next::<In>().await? {
-            if let Ok(mut life) = life.lock() {
-                life.on_received(clock::now());
+            if let Ok(mut liveness) = liveness.lock() {
+                liveness.on_received(clock::now());
             }
-            if let Some(input) = read(message) {
-                to.send(input).await.map_err(|e| e.to_string())?;
+            if let Some(input) = convert(message) {
+                inputs.send(input).await.map_err(|e| e.to_string())?;
             }
         }
         Ok(())
     };
-    let beating = async {
+    let send_heartbeats = async {
         loop {
-            clock::sleep(patience / 4.0).await;
-            if life
+            clock::sleep(peer_timeout / 4.0).await;
+            if liveness
                 .lock()
-                .is_ok_and(|life| life.is_peer_lost(clock::now()))
+                .is_ok_and(|liveness| liveness.is_peer_lost(clock::now()))
             {
                 return Err("silence".to_owned());
             }
-            send.try_send(ping.clone()).map_err(|e| e.to_string())?;
+            send.try_send(heartbeat.clone())
+                .map_err(|e| e.to_string())?;
         }
     };
-    let writing = write_all(socket.clone(), queue);
-    let ended = futures_lite::future::or(reading, futures_lite::future::or(beating, writing)).await;
-    // Closed already where the peer was faster.
+    let transmit = write_all(socket.clone(), queue);
+    let result =
+        futures_lite::future::or(receive, futures_lite::future::or(send_heartbeats, transmit))
+            .await;
+    // Fails if the peer has closed the connection already.
     let _ = socket.shutdown(std::net::Shutdown::Both);
-    ended
+    result
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,6 @@
-//! Sockets, timers and their limits. Nothing here decides what is sent to whom.
+//! HTTP client and server, framed TCP sessions, timers, logging and recordings.
+//!
+//! The programs share this I/O layer; what is sent to which peer is decided by them.
 
 pub mod body;
 pub mod client;
@@ -13,19 +15,19 @@
 pub use client::{Client, NetError, Reply};
 pub use record::Recorder;
 
-/// Sends logs to standard error, as text or JSON. `RUST_LOG` narrows or widens them; without it, `info` is shown.
+/// Writes logs to standard error, as text or JSON. `RUST_LOG` sets the filter; the default is `info`.
 pub fn init_logging(json: bool) {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
-    let colours = std::io::IsTerminal::is_terminal(&std::io::stderr());
-    let lines = tracing_subscriber::fmt()
+    let is_terminal = std::io::IsTerminal::is_terminal(&std::io::stderr());
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
-        .with_ansi(colours);
-    // A second call, as in tests, changes nothing.
+        .with_ansi(is_terminal);
+    // Fails if a subscriber is set already, as by a second call in tests; the first one stays.
     let _ = if json {
-        lines.json().try_init()
+        subscriber.json().try_init()
     } else {
-        lines.try_init()
+        subscriber.try_init()
     };
 }
--- a/crates/net/src/record.rs
+++ b/crates/net/src/record.rs
@@ -1,47 +1,47 @@
-//! A recording of what crosses this program's sockets, one JSON object a line.
+//! Recording of the messages that a program sends and receives, one JSON object per line.
 
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// Writes lines; a clone writes to the same file. One made by `default` writes nothing.
+/// Appends events to a recording. Clones write to the same file; the default value writes nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     file: Option<Arc<Mutex<File>>>,
-    who: String,
+    recorded_by: String,
 }
 
 impl Recorder {
-    /// Appends to a file.
-    pub fn append_to(path: &Path, who: &str) -> std::io::Result<Self> {
+    /// Opens a file for appending and creates it if it is missing; `recorded_by` is added to each line as `who`.
+    pub fn append_to(path: &Path, recorded_by: &str) -> std::io::Result<Self> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Self {
             file: Some(Arc::new(Mutex::new(file))),
-            who: who.to_owned(),
+            recorded_by: recorded_by.to_owned(),
         })
     }
 
-    /// Whether anything is written.
+    /// Whether lines are written to a file.
     pub fn is_enabled(&self) -> bool {
         self.file.is_some()
     }
 
-    /// Writes what `line` makes, with time and writer; each line is out before this returns, so that a killed
-    /// process loses none.
-    pub fn record(&self, what: &str, line: impl FnOnce() -> serde_json::Value) {
+    /// Writes the object of `event` as a line, with time, writer and `what`, the kind of event. The line is handed to
+    /// the operating system before this returns, so a killed process loses none. `event` is called only if enabled.
+    pub fn record(&self, what: &str, event: impl FnOnce() -> serde_json::Value) {
         let Some(file) = &self.file else { return };
-        let mut value = line();
+        let mut value = event();
         if let Some(map) = value.as_object_mut() {
             map.insert("t".into(), crate::clock::now().into());
-            map.insert("who".into(), self.who.as_str().into());
+            map.insert("who".into(), self.recorded_by.as_str().into());
             map.insert("what".into(), what.into());
         }
         let mut text = value.to_string();
         text.push('\n');
         let Ok(mut file) = file.lock() else { return };
-        if let Err(problem) = file.write_all(text.as_bytes()) {
-            tracing::error!(%problem, "the recording can't be written");
+        if let Err(error) = file.write_all(text.as_bytes()) {
+            tracing::error!(%error, "cannot write to the recording");
         }
     }
 }
--- a/crates/net/src/routes.rs
+++ b/crates/net/src/routes.rs
@@ -1,6 +1,8 @@
-//! Where peers are dialled instead of where they are known to be: so that a relay can stand on a directed pair.
+//! Address overrides for outgoing connections, so that a test can put a relay between one peer and another, in one
+//! direction.
 //!
-//! A file of lines, known address and address to dial, read anew at each dial, as dials are rare and a test changes it while the program runs:
+//! Each line of the file has the known address of a peer and the address to dial. The file is read at each dial: dials
+//! are rare, and a test changes the file while the program runs.
 //!
 //! ```text
 //! 127.0.0.1:7101 127.0.0.1:9001
@@ -8,19 +10,19 @@
 
 use std::path::PathBuf;
 
-/// Routes from a file; without one each peer is dialled where it is.
+/// Address overrides from a file; without one, each peer is dialled at its known address.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     file: Option<PathBuf>,
 }
 
 impl Routes {
-    /// Routes from this file, which need not be there yet.
+    /// Overrides from this file, which need not exist yet.
     pub fn from_file(file: Option<PathBuf>) -> Self {
         Self { file }
     }
 
-    /// Where to dial a peer that is known at this address.
+    /// The address at which to dial the peer of this known address; the known address if there is no override.
     pub fn resolve(&self, address: &str) -> String {
         let text = self
             .file
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server.
+//! HTTP/1.1 server with limits on connections and request heads.
 
 use crate::body::Body;
 use hyper::body::Incoming;
@@ -8,22 +8,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Connections at a time; further ones wait in the listener's backlog.
+    /// Open connections; further ones wait in the listener's backlog.
     pub connections: usize,
-    /// A request's head must be whole within this. Guards against clients that trickle it.
+    /// Time within which the head of a request has to arrive, in seconds. Guards against clients that send it slowly to
+    /// hold connections.
     pub head_timeout: f64,
 }
 
-/// Marks a response that is not sent: its connection is cut instead.
+/// Extension of a response that is not to be sent: the connection is closed without an answer instead.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionAborted;
 
-/// What answers requests.
+/// Answers the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// One answer.
+    /// The response to one request of the client at `peer`.
     fn answer(
         &self,
         request: Request<Incoming>,
@@ -31,37 +32,41 @@
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// Headers in one request.
-const HEADERS_MOST: usize = 64;
-/// Bytes of a request's head.
-const HEAD_BYTES_MOST: usize = 64 * 1024;
+/// Most headers of one request.
+const MAX_HEADERS: usize = 64;
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Serves until the listener fails for good. A fault of one connection ends that connection only.
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_SECONDS: f64 = 0.05;
+
+/// Accepts and serves connections without end. A failure on one connection ends that connection only; if accepting one
+/// fails, it is retried after a short delay.
 pub async fn serve<H: Handler>(listener: TcpListener, limits: ServerLimits, handler: Arc<H>) {
-    let places = Arc::new(async_lock::Semaphore::new(limits.connections.max(1)));
+    let permits = Arc::new(async_lock::Semaphore::new(limits.connections.max(1)));
     loop {
-        let place = places.acquire_arc().await;
+        let permit = permits.acquire_arc().await;
         let (socket, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
-            Err(problem) => {
-                // Such as too many open files: others may close soon.
-                tracing::warn!(%problem, "a connection can't be accepted");
-                crate::clock::sleep(0.05).await;
+            Err(error) => {
+                // A possible cause is the limit on open files: other connections may close soon.
+                tracing::warn!(%error, "failed to accept a connection");
+                crate::clock::sleep(ACCEPT_RETRY_SECONDS).await;
                 continue;
             }
         };
-        if let Err(problem) = socket.set_nodelay(true) {
-            tracing::debug!(%problem, "set_nodelay");
+        if let Err(error) = socket.set_nodelay(true) {
+            tracing::debug!(%error, "set_nodelay");
         }
         let handler = handler.clone();
-        let timeout = limits.head_timeout;
+        let head_timeout = limits.head_timeout;
         let connection = async move {
             let service = hyper::service::service_fn(|request| {
                 let handler = handler.clone();
                 async move {
                     let response = handler.answer(request, peer).await;
-                    let cut = response.extensions().get::<ConnectionAborted>().is_some();
-                    if cut {
+                    let is_aborted = response.extensions().get::<ConnectionAborted>().is_some();
+                    if is_aborted {
                         Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset))
                     } else {
                         Ok(response)
@@ -70,16 +75,16 @@
             });
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(SmolTimer::new())
-                .header_read_timeout(Duration::from_secs_f64(timeout))
-                .max_headers(HEADERS_MOST)
-                .max_buf_size(HEAD_BYTES_MOST)
+                .header_read_timeout(Duration::from_secs_f64(head_timeout))
+                .max_headers(MAX_HEADERS)
+                .max_buf_size(MAX_HEAD_BYTES)
                 .half_close(false)
                 .serve_connection(FuturesIo::new(socket), service)
                 .await;
-            if let Err(problem) = served {
-                tracing::debug!(%peer, %problem, "connection ended");
+            if let Err(error) = served {
+                tracing::debug!(%peer, %error, "connection ended");
             }
-            drop(place);
+            drop(permit);
         };
         smol::spawn(connection).detach();
     }
