--- a/crates/coordination-net/src/event_loop.rs
+++ b/crates/coordination-net/src/event_loop.rs
@@ -10,7 +10,7 @@
 use tidespur_coordination::{Input, Output, PeerMessage, Voter, VoterStatus};
 use tidespur_daemon::receive_batch;
 use tidespur_net::clock;
-use tidespur_persistence::{Disk, Outbox};
+use tidespur_persistence::{DurableStore, Outbox};
 
 /// Events that are taken into one step.
 const MAX_EVENTS_PER_STEP: usize = 256;
@@ -62,7 +62,7 @@
 pub(crate) struct EventLoop {
     name: String,
     voter: Arc<Mutex<Voter>>,
-    disk: Arc<Disk>,
+    disk: Arc<DurableStore>,
     streams: BTreeMap<String, PeerStream>,
     outbox: Outbox<HeldOutput>,
     /// The disk's number of the last batch of the voter.
@@ -70,7 +70,7 @@
 }
 
 impl EventLoop {
-    pub(crate) fn new(name: String, voter: Arc<Mutex<Voter>>, disk: Arc<Disk>) -> Self {
+    pub(crate) fn new(name: String, voter: Arc<Mutex<Voter>>, disk: Arc<DurableStore>) -> Self {
         Self {
             name,
             voter,
--- a/crates/coordination-net/src/handle.rs
+++ b/crates/coordination-net/src/handle.rs
@@ -14,7 +14,7 @@
 use tidespur_config::{Config, CoordinationSection};
 use tidespur_coordination::{Input, Settings, Voter};
 use tidespur_net::{clock, routes::Routes};
-use tidespur_persistence::{Disk, LoadedRecords};
+use tidespur_persistence::{DurableStore, LoadedRecords};
 
 /// Events that wait for the event loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
@@ -34,7 +34,7 @@
     pub async fn start(
         config: &Config,
         name: &str,
-        disk: Option<Arc<Disk>>,
+        disk: Option<Arc<DurableStore>>,
         loaded: Option<&LoadedRecords>,
         routes: Routes,
     ) -> Result<Option<Self>, StartError> {
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 use tidespur_config::Config;
-use tidespur_persistence::{Disk, Identity, LoadedRecords, PersistenceError, RecordStore};
+use tidespur_persistence::{DurableStore, Identity, LoadedRecords, PersistenceError, RecordStore};
 
 /// Opens the store of the process `name` beneath the data directory that the command line (`data`) or the settings
 /// name; `None` where neither names one and all state is kept in memory only.
@@ -28,5 +28,5 @@
         name: name.to_owned(),
         cluster: config.cluster().to_owned(),
     };
-    Disk::open(&directory, &identity).map(Some)
+    DurableStore::open(&directory, &identity).map(Some)
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::AtomicU64;
 use tidespur_pending::{PendingRecords, ReasonCode};
-use tidespur_persistence::Disk;
+use tidespur_persistence::DurableStore;
 
 /// Namespaces that have a label of their own.
 const MAX_NAMESPACE_LABELS: usize = 50;
@@ -33,7 +33,7 @@
     pub(crate) open_tasks: usize,
     pub(crate) connected_planners: usize,
     pub(crate) resync_count: u64,
-    pub(crate) disk: Option<&'a Disk>,
+    pub(crate) disk: Option<&'a DurableStore>,
 }
 
 /// The text of `/metrics`.
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -81,7 +81,7 @@
     };
     let reason = smol::future::or(shutdown, event_loop).await;
     if let Some(storage) = &edge.storage {
-        storage.disk.finish();
+        storage.disk.shut_down();
     }
     drop(tasks);
     Ok(reason.into_result()?)
@@ -120,8 +120,8 @@
     let routes = Routes::from_file(options.shared.routes.clone());
     let voter = VoterHandle::start(config, &options.name, disk, records, routes).await?;
     let metadata = MemberMetadata {
-        api: api_address.to_owned(),
-        link: link_address.to_owned(),
+        api_address: api_address.to_owned(),
+        link_address: link_address.to_owned(),
         ..MemberMetadata::for_role(Role::Edge)
     };
     let member = MemberHandle::join(
--- a/crates/edge/src/storage.rs
+++ b/crates/edge/src/storage.rs
@@ -16,7 +16,7 @@
 /// The disk, and how much of what clients may be told is durable.
 pub(crate) struct Storage {
     /// Where batches are written.
-    pub(crate) disk: Arc<tidespur_persistence::Disk>,
+    pub(crate) disk: Arc<tidespur_persistence::DurableStore>,
     /// Resource versions up to this are durable.
     durable_version: AtomicU64,
     version_became_durable: Event,
@@ -68,7 +68,7 @@
             interrupted = restored.interrupted,
             "restored the state of an earlier process"
         );
-        let disk = tidespur_persistence::Disk::start(record_store)?;
+        let disk = tidespur_persistence::DurableStore::start(record_store)?;
         store.track_writes();
         store.set_visible_version(store.version());
         Ok(Self {
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -17,7 +17,7 @@
         .collect();
     json!({
         "asked": view.own.name,
-        "settled": view.settled,
+        "settled": view.has_converged,
         "live": view.live_members().count(),
         "members": members,
         "drops": drops,
@@ -38,8 +38,8 @@
         "for": (now - member.since).max(0.0),
         "role": metadata.map(|metadata| metadata.role.as_str()),
         "zone": metadata.map(|metadata| metadata.zone.as_str()),
-        "api": metadata.map(|metadata| metadata.api.as_str()),
-        "link": metadata.map(|metadata| metadata.link.as_str()),
+        "api": metadata.map(|metadata| metadata.api_address.as_str()),
+        "link": metadata.map(|metadata| metadata.link_address.as_str()),
         "open": metadata.and_then(|metadata| metadata.open_tasks),
         "factsAge": metadata.map(|_| metadata_age),
     })
--- a/crates/membership-net/tests/compatibility.rs
+++ b/crates/membership-net/tests/compatibility.rs
@@ -58,8 +58,8 @@
         Role::Edge => MemberMetadata {
             role,
             zone: "north-1".into(),
-            api: "10.0.0.1:6443".into(),
-            link: "10.0.0.1:6500".into(),
+            api_address: "10.0.0.1:6443".into(),
+            link_address: "10.0.0.1:6500".into(),
             open_tasks: Some(12),
             is_leaving: false,
         },
@@ -93,7 +93,7 @@
     MembershipView {
         own: id("live", 0),
         members,
-        settled: true,
+        has_converged: true,
         drops: DROPS
             .into_iter()
             .map(|drop| (drop, drop_count(drop)))
@@ -106,7 +106,7 @@
 #[test]
 fn report_keeps_its_json_when_members_of_each_state_are_known() {
     let unsettled = MembershipView {
-        settled: false,
+        has_converged: false,
         members: vec![],
         drops: BTreeMap::new(),
         ..view()
--- a/crates/membership-net/tests/report.rs
+++ b/crates/membership-net/tests/report.rs
@@ -18,8 +18,8 @@
     };
     let mut metadata = MemberMetadata::for_role(role);
     metadata.zone = "halle-a".into();
-    metadata.api = "127.0.0.1:8001".into();
-    metadata.link = "127.0.0.1:8002".into();
+    metadata.api_address = "127.0.0.1:8001".into();
+    metadata.link_address = "127.0.0.1:8002".into();
     metadata.open_tasks = Some(5);
     MemberState {
         id,
@@ -52,7 +52,7 @@
     let view = MembershipView {
         own,
         members,
-        settled: true,
+        has_converged: true,
         drops,
         rejoins: 3,
         stalls: 4,
--- a/crates/membership/src/membership/member_states.rs
+++ b/crates/membership/src/membership/member_states.rs
@@ -205,7 +205,7 @@
         };
         let own_index = members.partition_point(|member| member.id.name < self.own.name);
         members.insert(own_index, own);
-        let settled = self
+        let has_converged = self
             .members
             .values()
             .filter(|member| member.status.is_alive())
@@ -218,7 +218,7 @@
         MembershipView {
             own: self.own.clone(),
             members,
-            settled,
+            has_converged,
             drops: self.drops.clone(),
             rejoins: self.rejoins,
             stalls: self.stalls,
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -33,9 +33,11 @@
     /// Its zone; empty if it has none.
     pub zone: String,
     /// Address of the API of an edge; empty for a planner.
-    pub api: String,
+    #[serde(rename = "api")]
+    pub api_address: String,
     /// Address at which an edge accepts planners; empty for a planner.
-    pub link: String,
+    #[serde(rename = "link")]
+    pub link_address: String,
     /// Number of tasks without an outcome, if the member publishes it.
     #[serde(rename = "open")]
     pub open_tasks: Option<u32>,
@@ -50,8 +52,8 @@
         Self {
             role,
             zone: String::new(),
-            api: String::new(),
-            link: String::new(),
+            api_address: String::new(),
+            link_address: String::new(),
             open_tasks: None,
             is_leaving: false,
         }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -56,7 +56,7 @@
     /// All known members, itself included, in order of their names.
     pub members: Vec<MemberState>,
     /// Whether the view has converged: all alive members have published the same view as this one.
-    pub settled: bool,
+    pub has_converged: bool,
     /// Number of dropped datagrams by reason.
     pub drops: BTreeMap<DropReason, u64>,
     /// How often this member was declared failed and rejoined.
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -46,8 +46,8 @@
     MemberMetadata {
         role: Role::Edge,
         zone: "north-1".into(),
-        api: "10.0.0.1:6443".into(),
-        link: "10.0.0.1:6500".into(),
+        api_address: "10.0.0.1:6443".into(),
+        link_address: "10.0.0.1:6500".into(),
         open_tasks: Some(70_000),
         is_leaving: false,
     }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -110,7 +110,7 @@
     for open in 1..20 {
         let metadata = MemberMetadata {
             open_tasks: Some(open),
-            link: "127.0.0.1:7".into(),
+            link_address: "127.0.0.1:7".into(),
             ..MemberMetadata::for_role(Role::Planner)
         };
         members[1].step(3.0, [Input::UpdateMetadata(metadata)], &mut vec![]);
@@ -128,5 +128,5 @@
             .map(|metadata| (metadata.open_tasks, metadata.role)),
         Some((Some(19), Role::Planner))
     );
-    assert!(view.settled);
+    assert!(view.has_converged);
 }
--- a/crates/persistence/src/disk.rs
+++ b/crates/persistence/src/durable_store.rs
@@ -14,12 +14,12 @@
 pub(crate) const CLEAN_SHUTDOWN_KIND: &str = "end";
 
 /// A store with a running writer.
-pub struct Disk {
+pub struct DurableStore {
     writer: Writer,
     subscribers: Arc<Mutex<Vec<Sender<()>>>>,
 }
 
-impl Disk {
+impl DurableStore {
     /// Opens the store of a process, in the folder of its name beneath `directory`.
     ///
     /// # Errors
@@ -91,7 +91,7 @@
     }
 
     /// Marks a clean shutdown and waits, for a bounded time, until everything is written.
-    pub fn finish(&self) {
+    pub fn shut_down(&self) {
         let mut mark = Batch::default();
         // The record is far smaller than the limit, so this can't fail.
         drop(mark.put(CLEAN_SHUTDOWN_KIND, "", b"in order".to_vec()));
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A [`Batch`] is committed atomically. [`RecordStore`] is the file; [`Writer`] writes to it from a thread of its own
 //! and commits several batches in one sync if they are submitted faster than the disk takes them. Messages that may be
-//! sent only after a batch is synced wait in an [`Outbox`], which is a state machine without I/O. [`Disk`] is what a
+//! sent only after a batch is synced wait in an [`Outbox`], which is a state machine without I/O. [`DurableStore`] is what a
 //! running process uses: a store with its writer and subscribers.
 //!
 //! The file is a `redb` database: a copy-on-write tree with checksums, in which a torn write can only damage what was
@@ -11,7 +11,7 @@
 //! that an operator can act on. Called by the event loops of edge, planner and voter.
 
 mod batch;
-mod disk;
+mod durable_store;
 mod error;
 mod export;
 mod header;
@@ -22,7 +22,7 @@
 mod writer;
 
 pub use batch::{Batch, RecordKey};
-pub use disk::Disk;
+pub use durable_store::DurableStore;
 pub use error::PersistenceError;
 pub use export::{Export, export};
 pub use loaded_records::{Identity, LoadedRecords, PreviousShutdown};
--- a/crates/persistence/src/loaded_records.rs
+++ b/crates/persistence/src/loaded_records.rs
@@ -1,7 +1,7 @@
 //! Whose store it is, and what earlier processes of that identity left in it.
 
 use crate::RecordKey;
-use crate::disk::CLEAN_SHUTDOWN_KIND;
+use crate::durable_store::CLEAN_SHUTDOWN_KIND;
 use std::collections::BTreeMap;
 
 /// The process that a store belongs to.
--- a/crates/persistence/src/writer.rs
+++ b/crates/persistence/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer thread, the only one that waits for the disk. Owned by [`Disk`](crate::Disk).
+//! The writer thread, the only one that waits for the disk. Owned by [`DurableStore`](crate::DurableStore).
 
 use crate::{Batch, PersistenceError, RecordStore};
 use parking_lot::{Condvar, Mutex};
--- a/crates/persistence/tests/compatibility.rs
+++ b/crates/persistence/tests/compatibility.rs
@@ -7,7 +7,8 @@
     save_file,
 };
 use tidespur_persistence::{
-    Batch, Disk, Identity, LoadedRecords, PreviousShutdown, RecordKey, RecordStore, STORE_FILE,
+    Batch, DurableStore, Identity, LoadedRecords, PreviousShutdown, RecordKey, RecordStore,
+    STORE_FILE,
 };
 
 const HEADER: TableDefinition<&str, &str> = TableDefinition::new("about");
@@ -86,10 +87,10 @@
 
 /// Runs a process to its clean shutdown, with its store in the folder of its name beneath `directory`.
 fn run_to_clean_shutdown(directory: &Path) -> LoadedRecords {
-    let (store, loaded) = Disk::open(directory, &owner()).unwrap();
-    let disk = Disk::start(store).unwrap();
+    let (store, loaded) = DurableStore::open(directory, &owner()).unwrap();
+    let disk = DurableStore::start(store).unwrap();
     disk.write(batch());
-    disk.finish();
+    disk.shut_down();
     loaded
 }
 
@@ -104,7 +105,7 @@
     }
 
     let directory = restore_file(&fixture, &path);
-    let (store, loaded) = Disk::open(directory.path(), &owner()).unwrap();
+    let (store, loaded) = DurableStore::open(directory.path(), &owner()).unwrap();
     drop(store);
 
     assert_eq!(loaded.previous_shutdown(), PreviousShutdown::Clean);
--- a/crates/planner/src/event_loop.rs
+++ b/crates/planner/src/event_loop.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use tidespur_daemon::receive_batch;
 use tidespur_net::clock;
-use tidespur_persistence::{Disk, Outbox};
+use tidespur_persistence::{DurableStore, Outbox};
 use tidespur_policy::interface::AttemptOutcome;
 
 /// The core is stepped at least this often, in seconds.
@@ -31,7 +31,7 @@
     core: Core,
     inputs: Receiver<Input>,
     /// Without a disk every effect may be carried out at once.
-    disk: Option<&'a Disk>,
+    disk: Option<&'a DurableStore>,
     deferred: Outbox<DeferredEffect>,
 }
 
@@ -40,7 +40,7 @@
         process: Arc<PlannerProcess>,
         core: Core,
         inputs: Receiver<Input>,
-        disk: Option<&'a Disk>,
+        disk: Option<&'a DurableStore>,
     ) -> Self {
         Self {
             process,
@@ -53,7 +53,7 @@
 
     /// Runs until the channel of inputs or of the disk's progress is closed.
     pub(crate) async fn run(mut self) {
-        let progress = self.disk.map(Disk::subscribe);
+        let progress = self.disk.map(DurableStore::subscribe);
         let max_inputs = self.process.config.planner.max_events_per_step as usize;
         while let Some(mut batch) =
             receive_batch(&self.inputs, progress.as_ref(), TICK_INTERVAL, max_inputs).await
@@ -116,7 +116,7 @@
 
     /// Carries out the deferred effects whose batch is synced; without a disk, all.
     fn release_deferred(&mut self) {
-        let synced = self.disk.map_or(u64::MAX, Disk::synced);
+        let synced = self.disk.map_or(u64::MAX, DurableStore::synced);
         for effect in self.deferred.release(synced) {
             match effect {
                 DeferredEffect::Offer(deferred) => self.send_deferred(*deferred),
--- a/crates/planner/src/membership.rs
+++ b/crates/planner/src/membership.rs
@@ -34,8 +34,8 @@
     members
         .filter_map(|member| member.metadata.as_ref())
         .filter(|metadata| metadata.role == Role::Edge)
-        .filter(|metadata| !metadata.link.is_empty() && !metadata.is_leaving)
-        .map(|metadata| metadata.link.as_str())
+        .filter(|metadata| !metadata.link_address.is_empty() && !metadata.is_leaving)
+        .map(|metadata| metadata.link_address.as_str())
         .collect()
 }
 
@@ -45,6 +45,6 @@
     view.members
         .iter()
         .filter(|member| member.status != MemberStatus::Left)
-        .filter_map(|member| Some(member.metadata.as_ref()?.link.as_str()))
+        .filter_map(|member| Some(member.metadata.as_ref()?.link_address.as_str()))
         .collect()
 }
--- a/crates/planner/src/run.rs
+++ b/crates/planner/src/run.rs
@@ -18,7 +18,7 @@
 use tidespur_membership::{MemberMetadata, Role};
 use tidespur_membership_net::{JoinError, MemberHandle, ReplacedError, ShutdownReason};
 use tidespur_net::Recorder;
-use tidespur_persistence::{Disk, LoadedRecords, PersistenceError};
+use tidespur_persistence::{DurableStore, LoadedRecords, PersistenceError};
 use tidespur_policy::interface::SettingsError;
 
 /// Inputs that may wait for the event loop.
@@ -71,7 +71,7 @@
     )?;
     let data = options.shared.data.as_deref();
     let (disk, records) = match open_store(&config, data, "planner", &name)? {
-        Some((store, records)) => (Some(Disk::start(store)?), Some(records)),
+        Some((store, records)) => (Some(DurableStore::start(store)?), Some(records)),
         None => (None, None),
     };
     let core = restore(core, records.as_ref())?;
@@ -99,7 +99,7 @@
     };
     let reason = smol::future::or(shutdown, event_loop).await;
     if let Some(disk) = &disk {
-        disk.finish();
+        disk.shut_down();
     }
     Ok(reason.into_result()?)
 }
--- a/crates/testbed/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -406,7 +406,7 @@
             if let Some(seen) = view.live_members().find(|seen| seen.metadata.is_none()) {
                 return Some(format!("{} knows no facts of {}", name(who), seen.id.name));
             }
-            if !view.settled {
+            if !view.has_converged {
                 return Some(format!(
                     "{} does not know that the view is settled",
                     name(who)
