--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 use tidespur_config::Config;
-use tidespur_persistence::{Disk, Identity, LoadedRecords, PersistenceError, RecordStore};
+use tidespur_persistence::{DurableStore, Identity, LoadedRecords, PersistenceError, RecordStore};
 
 /// Opens the store of the process `name` beneath the data directory, which is set on the command line (`data`) or in
 /// the settings. Returns `None` if neither sets one: all state is then kept in memory only.
@@ -28,5 +28,5 @@
         name: name.to_owned(),
         cluster: config.cluster().to_owned(),
     };
-    Disk::open(&directory, &identity).map(Some)
+    DurableStore::open(&directory, &identity).map(Some)
 }
--- a/crates/edge/src/storage.rs
+++ b/crates/edge/src/storage.rs
@@ -17,7 +17,7 @@
 /// The disk, and the resource version up to which changes are durable.
 pub(crate) struct Storage {
     /// Writes the batches of records.
-    pub(crate) disk: Arc<tidespur_persistence::Disk>,
+    pub(crate) disk: Arc<tidespur_persistence::DurableStore>,
     /// All changes up to this resource version are durable.
     durable_version: AtomicU64,
     version_became_durable: Event,
@@ -69,7 +69,7 @@
             interrupted = restored.interrupted,
             "restored the state of an earlier process"
         );
-        let disk = tidespur_persistence::Disk::start(record_store)?;
+        let disk = tidespur_persistence::DurableStore::start(record_store)?;
         store.track_writes();
         store.set_visible_version(store.version());
         Ok(Self {
--- a/crates/planner/src/event_loop.rs
+++ b/crates/planner/src/event_loop.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use tidespur_daemon::receive_batch;
 use tidespur_net::clock;
-use tidespur_persistence::{Disk, Outbox};
+use tidespur_persistence::{DurableStore, Outbox};
 use tidespur_policy::interface::AttemptOutcome;
 
 /// Maximum time between steps of the core, in seconds.
@@ -30,7 +30,7 @@
     core: Core,
     inputs: Receiver<Input>,
     /// `None` without a data directory; then all effects may be carried out at once.
-    disk: Option<&'a Disk>,
+    disk: Option<&'a DurableStore>,
     deferred: Outbox<DeferredEffect>,
 }
 
@@ -39,7 +39,7 @@
         process: Arc<PlannerProcess>,
         core: Core,
         inputs: Receiver<Input>,
-        disk: Option<&'a Disk>,
+        disk: Option<&'a DurableStore>,
     ) -> Self {
         Self {
             process,
@@ -52,7 +52,7 @@
 
     /// Runs until the channel of inputs, or that of the disk's progress, is closed.
     pub(crate) async fn run(mut self) {
-        let progress = self.disk.map(Disk::subscribe);
+        let progress = self.disk.map(DurableStore::subscribe);
         let max_inputs = self.process.config.planner.max_events_per_step as usize;
         while let Some(mut batch) =
             receive_batch(&self.inputs, progress.as_ref(), TICK_INTERVAL, max_inputs).await
@@ -116,7 +116,7 @@
 
     /// Carries out the deferred effects whose batch is synced. Without a disk this is all of them.
     fn release_deferred(&mut self) {
-        let synced = self.disk.map_or(u64::MAX, Disk::synced);
+        let synced = self.disk.map_or(u64::MAX, DurableStore::synced);
         for effect in self.deferred.release(synced) {
             match effect {
                 DeferredEffect::Offer(deferred) => self.send_deferred(*deferred),
