--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use tidespur_testbed::checker::{self, Traffic};
 use tidespur_testbed::oracle;
-use tidespur_testbed::play::{Progress, play};
 use tidespur_testbed::scenario::Scenario;
+use tidespur_testbed::scenario_run::{Progress, run_scenario};
 
 /// The day that is played where no file is named.
 pub const BAD_DAY: &str = include_str!("../../../scenarios/bad-day.hcl");
@@ -58,8 +58,8 @@
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
     let folder = options.keep.unwrap_or_else(|| scratch.path().to_owned());
     let mut layout = layout(day.nodes, day.planners, options.seed)?;
-    layout.config = options.config;
-    layout.logs = Some(folder.join("logs"));
+    layout.config_file = options.config;
+    layout.log_dir = Some(folder.join("logs"));
     let records = folder.join("records");
     if records.is_dir() && std::fs::read_dir(&records).is_ok_and(|mut files| files.next().is_some())
     {
@@ -68,8 +68,8 @@
             records.display()
         ));
     }
-    let jobs = day.work.values().map(|work| work.jobs).sum();
-    play(
+    let jobs = day.workloads.values().map(|work| work.jobs).sum();
+    run_scenario(
         &day,
         layout,
         &records,
@@ -78,8 +78,8 @@
             ..Progress::default()
         }),
     )?;
-    let report = checker::judge(&records, &settings, options.seed)?;
-    let told = oracle::judge(&Traffic::read(&records)?);
+    let report = checker::check_recordings(&records, &settings, options.seed)?;
+    let told = oracle::check_reasons(&Traffic::read(&records)?);
     match options.report {
         Form::Json => {
             let mut object = serde_json::to_value(&report).map_err(|e| e.to_string())?;
@@ -97,7 +97,7 @@
                 report.refused,
                 report.failed,
                 report.unanswered,
-                report.twice,
+                report.duplicated,
                 report.withdrawn,
                 report.lost_with_edge
             );
@@ -111,10 +111,10 @@
             for one in told.missing.iter().chain(&told.falsified).take(20) {
                 println!("UNTRUE {one}");
             }
-            for one in &report.breaks {
+            for one in &report.violations {
                 println!("BROKEN {}: at {:.3}: {}", one.rule, one.at, one.what);
             }
         }
     }
-    Ok(report.broken_rules.is_empty() && report.twice == 0 && report.unanswered == 0)
+    Ok(report.broken_rules.is_empty() && report.duplicated == 0 && report.unanswered == 0)
 }
--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 use tidespur_config::Config;
-use tidespur_emulator::{NodeSettings, node, register};
-use tidespur_testbed::process::end_with_parent;
+use tidespur_emulator::{NodeSettings, node, registry};
+use tidespur_testbed::process::exit_with_parent;
 
 /// Settings from a file, or the built-in ones.
 pub fn config(path: Option<&PathBuf>) -> Result<Config, String> {
@@ -11,7 +11,7 @@
 }
 
 pub fn edge(options: tidespur_edge::Options) -> Result<(), String> {
-    end_with_parent();
+    exit_with_parent();
     let config = config(options.shared.config.as_ref())?;
     let ready = |at: &[String]| println!("ready {}", at.join(" "));
     smol::block_on(tidespur_edge::run(config, options, ready))
@@ -29,7 +29,7 @@
 }
 
 pub fn planner(options: PlannerOptions) -> Result<(), String> {
-    end_with_parent();
+    exit_with_parent();
     let mut config = config(options.options.shared.config.as_ref())?;
     if let Some(planners) = options.planners {
         config.planner.planner_count = planners.max(1);
@@ -64,7 +64,7 @@
 }
 
 pub fn node(options: NodeOptions) -> Result<(), String> {
-    end_with_parent();
+    exit_with_parent();
     let config = config(options.config.as_ref())?;
     let kind = config
         .node_types
@@ -78,13 +78,13 @@
         kind: options.kind,
         cores: kind.cores,
         memory: kind.memory,
-        admit_cores: config.nodes.cpu_overcommit,
-        admit_memory: config.nodes.memory_overcommit,
-        cold: options.cold,
-        cold_from: safety.slow_start_speed,
-        cold_bears: safety.slow_start_offers,
-        fall_multiple: safety.overload_ratio,
-        overload_for: safety.overload_window,
+        cpu_overcommit: config.nodes.cpu_overcommit,
+        memory_overcommit: config.nodes.memory_overcommit,
+        warm_up_time: options.cold,
+        slow_start_speed: safety.slow_start_speed,
+        slow_start_offers: safety.slow_start_offers,
+        overload_ratio: safety.overload_ratio,
+        overload_window: safety.overload_window,
         seed: options.seed,
         ..NodeSettings::default()
     };
@@ -97,7 +97,7 @@
     let options = node::Options {
         settings,
         listen,
-        register,
+        registry: register,
         record,
         priorities,
     };
@@ -119,20 +119,20 @@
 }
 
 pub fn register(options: RegisterOptions) -> Result<(), String> {
-    end_with_parent();
+    exit_with_parent();
     let RegisterOptions {
         listen,
         delay,
         gone_after,
         record,
     } = options;
-    let options = register::Options {
+    let options = registry::Options {
         listen,
         delay,
         gone_after,
         record,
     };
-    smol::block_on(register::run(options, |address| {
+    smol::block_on(registry::run(options, |address| {
         println!("ready {address}")
     }))
     .map_err(|e| e.to_string())
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tidespur_testbed::checker;
-use tidespur_testbed::play::{Progress, play};
 use tidespur_testbed::scenario::Scenario;
+use tidespur_testbed::scenario_run::{Progress, run_scenario};
 
 #[derive(Args)]
 pub struct DemoOptions {
@@ -42,8 +42,8 @@
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
     let records = scratch.path().join("records");
     let mut layout = layout(options.nodes, options.planners, options.seed)?;
-    layout.logs = Some(scratch.path().join("logs"));
-    let jobs = day.work.values().map(|work| work.jobs).sum();
+    layout.log_dir = Some(scratch.path().join("logs"));
+    let jobs = day.workloads.values().map(|work| work.jobs).sum();
     println!(
         "a morning on {} nodes in two halls, with {} planners: {jobs} Jobs",
         options.nodes, options.planners
@@ -57,12 +57,13 @@
         let (progress, over) = (progress.clone(), over.clone());
         move || show(&progress, &over)
     });
-    let played = play(&day, layout, &records, progress);
+    let played = run_scenario(&day, layout, &records, progress);
     over.store(true, Ordering::Relaxed);
     // It only draws; if it failed there is nothing to tell.
     let _ = shown.join();
     played?;
-    let report = checker::judge(&records, tidespur_config::DEFAULT_CONFIG, options.seed)?;
+    let report =
+        checker::check_recordings(&records, tidespur_config::DEFAULT_CONFIG, options.seed)?;
     println!("what became of {} tasks:", report.submitted);
     for (what, count) in [
         ("placed", report.placed),
@@ -76,7 +77,7 @@
         ),
         ("withdrawn by their owner", report.withdrawn),
         ("unanswered", report.unanswered),
-        ("with two outcomes", report.twice),
+        ("with two outcomes", report.duplicated),
     ] {
         println!("  {count:>5}  {what}");
     }
@@ -88,12 +89,12 @@
         ),
         broken => println!("BROKEN: {}", broken.join(", ")),
     }
-    for one in &report.breaks {
+    for one in &report.violations {
         println!("  {:.3} {}: {}", one.at, one.rule, one.what);
     }
     Ok(report.broken_rules.is_empty()
         && report.unanswered == 0
-        && report.twice == 0
+        && report.duplicated == 0
         && report.submitted > 0)
 }
 
@@ -109,7 +110,7 @@
     while !over.load(Ordering::Relaxed) {
         bar.set_position(progress.done.load(Ordering::Relaxed) as u64);
         let trouble = progress
-            .trouble
+            .active_fault
             .lock()
             .map(|t| t.clone())
             .unwrap_or_default();
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -52,11 +52,11 @@
     let mut layout = layout(options.nodes, options.planners, options.seed)?;
     layout.edges = options.edges.clamp(1, 20);
     layout.fleet = true;
-    layout.api = options.api;
-    layout.config = options.config;
-    layout.records = options.record;
-    layout.data = options.data;
-    let keeps = layout.data.is_some();
+    layout.api_address = options.api;
+    layout.config_file = options.config;
+    layout.recordings = options.record;
+    layout.data_dir = options.data;
+    let keeps = layout.data_dir.is_some();
     smol::block_on(async {
         // Before anything is started, so that no signal is missed.
         let signals = [async_signal::Signal::Int, async_signal::Signal::Term];
@@ -82,7 +82,7 @@
             written.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         println!("the API is at http://{}; end with Ctrl-C", cluster.api(0));
-        for (name, id) in cluster.children() {
+        for (name, id) in cluster.process_ids() {
             println!("{name} runs as process {id}");
         }
         let stopped = async {
@@ -97,15 +97,15 @@
 
 /// Starts children again that end, until one ends again and again.
 async fn supervise(mut cluster: Cluster, keeps: bool) -> Result<(), String> {
-    let names = cluster.children().into_iter().map(|(name, _)| name);
+    let names = cluster.process_ids().into_iter().map(|(name, _)| name);
     let mut watch = Supervisor::new(supervisor::Settings::default(), names, clock::now());
     loop {
         clock::sleep(0.25).await;
-        let ended: BTreeMap<String, String> = cluster.ended().into_iter().collect();
+        let ended: BTreeMap<String, String> = cluster.exited().into_iter().collect();
         let names: Vec<String> = ended.keys().cloned().collect();
         for action in watch.step(clock::now(), &names) {
             match action {
-                Action::Wait(name, pause) => {
+                Action::Backoff(name, pause) => {
                     let gone = name.starts_with("edge") && !keeps;
                     let lost = if gone {
                         "; the objects that it held are gone"
@@ -130,7 +130,7 @@
                     match done {
                         Ok(()) => {
                             let id = cluster
-                                .children()
+                                .process_ids()
                                 .into_iter()
                                 .find(|(child, _)| *child == name);
                             println!("{name} runs as process {}", id.map_or(0, |(_, id)| id));
@@ -168,7 +168,7 @@
 pub fn measure(options: MeasureOptions) -> Result<(), String> {
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
     let mut layout = layout(options.nodes, options.planners, 1)?;
-    layout.logs = Some(scratch.path().join("logs"));
+    layout.log_dir = Some(scratch.path().join("logs"));
     let (watchers, each) = (options.watchers.max(1), options.each.max(1));
     let mut all = vec![tidespur_testbed::measure::measure(
         layout.clone(),
@@ -176,7 +176,7 @@
         each,
     )?];
     if let Some(folder) = options.data {
-        layout.data = Some(folder);
+        layout.data_dir = Some(folder);
         all.push(tidespur_testbed::measure::measure(layout, watchers, each)?);
     }
     for figures in all {
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -274,7 +274,7 @@
             .replace("head_timeout     = 10", "head_timeout     = 0.5")
             .replace("body_timeout     = 30", "body_timeout     = 0.5");
         std::fs::write(&file, text).unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
     });
     let r = &running;
     let deep = "[".repeat(10_000) + &"]".repeat(10_000);
@@ -424,7 +424,7 @@
                 .replace("open_most        = 5000", "open_most        = 2"),
         )
         .unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
     });
     running.cluster.process("planner-0").unwrap().kill();
     let (mut made, mut refused) = (0, 0);
--- a/crates/cli/tests/api_compatibility.rs
+++ b/crates/cli/tests/api_compatibility.rs
@@ -59,9 +59,9 @@
             format!("{}\n{ledger}", tidespur_config::DEFAULT_CONFIG),
         )
         .unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
         layout.fleet = true;
-        layout.data = Some(folder.join("data"));
+        layout.data_dir = Some(folder.join("data"));
     })
 }
 
--- a/crates/cli/tests/common/fleet.rs
+++ b/crates/cli/tests/common/fleet.rs
@@ -70,7 +70,7 @@
         }
         std::fs::write(folder.path().join(format!("routes-{i}")), routes).unwrap();
     }
-    let register = running.cluster.register.addresses[0].clone();
+    let register = running.cluster.registry.addresses[0].clone();
     let edge = |i: usize| {
         let line = format!(
             "edge --api 127.0.0.1:0 --link {} --register {register}",
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -33,9 +33,9 @@
         planners,
         5,
     );
-    layout.records = Some(folder.path().join("records"));
-    layout.logs = Some(folder.path().join("logs"));
-    layout.delay = 0.1;
+    layout.recordings = Some(folder.path().join("records"));
+    layout.log_dir = Some(folder.path().join("logs"));
+    layout.registry_delay = 0.1;
     change(&mut layout, folder.path());
     let cluster = Cluster::start(layout).unwrap();
     smol::block_on(cluster.wait_ready(60.0)).unwrap();
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -144,7 +144,7 @@
     both.iter().for_each(|edge| fleet.linked(edge, 3));
 
     // Another stands still for ten seconds, and the dead one comes back under its name meanwhile.
-    fleet.all["planner-1"].pause(true);
+    fleet.all["planner-1"].set_paused(true);
     fleet.launch("planner-2");
     let rest: Vec<&str> = whole
         .iter()
@@ -153,7 +153,7 @@
         .collect();
     fleet.settle(&both, &rest);
     smol::block_on(clock::sleep(5.0));
-    fleet.all["planner-1"].pause(false);
+    fleet.all["planner-1"].set_paused(false);
     fleet.settle(&both, &whole);
     both.iter().for_each(|edge| fleet.linked(edge, 4));
 
@@ -178,7 +178,7 @@
     let until = clock::now() + WITHIN;
     let ended = loop {
         assert!(clock::now() < until, "planner-0 goes on");
-        match leaves.ended() {
+        match leaves.exit_reason() {
             Some(how) => break how,
             None => smol::block_on(clock::sleep(0.05)),
         }
@@ -214,13 +214,20 @@
     let mut older = fleet.all.remove("planner-0").unwrap();
     fleet.launch("planner-0");
     let until = clock::now() + WITHIN;
-    while older.ended().is_none() {
+    while older.exit_reason().is_none() {
         assert!(clock::now() < until, "the older one goes on");
         smol::block_on(clock::sleep(0.1));
     }
     fleet.settle(&["edge-0"], &["edge-0", "planner-0"]);
     fleet.linked("edge-0", 1);
-    assert!(fleet.all.get_mut("planner-0").unwrap().ended().is_none());
+    assert!(
+        fleet
+            .all
+            .get_mut("planner-0")
+            .unwrap()
+            .exit_reason()
+            .is_none()
+    );
 }
 
 /// Without the block `fleet` and its flags, no fleet: the edge says so, and a planner wants to be told its edges.
@@ -244,7 +251,7 @@
     )
     .unwrap();
     let until = clock::now() + WITHIN;
-    while planner.ended().is_none() {
+    while planner.exit_reason().is_none() {
         assert!(clock::now() < until, "it goes on without an edge");
         smol::block_on(clock::sleep(0.05));
     }
--- a/crates/cli/tests/full.rs
+++ b/crates/cli/tests/full.rs
@@ -37,7 +37,7 @@
 fn a_full_disk_acknowledges_nothing_says_so_and_goes_on_once_there_is_room() {
     let running = start(1, 1, |_, _| {});
     let folder = running.folder.path().join("data");
-    let register = &running.cluster.register.addresses[0];
+    let register = &running.cluster.registry.addresses[0];
     // A file-size limit stands for a full disk; the system would end a process that does not ignore its signal.
     let line = format!(
         "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register {register} --name edge-9 --data {}",
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tidespur_testbed::process::Process;
-use tidespur_testbed::relay::{Relay, Way};
+use tidespur_testbed::relay::{Relay, RelayMode};
 
 /// Drawn from this; LEDGER_ROUNDS plays more, outside CI.
 const SEED: u64 = 1_202;
@@ -58,19 +58,19 @@
         let holder = fleet.edges.iter().position(|edge| acts(edge).is_some());
         let i = holder.unwrap_or_else(|| rng.random_range(0..3));
         let ways = [
-            Way::Cut,
-            Way::HoldThere,
-            Way::HoldBack,
-            Way::Late(0.3),
-            Way::Trickle(400.0),
+            RelayMode::Cut,
+            RelayMode::StallFromClient,
+            RelayMode::StallToClient,
+            RelayMode::Delay(0.3),
+            RelayMode::Throttle(400.0),
         ];
         let pair = pairs[rng.random_range(0..pairs.len())];
-        fleet.relays[&pair].set(ways[rng.random_range(0..ways.len())]);
+        fleet.relays[&pair].set_mode(ways[rng.random_range(0..ways.len())]);
         match round % 4 {
             0 => fleet.edges[i].kill(),
-            1 => fleet.edges[i].pause(true),
+            1 => fleet.edges[i].set_paused(true),
             2 => fleet.edges.iter_mut().for_each(Process::kill),
-            _ => fleet.relays.values().for_each(Relay::reset),
+            _ => fleet.relays.values().for_each(Relay::close_connections),
         }
         // Seen from outside, at any time: no two of them, whichever is asked first.
         for _ in 0..15 {
@@ -93,13 +93,16 @@
             highest = highest.max(newest);
             std::thread::sleep(Duration::from_millis(100));
         }
-        fleet.edges[i].pause(false);
+        fleet.edges[i].set_paused(false);
         for edge in &mut fleet.edges {
             if edge.id().is_none() {
                 edge.restart(&[], true).unwrap();
             }
         }
-        fleet.relays.values().for_each(|relay| relay.set(Way::Open));
+        fleet
+            .relays
+            .values()
+            .for_each(|relay| relay.set_mode(RelayMode::Forward));
         all_vote_and_one_acts(
             &running,
             &fleet,
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -22,14 +22,14 @@
 const JOBS: &str = "/apis/batch/v1/namespaces/default/jobs";
 
 fn remembering(layout: &mut tidespur_testbed::Layout, folder: &Path) {
-    layout.data = Some(folder.join("data"));
+    layout.data_dir = Some(folder.join("data"));
 }
 
 /// Kills all edges and planners at once, and starts them again.
 fn cut(running: &mut Running) {
     let names: Vec<String> = running
         .cluster
-        .children()
+        .process_ids()
         .into_iter()
         .map(|(name, _)| name)
         .collect();
@@ -39,7 +39,7 @@
         .collect();
     // First all are killed, then any is waited for: they go in one instant.
     let pid = |id: u32| rustix::process::Pid::from_raw(id as i32).unwrap();
-    for (name, id) in running.cluster.children() {
+    for (name, id) in running.cluster.process_ids() {
         if ours.contains(&name) {
             rustix::process::kill_process(pid(id), rustix::process::Signal::KILL).unwrap();
         }
@@ -196,7 +196,7 @@
 fn an_edge_whose_folder_is_in_use_or_another_s_does_not_start_and_says_why() {
     let running = start(1, 1, remembering);
     let folder = running.folder.path().join("data");
-    let register = running.cluster.register.addresses[0].clone();
+    let register = running.cluster.registry.addresses[0].clone();
     let try_one = |name: &str| {
         let log = running.folder.path().join("refused.log");
         let line = format!(
--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -9,7 +9,7 @@
 use common::*;
 use fleet::*;
 use tidespur_testbed::process::Process;
-use tidespur_testbed::relay::Way;
+use tidespur_testbed::relay::RelayMode;
 
 /// What a planner goes by now: how many share, and the token under which that was said.
 fn shares(fleet: &Fleet, planner: usize) -> Option<(u32, u64)> {
@@ -51,7 +51,7 @@
     running.until("both know of two", async || both(&fleet, 2));
     let (old, token) = running.until("one acts", async || holder(&fleet));
     // What the holder says to the first planner from now on is on its way for long.
-    fleet.links[&(0, old)].set(Way::HoldBack);
+    fleet.links[&(0, old)].set_mode(RelayMode::StallToClient);
     fleet.planner();
     running.until("the second knows of the third", async || {
         (shares(&fleet, 1)? == (3, token) && shares(&fleet, 2)? == (3, token)).then_some(())
@@ -66,14 +66,14 @@
         .iter()
         .filter(|((i, j), _)| *i == old || *j == old)
     {
-        relay.set(Way::Cut);
+        relay.set_mode(RelayMode::Cut);
     }
     let newer = running.until("another acts, and has told the first", async || {
         let (who, newer) = holder(&fleet)?;
         (who != old && shares(&fleet, 0)? == (3, newer)).then_some(newer)
     });
     assert!(newer > token);
-    fleet.links[&(0, old)].set(Way::Open);
+    fleet.links[&(0, old)].set_mode(RelayMode::Forward);
     let refused = format!("has gone on to token {newer}, this act carries {token}");
     running.until("the late word is refused by name", async || {
         fleet.log("planner-0").contains(&refused).then_some(())
@@ -86,7 +86,10 @@
             .then_some(())
     });
     // A planner is killed and power is lost everywhere else: who is away goes on counting, and tokens go on rising.
-    fleet.relays.values().for_each(|relay| relay.set(Way::Open));
+    fleet
+        .relays
+        .values()
+        .for_each(|relay| relay.set_mode(RelayMode::Forward));
     fleet.planners[2].kill();
     fleet
         .edges
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -114,7 +114,7 @@
             .replace("history          = 16384", "history          = 16");
         assert_ne!(text, tidespur_config::DEFAULT_CONFIG);
         std::fs::write(&file, text).unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
     });
     let (jobs, pods) = (running.jobs(), running.pods());
     running.runtime.block_on(async {
@@ -182,19 +182,24 @@
             format!("{}\n{keyed}", tidespur_config::DEFAULT_CONFIG),
         )
         .unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
     });
     let jobs = running.jobs();
     for i in 0..3 {
         let node = format!("node-{i:02}");
-        let fault = Fault::LoseAnswers {
+        let fault = Fault::DropResponses {
             share: 1.0,
             reset,
             seconds: 4.0,
         };
-        smol::block_on(running.cluster.fault(&node, &fault)).unwrap();
+        smol::block_on(running.cluster.inject_fault(&node, &fault)).unwrap();
         if mute {
-            smol::block_on(running.cluster.fault(&node, &Fault::Mute { seconds: 4.0 })).unwrap();
+            smol::block_on(
+                running
+                    .cluster
+                    .inject_fault(&node, &Fault::BlockReads { seconds: 4.0 }),
+            )
+            .unwrap();
         }
     }
     running.runtime.block_on(async {
@@ -340,7 +345,7 @@
     let running = start(1, 1, |_, _| {});
     let pods = running.pods();
     // The node looks at an offer for half a second.
-    smol::block_on(running.cluster.fault(
+    smol::block_on(running.cluster.inject_fault(
         "node-00",
         &Fault::Slow {
             factor: 50.0,
@@ -463,7 +468,7 @@
                 .replace("history          = 16384", "history          = 64"),
         )
         .unwrap();
-        layout.config = Some(file);
+        layout.config_file = Some(file);
     });
     let api: Api<k8s_openapi::api::core::v1::Event> = Api::namespaced(running.client(), "default");
     let mut slow = std::net::TcpStream::connect(running.cluster.api(0)).unwrap();
@@ -598,7 +603,7 @@
 #[test]
 fn a_register_that_is_gone_at_the_start_is_told_in_the_answer_and_waited_for() {
     let mut running = start(2, 1, |_, _| {});
-    running.cluster.register.pause(true);
+    running.cluster.registry.set_paused(true);
     running.cluster.restart_planner("planner-0").unwrap();
     let pods = running.pods();
     let pod: Pod = serde_json::from_value(json!({"metadata": {"name": "early", "annotations":
@@ -623,7 +628,7 @@
         message.contains("register has listed no nodes"),
         "{message}"
     );
-    running.cluster.register.pause(false);
+    running.cluster.registry.set_paused(false);
     let jobs: Api<Job> = running.jobs();
     running
         .runtime
@@ -722,7 +727,7 @@
 #[test]
 fn a_task_that_no_planner_takes_says_so_and_the_planner_that_comes_back_takes_it() {
     let running = start(2, 1, |_, _| {});
-    running.cluster.planners[0].pause(true);
+    running.cluster.planners[0].set_paused(true);
     let pod = json!({"metadata": {"name": "early", "annotations": {"placement.tidespur.dev/give-up-seconds": "60"}},
         "spec": {"containers": [{"name": "m"}]}});
     let pods = running.pods();
@@ -739,7 +744,7 @@
     running.until("loss is told", async || {
         (codes().await == json!(["NoPlanner"])).then_some(())
     });
-    running.cluster.planners[0].pause(false);
+    running.cluster.planners[0].set_paused(false);
     // Never offered, so it was kept, and it is placed now: not answered as unknown.
     running.until("it is placed", async || {
         let pod = pods.get("early").await.unwrap();
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -19,7 +19,8 @@
         seconds: f64,
     },
     /// Of offers that were taken, this share of the answers never gets back.
-    LoseAnswers {
+    #[serde(rename = "lose-answers")]
+    DropResponses {
         /// From 0 to 1.
         share: f64,
         /// The connection is cut (else silence).
@@ -28,35 +29,42 @@
         seconds: f64,
     },
     /// This share of offers is answered by an error, quickly.
-    Errors {
+    #[serde(rename = "errors")]
+    ReturnErrors {
         /// From 0 to 1.
         share: f64,
         /// For this long.
         seconds: f64,
     },
     /// Nothing passes between this node and these zones.
-    CutZones {
+    #[serde(rename = "cut-zones")]
+    PartitionZones {
         /// Names of zones.
         zones: Vec<String>,
         /// For this long.
         seconds: f64,
     },
     /// Tasks use all the cores that they asked for.
-    UseAll {
+    #[serde(rename = "use-all")]
+    UseAllRequestedCores {
         /// For this long.
         seconds: f64,
     },
     /// Nobody can see what the node holds: its watches break, and no new one is answered.
-    Mute {
+    #[serde(rename = "mute")]
+    BlockReads {
         /// For this long.
         seconds: f64,
     },
     /// Programs kept on the node are lost.
-    Flush,
+    #[serde(rename = "flush")]
+    ClearProgramCache,
     /// All open watches break.
-    BreakWatches,
+    #[serde(rename = "break-watches")]
+    CloseWatches,
     /// Tasks are sent away, all at once or bit by bit.
-    SendAway {
+    #[serde(rename = "send-away")]
+    TerminateTasks {
         /// Between two of them; 0: all at once.
         every: f64,
     },
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,7 +4,7 @@
 mod faults;
 pub mod model;
 pub mod node;
-pub mod register;
+pub mod registry;
 
 pub use faults::Fault;
 pub use model::NodeSettings;
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -21,31 +21,31 @@
     /// Memory units.
     pub memory: f64,
     /// Accepts until tasks ask for this multiple of its cores,
-    pub admit_cores: f64,
+    pub cpu_overcommit: f64,
     /// or this of its memory.
-    pub admit_memory: f64,
+    pub memory_overcommit: f64,
     /// Time to look at one offer.
-    pub look: f64,
+    pub offer_processing_time: f64,
     /// Offers that may wait.
-    pub line: usize,
+    pub max_queued_offers: usize,
     /// Starts at a time.
-    pub starts: usize,
+    pub max_concurrent_starts: usize,
     /// Time of a start where the program is at hand.
-    pub start: f64,
+    pub start_time: f64,
     /// Times as long where it is not.
-    pub setup: f64,
+    pub set_up_factor: f64,
     /// Programs kept after their last task.
-    pub kept: usize,
+    pub max_cached_programs: usize,
     /// A node that came up just now is at full pace after this long, 0 for one that is warm,
-    pub cold: f64,
+    pub warm_up_time: f64,
     /// and begins at this share of it.
-    pub cold_from: f64,
-    /// Offers within `overload_for` that it bears however cold,
-    pub cold_bears: f64,
+    pub slow_start_speed: f64,
+    /// Offers within `overload_window` that it bears however cold,
+    pub slow_start_offers: f64,
     /// else this multiple of what it can start.
-    pub fall_multiple: f64,
-    /// See `cold_bears`.
-    pub overload_for: f64,
+    pub overload_ratio: f64,
+    /// See `slow_start_offers`.
+    pub overload_window: f64,
     /// All the chance it has.
     pub seed: u64,
 }
@@ -59,19 +59,19 @@
             kind: "std-24".into(),
             cores: 24.0,
             memory: 48.0,
-            admit_cores: 2.5,
-            admit_memory: 1.2,
-            look: 0.01,
-            line: 64,
-            starts: 4,
-            start: 0.05,
-            setup: 6.0,
-            kept: 7,
-            cold: 0.0,
-            cold_from: 0.15,
-            cold_bears: 8.0,
-            fall_multiple: 2.5,
-            overload_for: 1.0,
+            cpu_overcommit: 2.5,
+            memory_overcommit: 1.2,
+            offer_processing_time: 0.01,
+            max_queued_offers: 64,
+            max_concurrent_starts: 4,
+            start_time: 0.05,
+            set_up_factor: 6.0,
+            max_cached_programs: 7,
+            warm_up_time: 0.0,
+            slow_start_speed: 0.15,
+            slow_start_offers: 8.0,
+            overload_ratio: 2.5,
+            overload_window: 1.0,
             seed: 1,
         }
     }
@@ -290,11 +290,11 @@
     }
 
     fn warmth(&self) -> f64 {
-        if self.set.cold <= 0.0 {
+        if self.set.warm_up_time <= 0.0 {
             return 1.0;
         }
-        let share = ((self.now - self.born) / self.set.cold).clamp(0.0, 1.0);
-        self.set.cold_from + (1.0 - self.set.cold_from) * share
+        let share = ((self.now - self.born) / self.set.warm_up_time).clamp(0.0, 1.0);
+        self.set.slow_start_speed + (1.0 - self.set.slow_start_speed) * share
     }
 
     fn pace(&self) -> f64 {
@@ -407,11 +407,12 @@
     /// Takes up the next offer and the next starts.
     fn begin(&mut self) {
         if self.looking_until.is_none() && !self.line.is_empty() {
-            self.looking_until = Some(self.now + self.set.look / self.pace().clamp(1e-3, 1.0));
+            self.looking_until =
+                Some(self.now + self.set.offer_processing_time / self.pace().clamp(1e-3, 1.0));
         }
         let mut free = self
             .set
-            .starts
+            .max_concurrent_starts
             .saturating_sub(self.tasks.values().filter(|t| t.starting).count());
         for task in self
             .tasks
@@ -437,7 +438,7 @@
                     && self.rng.random_bool(self.troubles.errors.0)
                 {
                     out.push(Action::Answer(id, Err(Refusal::Error), Way::Sent));
-                } else if self.line.len() >= self.set.line {
+                } else if self.line.len() >= self.set.max_queued_offers {
                     out.push(Action::Answer(id, Err(Refusal::Queue), Way::Sent));
                 } else {
                     self.line.push_back((id, offer));
@@ -454,28 +455,28 @@
         match fault {
             Fault::Slow { factor, seconds } => self.troubles.slow = (factor, now + seconds),
             Fault::Hang { seconds } => self.troubles.hang = now + seconds,
-            Fault::LoseAnswers {
+            Fault::DropResponses {
                 share,
                 reset,
                 seconds,
             } => {
                 self.troubles.lose = (share.clamp(0.0, 1.0), reset, now + seconds);
             }
-            Fault::Errors { share, seconds } => {
+            Fault::ReturnErrors { share, seconds } => {
                 self.troubles.errors = (share.clamp(0.0, 1.0), now + seconds)
             }
-            Fault::CutZones { zones, seconds } => {
+            Fault::PartitionZones { zones, seconds } => {
                 self.troubles.cut = (zones, now + seconds);
                 out.push(Action::BreakWatches);
             }
-            Fault::UseAll { seconds } => self.troubles.use_all = now + seconds,
-            Fault::Mute { seconds } => {
+            Fault::UseAllRequestedCores { seconds } => self.troubles.use_all = now + seconds,
+            Fault::BlockReads { seconds } => {
                 self.troubles.mute = now + seconds;
                 out.push(Action::BreakWatches);
             }
-            Fault::Flush => self.kept.clear(),
-            Fault::BreakWatches => out.push(Action::BreakWatches),
-            Fault::SendAway { every } => self.send_away = Some((now, every)),
+            Fault::ClearProgramCache => self.kept.clear(),
+            Fault::CloseWatches => out.push(Action::BreakWatches),
+            Fault::TerminateTasks { every } => self.send_away = Some((now, every)),
         }
     }
 
@@ -485,23 +486,23 @@
             return;
         }
         let set = &self.set;
-        let work = set.start
+        let work = set.start_time
             * if self.holds(&offer.service) {
                 1.0
             } else {
-                set.setup
+                set.set_up_factor
             };
         self.recent.push_back((self.now, work));
         while self
             .recent
             .front()
-            .is_some_and(|(at, _)| *at <= self.now - set.overload_for)
+            .is_some_and(|(at, _)| *at <= self.now - set.overload_window)
         {
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        let can = self.warmth() * set.starts as f64 * set.overload_for;
-        if self.recent.len() as f64 > set.cold_bears && sent > set.fall_multiple * can {
+        let can = self.warmth() * set.max_concurrent_starts as f64 * set.overload_window;
+        if self.recent.len() as f64 > set.slow_start_offers && sent > set.overload_ratio * can {
             self.fell = true;
             out.push(Action::Fell);
         }
@@ -520,11 +521,11 @@
             if self.now < until && self.rng.random_bool(share) {
                 way = if reset { Way::Reset } else { Way::Silent };
             }
-            let start_left = self.set.start
+            let start_left = self.set.start_time
                 * if self.holds(&offer.service) {
                     1.0
                 } else {
-                    self.set.setup
+                    self.set.set_up_factor
                 };
             let use_cores = offer.cores * self.rng.random_range(0.40..0.66);
             let use_memory = offer.memory * self.rng.random_range(0.52..0.80);
@@ -559,10 +560,16 @@
             }
             () if self.tasks.contains_key(&offer.name) => Err(Refusal::Copy),
             () if self.tasks.values().any(|t| t.offer.key == offer.key) => Err(Refusal::Copy),
-            () if over(cores, self.set.cores, self.set.admit_cores, offer.cores) => {
+            () if over(cores, self.set.cores, self.set.cpu_overcommit, offer.cores) => {
                 Err(Refusal::OutOfCpu)
             }
-            () if over(memory, self.set.memory, self.set.admit_memory, offer.memory) => {
+            () if over(
+                memory,
+                self.set.memory,
+                self.set.memory_overcommit,
+                offer.memory,
+            ) =>
+            {
                 Err(Refusal::OutOfMemory)
             }
             () => Ok(()),
@@ -580,7 +587,7 @@
         {
             self.kept.retain(|kept| *kept != task.offer.service);
             self.kept.push_back(task.offer.service);
-            while self.kept.len() > self.set.kept {
+            while self.kept.len() > self.set.max_cached_programs {
                 self.kept.pop_front();
             }
         }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -30,7 +30,7 @@
     /// Where it listens; port 0 for any.
     pub listen: String,
     /// The register's address.
-    pub register: String,
+    pub registry: String,
     /// What crosses its sockets is recorded here.
     pub record: Option<PathBuf>,
     /// Priority of each class.
@@ -397,7 +397,7 @@
     };
     let up_since = clock::now();
     recorder.record("up", || {
-        json!({"cold": options.settings.cold, "cores": options.settings.cores,
+        json!({"cold": options.settings.warm_up_time, "cores": options.settings.cores,
         "rack": options.settings.rack, "zone": options.settings.zone})
     });
     let inner = Inner {
@@ -441,7 +441,7 @@
     .detach();
     let teller = api.clone();
     let (register, at, set) = (
-        options.register.clone(),
+        options.registry.clone(),
         address.clone(),
         options.settings.clone(),
     );
@@ -466,7 +466,7 @@
 ) {
     let client = Client::new(register, 1, vec![]);
     // One that is not cold has been up for long, whenever its process was started.
-    let up_since = if set.cold > 0.0 {
+    let up_since = if set.warm_up_time > 0.0 {
         up_since
     } else {
         up_since - LONG_UP
--- a/crates/testbed/src/checker/drains.rs
+++ b/crates/testbed/src/checker/drains.rs
@@ -1,6 +1,6 @@
 //! Third rule: nothing new goes to a node later than the grace after its planner was told that it drains or is gone.
 
-use super::{Break, Report, Rules, Traffic};
+use super::{Report, Rules, Traffic, Violation};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
                         "{} sent to {} {late:.2} s after it was told that it leaves",
                         key.0, key.1
                     );
-                    report.breaks.push(Break {
+                    report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
--- a/crates/testbed/src/checker/effects.rs
+++ b/crates/testbed/src/checker/effects.rs
@@ -1,6 +1,6 @@
 //! Second rule: no effect happens twice. Judged by what planners sent and by what nodes held.
 
-use super::{Break, Report, Rules, Traffic};
+use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
 
 const RULE: &str = "no double effect";
@@ -34,7 +34,7 @@
                     .get(line.text("class"))
                     .is_some_and(|class| class.effect == "unsafe");
                 let mut broken = |what: String| {
-                    report.breaks.push(Break {
+                    report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
@@ -73,13 +73,13 @@
                 if guarded
                     && let Some((node, at)) = holders.iter().find(|(node, _)| **node != line.who)
                 {
-                    report.twice += 1;
+                    report.duplicated += 1;
                     let what = format!(
                         "{} runs at {} while {node} holds it since {at:.3}",
                         line.text("key"),
                         line.who
                     );
-                    report.breaks.push(Break {
+                    report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -27,7 +27,8 @@
     /// Without an answer in time.
     pub unanswered: usize,
     /// With more than one outcome, or run twice against their class.
-    pub twice: usize,
+    #[serde(rename = "twice")]
+    pub duplicated: usize,
     /// Withdrawn by their owner before an answer.
     pub withdrawn: usize,
     /// Open at an edge that was killed: their clients' to retry.
@@ -35,7 +36,8 @@
     /// Rules that were broken.
     pub broken_rules: Vec<String>,
     /// Each break.
-    pub breaks: Vec<Break>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
     /// What the day was drawn from.
     pub seed: u64,
     /// Offers that planners sent.
@@ -46,7 +48,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// Which.
     pub rule: &'static str,
     /// When, in seconds of the recordings' clock.
@@ -56,8 +58,8 @@
 }
 
 /// Judges the recordings in a folder.
-pub fn judge(records: &Path, settings: &str, seed: u64) -> Result<Report, String> {
-    Ok(judge_traffic(
+pub fn check_recordings(records: &Path, settings: &str, seed: u64) -> Result<Report, String> {
+    Ok(check_traffic(
         &Traffic::read(records)?,
         &Rules::parse(settings)?,
         seed,
@@ -65,7 +67,7 @@
 }
 
 /// Judges recordings.
-pub fn judge_traffic(traffic: &Traffic, rules: &Rules, seed: u64) -> Report {
+pub fn check_traffic(traffic: &Traffic, rules: &Rules, seed: u64) -> Report {
     let mut report = Report {
         seed,
         offers: traffic.of("send").count(),
@@ -80,8 +82,12 @@
         .of("end")
         .next()
         .map_or(0, |line| line.number("open") as usize);
-    report.breaks.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let mut broken: Vec<String> = report.breaks.iter().map(|b| b.rule.to_owned()).collect();
+    report.violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let mut broken: Vec<String> = report
+        .violations
+        .iter()
+        .map(|b| b.rule.to_owned())
+        .collect();
     broken.sort();
     broken.dedup();
     report.broken_rules = broken;
--- a/crates/testbed/src/checker/outcomes.rs
+++ b/crates/testbed/src/checker/outcomes.rs
@@ -1,7 +1,7 @@
 //! First rule: each request gets exactly one of placed, refused, failed, while its owner waits; nothing is sent for
 //! it afterwards.
 
-use super::{Break, Report, Rules, Traffic};
+use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
 
 const RULE: &str = "no task lost";
@@ -57,7 +57,7 @@
         }
     }
     let mut lost = |at: f64, what: String| {
-        report.breaks.push(Break {
+        report.violations.push(Violation {
             rule: RULE,
             at,
             what,
@@ -93,7 +93,7 @@
                 }
             }
             [(first, _), (second, at), ..] => {
-                report.twice += 1;
+                report.duplicated += 1;
                 lost(*at, format!("{uid} was {first} and then {second}"));
             }
         }
@@ -120,7 +120,7 @@
                 // Sends and messages are written by different tasks of one program, a moment apart at most.
                 if ended.get(&key).is_some_and(|at| *at + 0.05 < line.t) {
                     let what = format!("{} sent {} after its answer", key.0, key.1);
-                    report.breaks.push(Break {
+                    report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
--- a/crates/testbed/src/checker/pushed.rs
+++ b/crates/testbed/src/checker/pushed.rs
@@ -1,7 +1,7 @@
 //! Fourth rule: a node that came up cold is not pushed over. It is broken where a node fell and at least two thirds
 //! of what pressed on it came from planners that had been told of its start.
 
-use super::{Break, Report, Rules, Traffic};
+use super::{Report, Rules, Traffic, Violation};
 
 const RULE: &str = "no cold machine pushed over";
 
@@ -51,7 +51,7 @@
                 fall.t - up,
                 pressing.len()
             );
-            report.breaks.push(Break {
+            report.violations.push(Violation {
                 rule: RULE,
                 at: fall.t,
                 what,
--- a/crates/testbed/src/checker/spread.rs
+++ b/crates/testbed/src/checker/spread.rs
@@ -1,6 +1,6 @@
 //! Fifth rule: of one service, one planner has no more in one place than its class allows, at each send.
 
-use super::{Break, Report, Rules, Traffic};
+use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
 
 const RULE: &str = "spread kept";
@@ -62,7 +62,7 @@
                         "{} has {count} of {service} in {here}, {} are allowed",
                         line.who, class.most
                     );
-                    report.breaks.push(Break {
+                    report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,6 +1,6 @@
 //! A whole cluster of processes on loopback.
 
-use crate::layout::{Layout, Site, site, zone};
+use crate::layout::{Layout, NodeLocation, node_location, zone};
 use crate::process::Process;
 use bytes::Bytes;
 use hyper::Method;
@@ -16,33 +16,35 @@
 pub struct Cluster {
     layout: Layout,
     /// The register.
-    pub register: Process,
-    /// Nodes, in the order of `sites`.
+    pub registry: Process,
+    /// Nodes, in the order of `node_locations`.
     pub nodes: Vec<Process>,
     /// Edges.
     pub edges: Vec<Process>,
     /// Planners.
     pub planners: Vec<Process>,
     /// Where the nodes stand.
-    pub sites: Vec<Site>,
+    pub node_locations: Vec<NodeLocation>,
 }
 
 impl Cluster {
     /// Starts everything; the nodes may not be listed yet.
     pub fn start(layout: Layout) -> Result<Self, String> {
-        for folder in [&layout.records, &layout.logs].into_iter().flatten() {
+        for folder in [&layout.recordings, &layout.log_dir].into_iter().flatten() {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         }
-        let sites: Vec<Site> = (0..layout.nodes).map(|i| site(i, &layout)).collect();
+        let node_locations: Vec<NodeLocation> = (0..layout.nodes)
+            .map(|i| node_location(i, &layout))
+            .collect();
         let launch = |name: &str, mut arguments: Vec<String>| {
-            if let Some(folder) = &layout.records {
+            if let Some(folder) = &layout.recordings {
                 arguments.extend([
                     "--record".into(),
                     folder.join(format!("{name}.jsonl")).display().to_string(),
                 ]);
             }
             let log = layout
-                .logs
+                .log_dir
                 .as_ref()
                 .map(|folder| folder.join(format!("{name}.log")));
             Process::start(
@@ -58,26 +60,26 @@
                 .map(str::to_owned)
                 .collect::<Vec<_>>()
         };
-        let register = launch(
+        let registry = launch(
             "register",
             words(&format!(
                 "standin-register --listen 127.0.0.1:0 --delay {}",
-                layout.delay
+                layout.registry_delay
             )),
         )?;
-        let at = register.addresses[0].clone();
+        let at = registry.addresses[0].clone();
         let mut config = Vec::new();
-        if let Some(path) = &layout.config {
+        if let Some(path) = &layout.config_file {
             config.extend(["--config".into(), path.display().to_string()]);
         }
         let mut kept = config.clone();
-        if let Some(folder) = &layout.data {
+        if let Some(folder) = &layout.data_dir {
             kept.extend(["--data".into(), folder.display().to_string()]);
         }
         let mut nodes = Vec::new();
-        for (i, site) in sites.iter().enumerate() {
+        for (i, site) in node_locations.iter().enumerate() {
             let seed = layout.seed.wrapping_mul(1_000).wrapping_add(i as u64);
-            let cold = if layout.cold { COLD } else { 0.0 };
+            let cold = if layout.cold_start { COLD } else { 0.0 };
             let line = format!(
                 "standin-node --listen 127.0.0.1:0 --register {at} --name {} --zone {} --rack {} --kind {} \
                  --seed {seed} --cold {cold}",
@@ -98,7 +100,7 @@
         };
         for i in 0..layout.edges {
             let api = if i == 0 {
-                layout.api.as_str()
+                layout.api_address.as_str()
             } else {
                 "127.0.0.1:0"
             };
@@ -137,11 +139,11 @@
         }
         Ok(Self {
             layout,
-            register,
+            registry,
             nodes,
             edges,
             planners,
-            sites,
+            node_locations,
         })
     }
 
@@ -188,7 +190,7 @@
             .iter_mut()
             .chain(&mut self.edges)
             .chain(&mut self.planners);
-        all.chain([&mut self.register])
+        all.chain([&mut self.registry])
             .find(|process| process.name == name)
     }
 
@@ -233,7 +235,7 @@
     }
 
     /// Names and addresses of all nodes.
-    pub fn addresses(&self) -> Vec<(String, String)> {
+    pub fn node_addresses(&self) -> Vec<(String, String)> {
         self.nodes
             .iter()
             .map(|node| (node.name.clone(), node.addresses[0].clone()))
@@ -241,10 +243,10 @@
     }
 
     /// How many times its cores and memory a node admits, as the settings of this cluster say.
-    pub fn admits(&self) -> [f64; 2] {
+    pub fn overcommit(&self) -> [f64; 2] {
         let text = self
             .layout
-            .config
+            .config_file
             .as_ref()
             .and_then(|path| std::fs::read_to_string(path).ok());
         let settings: serde_json::Value = text
@@ -255,25 +257,25 @@
     }
 
     /// Children that have ended by themselves, and how.
-    pub fn ended(&mut self) -> Vec<(String, String)> {
+    pub fn exited(&mut self) -> Vec<(String, String)> {
         let all = self
             .nodes
             .iter_mut()
             .chain(&mut self.edges)
             .chain(&mut self.planners);
-        let all = all.chain([&mut self.register]);
-        all.filter_map(|process| Some((process.name.clone(), process.ended()?)))
+        let all = all.chain([&mut self.registry]);
+        all.filter_map(|process| Some((process.name.clone(), process.exit_reason()?)))
             .collect()
     }
 
     /// Names and process ids of all children that run.
-    pub fn children(&self) -> Vec<(String, u32)> {
+    pub fn process_ids(&self) -> Vec<(String, u32)> {
         let all = self
             .nodes
             .iter()
             .chain(&self.edges)
             .chain(&self.planners)
-            .chain([&self.register]);
+            .chain([&self.registry]);
         all.filter_map(|process| Some((process.name.clone(), process.id()?)))
             .collect()
     }
@@ -285,32 +287,32 @@
             "planner" => self.restart_planner(name),
             "node" => self.restart_node(name),
             _ => {
-                let listen = self.register.addresses[0].clone();
-                self.register.restart(&[("--listen", listen)], true)
+                let listen = self.registry.addresses[0].clone();
+                self.registry.restart(&[("--listen", listen)], true)
             }
         }
     }
 
     /// Makes something go wrong at a node.
-    pub async fn fault(&self, node: &str, fault: &Fault) -> Result<(), String> {
+    pub async fn inject_fault(&self, node: &str, fault: &Fault) -> Result<(), String> {
         let process = self
             .nodes
             .iter()
             .find(|p| p.name == node)
             .ok_or(format!("{node}: no such node"))?;
-        fault_at(&process.addresses[0], fault)
+        inject_fault_at(&process.addresses[0], fault)
             .await
             .map_err(|problem| format!("{node}: {problem}"))
     }
 
     /// The folder of recordings.
     pub fn records(&self) -> Option<&Path> {
-        self.layout.records.as_deref()
+        self.layout.recordings.as_deref()
     }
 }
 
 /// Makes something go wrong at the node of that address.
-pub(crate) async fn fault_at(address: &str, fault: &Fault) -> Result<(), String> {
+pub(crate) async fn inject_fault_at(address: &str, fault: &Fault) -> Result<(), String> {
     let client = Client::new(address, 1, vec![]);
     let body = serde_json::to_vec(fault).map_err(|e| e.to_string())?.into();
     match client
--- a/crates/testbed/src/layout.rs
+++ b/crates/testbed/src/layout.rs
@@ -16,23 +16,23 @@
     /// What all chance is drawn from.
     pub seed: u64,
     /// Settings for edges and planners.
-    pub config: Option<PathBuf>,
+    pub config_file: Option<PathBuf>,
     /// Address of the first edge's API.
-    pub api: String,
+    pub api_address: String,
     /// Recordings of all sockets go here.
-    pub records: Option<PathBuf>,
+    pub recordings: Option<PathBuf>,
     /// Logs of all processes go here; else to standard error.
-    pub logs: Option<PathBuf>,
+    pub log_dir: Option<PathBuf>,
     /// The register is so late.
-    pub delay: f64,
+    pub registry_delay: f64,
     /// Nodes are cold at first.
-    pub cold: bool,
+    pub cold_start: bool,
     /// Zones.
     pub zones: usize,
     /// Edges and planners find each other by the fleet; else planners are told the edges.
     pub fleet: bool,
     /// Edges and planners keep what outlives them beneath this folder.
-    pub data: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
 }
 
 impl Layout {
@@ -44,22 +44,22 @@
             planners,
             edges: 1,
             seed,
-            config: None,
-            api: "127.0.0.1:0".into(),
-            records: None,
-            logs: None,
-            delay: 0.5,
-            cold: false,
+            config_file: None,
+            api_address: "127.0.0.1:0".into(),
+            recordings: None,
+            log_dir: None,
+            registry_delay: 0.5,
+            cold_start: false,
             zones: 2,
             fleet: false,
-            data: None,
+            data_dir: None,
         }
     }
 }
 
 /// Where a node stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Site {
+pub struct NodeLocation {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -75,11 +75,11 @@
 }
 
 /// Nodes alternate between zones; each zone has racks of about four; two of five nodes are large.
-pub(crate) fn site(i: usize, layout: &Layout) -> Site {
+pub(crate) fn node_location(i: usize, layout: &Layout) -> NodeLocation {
     let zones = layout.zones.max(1);
     let place = i / zones;
     let racks = (layout.nodes / zones / 4).max(2);
-    Site {
+    NodeLocation {
         name: format!("node-{i:02}"),
         zone: zone(i % zones),
         rack: format!("rack-{}", place % racks + 1),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,13 +7,13 @@
 
 pub mod measure;
 pub mod oracle;
-pub mod play;
 pub mod process;
 pub mod relay;
 mod sample;
 pub mod scenario;
+pub mod scenario_run;
 pub mod simnet;
 pub mod supervisor;
 
 pub use cluster::Cluster;
-pub use layout::{Layout, Site};
+pub use layout::{Layout, NodeLocation};
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -13,7 +13,7 @@
 
 /// What was measured. Times are milliseconds.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Figures {
+pub struct Measurements {
     /// Nodes and planners.
     pub nodes: usize,
     /// See `nodes`.
@@ -151,7 +151,7 @@
 }
 
 /// Runs all measurements on a fresh cluster.
-pub fn measure(layout: Layout, watchers: usize, each: usize) -> Result<Figures, String> {
+pub fn measure(layout: Layout, watchers: usize, each: usize) -> Result<Measurements, String> {
     let (nodes, planners) = (layout.nodes, layout.planners);
     let cluster = Cluster::start(layout)?;
     smol::block_on(async {
@@ -222,7 +222,7 @@
         }
         let mut times = last.lock().map_err(|e| e.to_string())?.clone();
         times.sort_by(f64::total_cmp);
-        Ok(Figures {
+        Ok(Measurements {
             nodes,
             planners,
             alone_p50_ms: ms(&alone, 0.5),
--- a/crates/testbed/src/oracle.rs
+++ b/crates/testbed/src/oracle.rs
@@ -18,7 +18,7 @@
 
 /// What was found.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Verdict {
+pub struct ReasonReport {
     /// Records that were judged.
     pub judged: usize,
     /// Tasks that waited without a reason.
@@ -59,8 +59,8 @@
 }
 
 /// Judges all samples of a recording.
-pub fn judge(traffic: &Traffic) -> Verdict {
-    let mut verdict = Verdict::default();
+pub fn check_reasons(traffic: &Traffic) -> ReasonReport {
+    let mut verdict = ReasonReport::default();
     let mut past: Vec<Sample> = Vec::new();
     for line in traffic.of("why") {
         past.retain(|sample| sample.t > line.t - AGE - 1.5);
@@ -78,7 +78,7 @@
 }
 
 /// Each task that was found waiting after its records were read, and did so long before, has a reason.
-fn missing(line: &Line, verdict: &mut Verdict) {
+fn missing(line: &Line, verdict: &mut ReasonReport) {
     let records = line.value["records"].as_array();
     let told: BTreeSet<&str> = records
         .into_iter()
@@ -104,7 +104,7 @@
     }
 }
 
-fn reasons(line: &Line, past: &[Sample], verdict: &mut Verdict) {
+fn reasons(line: &Line, past: &[Sample], verdict: &mut ReasonReport) {
     let names: BTreeSet<&String> = past.iter().flat_map(|sample| sample.nodes.keys()).collect();
     let seen =
         |name: &String| -> Vec<Option<&Node>> { past.iter().map(|s| s.nodes.get(name)).collect() };
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -126,8 +126,8 @@
     }
 
     /// Stands it still, or lets it go on.
-    pub fn pause(&self, still: bool) {
-        self.signal(if still {
+    pub fn set_paused(&self, paused: bool) {
+        self.signal(if paused {
             rustix::process::Signal::STOP
         } else {
             rustix::process::Signal::CONT
@@ -135,7 +135,7 @@
     }
 
     /// How it ended, if it did so by itself.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_reason(&mut self) -> Option<String> {
         match &mut self.child {
             Some(child) => match child.try_wait() {
                 Ok(None) => None,
@@ -154,7 +154,7 @@
 }
 
 /// Ends this process when its standard input ends. For children of [`Process`].
-pub fn end_with_parent() {
+pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let mut sink = Vec::new();
         let _ = std::io::Read::read_to_end(&mut std::io::stdin().lock(), &mut sink);
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -9,29 +9,29 @@
 
 /// What the relay does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum RelayMode {
     /// It carries all at once.
-    Open,
+    Forward,
     /// It ends what stands and takes nothing new.
     Cut,
     /// It carries nothing from the one who dialled.
-    HoldThere,
+    StallFromClient,
     /// It carries nothing to the one who dialled.
-    HoldBack,
+    StallToClient,
     /// Each piece comes so many seconds later.
-    Late(f64),
+    Delay(f64),
     /// So many bytes a second, one after the other.
-    Trickle(f64),
+    Throttle(f64),
 }
 
 struct Shared {
-    way: Mutex<Way>,
+    way: Mutex<RelayMode>,
     /// Rises when what stands is to end.
     generation: AtomicU64,
 }
 
 impl Shared {
-    fn way(&self) -> MutexGuard<'_, Way> {
+    fn way(&self) -> MutexGuard<'_, RelayMode> {
         self.way.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -61,7 +61,7 @@
             .map_err(|e| e.to_string())?
             .to_string();
         let shared = Arc::new(Shared {
-            way: Mutex::new(Way::Open),
+            way: Mutex::new(RelayMode::Forward),
             generation: AtomicU64::new(0),
         });
         let task = smol::spawn(accept(listener, to.to_owned(), shared.clone()));
@@ -73,22 +73,22 @@
     }
 
     /// From now on it does this.
-    pub fn set(&self, way: Way) {
-        *self.shared.way() = way;
-        if way == Way::Cut {
+    pub fn set_mode(&self, mode: RelayMode) {
+        *self.shared.way() = mode;
+        if mode == RelayMode::Cut {
             self.shared.generation.fetch_add(1, Ordering::SeqCst);
         }
     }
 
     /// Ends what stands, and takes what is dialled anew.
-    pub fn reset(&self) {
+    pub fn close_connections(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 async fn accept(listener: TcpListener, to: String, shared: Arc<Shared>) {
     while let Ok((here, _)) = listener.accept().await {
-        if *shared.way() == Way::Cut {
+        if *shared.way() == RelayMode::Cut {
             continue;
         }
         let (to, shared) = (to.clone(), shared.clone());
@@ -98,8 +98,18 @@
             };
             let born = shared.generation.load(Ordering::SeqCst);
             let ways = smol::future::or(
-                carry(here.clone(), there.clone(), &shared, Way::HoldThere),
-                carry(there.clone(), here.clone(), &shared, Way::HoldBack),
+                carry(
+                    here.clone(),
+                    there.clone(),
+                    &shared,
+                    RelayMode::StallFromClient,
+                ),
+                carry(
+                    there.clone(),
+                    here.clone(),
+                    &shared,
+                    RelayMode::StallToClient,
+                ),
             );
             let ended = async {
                 while shared.generation.load(Ordering::SeqCst) == born {
@@ -115,14 +125,14 @@
     }
 }
 
-async fn carry(mut from: TcpStream, mut to: TcpStream, shared: &Shared, held_by: Way) {
+async fn carry(mut from: TcpStream, mut to: TcpStream, shared: &Shared, held_by: RelayMode) {
     let mut buffer = [0; 16 * 1024];
     loop {
         while *shared.way() == held_by {
             clock::sleep(LOOK).await;
         }
         let way = *shared.way();
-        let most = if matches!(way, Way::Trickle(_)) {
+        let most = if matches!(way, RelayMode::Throttle(_)) {
             64
         } else {
             buffer.len()
@@ -131,8 +141,8 @@
             return;
         };
         match way {
-            Way::Late(seconds) => clock::sleep(seconds).await,
-            Way::Trickle(rate) => clock::sleep(bytes as f64 / rate.max(1.0)).await,
+            RelayMode::Delay(seconds) => clock::sleep(seconds).await,
+            RelayMode::Throttle(rate) => clock::sleep(bytes as f64 / rate.max(1.0)).await,
             _ => {}
         }
         // What was read before the way was held is held too.
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -28,10 +28,11 @@
     #[serde(default = "half")]
     pub delay: f64,
     /// What is submitted.
-    pub work: IndexMap<String, Work>,
+    #[serde(rename = "work")]
+    pub workloads: IndexMap<String, Workload>,
     /// What goes wrong.
-    #[serde(default)]
-    pub trouble: IndexMap<String, Trouble>,
+    #[serde(default, rename = "trouble")]
+    pub faults: IndexMap<String, FaultSpec>,
 }
 
 fn sixteen() -> usize {
@@ -56,7 +57,7 @@
 /// Jobs of one sort.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Work {
+pub struct Workload {
     /// Class.
     pub class: String,
     /// Jobs in all.
@@ -76,7 +77,7 @@
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Nodes die at once and come back cold.
     Crash,
     /// Nodes stand still for moments, again and again.
@@ -116,9 +117,9 @@
 /// One trouble.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct FaultSpec {
     /// What goes wrong.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When, in seconds from the start.
     pub at: f64,
     /// For how long.
@@ -168,7 +169,7 @@
         {
             return Err("seconds and rest must be from 0 to 3600, clients from 1 to 500".into());
         }
-        for (name, work) in &day.work {
+        for (name, work) in &day.workloads {
             if work.shapes.is_empty()
                 || work.pods[0] == 0
                 || work.pods[0] > work.pods[1]
@@ -179,7 +180,7 @@
                 ));
             }
         }
-        for (name, trouble) in &day.trouble {
+        for (name, trouble) in &day.faults {
             if bad(trouble.at, 3600.0)
                 || bad(trouble.seconds, 3600.0)
                 || bad(trouble.share, 1.0)
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/scenario_run.rs
@@ -1,8 +1,8 @@
 //! Plays a scenario through a cluster of real processes and records it.
 
-use crate::cluster::{Cluster, fault_at};
+use crate::cluster::{Cluster, inject_fault_at};
 use crate::layout::Layout;
-use crate::scenario::{Kind, Scenario, Trouble, Work};
+use crate::scenario::{FaultKind, FaultSpec, Scenario, Workload};
 use bytes::Bytes;
 use hyper::Method;
 use rand::seq::SliceRandom;
@@ -34,10 +34,10 @@
     /// Jobs done.
     pub done: AtomicUsize,
     /// What goes wrong now.
-    pub trouble: Mutex<String>,
+    pub active_fault: Mutex<String>,
 }
 
-fn job(name: &str, work: &Work, rng: &mut impl Rng) -> Value {
+fn job(name: &str, work: &Workload, rng: &mut impl Rng) -> Value {
     let pods = rng.random_range(work.pods[0]..=work.pods[1]);
     let [cores, memory] = work.shapes[rng.random_range(0..work.shapes.len())];
     let life = Exp::new(1.0 / work.life.max(0.01))
@@ -59,7 +59,7 @@
 fn draw(day: &Scenario, seed: u64) -> Vec<Submission> {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut all = Vec::new();
-    for (sort, work) in &day.work {
+    for (sort, work) in &day.workloads {
         for i in 0..work.jobs {
             let at = rng.random_range(0.0..=work.within.unwrap_or(day.seconds).max(1e-6));
             let name = format!("{sort}-{i:03}");
@@ -91,14 +91,14 @@
     fn trouble(&self, what: &str, on: &[String]) {
         self.recorder
             .record("trouble", || json!({"trouble": what, "on": on}));
-        if let Ok(mut trouble) = self.progress.trouble.lock() {
+        if let Ok(mut trouble) = self.progress.active_fault.lock() {
             *trouble = format!("{what} on {}", on.join(", "));
         }
     }
 }
 
 /// Plays a day; its recordings are in `records` afterwards.
-pub fn play(
+pub fn run_scenario(
     day: &Scenario,
     layout: Layout,
     records: &Path,
@@ -109,8 +109,8 @@
         nodes: day.nodes,
         planners: day.planners,
         edges: day.edges,
-        delay: day.delay,
-        records: Some(records.to_owned()),
+        registry_delay: day.delay,
+        recordings: Some(records.to_owned()),
         ..layout
     })?;
     let recorder =
@@ -136,7 +136,7 @@
             tasks.push(smol::spawn(watch(this.clone(), edge)));
         }
         tasks.push(smol::spawn(sample_reasons(this.clone(), seed)));
-        for (i, (name, trouble)) in day.trouble.iter().enumerate() {
+        for (i, (name, trouble)) in day.faults.iter().enumerate() {
             let rng = rand_pcg::Pcg32::seed_from_u64(seed.wrapping_add(31 * (i as u64 + 1)));
             tasks.push(smol::spawn(strike(
                 this.clone(),
@@ -160,7 +160,7 @@
         }
         // The day is over when all Jobs are, and all troubles too.
         let troubled = day
-            .trouble
+            .faults
             .values()
             .map(|t| t.at + t.seconds)
             .fold(0.0, f64::max);
@@ -289,7 +289,13 @@
 /// At random moments: what waiting tasks are told, and what nodes and register say of themselves.
 async fn sample_reasons(day: Arc<Day>, seed: u64) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed ^ 0x0073_616d_706c_6572);
-    let found = day.with(|c| (c.register.addresses[0].clone(), c.addresses(), c.admits()));
+    let found = day.with(|c| {
+        (
+            c.registry.addresses[0].clone(),
+            c.node_addresses(),
+            c.overcommit(),
+        )
+    });
     let Some((register, nodes, admits)) = found else {
         return;
     };
@@ -302,11 +308,11 @@
     }
 }
 
-async fn strike(day: Arc<Day>, name: String, trouble: Trouble, mut rng: rand_pcg::Pcg32) {
+async fn strike(day: Arc<Day>, name: String, trouble: FaultSpec, mut rng: rand_pcg::Pcg32) {
     clock::sleep(day.start + trouble.at - clock::now()).await;
     let until = clock::now() + trouble.seconds;
     let sites = day
-        .with(|cluster| cluster.sites.clone())
+        .with(|cluster| cluster.node_locations.clone())
         .unwrap_or_default();
     let count =
         ((sites.len() as f64 * trouble.share).round() as usize).clamp(1, sites.len().max(1));
@@ -327,20 +333,20 @@
     let seconds = trouble.seconds;
     let share = trouble.strength.clamp(0.0, 1.0);
     let fault = match trouble.kind {
-        Kind::Slow => Some(Fault::Slow {
+        FaultKind::Slow => Some(Fault::Slow {
             factor: trouble.strength,
             seconds,
         }),
-        Kind::Hang => Some(Fault::Hang { seconds }),
-        Kind::AnswerLost => Some(Fault::LoseAnswers {
+        FaultKind::Hang => Some(Fault::Hang { seconds }),
+        FaultKind::AnswerLost => Some(Fault::DropResponses {
             share,
             reset: rng.random_bool(0.5),
             seconds,
         }),
-        Kind::FastErrors => Some(Fault::Errors { share, seconds }),
-        Kind::UseAll => Some(Fault::UseAll { seconds }),
-        Kind::Flush => Some(Fault::Flush),
-        Kind::BreakWatches => Some(Fault::BreakWatches),
+        FaultKind::FastErrors => Some(Fault::ReturnErrors { share, seconds }),
+        FaultKind::UseAll => Some(Fault::UseAllRequestedCores { seconds }),
+        FaultKind::Flush => Some(Fault::ClearProgramCache),
+        FaultKind::BreakWatches => Some(Fault::CloseWatches),
         _ => None,
     };
     day.trouble(&name, &struck);
@@ -351,7 +357,7 @@
         return;
     }
     match trouble.kind {
-        Kind::Crash => {
+        FaultKind::Crash => {
             for node in &struck {
                 day.with(|cluster| cluster.process(node).map(|process| process.kill()));
                 day.recorder.record("killed", || json!({"node": node}));
@@ -366,20 +372,28 @@
                 }
             }
         }
-        Kind::Pauses => {
+        FaultKind::Pauses => {
             while clock::now() < until {
                 for node in &struck {
-                    day.with(|cluster| cluster.process(node).map(|process| process.pause(true)));
+                    day.with(|cluster| {
+                        cluster
+                            .process(node)
+                            .map(|process| process.set_paused(true))
+                    });
                 }
                 clock::sleep(rng.random_range(0.18..0.5)).await;
                 for node in &struck {
-                    day.with(|cluster| cluster.process(node).map(|process| process.pause(false)));
+                    day.with(|cluster| {
+                        cluster
+                            .process(node)
+                            .map(|process| process.set_paused(false))
+                    });
                 }
                 clock::sleep(rng.random_range(0.8..2.0)).await;
             }
         }
-        Kind::RegisterDown => hold(&day, &["register".into()], until).await,
-        Kind::PausePlanner => {
+        FaultKind::RegisterDown => hold(&day, &["register".into()], until).await,
+        FaultKind::PausePlanner => {
             let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
             hold(
                 &day,
@@ -388,7 +402,7 @@
             )
             .await;
         }
-        Kind::ZoneCut => {
+        FaultKind::ZoneCut => {
             let zones: Vec<String> = {
                 let mut zones: Vec<String> = sites.iter().map(|site| site.zone.clone()).collect();
                 zones.sort();
@@ -405,7 +419,7 @@
                 tell(
                     &day,
                     &site.name,
-                    &Fault::CutZones {
+                    &Fault::PartitionZones {
                         zones: others,
                         seconds,
                     },
@@ -413,17 +427,17 @@
                 .await;
             }
         }
-        Kind::Drain => {
+        FaultKind::Drain => {
             for node in &struck {
                 cordon(&day, node, true).await;
-                tell(&day, node, &Fault::SendAway { every: 0.3 }).await;
+                tell(&day, node, &Fault::TerminateTasks { every: 0.3 }).await;
             }
             clock::sleep(until - clock::now()).await;
             for node in &struck {
                 cordon(&day, node, false).await;
             }
         }
-        Kind::Flap => {
+        FaultKind::Flap => {
             while clock::now() < until {
                 for on in [true, false] {
                     for node in &struck {
@@ -433,8 +447,8 @@
                 }
             }
         }
-        Kind::MassRestart => mass_restart(&day, trouble.share, &mut rng).await,
-        Kind::KillPlanner => {
+        FaultKind::MassRestart => mass_restart(&day, trouble.share, &mut rng).await,
+        FaultKind::KillPlanner => {
             let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
             let planner = format!("planner-{}", rng.random_range(0..planners));
             day.with(|cluster| cluster.process(&planner).map(|process| process.kill()));
@@ -443,7 +457,7 @@
             clock::sleep(until - clock::now()).await;
             day.with(|cluster| cluster.restart_planner(&planner));
         }
-        Kind::KillEdge => {
+        FaultKind::KillEdge => {
             let edge = rng.random_range(0..day.apis.len());
             let name = format!("edge-{edge}");
             day.recorder.record("killed", || json!({"edge": edge}));
@@ -462,11 +476,19 @@
 
 async fn hold(day: &Day, who: &[String], until: f64) {
     for name in who {
-        day.with(|cluster| cluster.process(name).map(|process| process.pause(true)));
+        day.with(|cluster| {
+            cluster
+                .process(name)
+                .map(|process| process.set_paused(true))
+        });
     }
     clock::sleep(until - clock::now()).await;
     for name in who {
-        day.with(|cluster| cluster.process(name).map(|process| process.pause(false)));
+        day.with(|cluster| {
+            cluster
+                .process(name)
+                .map(|process| process.set_paused(false))
+        });
     }
 }
 
@@ -475,7 +497,7 @@
         .with(|cluster| cluster.process(node).map(|p| p.addresses[0].clone()))
         .flatten();
     let Some(address) = address else { return };
-    if let Err(problem) = fault_at(&address, fault).await {
+    if let Err(problem) = inject_fault_at(&address, fault).await {
         tracing::debug!(node, problem, "a fault did not get there");
     }
 }
--- a/crates/testbed/src/supervisor.rs
+++ b/crates/testbed/src/supervisor.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// First pause before a child is started again; it doubles with each end in a row.
-    pub first: f64,
+    pub initial_backoff: f64,
     /// The longest pause.
-    pub most: f64,
+    pub max_backoff: f64,
     /// A child that ran for this long begins anew with the first pause.
-    pub steady: f64,
+    pub stable_uptime: f64,
     /// Ends in a row after which all is given up: what fails so often will not mend by itself.
-    pub tries: u32,
+    pub max_consecutive_exits: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            first: 0.5,
-            most: 10.0,
-            steady: 30.0,
-            tries: 6,
+            initial_backoff: 0.5,
+            max_backoff: 10.0,
+            stable_uptime: 30.0,
+            max_consecutive_exits: 6,
         }
     }
 }
@@ -32,7 +32,7 @@
     /// Start this child again now.
     Start(String),
     /// This child will be started again after so many seconds.
-    Wait(String, f64),
+    Backoff(String, f64),
     /// This child ends again and again: end all.
     GiveUp(String),
 }
@@ -83,18 +83,18 @@
                 }
                 Some(_) => {}
                 None => {
-                    if now - child.started >= self.settings.steady {
+                    if now - child.started >= self.settings.stable_uptime {
                         child.ends = 0;
                     }
                     child.ends += 1;
-                    if child.ends >= self.settings.tries {
+                    if child.ends >= self.settings.max_consecutive_exits {
                         out.push(Action::GiveUp(name.clone()));
                         continue;
                     }
-                    let pause = self.settings.first * 2f64.powi(child.ends as i32 - 1);
-                    let pause = pause.min(self.settings.most);
+                    let pause = self.settings.initial_backoff * 2f64.powi(child.ends as i32 - 1);
+                    let pause = pause.min(self.settings.max_backoff);
                     child.start_at = Some(now + pause);
-                    out.push(Action::Wait(name.clone(), pause));
+                    out.push(Action::Backoff(name.clone(), pause));
                 }
             }
         }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker catches each rule broken on purpose, and finds nothing in a clean day.
 
 use serde_json::{Value, json};
-use tidespur_testbed::checker::{Rules, Traffic, judge_traffic};
+use tidespur_testbed::checker::{Rules, Traffic, check_traffic};
 
 const SETTINGS: &str = r#"
 class "web" {
@@ -64,7 +64,7 @@
         .filter(|line| !without(line))
         .chain(more)
         .collect();
-    let report = judge_traffic(&Traffic::new(lines), &Rules::parse(SETTINGS).unwrap(), 1);
+    let report = check_traffic(&Traffic::new(lines), &Rules::parse(SETTINGS).unwrap(), 1);
     report.broken_rules
 }
 
--- a/crates/testbed/tests/oracle.rs
+++ b/crates/testbed/tests/oracle.rs
@@ -2,10 +2,10 @@
 
 use serde_json::{Value, json};
 use tidespur_testbed::checker::Traffic;
-use tidespur_testbed::oracle::{Verdict, judge};
+use tidespur_testbed::oracle::{ReasonReport, check_reasons};
 
 /// A day of four nodes: one drains, one is full, two have room but the service's limit holds there.
-fn day(change: impl Fn(usize, &mut Value)) -> Verdict {
+fn day(change: impl Fn(usize, &mut Value)) -> ReasonReport {
     let node = |name: &str, drains: bool, memory: f64| json!({"name": name, "drains": drains, "asked": [1.0, memory], "admits": [60.0, 57.6]});
     let lines = (0..12).map(|i| {
         let t = 100.0 + i as f64 * 0.5;
@@ -18,7 +18,7 @@
         change(i, &mut line);
         line
     });
-    judge(&Traffic::new(lines.collect()))
+    check_reasons(&Traffic::new(lines.collect()))
 }
 
 #[test]
--- a/crates/testbed/tests/supervisor.rs
+++ b/crates/testbed/tests/supervisor.rs
@@ -10,7 +10,7 @@
     let gave_up = loop {
         now += 0.25;
         match watch.step(now, &gone).pop() {
-            Some(Action::Wait(_, pause)) => pauses.push(pause),
+            Some(Action::Backoff(_, pause)) => pauses.push(pause),
             Some(Action::Start(_)) => starts += 1,
             Some(Action::GiveUp(name)) => break name,
             None => {}
@@ -32,7 +32,7 @@
     assert_eq!(watch.step(61.0, &[]), []);
     assert_eq!(
         watch.step(100.0, &a),
-        [Action::Wait("a".into(), 0.5)],
+        [Action::Backoff("a".into(), 0.5)],
         "after 40 steady seconds"
     );
 }
