--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -1,39 +1,41 @@
-//! Errors of starting a voter.
+//! Errors that prevent a voter from starting.
 
 use crate::SettingsError;
 
-/// Why the stored state of a voter can't be loaded.
+/// Why a voter's stored state could not be loaded.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LoadError {
-    /// A record of the store can't be decoded.
+    /// A record of the store could not be decoded.
     #[error(
-        "the store's record {kind} {key:?} can't be read: {reason}; restore the store from a copy"
+        "record {kind} {key:?} of the store could not be decoded: {reason}; restore the store from a backup"
     )]
     UnreadableRecord {
-        /// Kind of the record.
+        /// Kind of the record, as it is written in the store.
         kind: &'static str,
-        /// Its key.
+        /// Key of the record within its kind.
         key: String,
-        /// The decoder's error.
+        /// The error of the JSON decoder.
         reason: serde_json::Error,
     },
     /// Entries of the log are missing.
-    #[error("the store's log has a gap before the entry {index}; restore the store from a copy")]
-    Gap {
-        /// Index of the first entry after the gap, as it is written in the store.
+    #[error(
+        "entries before index {index} are missing from the stored log; restore the store from a backup"
+    )]
+    MissingEntries {
+        /// Index of the first entry after the missing ones, as it is written in the store.
         index: String,
     },
 }
 
-/// Why a voter can't start.
+/// Why a voter could not start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum VoterError {
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The stored state can't be loaded.
+    /// The stored state could not be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
 }
--- a/crates/coordination/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -1,17 +1,17 @@
-//! Fencing: whoever carries out what a lease holder decides remembers the highest token that it has seen and rejects
-//! lower ones. Used by planners.
+//! Fencing: the receiver of a lease holder's commands remembers the highest token that it has seen and rejects lower
+//! ones. Used by planners.
 //!
-//! It prevents damage by a holder that was suspended between the check of its lease and its act, by messages that
-//! arrive late, and by two processes that both believe to hold a lease because their clocks drift more than is allowed.
-//! A holder that is rejected has lost its lease already.
+//! This protects against a holder that was suspended between checking its lease and sending the command, against
+//! delayed messages, and against two processes that both assume they hold the lease because their clocks drift more
+//! than the settings allow. A holder whose command is rejected has already lost its lease.
 
 use std::collections::BTreeMap;
 use tidespur_persistence::{Batch, LoadedRecords};
 
-/// Kind of the records with the highest token of each lease.
+/// Kind of the records that hold the highest seen token; their key is the name of the lease.
 const RECORD_KIND: &str = "fence";
 
-/// A message carried a token that is lower than one that was seen before.
+/// A message carried a lower token than an earlier message for the same lease.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the lease {lease:?} has gone on to token {newest}, this act carries {token}: whoever sent it holds the lease no more and has to ask for it again"
@@ -19,13 +19,13 @@
 pub struct StaleToken {
     /// Name of the lease.
     pub lease: String,
-    /// Token of the message.
+    /// Token of the rejected message.
     pub token: u64,
-    /// The highest token that was seen.
+    /// The highest token seen so far.
     pub newest: u64,
 }
 
-/// The highest token that was seen of each lease.
+/// The highest token seen for each lease.
 #[derive(Debug, Default)]
 pub struct Fence {
     highest: BTreeMap<String, u64>,
@@ -33,7 +33,7 @@
 }
 
 impl Fence {
-    /// The fence as an earlier process stored it. Records that can't be read count as absent.
+    /// Loads the fence that an earlier process stored. Records that can't be parsed are ignored.
     pub fn load(loaded: &LoadedRecords) -> Self {
         let mut highest = BTreeMap::new();
         for (lease, bytes) in loaded.records_of_kind(RECORD_KIND) {
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Admits a message with this token or rejects it. What it asks for may be carried out once the next batch is on
-    /// the disk.
+    /// Admits or rejects a message with this token. An admitted command may be executed once the next batch is synced
+    /// to disk.
     ///
     /// # Errors
-    /// [`StaleToken`] if a higher token was seen.
+    /// [`StaleToken`] if a higher token was seen before.
     pub fn admit(&mut self, lease: &str, token: u64) -> Result<(), StaleToken> {
         let newest = self.highest.get(lease).copied().unwrap_or(0);
         if token < newest {
@@ -66,7 +66,7 @@
         }
         if token > newest {
             self.highest.insert(lease.to_owned(), token);
-            // A name and a number are far smaller than the limit of a record, so this can't fail.
+            // Can't fail: the name of a lease and a number are far below the size limit of a record.
             drop(
                 self.batch
                     .put(RECORD_KIND, lease, token.to_string().into_bytes()),
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Removes and returns the changes that must be on the disk before an admitted message is carried out.
+    /// Takes the changes that must be synced to disk before an admitted command is executed.
     pub fn take_batch(&mut self) -> Batch {
         std::mem::take(&mut self.batch)
     }
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -1,24 +1,25 @@
-//! Leases that this process holds or wants, on its own clock. Owned by the voter.
+//! Leases that this process holds or requests, timed by its own clock. Owned by the voter.
 //!
-//! A holder counts the term of a lease from before it sent the request. A process that wants the lease counts from when
-//! it observed the last renewal, which is later, and waits for the term and twice the clock drift. By then the holder
-//! has stopped, whatever either clock does within the allowed drift. A process does not know how old the renewal is
-//! that it finds after its start, so it waits for a full term.
+//! A holder counts the term of a lease from the time at which it created the request, before sending it. Another
+//! process that requests the lease counts from the time at which it observed the last renewal, which is later, and
+//! waits for the term extended by twice the clock drift. By then the holder's lease has expired, as long as both clocks
+//! stay within the allowed drift. A process that has just started does not know the age of the last renewal, so it
+//! waits for the full time.
 
 use crate::{Entry, Holder, Lease, ReplicatedState, Seconds, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease is renewed when this fraction of its term has passed.
+/// Fraction of the term after which a lease is renewed.
 const RENEWAL_FRACTION: f64 = 0.35;
-/// A request that was not applied is repeated after this fraction of the term.
+/// Fraction of the term after which a request that was not applied is repeated.
 const RETRY_FRACTION: f64 = 0.2;
-/// Unanswered requests that are remembered of one lease; beyond it the oldest are forgotten.
-const MAX_UNANSWERED_REQUESTS: usize = 16;
+/// Requests for one lease that are tracked until they are applied; the oldest are dropped beyond this number.
+const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug)]
 struct HeldLease {
     token: u64,
-    /// The holder may act before this time only.
+    /// When the lease expires; this process may act as its holder only before then.
     valid_until: Seconds,
 }
 
@@ -27,47 +28,49 @@
 struct ObservedLease {
     token: u64,
     last_request: u64,
-    /// When token and request were first observed.
+    /// When this token and request were first observed.
     since: Seconds,
 }
 
-/// When each request was made that was not seen in the log yet, by its number.
-type UnansweredRequests = BTreeMap<u64, Seconds>;
+/// Requests that were not yet observed in the log: when each was made, by its number.
+type PendingRequests = BTreeMap<u64, Seconds>;
 
-/// A lease that this process has acquired.
+/// A lease that this process has acquired, with its fencing token.
 #[derive(Debug)]
 pub(crate) struct AcquiredLease {
     pub(crate) name: String,
     pub(crate) token: u64,
 }
 
-/// What new entries of the log have changed for this process.
+/// Leases that this process acquired and lost through newly applied entries.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseChanges {
     pub(crate) acquired: Vec<AcquiredLease>,
-    /// Names of the leases that are not held any more.
+    /// Names of the leases that this process no longer holds.
     pub(crate) lost: Vec<String>,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
-    wanted: BTreeSet<String>,
+    /// Names of the leases to acquire and to keep.
+    requested: BTreeSet<String>,
     held_leases: BTreeMap<String, HeldLease>,
-    unanswered: BTreeMap<String, UnansweredRequests>,
+    /// Requests that were not yet observed in the log, by name of the lease.
+    pending: BTreeMap<String, PendingRequests>,
     last_request: u64,
     observed: BTreeMap<String, ObservedLease>,
 }
 
 impl Leases {
-    /// Acquires the lease as soon as possible, and renews it from then on.
+    /// Requests the lease until it is acquired, and renews it from then on.
     pub(crate) fn acquire(&mut self, lease: String) {
-        self.wanted.insert(lease);
+        self.requested.insert(lease);
     }
 
-    /// Stops renewing the lease; returns the entry that releases it, if it is held.
+    /// Stops requesting and renewing the lease; returns the entry that releases it, if it is held.
     pub(crate) fn release(&mut self, lease: &str) -> Option<Entry> {
-        self.wanted.remove(lease);
-        self.unanswered.remove(lease);
+        self.requested.remove(lease);
+        self.pending.remove(lease);
         let held = self.held_leases.remove(lease)?;
         Some(Entry::Release {
             lease: lease.to_owned(),
@@ -75,7 +78,7 @@
         })
     }
 
-    /// The fencing token, if the lease is held and valid at `now`.
+    /// The fencing token, if this process holds the lease and it has not expired at `now`.
     pub(crate) fn valid_token(&self, now: Seconds, lease: &str) -> Option<u64> {
         let held = self.held_leases.get(lease)?;
         (now < held.valid_until).then_some(held.token)
@@ -96,7 +99,7 @@
         self.observed.insert(name.to_owned(), observed);
     }
 
-    /// Takes in the state after new entries were applied.
+    /// Updates the held leases from the replicated state after new entries were applied.
     pub(crate) fn update(
         &mut self,
         now: Seconds,
@@ -108,16 +111,16 @@
         for (name, lease) in &state.leases {
             self.observe(now, name, lease);
             if lease.holder.as_ref() != Some(&own) {
-                self.unanswered.remove(name);
+                self.pending.remove(name);
                 if self.held_leases.remove(name).is_some() {
                     changes.lost.push(name.clone());
                 }
                 continue;
             }
-            if !self.wanted.contains(name) {
+            if !self.requested.contains(name) {
                 continue;
             }
-            let Some(requested_at) = self.answer(name, lease.last_request) else {
+            let Some(requested_at) = self.take_request_time(name, lease.last_request) else {
                 continue;
             };
             let held = HeldLease {
@@ -134,16 +137,16 @@
         changes
     }
 
-    /// When the request of this number was made; it and the earlier ones are forgotten. The term runs from the request
-    /// that was applied: a later one may not have been.
-    fn answer(&mut self, name: &str, request: u64) -> Option<Seconds> {
-        let unanswered = self.unanswered.get_mut(name)?;
-        let requested_at = unanswered.get(&request).copied()?;
-        unanswered.retain(|number, _| *number > request);
+    /// Returns when the request of this number was made, and stops tracking it and the earlier ones. The term counts
+    /// from the request that was applied, since a later one may not have been applied.
+    fn take_request_time(&mut self, name: &str, request: u64) -> Option<Seconds> {
+        let pending = self.pending.get_mut(name)?;
+        let requested_at = pending.get(&request).copied()?;
+        pending.retain(|number, _| *number > request);
         Some(requested_at)
     }
 
-    /// Drops the leases that have expired at `now`; returns their names.
+    /// Removes the leases that have expired at `now`; returns their names.
     pub(crate) fn expire(&mut self, now: Seconds) -> Vec<String> {
         let mut expired = Vec::new();
         self.held_leases.retain(|name, held| {
@@ -156,7 +159,7 @@
         expired
     }
 
-    /// The entries that acquire and renew leases and are due at `now`.
+    /// The entries that acquire or renew leases and are due at `now`.
     pub(crate) fn due_requests(
         &mut self,
         now: Seconds,
@@ -164,7 +167,7 @@
         settings: &Settings,
     ) -> Vec<Entry> {
         let mut entries = Vec::new();
-        for name in self.wanted.clone() {
+        for name in self.requested.clone() {
             if self.has_recent_request(now, &name, settings) {
                 continue;
             }
@@ -173,11 +176,11 @@
                 self.observe(now, &name, lease);
             }
             let request = self.last_request + 1;
-            let Some(entry) = self.request(now, &name, lease, request, settings) else {
+            let Some(entry) = self.request_entry(now, &name, lease, request, settings) else {
                 continue;
             };
             self.last_request = request;
-            self.remember_request(now, name, request);
+            self.track_request(now, name, request);
             entries.push(entry);
         }
         entries
@@ -185,22 +188,22 @@
 
     fn has_recent_request(&self, now: Seconds, name: &str, settings: &Settings) -> bool {
         let last = self
-            .unanswered
+            .pending
             .get(name)
-            .and_then(|unanswered| unanswered.values().next_back());
+            .and_then(|pending| pending.values().next_back());
         last.is_some_and(|at| now < at + RETRY_FRACTION * settings.lease_term)
     }
 
-    fn remember_request(&mut self, now: Seconds, name: String, request: u64) {
-        let unanswered = self.unanswered.entry(name).or_default();
-        unanswered.insert(request, now);
-        while unanswered.len() > MAX_UNANSWERED_REQUESTS {
-            unanswered.pop_first();
+    fn track_request(&mut self, now: Seconds, name: String, request: u64) {
+        let pending = self.pending.entry(name).or_default();
+        pending.insert(request, now);
+        while pending.len() > MAX_PENDING_REQUESTS {
+            pending.pop_first();
         }
     }
 
-    /// The entry that renews or acquires a lease, if one of the two is due.
-    fn request(
+    /// The entry that renews or acquires a lease, if either is due.
+    fn request_entry(
         &self,
         now: Seconds,
         name: &str,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,11 +1,12 @@
-//! Coordination of a fleet: a small replicated log over voters that the settings name, and leases in it. No I/O.
+//! Coordination of a fleet: a small replicated log, and leases kept in it. The settings list the voters. No I/O.
 //!
-//! Consensus is Omni-Paxos (Ng, Haridi, Carbone, "Omni-Paxos: Breaking the Barriers of Partial Connectivity", EuroSys
-//! 2023) by its own crate: it keeps a leader where only some pairs of voters are connected. This package adds the
-//! persistence of the log ([`Log`]), the rule who may vote after a restart ([`LogPosition`]), leases with fencing tokens
-//! that never fall, and [`Fence`]s for those who carry out what a lease holder decides.
+//! The consensus protocol is Omni-Paxos (Ng, Haridi, Carbone, "Omni-Paxos: Breaking the Barriers of Partial
+//! Connectivity", EuroSys 2023), from the `omnipaxos` crate: it keeps a leader even if only some pairs of voters are
+//! connected. This package adds the persistence of the log ([`Log`]), the rule that decides which voters may vote after
+//! a restart ([`LogPosition`]), leases with monotonic fencing tokens, and the check of these tokens by the receivers of
+//! a lease holder's commands ([`Fence`]).
 //!
-//! The log is small and entries are rare. No task waits for it. [`Voter`] is a state machine; the package
+//! The log is small and entries are rare; it is not on the path of any task. [`Voter`] is a state machine; the package
 //! `tidespur-coordination-net` drives it.
 
 mod entry;
--- a/crates/coordination/src/log.rs
+++ b/crates/coordination/src/log.rs
@@ -1,4 +1,5 @@
-//! The replicated log of one voter: kept in memory as a whole, with each change collected for the next batch.
+//! The replicated log of one voter: held in memory, with its changes collected for the next batch to be written to
+//! disk.
 
 use crate::{LoadError, ReplicatedState};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -12,32 +13,32 @@
 
 use contents::{LogContents, entry_key};
 
-/// Kind of the records of entries; their key is the index.
+/// Kind of the records that hold the entries; their key is the index of the entry.
 const ENTRY_KIND: &str = "ledger.entry";
-/// Kind of the records of the log's other fields; their key is the name of the field.
+/// Kind of the records that hold the other fields of the log; their key is the name of the field.
 const FIELD_KIND: &str = "ledger";
 
-// Names of the fields; they are part of the stored format.
+// Names of the fields in the stored format.
 const FIELD_COMPACTED: &str = "hollow";
 const FIELD_DECIDED: &str = "decided";
 const FIELD_PROMISE: &str = "promise";
 const FIELD_ACCEPTED: &str = "accepted";
 
-/// A handle on the log; clones are handles on the same log, one for the voter and one for the consensus library.
+/// A shared handle to the log. Clones refer to the same log: one is used by the voter, one by the consensus library.
 #[derive(Clone, Debug, Default)]
 pub struct Log(Arc<Mutex<LogContents>>);
 
 impl Log {
-    /// The log as an earlier process stored it.
+    /// Loads the log that an earlier process stored.
     ///
     /// # Errors
-    /// If a record can't be read, or entries are missing.
+    /// If a record can't be decoded, or entries are missing.
     pub fn load(loaded: &LoadedRecords) -> Result<Self, LoadError> {
         let compacted: usize = load_field(loaded, FIELD_COMPACTED)?.unwrap_or(0);
         let mut entries = Vec::new();
         for (index, bytes) in loaded.records_of_kind(ENTRY_KIND) {
             if index != entry_key(compacted + entries.len()) {
-                return Err(LoadError::Gap {
+                return Err(LoadError::MissingEntries {
                     index: index.to_owned(),
                 });
             }
@@ -57,34 +58,34 @@
         self.0.lock()
     }
 
-    /// Removes and returns the changes since the last call. Messages that depend on them may be sent only once they
-    /// are on the disk.
+    /// Takes the changes since the last call. Messages that depend on them may be sent only after they are synced to
+    /// disk.
     pub fn take_batch(&self) -> Batch {
         std::mem::take(&mut self.lock().batch)
     }
 
-    /// Number of entries, compacted ones included.
+    /// Number of entries, including compacted ones.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether it has no entry.
+    /// Whether the log has no entries, compacted ones included.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The ballot in which an entry was accepted last, and the length of the log.
+    /// The ballot in which the last entry was accepted, and the length of the log.
     pub fn accepted(&self) -> (Option<Ballot>, usize) {
         let contents = self.lock();
         (contents.accepted, contents.len())
     }
 
-    /// Number of entries that are known as decided.
+    /// Number of entries that are known to be decided.
     pub fn decided(&self) -> usize {
         self.lock().decided
     }
 
-    /// The state after all entries. Valid for a log with a single voter only, where entries are decided once written.
+    /// The state after all entries. Only valid for a single voter, whose entries are decided once they are written.
     pub(crate) fn replay(&self) -> ReplicatedState {
         let mut state = ReplicatedState::default();
         for entry in &self.lock().entries {
@@ -93,23 +94,23 @@
         state
     }
 
-    /// Compacts the first `end` entries, which are decided and result in `state`, into one snapshot.
+    /// Compacts the first `end` entries into one snapshot. They must be decided, and `state` must be their result.
     pub(crate) fn compact(&self, end: usize, state: &ReplicatedState) {
         self.lock().compact(end, state);
     }
 
-    /// Number of entries that are stored, without those that are compacted.
+    /// Number of stored entries, excluding compacted ones.
     pub(crate) fn stored_len(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// The ballot that was promised.
+    /// The highest ballot that this voter has promised; `None` if it never promised one.
     pub fn promise(&self) -> Option<Ballot> {
         self.lock().promise
     }
 
-    /// Raises the promise to at least this ballot: a voter that is readmitted may have promised it before.
-    pub fn promise_at_least(&self, ballot: Option<Ballot>) {
+    /// Raises the promise to at least this ballot. A readmitted voter may have promised it before it lost its data.
+    pub fn raise_promise(&self, ballot: Option<Ballot>) {
         let mut contents = self.lock();
         if ballot > contents.promise {
             contents.promise = ballot;
@@ -129,7 +130,7 @@
     }
 }
 
-/// Decodes the value of a record.
+/// Decodes the value of a record from JSON.
 pub(crate) fn decode<T: DeserializeOwned>(
     kind: &'static str,
     key: &str,
--- a/crates/coordination/src/log/contents.rs
+++ b/crates/coordination/src/log/contents.rs
@@ -1,4 +1,4 @@
-//! Entries and fields of the log in memory, with each change collected for the next batch.
+//! In-memory entries and fields of the log, with their changes collected for the next batch to be written to disk.
 
 use super::{ENTRY_KIND, FIELD_COMPACTED, FIELD_KIND};
 use crate::{Entry, ReplicatedState};
@@ -8,9 +8,9 @@
 
 #[derive(Debug, Default)]
 pub(super) struct LogContents {
-    /// Number of entries at the front that are compacted into the snapshot after them: counted, and stored nowhere.
+    /// Number of leading entries that are compacted into the snapshot that follows them. Only this number is stored.
     pub(super) compacted: usize,
-    /// The entries after them.
+    /// The entries from index `compacted` on.
     pub(super) entries: Vec<Entry>,
     pub(super) decided: usize,
     pub(super) promise: Option<Ballot>,
@@ -18,15 +18,15 @@
     pub(super) batch: Batch,
 }
 
-/// Key of the record of an entry; keys sort like indices.
+/// Key of the record of an entry, zero-padded so that keys sort in the order of the indices.
 pub(super) fn entry_key(index: usize) -> String {
     format!("{index:020}")
 }
 
 impl LogContents {
     pub(super) fn put(&mut self, kind: &str, key: &str, value: &impl Serialize) {
-        // Maps have strings as keys, so encoding does not fail; entries are bounded by the state that they change, far
-        // below the limit of a record.
+        // Encoding can't fail because all maps have string keys. Writing can't fail because the limits of the
+        // replicated state keep entries far below the size limit of a record.
         let bytes = serde_json::to_vec(value).unwrap_or_default();
         drop(self.batch.put(kind, key, bytes));
     }
@@ -50,7 +50,7 @@
         self.entries.push(entry);
     }
 
-    /// Removes the entries from the index `len` on.
+    /// Shortens the log to its first `len` entries.
     pub(super) fn truncate(&mut self, len: usize) {
         for index in len.max(self.compacted)..self.len() {
             self.batch.remove(ENTRY_KIND, &entry_key(index));
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Compacts the first `end` entries, which are decided and result in `state`, into one snapshot at their last index.
+    /// Compacts the first `end` entries into one snapshot at their last index. They must be decided, and `state` must
+    /// be their result.
     pub(super) fn compact(&mut self, end: usize, state: &ReplicatedState) {
         if end <= self.compacted + 1 || end > self.len() {
             return;
@@ -81,7 +82,8 @@
         }
     }
 
-    /// The entries from `start` up to, and without, `end`; none if that is not a range of the log.
+    /// The entries of the range `start..end`; empty if the range is not within the log. Compacted entries are returned
+    /// as [`Entry::Noop`].
     pub(super) fn get(&self, start: usize, end: usize) -> Vec<Entry> {
         if end > self.len() || start > end {
             return vec![];
--- a/crates/coordination/src/log/storage.rs
+++ b/crates/coordination/src/log/storage.rs
@@ -1,12 +1,13 @@
-//! The log as the storage of the consensus library.
+//! Implements the storage interface of the consensus library on the log.
 
 use super::{FIELD_ACCEPTED, FIELD_DECIDED, FIELD_KIND, FIELD_PROMISE, Log};
 use crate::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 
-/// Error of the operations by which the library would compact the log.
-const COMPACTED_IN_PLACE: &str = "each voter compacts its log in place";
+/// Error of the library's operations for compaction, which are not supported.
+const COMPACTION_UNSUPPORTED: &str =
+    "compaction by the consensus library is not supported: each voter compacts its log in place";
 
 impl Storage<Entry> for Log {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
@@ -96,10 +97,10 @@
     }
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
-        // The voters are named in the settings; the log never changes them.
+        // A stop sign ends a configuration, but the voters are fixed by the settings.
         match sign {
             None => Ok(()),
-            Some(_) => Err("the voters are named in the settings".into()),
+            Some(_) => Err("reconfiguration is not supported: the settings list the voters".into()),
         }
     }
 
@@ -107,13 +108,13 @@
         Ok(None)
     }
 
-    // Each voter compacts the decided part of its log in place, so the library trims nothing and sends no snapshot.
+    // Each voter compacts the decided part of its log in place, so the library never trims the log or sends snapshots.
     fn trim(&mut self, _: usize) -> StorageResult<()> {
-        Err(COMPACTED_IN_PLACE.into())
+        Err(COMPACTION_UNSUPPORTED.into())
     }
 
     fn set_compacted_idx(&mut self, _: usize) -> StorageResult<()> {
-        Err(COMPACTED_IN_PLACE.into())
+        Err(COMPACTION_UNSUPPORTED.into())
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
@@ -123,7 +124,7 @@
     fn set_snapshot(&mut self, snapshot: Option<NoSnapshot>) -> StorageResult<()> {
         match snapshot {
             None => Ok(()),
-            Some(_) => Err(COMPACTED_IN_PLACE.into()),
+            Some(_) => Err(COMPACTION_UNSUPPORTED.into()),
         }
     }
 
--- a/crates/coordination/src/log_position.rs
+++ b/crates/coordination/src/log_position.rs
@@ -1,45 +1,47 @@
-//! The position of a voter in the log, and the rule who may vote.
+//! The position of a voter in the log, and the rule that decides whether a voter may vote.
 //!
-//! A voter whose disk was set back to an older state has forgotten promises that others rely on; a single vote of it
-//! could revert what was decided. So each voter announces its position to the others, they store it, and a voter that
-//! starts asks first whether anybody knows a further position of it.
+//! A voter whose disk was restored to an older state has lost promises that other voters rely on; a single vote from it
+//! could revert decided entries. Therefore each voter announces its position to the others, which store it, and a voter
+//! that starts first asks the others whether they know a later position of it.
 
 use crate::Log;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// How far a voter is, according to its own disk.
+/// The position of a voter in the log, according to its own disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// When its store was created, in microseconds since 1970; a different value means a different disk.
+    /// When its store was created, in microseconds since the Unix epoch. It identifies the store.
     #[serde(rename = "begun")]
     pub store_created_at: u64,
-    /// How often that store was opened.
+    /// How often the store was opened.
     #[serde(rename = "turn")]
     pub generation: u64,
-    /// Drawn at each start. Two processes with equal generations and different nonces share a disk that was set back.
+    /// Random number drawn at each start. Processes with equal generations and different nonces ran on different copies
+    /// of the store, so it was restored to an older state in between.
     #[serde(rename = "start")]
     pub start_nonce: u64,
-    /// Incarnation of the voter: how often it was readmitted. What was known of an earlier incarnation is void.
+    /// Incarnation of the voter: how often it was readmitted. Known positions of earlier incarnations are void.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The ballot that it has promised.
+    /// The highest ballot that it has promised; `None` if it never promised one.
     pub promise: Option<Ballot>,
-    /// The ballot in which it accepted last, and the length of its log then. Within a ballot the log only grows.
+    /// The ballot in which it last accepted an entry, and the length of its log. Within a ballot the log only grows.
     pub accepted: (Option<Ballot>, usize),
-    /// Number of entries that it knows as decided.
+    /// Number of entries that it knows to be decided.
     pub decided: usize,
 }
 
 impl LogPosition {
-    /// Takes over the position of the log.
+    /// Sets the fields that derive from the log.
     pub(crate) fn update(&mut self, log: &Log) {
         self.promise = log.promise();
         self.accepted = log.accepted();
         self.decided = log.decided();
     }
 
-    /// Whether a voter can have come from the position `known` to this one: nothing that others know of it is missing.
+    /// Whether a voter can have advanced from the position `known` to this one, so that it has lost no data that
+    /// another voter knows of.
     pub fn follows(&self, known: &LogPosition) -> bool {
         if self.incarnation != known.incarnation {
             return self.incarnation > known.incarnation;
@@ -54,18 +56,18 @@
     }
 }
 
-/// Whether a voter takes part in the consensus.
+/// Whether a voter participates in the consensus protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterStatus {
-    /// It asks the others whether they know a further position of it; this many have confirmed that they do not.
+    /// It asks the others whether they know a later position of it; this many have confirmed that they do not.
     Verifying(usize),
-    /// It votes.
+    /// It votes: enough voters have confirmed its position, or it is the only one.
     Voting,
-    /// Another voter knows a further position of it: it does not vote until an operator readmits it.
+    /// Another voter knows a later position of it, so it does not vote until an operator readmits it.
     Quarantined {
-        /// Name of the voter that knows it.
+        /// Name of the voter that knows the later position.
         by: String,
-        /// The further position.
+        /// The later position.
         known: LogPosition,
     },
 }
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use tidespur_persistence::Batch;
 
-/// The reply to a voter's position: what the sender knows of that voter.
+/// The reply to a voter's position: what the replying voter knows about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownPosition {
-    /// The furthest position that the sender knew.
+    /// The latest position known before the message was handled; `None` if the replying voter knew none.
     #[serde(rename = "mark")]
     pub position: Option<LogPosition>,
-    /// Whether the voter may vote, as far as the sender knows.
+    /// Whether the voter may vote, as far as the replying voter knows.
     #[serde(rename = "fits")]
     pub may_vote: bool,
-    /// The voter promises ballots up to this one again.
+    /// The voter renews its promise up to this ballot; `None` if there is nothing to renew.
     #[serde(rename = "floor")]
     pub min_promise: Option<Ballot>,
-    /// Incarnation of the voter: how often it was readmitted.
+    /// Incarnation of the voter: how often it was readmitted; 0 if its readmission does not apply to its present store.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -26,7 +26,7 @@
 /// A message from one voter to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender's position in the log; sent to all voters periodically.
+    /// The sender's position in the log, sent to all voters periodically.
     #[serde(rename = "Here")]
     Position(LogPosition),
     /// The reply to `Position`.
@@ -35,25 +35,25 @@
     /// A message of the consensus protocol.
     #[serde(rename = "Agree")]
     Consensus(Box<Message<Entry>>),
-    /// Shows that the sender is alive.
+    /// Keeps an idle stream from timing out.
     #[serde(rename = "Ping")]
     Heartbeat,
 }
 
-/// An input of a voter.
+/// An input of the voter's state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A message from the voter of this name was received.
     MessageReceived(String, PeerMessage),
-    /// The stream to the voter of this name was established, for the first time or again.
+    /// A stream to the voter of this name was established, possibly after an earlier one was lost.
     PeerConnected(String),
-    /// Acquire this lease and keep it.
+    /// Acquire the lease of this name and keep renewing it.
     AcquireLease(String),
-    /// Release this lease and do not acquire it again.
+    /// Release the lease of this name and do not acquire it again.
     ReleaseLease(String),
-    /// All batches up to this number are on the disk.
+    /// All batches up to this number are synced to disk.
     BatchSynced(u64),
-    /// Store a value, under a lease that this voter holds.
+    /// Store a value; ignored unless this voter holds the lease.
     Put {
         /// Name of the lease.
         lease: String,
@@ -66,19 +66,19 @@
     ReadmitVoter(String),
 }
 
-/// An output of a voter: an effect to carry out, or an event.
+/// An output of the voter's state machine: an effect to execute, or an event.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Write this batch, which has this number. The outputs after it may be carried out only once it is on the disk.
+    /// Write the batch with this number. The outputs after it may be executed only once it is synced to disk.
     Persist(u64, Batch),
     /// Send a message to the voter of this name.
     Send(String, PeerMessage),
-    /// This process has acquired a lease, with this fencing token.
+    /// This process has acquired the lease of this name, with this fencing token.
     LeaseAcquired(String, u64),
-    /// This process does not hold this lease any more.
+    /// This process no longer holds the lease of this name.
     LeaseLost(String),
-    /// The status of this voter has changed.
+    /// The status of this voter has changed to this one.
     StatusChanged(VoterStatus),
-    /// The leader has changed; `None` while there is none.
+    /// The leader is now the voter of this name; `None` while no leader is known.
     LeaderChanged(Option<String>),
 }
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,30 +1,30 @@
-//! The state that results from the log: the same at all voters that have applied as many entries.
+//! The replicated state that the log produces. Voters that have applied the same number of entries have equal states.
 
 use crate::{Entry, Holder};
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Number of leases.
+/// Leases that the state holds; requests for further ones are ignored.
 const MAX_LEASES: usize = 1_024;
-/// Number of values.
+/// Values that the state holds; further keys are ignored.
 const MAX_VALUES: usize = 65_536;
-/// Size of a value, in bytes.
+/// Largest size of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 16 << 10;
 
-/// A lease.
+/// A lease in the replicated state. It has no expiry time there: each process times it by its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The fencing token: it rises with each change of holder and never falls.
+    /// The fencing token, which increases with each acquisition and never decreases.
     pub token: u64,
-    /// Who acquired it last; `None` once it is released.
+    /// The process that acquired it last; `None` once it is released.
     pub holder: Option<Holder>,
     /// Number of the holder's last request that was applied.
     #[serde(rename = "heard")]
     pub last_request: u64,
 }
 
-/// The state after all entries that were applied.
+/// The state after all applied entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     /// Leases by name.
@@ -32,30 +32,30 @@
     /// Stored values by key.
     #[serde(rename = "notes")]
     pub values: BTreeMap<String, Vec<u8>>,
-    /// The last readmission of each voter that was readmitted, by name.
+    /// The last readmission of each voter that was ever readmitted, by name of the voter.
     #[serde(rename = "readmitted")]
     pub readmissions: BTreeMap<String, Readmission>,
 }
 
-/// The readmission of a voter.
+/// The readmission of a voter with a particular store, see [`Entry::Readmit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Readmission {
-    /// When its store was created, in microseconds since 1970.
+    /// When its store was created, in microseconds since the Unix epoch.
     #[serde(rename = "begun")]
     pub store_created_at: u64,
-    /// The first generation of that store which is readmitted.
+    /// The first generation of that store for which the readmission holds.
     #[serde(rename = "turn")]
     pub generation: u64,
-    /// The highest ballot that the voter may have promised; it promises it again.
+    /// The highest ballot that the voter may have promised; it renews this promise when it is readmitted.
     #[serde(rename = "floor")]
     pub min_promise: Option<Ballot>,
-    /// Incarnation of the voter from then on: how often it was readmitted.
+    /// Incarnation of the voter after the readmission: how often it was readmitted.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
 impl ReplicatedState {
-    /// Applies an entry; returns whether it changed anything.
+    /// Applies an entry; returns whether it changed the state.
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
             Entry::Noop => false,
@@ -171,7 +171,7 @@
         true
     }
 
-    /// The lease, if it is held under this token.
+    /// The lease, if it is held under `token`.
     fn held_lease(&mut self, name: &str, token: u64) -> Option<&mut Lease> {
         self.leases
             .get_mut(name)
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -1,5 +1,6 @@
-//! One voter as a state machine: messages, commands and time in; batches, messages and events out. Owns the log, the
-//! consensus protocol and the leases. Driven by the event loop of `tidespur-coordination-net`.
+//! The state machine of one voter. Its inputs are messages, commands and the time; its outputs are batches to write,
+//! messages to send and events. Owns the log, the consensus protocol and the leases. Driven by the event loop of
+//! `tidespur-coordination-net`.
 
 use crate::leases::Leases;
 use crate::{
@@ -18,46 +19,49 @@
 use consensus::consensus_config;
 use stored_fields::{load_incarnation, load_positions};
 
-/// How often the consensus protocol's clock ticks.
+/// Length of a tick of the consensus protocol.
 const TICK_INTERVAL: Seconds = 0.1;
-/// How often the position is announced to the other voters.
+/// Interval at which the position is announced to the other voters.
 const ANNOUNCEMENT_INTERVAL: Seconds = 0.5;
-/// Pause before a readmission that is not in the log is proposed again.
+/// Time after which a readmission that is not in the log yet is proposed again.
 const READMISSION_RETRY_INTERVAL: Seconds = 1.0;
+
 /// A message to another voter.
 struct OutgoingMessage {
     to: String,
     message: PeerMessage,
 }
 
-/// An entry of a single voter, which is decided once its batch is on the disk.
+/// An entry of a single voter, which is decided once its batch is synced to disk.
 struct UnsyncedEntry {
     batch: u64,
     entry: Entry,
 }
 
-/// A voter.
+/// The state machine of a voter.
 pub struct Voter {
     settings: Settings,
-    /// Identity of this voter's store, and its incarnation; the position in the log is filled in when it is announced.
-    own: LogPosition,
+    /// This voter's store and incarnation. The fields that derive from the log are current only in the announced
+    /// copies.
+    own_position: LogPosition,
     log: Log,
     /// `None` until this voter may vote, and always for a single voter, which needs no consensus.
     consensus: Option<OmniPaxos<Entry, Log>>,
     status: VoterStatus,
-    /// Names of the voters that know no further position of this one.
+    /// Names of the voters that have confirmed that they know no later position of this one.
     confirmed_by: BTreeSet<String>,
-    /// The furthest known position of each other voter.
+    /// The latest known position of each other voter.
     known_positions: BTreeMap<String, LogPosition>,
-    /// Voters that fell behind their known position and wait for an operator, with the position that they announce.
+    /// Voters that fell behind their known position and wait for an operator, with the position that they announced
+    /// last.
     awaiting_readmission: BTreeMap<String, LogPosition>,
-    /// When the readmission of each voter that an operator readmits was last proposed.
+    /// Readmissions that operators requested and that are not in the log yet: when each was last proposed, by voter.
     pending_readmissions: BTreeMap<String, Seconds>,
     state: ReplicatedState,
-    /// Number of entries of the log that are applied to `state`; not used by a single voter.
+    /// Number of entries that were applied to `state`; not used by a single voter.
     applied: usize,
     leases: Leases,
-    /// Entries of a single voter that wait for the disk.
+    /// Entries of a single voter that are not synced to disk yet.
     unsynced: VecDeque<UnsyncedEntry>,
     last_batch: u64,
     synced_batch: u64,
@@ -68,11 +72,11 @@
 }
 
 impl Voter {
-    /// The voter as an earlier process stored it. It does not vote before a majority has confirmed that nobody knows a
-    /// further position of it.
+    /// Creates a voter from what an earlier process stored. It does not vote before it and the voters that confirm its
+    /// position are a majority.
     ///
     /// # Errors
-    /// If the settings are rejected, or the stored state can't be loaded.
+    /// If the settings are invalid, or the stored state can't be loaded.
     pub fn new(
         settings: Settings,
         loaded: &LoadedRecords,
@@ -86,17 +90,17 @@
                 .map_err(|error| SettingsError::Consensus(error.to_string()))?;
         }
         let log = Log::load(loaded)?;
-        let mut own = LogPosition {
+        let mut own_position = LogPosition {
             store_created_at: loaded.created_at,
             generation: loaded.generation,
             start_nonce: settings.start_nonce,
             incarnation: load_incarnation(loaded),
             ..LogPosition::default()
         };
-        own.update(&log);
+        own_position.update(&log);
         let mut voter = Self {
             settings,
-            own,
+            own_position,
             log,
             consensus: None,
             status: VoterStatus::Verifying(0),
@@ -123,37 +127,38 @@
         Ok(voter)
     }
 
-    /// The fencing token, if this process holds the lease at `now`. To be called at the moment of the act.
+    /// The fencing token, if this process holds the lease at `now`. Callers must check it immediately before they act
+    /// as the holder.
     pub fn valid_token(&self, now: Seconds, lease: &str) -> Option<u64> {
         self.leases.valid_token(now, lease)
     }
 
-    /// The state after all entries that are applied here.
+    /// The state after all entries that this voter has applied. It may lag behind other voters.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether this voter votes.
+    /// Whether this voter votes, and why if it does not.
     pub fn status(&self) -> &VoterStatus {
         &self.status
     }
 
-    /// Name of the leader, as far as it is known here.
+    /// Name of the leader that this voter knows; `None` if it knows none.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
-    /// Names of the voters that fell behind their known position and wait for an operator.
+    /// Names of the voters that fell behind their known position and wait for an operator to readmit them.
     pub fn voters_awaiting_readmission(&self) -> impl Iterator<Item = &str> {
         self.awaiting_readmission.keys().map(String::as_str)
     }
 
-    /// When to call [`Voter::step`] even if there is no input.
+    /// Time at which [`Voter::step`] is due even without an input.
     pub fn next_wake(&self) -> Seconds {
         self.next_tick_at
     }
 
-    /// Takes in `inputs`, all of the time `now`, and appends the outputs in the order in which they must be carried out.
+    /// Handles `inputs` at the time `now`, and appends the outputs in the order in which they must be executed.
     pub fn step(
         &mut self,
         now: Seconds,
@@ -180,8 +185,8 @@
     }
 
     fn tick(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
-        // One tick only, however long the process was suspended: it reads what the others have sent before it suspects
-        // one of them.
+        // Missed ticks are skipped: after a suspension, the process first handles the messages that the other voters
+        // have sent before it suspects one of them.
         self.next_tick_at = now + TICK_INTERVAL;
         if let Some(consensus) = &mut self.consensus {
             consensus.tick();
@@ -196,7 +201,7 @@
     }
 
     fn announce_position(&self, messages: &mut Vec<OutgoingMessage>) {
-        let mut position = self.own;
+        let mut position = self.own_position;
         position.update(&self.log);
         for voter in &self.settings.voters {
             if *voter != self.settings.name {
@@ -217,13 +222,13 @@
         }
     }
 
-    /// The consensus library's number of a voter.
+    /// Id of a voter in the consensus library; `None` if the settings do not list it.
     fn node_id(&self, voter: &str) -> Option<NodeId> {
         let index = self.settings.voters.iter().position(|name| name == voter)?;
         Some(index as NodeId + 1)
     }
 
-    /// Name of the voter with this number of the consensus library.
+    /// Name of the voter with this id in the consensus library.
     fn voter_name(&self, node_id: NodeId) -> Option<&String> {
         self.settings.voters.get((node_id as usize).checked_sub(1)?)
     }
--- a/crates/coordination/src/voter/consensus.rs
+++ b/crates/coordination/src/voter/consensus.rs
@@ -1,4 +1,4 @@
-//! The consensus protocol of a voter: proposes entries, applies decided ones and compacts the log.
+//! Runs the consensus protocol of a voter: proposes entries, applies decided ones and compacts the log.
 
 use super::{OutgoingMessage, UnsyncedEntry, Voter};
 use crate::{Entry, Output, PeerMessage, Seconds, Settings};
@@ -8,24 +8,23 @@
 
 /// Ticks between two rounds of the leader election.
 const ELECTION_TICKS: u64 = 4;
-/// Ticks after which a message without a reply is sent again.
+/// Ticks after which an unanswered message is sent again.
 const RESEND_TICKS: u64 = 10;
-/// Number of stored entries from which the log is compacted.
+/// Number of stored entries at which the log is compacted.
 const MIN_COMPACTION_ENTRIES: usize = 256;
-/// Entries of a single voter that wait for the disk. More are dropped; requests for leases are repeated anyway.
+/// Entries of a single voter that may wait for the disk. Further ones are dropped; requests for leases are repeated.
 const MAX_UNSYNCED_ENTRIES: usize = 1_024;
 
 impl Voter {
-    /// Takes part in the consensus from now on.
+    /// Starts participating in the consensus protocol.
     pub(super) fn start_consensus(&mut self) {
-        // The configuration was validated when the voter was created, so this does not fail.
+        // Can't fail: the configuration was validated when the voter was created.
         if let Ok(consensus) = consensus_config(&self.settings).build(self.log.clone()) {
             self.consensus = Some(consensus);
         }
     }
 
-    /// Proposes an entry. It is lost if there is no leader now; whoever proposes an entry repeats it until it is
-    /// applied.
+    /// Proposes an entry. It is lost if there is no leader; callers must repeat it until it is applied.
     pub(super) fn propose(&mut self, entry: Entry) {
         if self.settings.voters.len() == 1 {
             if self.unsynced.len() < MAX_UNSYNCED_ENTRIES
@@ -39,12 +38,12 @@
             return;
         }
         if let Some(consensus) = &mut self.consensus {
-            // The library rejects entries only during a change of the voters, which never happens.
+            // The library rejects entries only during a reconfiguration, and the log never reconfigures the voters.
             drop(consensus.append(entry));
         }
     }
 
-    /// Applies the entries that were decided since the last call, and reports changes of leases and of the leader.
+    /// Applies the entries decided since the last call, and appends the resulting changes of leases and of the leader.
     pub(super) fn apply_decided(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let has_synced = self.apply_synced_entries();
         let has_decided = self.apply_decided_entries();
@@ -59,7 +58,7 @@
         self.report_leader(outputs);
     }
 
-    /// Applies the entries of a single voter that are on the disk; returns whether one changed the state.
+    /// Applies the entries of a single voter that are synced to disk; returns whether any changed the state.
     fn apply_synced_entries(&mut self) -> bool {
         let mut is_changed = false;
         while let Some(unsynced) = self.unsynced.front() {
@@ -72,7 +71,7 @@
         is_changed
     }
 
-    /// Applies the entries that the consensus has decided; returns whether there was any.
+    /// Applies the entries that the consensus protocol has decided; returns whether there were any.
     fn apply_decided_entries(&mut self) -> bool {
         let Some(consensus) = &self.consensus else {
             return false;
@@ -118,7 +117,7 @@
         self.log.compact(end, &self.state);
     }
 
-    /// Appends the messages that the consensus protocol sends.
+    /// Moves the outgoing messages of the consensus protocol to `messages`.
     pub(super) fn take_consensus_messages(&mut self, messages: &mut Vec<OutgoingMessage>) {
         let Some(consensus) = &mut self.consensus else {
             return;
@@ -136,7 +135,7 @@
     }
 }
 
-/// Configuration of the consensus library: voters have the numbers 1, 2, ... in the order of the settings.
+/// Configuration of the consensus library, in which the voters have the ids 1, 2, ... in the order of the settings.
 pub(super) fn consensus_config(settings: &Settings) -> OmniPaxosConfig {
     let index = settings
         .voters
--- a/crates/coordination/src/voter/peer_messages.rs
+++ b/crates/coordination/src/voter/peer_messages.rs
@@ -1,4 +1,5 @@
-//! Handling of inputs: messages of other voters, commands of the process and of operators. Decides who may vote.
+//! Handles inputs: messages from other voters, and commands from the process and from operators. Decides which voters
+//! may vote.
 
 use super::{OutgoingMessage, READMISSION_RETRY_INTERVAL, Voter};
 use crate::{Entry, Input, KnownPosition, LogPosition, Output, PeerMessage, Seconds, VoterStatus};
@@ -36,7 +37,7 @@
                 }
             }
             Input::ReadmitVoter(voter) => {
-                // Proposed at the next tick, and again until it is in the log.
+                // Proposed at the next tick, and repeated until it is in the log.
                 self.pending_readmissions.insert(voter, f64::NEG_INFINITY);
             }
         }
@@ -74,11 +75,11 @@
         }
     }
 
-    /// Compares the position of another voter with what is known of it; returns the reply.
+    /// Compares the announced position of another voter with its known position; returns the reply.
     fn handle_position(&mut self, voter: &str, position: LogPosition) -> KnownPosition {
         let known = self.known_positions.get(voter).copied();
-        // A readmission holds for the store that the operator readmitted, from that generation on. The voter is told
-        // its new incarnation, and announces it from then on.
+        // A readmission holds for the store that the operator readmitted, from that generation on. The reply contains
+        // the new incarnation, which the voter announces from then on.
         let readmission = self.state.readmissions.get(voter).filter(|readmission| {
             readmission.store_created_at == position.store_created_at
                 && position.generation >= readmission.generation
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Handles what another voter knows of this one.
+    /// Handles the reply of another voter to the position of this one.
     fn handle_known_position(
         &mut self,
         from: String,
@@ -115,8 +116,8 @@
         outputs: &mut Vec<Output>,
     ) {
         if self.status == VoterStatus::Voting {
-            // The disk can't have been set back while the process runs: messages have crossed, or another process uses
-            // this name.
+            // The disk can't have been restored to an older state while the process runs: either the reply refers to an
+            // outdated position, or another process uses this name.
             return;
         }
         if !known.may_vote {
@@ -130,14 +131,14 @@
             }
             return;
         }
-        if known.incarnation > self.own.incarnation {
-            self.own.incarnation = known.incarnation;
+        if known.incarnation > self.own_position.incarnation {
+            self.own_position.incarnation = known.incarnation;
             self.store_incarnation();
         }
-        // It promises again what it may have promised and forgotten. A promise that is too high does no harm.
-        self.log.promise_at_least(known.min_promise);
+        // Renews a promise that this voter may have made and lost. A promise that is too high does no harm.
+        self.log.raise_promise(known.min_promise);
         self.confirmed_by.insert(from);
-        // Together with this voter, half of the voters (rounded down) are a majority.
+        // This voter and half of the voters (rounded down) are a majority.
         if self.confirmed_by.len() >= self.settings.voters.len() / 2 {
             self.start_consensus();
             self.set_status(VoterStatus::Voting, outputs);
@@ -147,7 +148,8 @@
     }
 
     fn handle_consensus_message(&mut self, from: &str, message: Message<Entry>) {
-        // The library trusts sender and receiver of a message, so they are checked against the stream.
+        // The library trusts the sender and receiver in a message, so they are checked against the stream's peer and
+        // this voter.
         let is_from_peer = Some(message.get_sender()) == self.node_id(from);
         let is_to_this_voter = Some(message.get_receiver()) == self.node_id(&self.settings.name);
         if !is_from_peer || !is_to_this_voter || self.awaiting_readmission.contains_key(from) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Proposes the readmissions that operators have asked for and that are not in the log yet.
+    /// Proposes the readmissions that operators have requested and that are not in the log yet.
     pub(super) fn propose_readmissions(&mut self, now: Seconds) {
         self.pending_readmissions
             .retain(|voter, _| self.awaiting_readmission.contains_key(voter));
@@ -168,7 +170,7 @@
                 continue;
             }
             *proposed_at = now;
-            // The voter is readmitted at the position that it announces now.
+            // The voter is readmitted at the position that it announced last.
             let Some(position) = self.awaiting_readmission.get(voter) else {
                 continue;
             };
--- a/crates/coordination/src/voter/stored_fields.rs
+++ b/crates/coordination/src/voter/stored_fields.rs
@@ -1,4 +1,4 @@
-//! What a voter stores beside its log: the positions of the other voters, and its own incarnation.
+//! Loads and stores what a voter keeps on disk besides its log: the positions of the other voters and its incarnation.
 
 use super::Voter;
 use crate::log::decode;
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use tidespur_persistence::LoadedRecords;
 
-/// Kind of the records of the other voters' positions; their key is the voter's name.
+/// Kind of the records that hold the positions of the other voters; their key is the name of the voter.
 const POSITION_KIND: &str = "ledger.mark";
-/// Kind of the record of this voter's incarnation.
+/// Kind of the record that holds the incarnation of this voter; its key is empty.
 const INCARNATION_KIND: &str = "ledger.life";
 
-/// The stored positions of the other voters.
+/// Loads the positions of the other voters.
 pub(super) fn load_positions(
     loaded: &LoadedRecords,
 ) -> Result<BTreeMap<String, LogPosition>, LoadError> {
@@ -22,7 +22,7 @@
     Ok(positions)
 }
 
-/// The stored incarnation of this voter; 0 if it was never readmitted.
+/// Loads the incarnation of this voter; 0 if it was never readmitted.
 pub(super) fn load_incarnation(loaded: &LoadedRecords) -> u64 {
     let mut records = loaded.records_of_kind(INCARNATION_KIND);
     records
@@ -37,14 +37,15 @@
             return;
         }
         self.known_positions.insert(voter.to_owned(), position);
-        // A few numbers always encode, and are far smaller than the limit of a record.
+        // Neither can fail: a position consists of a few numbers, which always encode and are far below the size limit
+        // of a record.
         let bytes = serde_json::to_vec(&position).unwrap_or_default();
         drop(self.batch.put(POSITION_KIND, voter, bytes));
     }
 
     pub(super) fn store_incarnation(&mut self) {
-        let text = self.own.incarnation.to_string();
-        // A number is far smaller than the limit of a record, so this can't fail.
+        let text = self.own_position.incarnation.to_string();
+        // Can't fail: a number is far below the size limit of a record.
         drop(self.batch.put(INCARNATION_KIND, "", text.into_bytes()));
     }
 }
