--- a/crates/coordination/tests/common/faults.rs
+++ b/crates/coordination/tests/common/faults.rs
@@ -1,29 +1,29 @@
-//! Faults: killed and suspended processes, partitions, slow disks.
+//! Fault injection: killed and suspended processes, partitions and slow disks.
 
-use super::World;
+use super::Simulation;
 use super::simulated_voter::WRITE_LATENCY;
 use rand::Rng;
 
-impl World {
-    /// Kills the process of a voter: its streams and what is not on its disk are lost.
+impl Simulation {
+    /// Kills the process of a voter, which loses its streams and all unsynced data.
     pub fn kill(&mut self, index: usize) {
         self.voters[index].kill();
         self.network.disconnect(index);
         self.log(&format!("{index} is killed"));
     }
 
-    /// Cuts the stream from one voter to another, in this direction only.
+    /// Blocks the messages from one voter to another, in this direction only.
     pub fn partition(&mut self, from: usize, to: usize, seconds: f64) {
         self.network.partition((from, to), self.now + seconds);
-        self.log(&format!("{from} to {to} is cut for {seconds:.1}"));
+        self.log(&format!("{from} to {to} is partitioned for {seconds:.1} s"));
     }
 
     pub fn suspend(&mut self, index: usize, seconds: f64) {
         self.voters[index].suspended_until = self.now + seconds;
-        self.log(&format!("{index} is suspended for {seconds:.1}"));
+        self.log(&format!("{index} is suspended for {seconds:.1} s"));
     }
 
-    /// Injects random faults for so long, then ends all of them.
+    /// Injects random faults for this time, then ends all of them.
     pub fn inject_faults(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet of voters: each has a disk that loses what was not synced, a clock with a rate of its own, and
-//! streams that are partitioned, slow or one-way. Everything follows from a seed.
+//! Simulates a fleet of voters, deterministically from a seed. Each voter has a disk that loses unsynced writes, a
+//! clock with its own rate, and streams that can be slow or partitioned in one or both directions.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 mod faults;
@@ -13,32 +13,32 @@
 pub use simulated_voter::SimulatedVoter;
 use tidespur_coordination::{Input, Settings, Voter, VoterStatus};
 
-/// Length of a simulated step, in seconds.
+/// Length of a step of the simulation, in seconds.
 pub const STEP: f64 = 0.01;
 /// Term of a lease, in seconds.
 pub const TERM: f64 = 3.0;
-/// The lease that all voters want.
+/// Name of the lease that all voters request.
 pub const LEASE: &str = "l";
 
-pub struct World {
+pub struct Simulation {
     pub now: f64,
     pub rng: rand_pcg::Pcg32,
     pub voters: Vec<SimulatedVoter>,
     pub network: Network,
     pub safety: SafetyChecker,
-    /// Events of the run, for the message of a failed assertion.
+    /// Events of the run, reported when an assertion fails.
     pub trace: Vec<String>,
     pub syncs: u64,
 }
 
-impl World {
-    /// `voters` voters whose clock rates differ from 1 by up to `drift`.
+impl Simulation {
+    /// Starts `voters` voters whose clock rates differ from 1 by up to `drift`.
     pub fn new(seed: u64, voters: usize, drift: f64) -> Self {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
         let voters: Vec<SimulatedVoter> = (0..voters)
             .map(|index| SimulatedVoter::new(index, drift, &mut rng))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0.0,
             rng,
             voters,
@@ -47,17 +47,17 @@
             trace: vec![],
             syncs: 0,
         };
-        for index in 0..world.voters.len() {
-            world.start(index);
+        for index in 0..simulation.voters.len() {
+            simulation.start(index);
         }
-        world
+        simulation
     }
 
     pub fn log(&mut self, event: &str) {
         self.trace.push(format!("{:.2} {event}", self.now));
     }
 
-    /// Starts a process of this voter with what is on its disk.
+    /// Starts the process of this voter from the data on its disk.
     pub fn start(&mut self, index: usize) {
         let voters = self.voters.iter().map(|voter| voter.name.clone()).collect();
         let now = self.voters[index].local_time(self.now);
@@ -77,7 +77,7 @@
         self.connect(index);
     }
 
-    /// Establishes the streams between this voter and all that run.
+    /// Establishes the streams between this voter and all running voters.
     fn connect(&mut self, index: usize) {
         let name = self.voters[index].name.clone();
         for peer in 0..self.voters.len() {
@@ -99,7 +99,7 @@
         self.voters[index].inputs.push(input);
     }
 
-    /// The token with which this voter may act now.
+    /// The fencing token, if this voter holds the lease now.
     pub fn valid_token(&self, index: usize) -> Option<u64> {
         self.voters[index].valid_token(self.now)
     }
@@ -110,10 +110,10 @@
 
     pub fn status(&self, index: usize) -> VoterStatus {
         let voter = self.voters[index].voter.as_ref();
-        voter.expect("the voter runs").status().clone()
+        voter.expect("the voter is running").status().clone()
     }
 
-    /// Number of voters that vote.
+    /// Number of voters with the status `Voting`.
     pub fn voting_count(&self) -> usize {
         let statuses = self.voters.iter().filter_map(|simulated| {
             let voter = simulated.voter.as_ref()?;
@@ -136,26 +136,26 @@
         }
     }
 
-    /// The longest time in which no act was executed, from `start` on.
+    /// The longest time without an executed command, from `start` on.
     pub fn longest_gap(&self, start: f64) -> f64 {
         let mut longest: f64 = 0.0;
         let mut last = start;
-        for act in &self.safety.executed {
-            if act.at >= start {
-                longest = longest.max(act.at - last);
-                last = act.at;
+        for command in &self.safety.executed {
+            if command.at >= start {
+                longest = longest.max(command.at - last);
+                last = command.at;
             }
         }
         longest.max(self.now - last)
     }
 
-    /// When the last act was executed.
-    pub fn last_act_at(&self) -> f64 {
+    /// When the last command was executed.
+    pub fn last_execution_at(&self) -> f64 {
         let last = self.safety.executed.last();
-        last.map_or(f64::NEG_INFINITY, |act| act.at)
+        last.map_or(f64::NEG_INFINITY, |command| command.at)
     }
 
-    /// The first violations and the trace of the run, for the message of a failed assertion.
+    /// The first violations and the trace of the run, reported when an assertion fails.
     pub fn describe(&self) -> String {
         let violations: Vec<String> = self.safety.violations.iter().take(3).cloned().collect();
         format!("{violations:?}\n{}", self.trace.join("\n"))
--- a/crates/coordination/tests/common/network.rs
+++ b/crates/coordination/tests/common/network.rs
@@ -1,11 +1,11 @@
-//! Streams between the voters: ordered, with a random delay, and lost as a whole in a partition.
+//! Streams between the voters. Messages arrive in order and with a random delay; a partition loses the whole stream.
 
-use super::World;
+use super::Simulation;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 use tidespur_coordination::{Input, Output, PeerMessage};
 
-/// Sender and receiver, by index.
+/// Indices of the sender and the receiver.
 type Direction = (usize, usize);
 
 struct InFlightMessage {
@@ -15,12 +15,13 @@
 
 #[derive(Default)]
 pub struct Network {
-    /// Messages that are being delivered, in order.
+    /// Messages in transit, in the order in which they were sent.
     in_flight: BTreeMap<Direction, VecDeque<InFlightMessage>>,
     /// When each partition of a direction ends.
     partitions: BTreeMap<Direction, f64>,
-    /// Number of delivered messages, and their encoded size.
+    /// Number of delivered messages.
     pub messages: u64,
+    /// Encoded size of the delivered messages.
     pub bytes: u64,
 }
 
@@ -30,7 +31,7 @@
         self.in_flight.remove(&direction);
     }
 
-    /// Loses the messages from and to this voter.
+    /// Drops the messages in transit from and to this voter.
     pub fn disconnect(&mut self, index: usize) {
         self.in_flight
             .retain(|(from, to), _| *from != index && *to != index);
@@ -57,7 +58,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn deliver(&mut self) {
         for (from, to) in self.network.take_healed(self.now) {
             self.reconnect(from, to);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Establishes a lost stream again at the end of this voter: what was on its way or to be sent on it is lost.
+    /// Re-establishes the stream to `peer` at this voter's end. Messages in transit or waiting to be sent are lost.
     fn reconnect(&mut self, index: usize, peer: usize) {
         self.network.in_flight.remove(&(index, peer));
         let peer_name = self.voters[peer].name.clone();
--- a/crates/coordination/tests/common/safety.rs
+++ b/crates/coordination/tests/common/safety.rs
@@ -1,19 +1,19 @@
-//! Checks of safety: at most one voter may act at a time, a token has one holder, and acts are executed in the order of
-//! their tokens.
+//! Checks the safety properties: at most one voter holds the lease at a time, each token has one holder, and commands
+//! are executed in the order of their tokens.
 
-use super::World;
+use super::{LEASE, Simulation};
 use rand::Rng;
 use std::collections::BTreeMap;
 use tidespur_coordination::Fence;
 
-/// An act of a lease holder on its way to whoever executes it.
-struct PendingAct {
+/// A command of a lease holder that has not reached its receiver yet.
+struct PendingCommand {
     arrives_at: f64,
     token: u64,
 }
 
-/// An act that the fence has admitted.
-pub struct ExecutedAct {
+/// A command that the fence has admitted.
+pub struct ExecutedCommand {
     pub at: f64,
     pub token: u64,
 }
@@ -23,11 +23,11 @@
     /// The process that held each token.
     pub holders: BTreeMap<u64, String>,
     fence: Fence,
-    pending: Vec<PendingAct>,
-    pub executed: Vec<ExecutedAct>,
-    /// Acts of two voters at a time. They are violations unless the clocks drift more than is allowed.
+    pending: Vec<PendingCommand>,
+    pub executed: Vec<ExecutedCommand>,
+    /// Times at which several voters held the lease. Only expected if the clocks drift more than the settings allow.
     pub overlaps: Vec<String>,
-    /// All violations, overlaps included.
+    /// All violations, including overlaps.
     pub violations: Vec<String>,
 }
 
@@ -36,50 +36,51 @@
         if let Some(other) = self.holders.insert(token, process.to_owned())
             && other != process
         {
-            self.violations
-                .push(format!("token {token} is {other}'s and {process}'s"));
+            self.violations.push(format!(
+                "token {token} was acquired by both {other} and {process}"
+            ));
         }
     }
 
     fn execute_due(&mut self, now: f64) {
-        for act in std::mem::take(&mut self.pending) {
-            if act.arrives_at > now {
-                self.pending.push(act);
+        for command in std::mem::take(&mut self.pending) {
+            if command.arrives_at > now {
+                self.pending.push(command);
                 continue;
             }
-            if self.fence.admit("l", act.token).is_err() {
+            if self.fence.admit(LEASE, command.token).is_err() {
                 continue;
             }
             let last = self.executed.last();
-            if last.is_some_and(|last| last.token > act.token) {
+            if last.is_some_and(|last| last.token > command.token) {
                 self.violations.push(format!(
-                    "{now:.2}: {} was executed after a later token",
-                    act.token
+                    "{now:.2}: token {} was executed after a higher one",
+                    command.token
                 ));
             }
-            self.executed.push(ExecutedAct {
+            self.executed.push(ExecutedCommand {
                 at: now,
-                token: act.token,
+                token: command.token,
             });
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn check_safety(&mut self) {
-        let acting: Vec<(usize, u64)> = (0..self.voters.len())
+        let holders: Vec<(usize, u64)> = (0..self.voters.len())
             .filter_map(|index| Some((index, self.valid_token(index)?)))
             .collect();
-        if acting.len() > 1 {
-            let overlap = format!("{:.2}: {acting:?} may act at once", self.now);
+        if holders.len() > 1 {
+            let overlap = format!("{:.2}: {holders:?} hold the lease at once", self.now);
             self.safety.overlaps.push(overlap.clone());
             self.safety.violations.push(overlap);
         }
-        for (_, token) in acting {
-            // Some acts arrive late: the process was suspended after the check of its lease.
+        for (_, token) in holders {
+            // Some commands arrive late, as if the process was suspended after it checked its lease.
             let is_late = self.rng.random_bool(0.02);
             let delay = if is_late { 8.0 } else { 0.005 };
-            self.safety.pending.push(PendingAct {
+            self.safety.pending.push(PendingCommand {
                 arrives_at: self.now + delay,
                 token,
             });
--- a/crates/coordination/tests/common/simulated_voter.rs
+++ b/crates/coordination/tests/common/simulated_voter.rs
@@ -1,17 +1,17 @@
-//! A voter with its disk and its clock.
+//! A simulated voter with its disk and clock.
 
-use super::{LEASE, World};
+use super::{LEASE, Simulation};
 use rand::Rng;
 use std::collections::VecDeque;
 use tidespur_coordination::{Input, Output, Voter};
 use tidespur_persistence::{Batch, LoadedRecords};
 
-/// Time that a write of the disk takes without faults, in seconds.
+/// Duration of a disk write without faults, in seconds.
 pub const WRITE_LATENCY: f64 = 0.004;
 
 /// A batch that is being written.
 struct PendingWrite {
-    /// When it is on the disk.
+    /// When it is synced to disk.
     done_at: f64,
     number: u64,
     batch: Batch,
@@ -21,10 +21,10 @@
     pub name: String,
     /// The running process; `None` after it was killed.
     pub voter: Option<Voter>,
-    /// What is on the disk.
+    /// The synced records.
     pub disk: LoadedRecords,
     pending_writes: VecDeque<PendingWrite>,
-    /// Outputs that wait for the batch of this number.
+    /// Outputs that wait until the batch of this number is synced.
     outbox: VecDeque<(u64, Output)>,
     pub inputs: Vec<Input>,
     clock_rate: f64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The time of this voter's own clock.
+    /// The time of this voter's clock at the simulated time `now`.
     pub fn local_time(&self, now: f64) -> f64 {
         now * self.clock_rate + self.clock_offset
     }
@@ -66,7 +66,7 @@
         voter.valid_token(self.local_time(now), LEASE)
     }
 
-    /// Ends the process and loses what is not on the disk.
+    /// Ends the process, which loses all unsynced data.
     pub fn kill(&mut self) {
         self.voter = None;
         self.pending_writes.clear();
@@ -74,7 +74,7 @@
         self.inputs.clear();
     }
 
-    /// Discards what was to be sent to this peer, and what was received from it and not yet handled.
+    /// Discards the messages that wait to be sent to this peer, and those received from it but not yet handled.
     pub fn discard_stream(&mut self, peer: &str) {
         self.outbox
             .retain(|(_, output)| !matches!(output, Output::Send(to, _) if to == peer));
@@ -82,7 +82,7 @@
             .retain(|input| !matches!(input, Input::MessageReceived(from, _) if from == peer));
     }
 
-    /// Moves the writes that are done to the disk; returns their number and the messages that may be sent now.
+    /// Applies the completed writes to the disk; returns their number and the messages that may be sent now.
     fn complete_writes(&mut self, now: f64) -> (u64, Vec<Output>) {
         let mut syncs = 0;
         let mut released = Vec::new();
@@ -123,8 +123,8 @@
     }
 }
 
-impl World {
-    /// One step of a voter's event loop.
+impl Simulation {
+    /// Runs one iteration of the event loop of a voter.
     pub fn step_voter(&mut self, index: usize) {
         if self.now < self.voters[index].suspended_until || self.voters[index].voter.is_none() {
             return;
@@ -159,13 +159,13 @@
                 }
             }
             Output::LeaseAcquired(_, token) => {
-                self.log(&format!("{index} holds {token}"));
+                self.log(&format!("{index} acquired token {token}"));
                 let voter = &self.voters[index];
                 let process = format!("{} {}", voter.name, voter.disk.generation);
                 self.safety.record_holder(token, &process);
             }
             Output::LeaseLost(_) | Output::LeaderChanged(_) => {}
-            Output::StatusChanged(status) => self.log(&format!("{index} {status:?}")),
+            Output::StatusChanged(status) => self.log(&format!("{index} changed to {status:?}")),
         }
     }
 }
--- a/crates/coordination/tests/compatibility.rs
+++ b/crates/coordination/tests/compatibility.rs
@@ -1,11 +1,13 @@
-//! What voters store and send stays as an earlier version wrote it, so that old and new voters agree while the fleet is
-//! upgraded.
+//! The encodings of what voters store and send stay compatible with earlier versions, so that old and new voters can
+//! work together while the fleet is upgraded.
 
 mod samples;
 
 use omnipaxos::messages::Message;
 use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg, HeartbeatRequest};
-use samples::{assert_wire_compatible, entries, fixture, known, position, state, unknown};
+use samples::{
+    assert_wire_compatible, entries, fixture, known_position, position, state, unknown_position,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -28,7 +30,8 @@
     );
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`messages`] as well.
+/// Names the sample of a message. A new variant does not compile until it is added here; add a sample to [`messages`]
+/// too.
 fn message_name(message: &PeerMessage) -> &'static str {
     match message {
         PeerMessage::Position(_) => "here",
@@ -42,7 +45,7 @@
     let request = HeartbeatMsg::Request(HeartbeatRequest { round: 5 });
     vec![
         PeerMessage::Position(position()),
-        PeerMessage::KnownPosition(known()),
+        PeerMessage::KnownPosition(known_position()),
         PeerMessage::Consensus(Box::new(Message::BLE(BLEMessage {
             from: 1,
             to: 2,
@@ -66,7 +69,7 @@
         ),
         (
             "known of a new voter",
-            PeerMessage::KnownPosition(unknown()),
+            PeerMessage::KnownPosition(unknown_position()),
         ),
     ];
     assert_wire_compatible("words-unset.txt", &unset);
--- a/crates/coordination/tests/consensus_messages.rs
+++ b/crates/coordination/tests/consensus_messages.rs
@@ -1,5 +1,5 @@
-//! Messages of the consensus protocol stay as an earlier version wrote them, so that old and new voters agree while the
-//! fleet is upgraded.
+//! The encodings of the consensus protocol's messages stay compatible with earlier versions, so that old and new voters
+//! can work together while the fleet is upgraded.
 
 mod samples;
 
--- a/crates/coordination/tests/samples/mod.rs
+++ b/crates/coordination/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! Samples of what voters store and send: at least one of each variant.
+//! Samples of the data that voters store and send, with at least one of each variant.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use omnipaxos::ballot_leader_election::Ballot;
@@ -40,7 +40,7 @@
     }
 }
 
-pub fn known() -> KnownPosition {
+pub fn known_position() -> KnownPosition {
     KnownPosition {
         position: Some(position()),
         may_vote: true,
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn unknown() -> KnownPosition {
+pub fn unknown_position() -> KnownPosition {
     KnownPosition {
         position: None,
         may_vote: false,
@@ -58,14 +58,14 @@
     }
 }
 
-/// A state with a held and a released lease, a value, and voters that were readmitted.
+/// A state with a held lease, a released lease, a value, and readmissions of two voters.
 pub fn state() -> ReplicatedState {
     let held = Lease {
         token: 7,
         holder: Some(holder()),
         last_request: 70_000,
     };
-    let free = Lease {
+    let released = Lease {
         token: 2,
         holder: None,
         last_request: 1,
@@ -76,21 +76,22 @@
         min_promise: Some(ballot(5)),
         incarnation: 1,
     };
-    let never_promised = Readmission {
+    let without_promise = Readmission {
         min_promise: None,
         ..readmission.clone()
     };
     ReplicatedState {
-        leases: BTreeMap::from([("fleet".to_owned(), held), ("other".to_owned(), free)]),
+        leases: BTreeMap::from([("fleet".to_owned(), held), ("other".to_owned(), released)]),
         values: BTreeMap::from([("settings".to_owned(), b"{\"a\":1}\xff".to_vec())]),
         readmissions: BTreeMap::from([
             ("edge-2".to_owned(), readmission),
-            ("edge-3".to_owned(), never_promised),
+            ("edge-3".to_owned(), without_promise),
         ]),
     }
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`entries`] as well.
+/// Names the sample of an entry. A new variant does not compile until it is added here; add a sample to [`entries`]
+/// too.
 fn entry_name(entry: &Entry) -> &'static str {
     match entry {
         Entry::Noop => "nothing",
--- a/crates/coordination/tests/stored_data.rs
+++ b/crates/coordination/tests/stored_data.rs
@@ -1,10 +1,10 @@
-//! The data folder of a voter and the fence of a planner: what an earlier version wrote is loaded completely, and this
-//! version writes the same records.
+//! The stored data of a voter and the stored fence of a planner: this version loads all records that an earlier version
+//! wrote, and writes the same ones.
 
 mod samples;
 
 use omnipaxos::storage::Storage;
-use samples::{ballot, entries, known, position};
+use samples::{ballot, entries, known_position, position};
 use tidespur_coordination::{
     Entry, Fence, Input, KnownPosition, Log, LogPosition, Output, PeerMessage, Settings, Voter,
     VoterStatus,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Two compacted entries at the front, and one of each kind after them.
+/// Two compacted entries, followed by one entry of each kind.
 fn log_entries() -> Vec<Entry> {
     let compacted = [Entry::Noop, Entry::Noop];
     let all = entries()
@@ -68,12 +68,16 @@
     }
 }
 
-/// What the voter stores once `edge-2` has announced its position and `edge-3` has replied to that of the voter.
+/// The records that the voter stores after `edge-2` announced its position and `edge-3` replied to the voter's
+/// position.
 fn peers_batch(log: &Batch) -> Batch {
     let mut voter = Voter::new(settings(), &load(log), 0.0).unwrap();
     let inputs = [
         Input::MessageReceived("edge-2".into(), PeerMessage::Position(peer_position())),
-        Input::MessageReceived("edge-3".into(), PeerMessage::KnownPosition(known())),
+        Input::MessageReceived(
+            "edge-3".into(),
+            PeerMessage::KnownPosition(known_position()),
+        ),
     ];
     let mut outputs = Vec::new();
     voter.step(0.0, inputs, &mut outputs);
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn log_is_whole_when_loaded_from_an_earlier_versions_folder() {
+fn log_is_complete_when_loaded_from_an_earlier_versions_folder() {
     let stored = stored_voter();
 
     let log = Log::load(&stored.loaded).unwrap();
@@ -107,12 +111,12 @@
     assert_eq!(log.len(), log_entries().len());
     assert_eq!(log.decided(), 5);
     assert_eq!(log.accepted(), (Some(ballot(7)), log_entries().len()));
-    // Not the ballot that was promised first: `edge-3` replied with a higher one.
+    // `edge-3` replied with a higher ballot than the log had promised before.
     assert_eq!(log.promise(), Some(ballot(9)));
 }
 
 #[test]
-fn own_and_peers_positions_are_whole_when_loaded_from_an_earlier_versions_folder() {
+fn own_and_peers_positions_are_complete_when_loaded_from_an_earlier_versions_folder() {
     let stored = stored_voter();
     let mut voter = Voter::new(settings(), &stored.loaded, 0.0).unwrap();
     assert_eq!(voter.status(), &VoterStatus::Verifying(0));
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn fences_are_whole_when_loaded_from_an_earlier_versions_folder() {
+fn fences_are_complete_when_loaded_from_an_earlier_versions_folder() {
     let mut written = Fence::default();
     written.admit("fleet", 70_000).unwrap();
     written.admit("other", 1).unwrap();
