--- a/crates/coordination-net/src/error.rs
+++ b/crates/coordination-net/src/error.rs
@@ -1,67 +1,69 @@
-//! Errors of starting a voter, of handshakes, and of frames.
+//! Errors of starting a voter, of handshakes, and of decoding frames.
 
 use crate::Frame;
 use std::io;
 use tidespur_coordination::VoterError;
 
-/// Why a voter can't start.
+/// Why a voter could not be started.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
     /// The process has no store.
-    #[error("the ledger's voters need a store: name a folder by --data or durable {{ dir = ... }}")]
+    #[error(
+        "a voter listed in ledger.voters requires a store: set its folder by --data or durable {{ dir = ... }}"
+    )]
     NoStore,
-    /// The settings are rejected, or the stored state can't be loaded.
+    /// The settings are invalid, or the stored state could not be loaded.
     #[error(transparent)]
     Voter(#[from] VoterError),
-    /// The address for the streams of other voters can't be used.
-    #[error("ledger: {address}: can't listen: {reason}")]
+    /// Listening for streams of other voters failed.
+    #[error("ledger.voters: listening on {address} failed: {reason}")]
     Listen {
-        /// The address, from `ledger.voters`.
+        /// The address of this voter in `ledger.voters`.
         address: String,
         /// The operating system's error.
         reason: io::Error,
     },
 }
 
-/// Why a packed message can't be read.
+/// Why a packed message could not be unpacked.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum FrameError {
-    /// The frame is shorter than its length field.
-    #[error("it has no length")]
-    NoLength,
-    /// The message is larger than allowed.
-    #[error("it claims {bytes} bytes, {max} are allowed")]
+    /// The packed message is shorter than its length field.
+    #[error("the length field is missing")]
+    MissingLength,
+    /// The length field states a larger message than allowed.
+    #[error("the length field states {bytes} bytes, but at most {max} are allowed")]
     TooLarge {
-        /// The size that the frame states, in bytes.
+        /// The stated size, in bytes.
         bytes: usize,
         /// The largest allowed size, in bytes.
         max: usize,
     },
-    /// The bytes can't be decompressed.
-    #[error("it can't be decompressed: {0}")]
+    /// Decompression failed.
+    #[error("decompression failed: {0}")]
     Decompress(#[from] lz4_flex::block::DecompressError),
-    /// The bytes are no message.
-    #[error("it can't be decoded: {0}")]
+    /// The decompressed bytes are not a valid message.
+    #[error("decoding failed: {0}")]
     Decode(#[from] postcard::Error),
 }
 
-/// Why a stream is no stream between two voters.
+/// Why a handshake failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HandshakeError {
-    #[error("the socket can't be set up: {0}")]
+    #[error("setting a socket option failed: {0}")]
     Socket(#[from] io::Error),
-    #[error("the peer takes no bytes")]
+    #[error("timeout while sending the hello frame")]
     WriteTimeout,
-    #[error("the peer sends no bytes")]
+    #[error("timeout while waiting for the hello frame of the peer")]
     ReadTimeout,
-    #[error("the stream broke: {reason}")]
-    Broken { reason: String },
-    #[error("the peer is of the cluster {cluster:?}")]
+    #[error("the connection failed: {reason}")]
+    ConnectionFailed { reason: String },
+    #[error("the peer belongs to another cluster: {cluster:?}")]
     OtherCluster { cluster: String },
-    #[error("{name:?} is at that address: look at ledger.voters")]
+    #[error("the peer at this address is {name:?}; check ledger.voters")]
     UnexpectedVoter { name: String },
-    #[error("the peer is no voter of this fleet: {first:?}")]
+    #[error("the peer is not another voter of this fleet; its first frame was {first:?}")]
     NotAVoter { first: Option<Frame> },
 }
--- a/crates/coordination-net/src/event_loop.rs
+++ b/crates/coordination-net/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of a voter: takes events in batches, steps the state machine, and carries out its outputs. Owns the
-//! senders of the streams and the messages that wait for the disk.
+//! The event loop of a voter: receives events in batches, steps the state machine and executes its outputs. Owns the
+//! send queues of the streams and the messages that wait for the disk.
 
 use crate::frame::{Frame, pack};
 use async_channel::{Receiver, Sender};
@@ -12,22 +12,22 @@
 use tidespur_net::clock;
 use tidespur_persistence::{Disk, Outbox};
 
-/// Events that are taken into one step.
+/// Events that are handled in one step of the state machine.
 const MAX_EVENTS_PER_STEP: usize = 256;
-/// Messages that wait for the disk.
-const MAX_HELD_MESSAGES: usize = 4_096;
+/// Outputs that may wait for the disk before the waiting messages are dropped.
+const MAX_HELD_OUTPUTS: usize = 4_096;
 
 /// An event for the loop.
 pub(crate) enum Event {
     /// An input of this process.
     Input(Input),
-    /// A stream to a voter was established.
+    /// A stream to a voter was established; `sender` is its send queue.
     StreamOpened {
         voter: String,
         stream_id: u64,
         sender: Sender<Frame>,
     },
-    /// A stream was lost.
+    /// A stream has ended.
     StreamClosed { voter: String, stream_id: u64 },
     /// A message arrived on a stream.
     MessageReceived {
@@ -37,21 +37,21 @@
     },
 }
 
-/// Draws a number that identifies a stream within the process.
+/// Returns a new stream id, unique within the process.
 pub(crate) fn next_stream_id() -> u64 {
     static LAST: AtomicU64 = AtomicU64::new(0);
     LAST.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// The newest stream to a voter.
+/// The current stream to a voter: the one that was established last.
 struct PeerStream {
     id: u64,
     sender: Sender<Frame>,
 }
 
-/// What waits until a batch is on the disk.
+/// An output that waits until a batch is synced to disk.
 enum HeldOutput {
-    /// The voter is notified that its batch of this number is on the disk.
+    /// Notifies the voter that its batch of this number is synced.
     NotifySynced(u64),
     Send {
         voter: String,
@@ -65,7 +65,7 @@
     disk: Arc<Disk>,
     streams: BTreeMap<String, PeerStream>,
     outbox: Outbox<HeldOutput>,
-    /// The disk's number of the last batch of the voter.
+    /// Number of the voter's last batch, as assigned by the disk.
     last_batch: u64,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Runs until the channel of events is closed.
+    /// Runs until the event channel is closed.
     pub(crate) async fn run(mut self, events: Receiver<Event>) {
         let disk_progress = self.disk.subscribe();
         loop {
@@ -100,11 +100,11 @@
             for output in outputs {
                 self.handle_output(output);
             }
-            self.shed_if_disk_stalls();
+            self.drop_held_messages_if_disk_stalls();
         }
     }
 
-    /// Carries out what has waited for batches that are on the disk now; returns the inputs for the voter.
+    /// Executes the outputs whose batches are now synced; returns the resulting inputs for the voter.
     fn release_synced(&mut self) -> Vec<Input> {
         let mut inputs = Vec::new();
         for held in self.outbox.release(self.disk.synced()) {
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Discards the messages of the previous stream to a voter: the consensus protocol expects that messages of a
-    /// stream are complete and in order, so they must not be mixed with those of the new stream.
+    /// Discards the messages of the previous stream to a voter. The consensus protocol requires the messages of a
+    /// stream to be complete and in order, so they must not be mixed with those of the new stream.
     fn discard_previous_stream(&mut self, voter: &str, inputs: &mut Vec<Input>) {
         let is_to_voter =
             |held: &HeldOutput| matches!(held, HeldOutput::Send { voter: to, .. } if to == voter);
@@ -189,7 +189,7 @@
                     voter = self.name,
                     by,
                     ?known,
-                    "voter is quarantined: its disk is older than what another voter knows of it"
+                    "voter is quarantined: another voter knows a later log position of it than its disk holds"
                 );
             }
             Output::StatusChanged(status) => {
@@ -205,20 +205,20 @@
         let Some(frame) = pack(message) else {
             tracing::error!(
                 voter,
-                "a message is too large to be sent: the voter has missed too many entries; readmit it with a new store"
+                "message to a voter exceeds the size limit because the voter has missed too many entries; readmit it with a new store"
             );
             return;
         };
-        // A full queue means that the voter does not read: its stream is closed, and dialled again.
+        // A full send queue means that the peer does not read: its stream is closed, and established again.
         if stream.sender.try_send(frame).is_err() {
             stream.sender.close();
         }
     }
 
-    /// Drops the waiting messages if there are too many of them, since a voter that can't write can't vote. Their
-    /// streams are closed as well, because the consensus protocol tolerates no gap in a stream.
-    fn shed_if_disk_stalls(&mut self) {
-        if self.outbox.len() <= MAX_HELD_MESSAGES {
+    /// Drops the waiting messages if too many outputs wait for the disk, since a voter that can't write can't vote. All
+    /// streams are closed as well, because the consensus protocol does not tolerate missing messages in a stream.
+    fn drop_held_messages_if_disk_stalls(&mut self) {
+        if self.outbox.len() <= MAX_HELD_OUTPUTS {
             return;
         }
         let is_message = |held: &HeldOutput| matches!(held, HeldOutput::Send { .. });
--- a/crates/coordination-net/src/frame.rs
+++ b/crates/coordination-net/src/frame.rs
@@ -1,31 +1,31 @@
-//! Frames of a stream between two voters. Large messages are compressed: a voter that was away for weeks is sent one
-//! entry for each that it missed, and those that were compacted are all equal.
+//! Frames of a stream between two voters. Large messages are compressed: a voter that was down for weeks is sent one
+//! entry for each one that it missed, and compacted entries are all equal.
 
 use crate::FrameError;
 use serde::{Deserialize, Serialize};
 use tidespur_coordination::PeerMessage;
 
-/// Size from which a message is compressed, in bytes.
+/// Encoded size from which a consensus message is compressed, in bytes.
 const MIN_PACKED_BYTES: usize = 64 << 10;
-/// The largest message, in bytes before compression. Larger ones are neither sent nor decompressed.
+/// Largest size of a message before compression, in bytes. Larger ones are neither sent nor decompressed.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
-/// Size of the length field in front of a compressed message, in bytes.
+/// Size of the length field that precedes a compressed message, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame of a stream.
+/// A frame of a stream between two voters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// The first frame in each direction: the cluster and the name of the sender.
     #[serde(rename = "Hi")]
     Hello(String, String),
-    /// A message.
+    /// An uncompressed message.
     #[serde(rename = "Word")]
     Message(PeerMessage),
-    /// A large message, encoded and compressed.
+    /// A large message, encoded with postcard and compressed with LZ4, after its length field.
     Packed(Vec<u8>),
 }
 
-/// Puts a message into a frame; `None` if it is larger than allowed.
+/// Creates the frame of a message and compresses large consensus messages; `None` if it exceeds the size limit.
 pub fn pack(message: PeerMessage) -> Option<Frame> {
     if !matches!(message, PeerMessage::Consensus(_)) {
         return Some(Frame::Message(message));
@@ -40,14 +40,14 @@
     }
 }
 
-/// Reads the message of a [`Frame::Packed`].
+/// Decompresses and decodes the message of a [`Frame::Packed`].
 ///
 /// # Errors
-/// If the bytes are too short, state a larger size than allowed, or can't be decompressed or decoded.
+/// If the bytes have no length field, the field exceeds the size limit, or decompression or decoding fails.
 pub fn unpack(bytes: &[u8]) -> Result<PeerMessage, FrameError> {
     let (length, _) = bytes
         .split_first_chunk::<LENGTH_BYTES>()
-        .ok_or(FrameError::NoLength)?;
+        .ok_or(FrameError::MissingLength)?;
     let length = u32::from_le_bytes(*length) as usize;
     if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLarge {
--- a/crates/coordination-net/src/handle.rs
+++ b/crates/coordination-net/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle on a running voter, which owns its tasks. Used by the edge.
+//! The handle to a running voter, which owns the voter's tasks. Used by the edge.
 
 use crate::event_loop::{Event, EventLoop};
 use crate::peer_streams::PeerStreams;
@@ -16,10 +16,10 @@
 use tidespur_net::{clock, routes::Routes};
 use tidespur_persistence::{Disk, LoadedRecords};
 
-/// Events that wait for the event loop.
+/// Capacity of the event loop's queue.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// A running voter. Its tasks are cancelled when this is dropped.
+/// A running voter. Dropping the handle cancels the voter's tasks.
 pub struct VoterHandle {
     voter: Arc<Mutex<Voter>>,
     events: Sender<Event>,
@@ -27,10 +27,11 @@
 }
 
 impl VoterHandle {
-    /// Starts the voter that the settings name like this process; `None` if they name no voters, or only others.
+    /// Starts the voter named `name`, which requests the lease [`FLEET_LEASE`]; `None` if the settings list no voter of
+    /// this name.
     ///
     /// # Errors
-    /// What keeps it from starting, and what an operator can do.
+    /// If the voter has no store, can't load it, has invalid settings, or can't listen on its address.
     pub async fn start(
         config: &Config,
         name: &str,
@@ -38,16 +39,16 @@
         loaded: Option<&LoadedRecords>,
         routes: Routes,
     ) -> Result<Option<Self>, StartError> {
-        let Some(block) = &config.coordination else {
+        let Some(section) = &config.coordination else {
             return Ok(None);
         };
-        let Some(address) = block.voters.get(name) else {
+        let Some(address) = section.voters.get(name) else {
             return Ok(None);
         };
         let (Some(disk), Some(loaded)) = (disk, loaded) else {
             return Err(StartError::NoStore);
         };
-        let settings = voter_settings(block, name, loaded);
+        let settings = voter_settings(section, name, loaded);
         let voter = Voter::new(settings, loaded, clock::now())?;
         let voter = Arc::new(Mutex::new(voter));
         let listener = listen(address).await?;
@@ -55,7 +56,7 @@
         let streams = Arc::new(PeerStreams {
             cluster: config.cluster().to_owned(),
             own_name: name.to_owned(),
-            voters: block.voters.clone(),
+            voters: section.voters.clone(),
             events: events.clone(),
             routes,
         });
@@ -65,7 +66,7 @@
         tracing::info!(
             voter = name,
             address,
-            voters = block.voters.len(),
+            voters = section.voters.len(),
             "voter started"
         );
         let handle = Self {
@@ -77,12 +78,13 @@
         Ok(Some(handle))
     }
 
-    /// The fencing token, if this process holds the lease now. To be called at the moment of the act.
+    /// The fencing token, if this process holds the lease now. Callers must check it immediately before they act as the
+    /// holder.
     pub fn valid_token(&self, lease: &str) -> Option<u64> {
         self.voter.lock().valid_token(clock::now(), lease)
     }
 
-    /// The keys of the stored values that begin with `prefix`, without it.
+    /// Keys of the stored values that begin with `prefix`, with the prefix removed.
     pub fn keys_with_prefix(&self, prefix: &str) -> BTreeSet<String> {
         let voter = self.voter.lock();
         let keys = voter.state().values.keys();
@@ -90,34 +92,34 @@
             .collect()
     }
 
-    /// Sends an input to the voter. It is lost if the queue of the event loop is full; the caller repeats it until it
-    /// has its effect.
+    /// Sends an input to the voter. It is lost if the event loop's queue is full; callers must repeat it until it has
+    /// taken effect.
     pub fn send(&self, input: Input) {
         let _ = self.events.try_send(Event::Input(input));
     }
 
-    /// Whether the voter takes part in the consensus and knows a leader.
+    /// Whether the voter votes and knows a leader.
     ///
     /// # Errors
-    /// What it waits for, and what an operator can do.
+    /// Why it is not ready, with advice for the operator.
     pub fn readiness(&self) -> Result<Ready, NotReady> {
         readiness(&self.voter.lock())
     }
 
-    /// The voter's state as JSON, for operators.
+    /// The voter's state as the JSON of `/debug/ledger`.
     pub fn report(&self) -> Value {
         report(&self.voter.lock(), clock::now())
     }
 }
 
-fn voter_settings(block: &CoordinationSection, name: &str, loaded: &LoadedRecords) -> Settings {
+fn voter_settings(section: &CoordinationSection, name: &str, loaded: &LoadedRecords) -> Settings {
     Settings {
-        voters: block.voters.keys().cloned().collect(),
+        voters: section.voters.keys().cloned().collect(),
         name: name.to_owned(),
         incarnation: loaded.incarnation(),
         start_nonce: draw_nonce(),
-        lease_term: block.lease_term,
-        max_clock_drift: block.max_clock_drift,
+        lease_term: section.lease_term,
+        max_clock_drift: section.max_clock_drift,
     }
 }
 
@@ -130,8 +132,8 @@
         })
 }
 
-/// Draws a number that differs between the starts of a process.
+/// Draws a random number that distinguishes the starts of a process.
 fn draw_nonce() -> u64 {
-    // The keys of `RandomState` derive from the operating system's random numbers.
+    // The keys of `RandomState` are seeded by the operating system.
     RandomState::new().build_hasher().finish()
 }
--- a/crates/coordination-net/src/handshake.rs
+++ b/crates/coordination-net/src/handshake.rs
@@ -1,4 +1,5 @@
-//! The handshake of a stream: both ends send their cluster and name, and check those of the other.
+//! The handshake of a stream: both ends send a [`Frame::Hello`] with their cluster and name, and check that of the
+//! peer.
 
 use crate::Frame;
 use crate::error::HandshakeError;
@@ -11,11 +12,11 @@
 pub(crate) struct EstablishedStream {
     pub(crate) socket: TcpStream,
     pub(crate) reader: FrameReader,
-    /// Name of the other voter.
+    /// Name of the peer.
     pub(crate) voter: String,
 }
 
-/// Performs the handshake. `expected` is the name of the voter that was dialled, if this end has dialled.
+/// Performs the handshake. `expected` is the name of the dialled voter; `None` for an accepted connection.
 pub(crate) async fn handshake(
     streams: &PeerStreams,
     socket: TcpStream,
@@ -23,12 +24,12 @@
 ) -> Result<EstablishedStream, HandshakeError> {
     socket.set_nodelay(true)?;
     let hello = Frame::Hello(streams.cluster.clone(), streams.own_name.clone());
-    send_first(&socket, hello).await?;
+    send_hello(&socket, hello).await?;
     let mut reader = FrameReader::new(socket.clone());
     let first = clock::timeout(PEER_TIMEOUT, reader.next::<Frame>())
         .await
         .ok_or(HandshakeError::ReadTimeout)?
-        .map_err(|error| HandshakeError::Broken {
+        .map_err(|error| HandshakeError::ConnectionFailed {
             reason: error.to_string(),
         })?;
     let voter = check_hello(streams, first, expected)?;
@@ -39,21 +40,21 @@
     })
 }
 
-async fn send_first(socket: &TcpStream, frame: Frame) -> Result<(), HandshakeError> {
-    let broken = |reason: String| HandshakeError::Broken { reason };
+async fn send_hello(socket: &TcpStream, frame: Frame) -> Result<(), HandshakeError> {
+    let connection_failed = |reason: String| HandshakeError::ConnectionFailed { reason };
     let (sender, queue) = async_channel::bounded(1);
     sender
         .try_send(frame)
-        .map_err(|error| broken(error.to_string()))?;
-    // The writer ends once the queue is closed and empty.
+        .map_err(|error| connection_failed(error.to_string()))?;
+    // The writer ends when the queue is closed and empty.
     drop(sender);
     clock::timeout(PEER_TIMEOUT, write_all(socket.clone(), queue))
         .await
         .ok_or(HandshakeError::WriteTimeout)?
-        .map_err(|error| broken(error.to_string()))
+        .map_err(|error| connection_failed(error.to_string()))
 }
 
-/// Returns the name of the other voter.
+/// Checks the first frame of the peer; returns the peer's name.
 fn check_hello(
     streams: &PeerStreams,
     first: Option<Frame>,
--- a/crates/coordination-net/src/lib.rs
+++ b/crates/coordination-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drives a voter of the coordination log: streams to the other voters, timers and the disk. It decides nothing; what a
-//! voter does is in `tidespur-coordination`. Started by the edge.
+//! Runs a voter of the coordination log: streams to the other voters, timers and disk writes. The voter's logic is in
+//! `tidespur-coordination`; this package only does its I/O. Started by the edge.
 
 mod error;
 mod event_loop;
@@ -16,5 +16,5 @@
 pub use readiness::{NotReady, Ready};
 pub use report::report;
 
-/// The lease of the one edge that acts for the whole fleet.
+/// Name of the lease whose holder is the one edge that acts for the whole fleet.
 pub const FLEET_LEASE: &str = "fleet";
--- a/crates/coordination-net/src/peer_streams.rs
+++ b/crates/coordination-net/src/peer_streams.rs
@@ -1,5 +1,5 @@
-//! Streams to the other voters, one for each pair. Of each pair the voter that the settings name first dials. Received
-//! messages go to the event loop as events.
+//! Streams to the other voters. Each pair of voters shares one stream, which is dialled by the voter that the settings
+//! list first. Received messages are passed to the event loop as events.
 
 use crate::event_loop::{Event, next_stream_id};
 use crate::frame::{Frame, unpack};
@@ -13,15 +13,15 @@
 use tidespur_net::routes::Routes;
 use tidespur_net::{clock, frames};
 
-/// A stream is lost if nothing arrives on it, or a step of its handshake takes longer.
+/// Time after which a stream is closed if nothing arrives on it; also the timeout of each step of the handshake.
 pub(crate) const PEER_TIMEOUT: Seconds = 1.5;
-/// How long an attempt to connect may take.
+/// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Seconds = 1.0;
 /// Pause before a voter is dialled again.
 const REDIAL_INTERVAL: Seconds = 0.2;
-/// Pause before the next connection is accepted after an error, or while there are too many handshakes.
+/// Pause before the next connection is accepted after an error, or while too many handshakes are in progress.
 const ACCEPT_BACKOFF: Seconds = 0.05;
-/// Accepted connections whose handshake is not finished.
+/// Handshakes of accepted connections that may be in progress at a time; further connections are closed.
 const MAX_HANDSHAKES: u64 = 32;
 
 pub(crate) struct PeerStreams {
@@ -33,7 +33,8 @@
 }
 
 impl PeerStreams {
-    /// Spawns the tasks that accept streams and dial the voters after this one. Dropping them closes the streams.
+    /// Spawns the tasks that accept streams and dial the voters listed after this one. Dropping the tasks closes the
+    /// streams.
     pub(crate) fn spawn(self: &Arc<Self>, listener: TcpListener) -> Vec<smol::Task<()>> {
         let mut tasks = vec![smol::spawn(self.clone().accept(listener))];
         let own_index = self.voters.get_index_of(&self.own_name).unwrap_or(0);
@@ -56,7 +57,7 @@
                 }
                 Ok(_) => clock::sleep(ACCEPT_BACKOFF).await,
                 Err(error) => {
-                    tracing::warn!(%error, "can't accept a stream of a voter");
+                    tracing::warn!(%error, "can't accept a connection from a voter");
                     clock::sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -68,7 +69,7 @@
         handshakes.fetch_sub(1, Ordering::Relaxed);
         match result {
             Ok(stream) => self.run(stream).await,
-            Err(error) => tracing::debug!(%error, "handshake with a voter failed"),
+            Err(error) => tracing::debug!(%error, "handshake with an accepted peer failed"),
         }
     }
 
@@ -84,13 +85,13 @@
                     Err(error) => tracing::debug!(voter, %error, "handshake with a voter failed"),
                 },
                 Some(Err(error)) => tracing::debug!(voter, %error, "can't connect to a voter"),
-                None => tracing::debug!(voter, "timeout while connecting to a voter"),
+                None => tracing::debug!(voter, "connecting to a voter timed out"),
             }
             clock::sleep(REDIAL_INTERVAL).await;
         }
     }
 
-    /// Runs an established stream until it is lost.
+    /// Runs an established stream until it ends.
     async fn run(&self, stream: EstablishedStream) {
         let EstablishedStream {
             socket,
@@ -124,7 +125,7 @@
         )
         .await;
         tracing::info!(voter, ?ended, "stream to a voter ended");
-        // If the event loop has ended, nobody needs the event.
+        // Sending fails only if the event loop has ended, which needs no event then.
         let _ = self
             .events
             .send(Event::StreamClosed { voter, stream_id })
@@ -132,7 +133,7 @@
     }
 }
 
-/// The event of a received frame; `None` if the frame holds no message for the voter.
+/// The event of a received frame; `None` if the frame contains no message for the voter, or can't be unpacked.
 fn received_event(voter: &str, stream_id: u64, frame: Frame) -> Option<Event> {
     let message = match frame {
         Frame::Message(PeerMessage::Heartbeat) | Frame::Hello(..) => return None,
@@ -140,7 +141,7 @@
         Frame::Packed(bytes) => match unpack(&bytes) {
             Ok(message) => message,
             Err(error) => {
-                tracing::warn!(voter, %error, "can't read a packed message of a voter");
+                tracing::warn!(voter, %error, "can't unpack a message from a voter");
                 return None;
             }
         },
--- a/crates/coordination-net/src/report.rs
+++ b/crates/coordination-net/src/report.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use tidespur_coordination::{Lease, Seconds, Voter, VoterStatus};
 
-/// The state of a voter as JSON, for operators and their tools. `now` is the time of the voter's clock.
+/// The state of a voter as JSON, for operators and their tools. `now` is the current time of the voter's clock.
 pub fn report(voter: &Voter, now: Seconds) -> Value {
     let state = voter.state();
     let leases: Vec<Value> = state
--- a/crates/coordination-net/tests/compatibility.rs
+++ b/crates/coordination-net/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! What goes over a stream between two voters, and the JSON of `/debug/ledger`, stay as an earlier version wrote them.
+//! The encoding of frames between voters and the JSON of `/debug/ledger` stay compatible with earlier versions.
 
 use omnipaxos::messages::Message;
 use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
@@ -15,7 +15,7 @@
     fixture_path(env!("CARGO_MANIFEST_DIR"), file)
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`frames`] as well.
+/// Names the sample of a frame. A new variant does not compile until it is added here; add a sample to [`frames`] too.
 fn frame_name(frame: &Frame) -> &'static str {
     match frame {
         Frame::Hello(..) => "hi",
@@ -32,7 +32,7 @@
     ]
 }
 
-/// With the header of a frame: its length and the version of the protocol.
+/// Encodes a frame with its header, which holds the length and the protocol version.
 fn encode(frame: &Frame) -> String {
     to_hex(&tidespur_planner_protocol::encode(frame).unwrap())
 }
@@ -59,7 +59,7 @@
     );
 }
 
-/// Larger than the size from which messages are packed.
+/// A message that is large enough to be packed.
 fn long_message() -> PeerMessage {
     let msg = PaxosMsg::ProposalForward(vec![Entry::Noop; 70_000]);
     PeerMessage::Consensus(Box::new(Message::SequencePaxos(PaxosMessage {
@@ -75,7 +75,7 @@
     let decode = |text: &str| match decode(text) {
         Frame::Packed(bytes) => unpack(&bytes).unwrap(),
         Frame::Message(message) => message,
-        Frame::Hello(..) => panic!("no message"),
+        Frame::Hello(..) => panic!("a hello frame contains no message"),
     };
     let samples = [("long", long_message()), ("short", PeerMessage::Heartbeat)];
     assert_compatible(
@@ -109,7 +109,7 @@
     .unwrap()
 }
 
-/// Steps a voter whose disk syncs at once.
+/// Steps a voter, and syncs its batches immediately.
 fn step(voter: &mut Voter, now: f64, inputs: Vec<Input>) {
     let mut outputs = Vec::new();
     voter.step(now, inputs, &mut outputs);
@@ -120,7 +120,7 @@
     voter.step(now, written.collect::<Vec<_>>(), &mut Vec::new());
 }
 
-/// A single voter, which holds the lease of the fleet and has stored a value.
+/// A single voter that holds the lease of the fleet and has stored a value.
 fn voting() -> Voter {
     let mut voter = voter(&["edge-1"]);
     step(
@@ -137,7 +137,7 @@
     voter
 }
 
-/// One of three that has received only positions of a peer, the second behind the first.
+/// One of three voters, after a peer has announced a position and then an earlier one.
 fn verifying() -> Voter {
     let mut voter = voter(&["edge-1", "edge-2", "edge-3"]);
     let position = |generation| {
@@ -153,7 +153,7 @@
     voter
 }
 
-/// One of three of which another knows a further position.
+/// One of three voters, after a peer has replied that it knows a later position of this voter.
 fn quarantined() -> Voter {
     let mut voter = voter(&["edge-1", "edge-2", "edge-3"]);
     let known = KnownPosition {
--- a/crates/coordination-net/tests/frames.rs
+++ b/crates/coordination-net/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of large messages.
+//! Packing and unpacking of large messages.
 
 use omnipaxos::messages::Message;
 use omnipaxos::messages::sequence_paxos::{PaxosMessage, PaxosMsg};
@@ -7,7 +7,7 @@
 
 const ENTRIES: usize = 5_000_000;
 
-/// Entries that were compacted, as they are sent to a voter that has missed them.
+/// Compacted entries, as they are sent to a voter that has missed them.
 fn compacted_entries() -> PeerMessage {
     let msg = PaxosMsg::ProposalForward(vec![Entry::Noop; ENTRIES]);
     PeerMessage::Consensus(Box::new(Message::SequencePaxos(PaxosMessage {
@@ -18,23 +18,26 @@
 }
 
 fn packed() -> Vec<u8> {
-    let frame = pack(compacted_entries()).expect("within bounds");
-    let encoded = tidespur_planner_protocol::encode(&frame).expect("it fits into a frame");
+    let frame = pack(compacted_entries()).expect("the message is within the size limit");
+    let encoded =
+        tidespur_planner_protocol::encode(&frame).expect("the frame is within the size limit");
     assert!(
         encoded.len() < 1 << 18,
-        "a frame may have four times as much"
+        "the frame has {} bytes, more than a quarter of the size limit",
+        encoded.len()
     );
     let Frame::Packed(bytes) = frame else {
-        panic!("it is packed")
+        panic!("the message was not packed")
     };
     bytes
 }
 
-/// If they did not fit into a frame, the stream to a voter that was away for long would break each time.
+/// If the entries did not fit into a frame, the stream to a voter that was down for long would be closed on each
+/// attempt to send them.
 #[test]
 fn millions_of_compacted_entries_fit_into_a_frame_when_packed() {
     let Ok(PeerMessage::Consensus(message)) = unpack(&packed()) else {
-        panic!("it is a consensus message")
+        panic!("the unpacked message is not a consensus message")
     };
 
     let Message::SequencePaxos(PaxosMessage {
@@ -42,21 +45,24 @@
         ..
     }) = *message
     else {
-        panic!("it is the message that was packed")
+        panic!("the unpacked message is of another type")
     };
     assert_eq!(entries.len(), ENTRIES);
 }
 
 #[test]
-fn unpacking_fails_when_a_frame_lies_about_its_length_or_is_truncated() {
+fn unpacking_fails_when_the_length_field_is_wrong_or_missing_or_the_message_is_truncated() {
     let bytes = packed();
-    let mut lie = bytes.clone();
-    lie[..4].copy_from_slice(&u32::MAX.to_le_bytes());
+    let mut wrong_length = bytes.clone();
+    wrong_length[..4].copy_from_slice(&u32::MAX.to_le_bytes());
 
-    assert!(matches!(unpack(&lie), Err(FrameError::TooLarge { .. })));
+    assert!(matches!(
+        unpack(&wrong_length),
+        Err(FrameError::TooLarge { .. })
+    ));
     assert!(matches!(
         unpack(&bytes[..bytes.len() / 2]),
         Err(FrameError::Decompress(_))
     ));
-    assert!(matches!(unpack(&[1]), Err(FrameError::NoLength)));
+    assert!(matches!(unpack(&[1]), Err(FrameError::MissingLength)));
 }
