--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! The order in which service returns after an outage. No I/O.
+//! Controls the recovery of service after an outage. No I/O.
 //!
-//! Its first part is [`PlannerCounter`]: among how many planners the slow-start budget of cold nodes is divided. The
-//! others are planned, see `docs/recovery.md`. Called by the edge that holds the lease of the fleet.
+//! [`PlannerCounter`] determines the number of planners that share the slow-start budget of cold nodes. Further parts
+//! are planned, see `docs/recovery.md`. Called by the edge that holds the lease of the fleet.
 
 mod planner_count;
 
--- a/crates/recovery/tests/planner_count.rs
+++ b/crates/recovery/tests/planner_count.rs
@@ -1,11 +1,12 @@
-//! The count of planners rises at once, and falls only when a planner has announced its departure.
+//! The count of planners increases as soon as a planner connects, and decreases only when a planner has announced its
+//! departure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use tidespur_recovery::{MAX_NAME_BYTES, Observation, Output, PlannerCounter, Seconds};
 
 #[derive(Default)]
 struct Fleet {
-    count: PlannerCounter,
+    counter: PlannerCounter,
     now: Seconds,
     token: Option<u64>,
     connected: BTreeMap<u64, String>,
@@ -14,7 +15,7 @@
 }
 
 impl Fleet {
-    /// A fleet with the token 1 in which these planners are connected, as the connections 1, 2, ...
+    /// A fleet whose edge holds token 1. The planners `connected` have the connection ids 1, 2, ...
     fn new(connected: &[&str], counted: &[&str]) -> Self {
         let names = connected.iter().map(|name| (*name).to_owned());
         Self {
@@ -34,7 +35,7 @@
             departed: &self.departed,
         };
         let mut outputs = Vec::new();
-        self.count.step(self.now, &observation, &mut outputs);
+        self.counter.step(self.now, &observation, &mut outputs);
         outputs
     }
 }
@@ -54,7 +55,11 @@
         fleet.step(0.0),
         [Output::AddPlanner("b".into()), notify(1, 1, 2)]
     );
-    assert_eq!(fleet.step(0.1), [], "once");
+    assert_eq!(
+        fleet.step(0.1),
+        [],
+        "the request must not be repeated at once"
+    );
     fleet.counted.insert("b".into());
     assert_eq!(fleet.step(0.1), [notify(2, 1, 2)]);
 }
@@ -75,7 +80,7 @@
     for _ in 0..100 {
         assert_eq!(fleet.step(10.0), []);
     }
-    // So is one that is counted and was never connected here.
+    // A planner that is counted but was never connected to this edge remains counted, too.
     fleet.counted.insert("c".into());
     assert_eq!(fleet.step(1.0), [notify(1, 1, 3)]);
 }
@@ -85,7 +90,11 @@
     let mut fleet = Fleet::new(&["a", "b"], &["a", "b"]);
     fleet.step(0.0);
     fleet.departed.insert("b".into());
-    assert_eq!(fleet.step(1.0), [], "it is connected: it has come back");
+    assert_eq!(
+        fleet.step(1.0),
+        [],
+        "a connected planner must not be removed"
+    );
     fleet.connected.remove(&2);
     assert_eq!(fleet.step(1.0), [Output::RemovePlanner("b".into())]);
     fleet.counted.remove("b");
@@ -112,11 +121,12 @@
     let mut fleet = Fleet::new(&["a"], &["a"]);
     assert_eq!(fleet.step(0.0), [notify(1, 1, 1)]);
     assert_eq!(fleet.step(0.1), []);
-    fleet.count.notification_failed(1);
+    // The edge reports this if the lease had expired when the message was written, and was renewed.
+    fleet.counter.notification_failed(1);
     assert_eq!(
         fleet.step(0.1),
         [notify(1, 1, 1)],
-        "the lease had expired when the message was written, and was renewed"
+        "a failed notification must be repeated"
     );
 }
 
