--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -74,7 +74,7 @@
     });
     assert!(newer > token);
     fleet.links[&(0, old)].set(Way::Open);
-    let refused = format!("has gone on to token {newer}, this act carries {token}");
+    let refused = format!("fencing token {token} is stale, token {newer} was seen before");
     running.until("the late word is refused by name", async || {
         fleet.log("planner-0").contains(&refused).then_some(())
     });
--- a/crates/coordination/src/fence.rs
+++ b/crates/coordination/src/fence.rs
@@ -14,7 +14,7 @@
 /// A message carried a lower token than an earlier message for the same lease.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "the lease {lease:?} has gone on to token {newest}, this act carries {token}: whoever sent it holds the lease no more and has to ask for it again"
+    "lease {lease:?}: fencing token {token} is stale, token {newest} was seen before; the sender has lost the lease and must acquire it again"
 )]
 pub struct StaleToken {
     /// Name of the lease.
