--- a/crates/membership/src/detector_hooks.rs
+++ b/crates/membership/src/detector_hooks.rs
@@ -1,5 +1,5 @@
-//! Hooks of the failure detector: its codec and its handler of broadcasts. The detector owns its hooks and gives no
-//! access to them, so their state is shared with the member.
+//! Hooks of the failure detector: its codec and its broadcast handler. The detector owns its hooks and gives no access
+//! to them, so they share their state with the member through a mutex.
 
 use crate::id::MemberId;
 use crate::metadata::{MetadataUpdate, MetadataVersion};
@@ -19,11 +19,11 @@
     /// Number of those that have not failed.
     pub(crate) alive_count: usize,
     pub(crate) max_members: usize,
-    /// This member. Metadata of its name and another incarnation is that of another process.
+    /// Identity of this member. Metadata with its name and another incarnation comes from another process.
     pub(crate) own: Option<MemberId>,
-    /// The newest other process with the name of this member that was heard of.
+    /// The newest other process with the name of this member.
     pub(crate) duplicate: Option<MemberId>,
-    /// Whether a member was rejected because there are too many.
+    /// Whether a member was rejected because `max_members` were alive.
     pub(crate) has_rejected_member: bool,
 }
 
@@ -32,19 +32,19 @@
         self.own.as_ref().is_some_and(|own| own.name == name)
     }
 
-    /// Remembers another process with the name of this member.
+    /// Records another process with the name of this member.
     pub(crate) fn record_duplicate(&mut self, id: &MemberId) {
         let is_newest = self
             .duplicate
             .as_ref()
-            .is_none_or(|duplicate| id.age() > duplicate.age());
+            .is_none_or(|duplicate| id.precedence() > duplicate.precedence());
         if is_newest {
             self.duplicate = Some(id.clone());
         }
     }
 }
 
-/// A handle on the shared state.
+/// A handle to the shared state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DetectorHooks(Arc<Mutex<HookState>>);
 
@@ -53,7 +53,7 @@
         self.0.lock()
     }
 
-    /// Admits a member that a message names, or rejects it.
+    /// Admits a member that a message names, or rejects it if it is not valid or too many are alive.
     fn admit(&self, id: &MemberId) -> Result<(), HookError> {
         if !id.is_valid() {
             return Err(HookError::InvalidMember);
@@ -119,8 +119,8 @@
         let Err(rejected) = self.admit(member.id()) else {
             return Ok(member);
         };
-        // An error would drop the whole datagram with one rejected member. The member is replaced by the statement that
-        // this member is alive, which has no effect.
+        // An error would drop the whole datagram because of one rejected member. The entry is replaced by one that says
+        // that this member itself is alive, which has no effect.
         match self.lock().own.clone() {
             Some(own) => Ok(Member::alive(own)),
             None => Err(rejected),
@@ -128,7 +128,7 @@
     }
 }
 
-/// Identifies a broadcast: it replaces older versions of the same member's metadata in the send queue.
+/// Identifies a queued broadcast; it invalidates those of older versions of the same member's metadata.
 #[derive(Debug)]
 pub(crate) struct BroadcastKey {
     name: String,
@@ -145,7 +145,7 @@
     type Key = BroadcastKey;
     type Error = HookError;
 
-    /// Stores received metadata; returns the key if it is new and to be broadcast further.
+    /// Stores received metadata; returns its key if it is new, so that the detector forwards it.
     fn receive_item(
         &mut self,
         data: &[u8],
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -3,38 +3,38 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name of a member, in bytes.
+/// Maximum length of the name of a member or a cluster, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
 
-/// Identity of a member: a name that outlives its processes, and one of these processes.
+/// Identity of a member: a name, which stays the same over restarts, and the process that currently uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Its name, unique in the cluster.
+    /// Name of the member, unique in the cluster.
     pub name: String,
-    /// Address at which it receives datagrams.
+    /// UDP address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Its incarnation: it rises with each start of a process of this name.
+    /// Incarnation of the process; higher for each later process of this name.
     #[serde(rename = "born")]
     pub incarnation: u64,
-    /// How often the process was declared failed and rejoined.
+    /// Number of times the process was declared failed and rejoined.
     #[serde(rename = "turn")]
     pub rejoin_count: u32,
 }
 
 impl MemberId {
-    /// Whether name and address are valid. To be checked for identities that are received.
+    /// Whether the name is valid and the address can be sent to. Must be checked for received identities.
     pub fn is_valid(&self) -> bool {
         is_valid_name(&self.name) && self.address.port() != 0 && !self.address.ip().is_unspecified()
     }
 
-    /// Orders the processes of one name: the newer one is greater.
-    pub(crate) fn age(&self) -> (u64, u32) {
+    /// Orders the identities of one name: a newer process, or a later rejoin of it, is greater.
+    pub(crate) fn precedence(&self) -> (u64, u32) {
         (self.incarnation, self.rejoin_count)
     }
 }
 
-/// Whether a name consists of letters, digits, `-`, `_` and `.`, so that it can be used in logs, tables and addresses, and
-/// is not too long.
+/// Whether a name has 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_` and `.`, so that it needs no escaping in
+/// logs, tables and addresses.
 pub fn is_valid_name(name: &str) -> bool {
     let is_allowed =
         |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
@@ -44,7 +44,8 @@
 impl foca::Identity for MemberId {
     type Addr = String;
 
-    /// The detector does not renew identities: `Membership` decides when a member that was declared failed rejoins.
+    /// `None`, so that `foca` does not rejoin by itself: `Membership` decides when a member that was declared failed
+    /// rejoins.
     fn renew(&self) -> Option<Self> {
         None
     }
@@ -54,6 +55,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.age(), self.address) > (other.age(), other.address)
+        (self.precedence(), self.address) > (other.precedence(), other.address)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Membership of a fleet, which its members keep by themselves. No I/O.
+//! Decentralized membership of a fleet of edges and planners. No I/O.
 //!
-//! Members are found by SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", DSN 2002) with suspicion and indirect probes, implemented by the crate `foca`. The
-//! [`MemberMetadata`] of each member is gossiped along with the protocol's messages, and a random exchange repairs what
-//! gossip missed. [`Membership`] is a state machine without clock and socket and with a seed of its own; the package
-//! `tidespur-membership-net` drives it.
+//! Failures are detected with SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol", DSN 2002), with suspicion and indirect probes, as implemented by the crate `foca`. The
+//! [`MemberMetadata`] of each member is piggybacked on the protocol's messages, and a periodic anti-entropy exchange
+//! with a random member repairs what gossip missed. [`Membership`] is a deterministic state machine: its caller, the
+//! package `tidespur-membership-net`, supplies the time, the datagrams and the random seed.
 //!
-//! Nothing that must be safe may rest on this view alone: it is late, and the two halves of a partitioned fleet have
-//! two different views.
+//! The view is eventually consistent: it lags behind, and the sides of a network partition have different views.
+//! Nothing that must be safe, such as mutual exclusion, may depend on it alone.
 
 mod detector_hooks;
 mod error;
@@ -26,7 +26,7 @@
 pub use messages::{Input, Output};
 pub use metadata::{MAX_METADATA_BYTES, MemberMetadata, MetadataUpdate, MetadataVersion, Role};
 pub use settings::Settings;
-/// Seconds: a point on the caller's clock, or a length of time.
+/// Seconds: a time of the caller's clock, or a duration.
 pub use tidespur_units::Seconds;
 pub use view::{MemberState, MemberStatus, MembershipView};
 pub use wire::{DropReason, MAX_DATAGRAM_BYTES};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One member as a state machine: datagrams and time in, datagrams and events out. Owns the failure detector, the view
-//! of the fleet and the metadata. Driven by the event loop of `tidespur-membership-net`.
+//! One member as a state machine: takes datagrams and the time, returns datagrams and events. Owns the failure
+//! detector, the view of the fleet and the metadata. Driven by the event loop of `tidespur-membership-net`.
 
 use crate::detector_hooks::DetectorHooks;
 use crate::{
@@ -19,14 +19,15 @@
 mod member_states;
 mod metadata_exchange;
 
-/// A member whose step is called later than requested by more than this was suspended, and the clock of its failure
-/// detector stops for as long (after the idea of Lifeguard: a slow member distrusts itself). Otherwise it would declare
-/// all others failed before it has read what they sent meanwhile. In return it detects real failures later by as much.
+/// If `step` is called later than requested by more than this, the process was suspended, and the clock of the failure
+/// detector is stopped for the length of the delay. Otherwise the member would declare all others failed before it has
+/// read what they sent meanwhile. As in Lifeguard, a slow member trusts its own observations less; the cost is that
+/// real failures are detected later by the same delay.
 const MAX_STEP_DELAY: Seconds = 0.25;
-/// Added to the time at which due timers are looked for: times are sums, and a due timer must not be missed by a rounding
-/// error again and again.
+/// Tolerance for rounding errors when due timers are collected. Times are sums of floating-point numbers; without it a
+/// due timer could be missed repeatedly.
 const TIMER_TOLERANCE: Seconds = 1e-6;
-/// Mixed into the seed of the failure detector, so that its random numbers differ from those of the member.
+/// XORed with the seed for the failure detector, so that its random sequence differs from that of the member.
 const DETECTOR_SEED_MASK: u64 = 0x5eed;
 
 /// One member of the fleet.
@@ -35,7 +36,7 @@
     own: MemberId,
     metadata: MemberMetadata,
     metadata_version: MetadataVersion,
-    /// Hash of the alive members of the own view.
+    /// Hash of the alive members in the view of this member.
     view_hash: u64,
     detector: Detector,
     hooks: DetectorHooks,
@@ -44,19 +45,19 @@
     last_timer_number: u64,
     members: BTreeMap<String, MemberState>,
     started_at: Seconds,
-    /// How long this member was suspended in all: the protocol's time is behind the caller's by this.
+    /// Total time for which this process was suspended; the protocol's clock is behind the caller's by this.
     suspended_for: Seconds,
-    // Times of the protocol's clock.
+    // The following times are those of the protocol's clock.
     next_refresh_at: Seconds,
     next_exchange_at: Seconds,
     next_discovery_at: Seconds,
     discovery_backoff: Seconds,
-    /// Name at which the last exchange of metadata versions ended.
+    /// Last name in the previous exchange of metadata versions.
     exchange_cursor: String,
     drops: BTreeMap<DropReason, u64>,
     rejoins: u64,
     stalls: u64,
-    /// Whether the others have declared this member failed; it rejoins, but not before `rejoin_at`.
+    /// Whether other members have declared this member failed; it rejoins at `rejoin_at` at the earliest.
     is_declared_failed: bool,
     rejoin_at: Seconds,
     /// Whether the member has left, or was replaced.
@@ -64,11 +65,11 @@
 }
 
 impl Membership {
-    /// A member that knows no other one. The incarnation of `own` must rise with each start of the same name, as
-    /// microseconds of the wall clock do.
+    /// Creates a member that knows no other one. The incarnation of `own` must be higher at each start of a process of
+    /// the same name, for instance the wall-clock time in microseconds.
     ///
     /// # Errors
-    /// If the identity, the settings or the metadata are not valid.
+    /// If the identity or the settings are not valid, or the metadata is too large.
     pub fn new(
         settings: Settings,
         own: MemberId,
@@ -141,7 +142,7 @@
             + self.suspended_for
     }
 
-    /// Takes in `inputs`, all of the time `now`, and appends the outputs.
+    /// Handles `inputs`, all at the time `now`, fires due timers, and appends the outputs.
     pub fn step(
         &mut self,
         now: Seconds,
@@ -158,7 +159,7 @@
         }
         self.hooks.lock().metadata.now = now;
         let mut is_view_changed = false;
-        // Inputs come before timers: one of them may be the reply that a timer waits for.
+        // Inputs are handled before timers: one of them may be the reply for which a timer is the timeout.
         for input in inputs {
             is_view_changed |= self.handle_input(now, input, outputs);
             if self.has_ended {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The time of the failure detector, whose clock stops while the member is suspended.
+    /// Converts a time of the caller's clock to the protocol's clock, which stops while the process is suspended.
     fn protocol_time(&self, now: Seconds) -> Seconds {
         now - self.suspended_for
     }
@@ -220,7 +221,7 @@
     let mut state = hooks.lock();
     state.own = Some(own.clone());
     state.max_members = max_members;
-    // The metadata of this member, of alive ones and of as many failed ones.
+    // This member, up to `max_members` alive ones, and as many failed ones.
     state.metadata.max_entries = max_members * 2 + 1;
     drop(state);
     hooks
--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -68,7 +68,7 @@
         data: &[u8],
         outputs: &mut Vec<Output>,
     ) -> bool {
-        // A header that can't be decoded is counted by the detector below.
+        // A datagram whose header can't be decoded is counted as malformed when the detector handles it.
         if let Ok((header, _)) = postcard::take_from_bytes::<foca::Header<MemberId>>(data) {
             self.notify_if_replaced(&header.src, outputs);
         }
@@ -79,7 +79,7 @@
 
     fn handle_hello(&mut self, now: Seconds, sender: MemberId, outputs: &mut Vec<Output>) -> bool {
         if sender == self.own {
-            // One of the seeds is the address of this member.
+            // One of the seed addresses is that of this member.
             return false;
         }
         self.notify_if_replaced(&sender, outputs);
@@ -87,7 +87,7 @@
         self.handle_alive(now, sender, outputs)
     }
 
-    /// Another member, or another process with the name of this one, has shown that it is alive.
+    /// Handles the proof that another member, or another process with the name of this one, is alive.
     fn handle_alive(&mut self, now: Seconds, id: MemberId, outputs: &mut Vec<Output>) -> bool {
         if id.name == self.own.name {
             self.hooks.lock().record_duplicate(&id);
@@ -98,8 +98,8 @@
         })
     }
 
-    /// Notifies a process whose name a newer process has. From the failure detector alone it would learn that it was
-    /// declared failed, and rejoin again and again.
+    /// Notifies a process if a newer process uses its name. The failure detector alone would only tell it that it was
+    /// declared failed, and it would rejoin repeatedly.
     fn notify_if_replaced(&self, process: &MemberId, outputs: &mut Vec<Output>) {
         let Some(member) = self.members.get(&process.name) else {
             return;
--- a/crates/membership/src/membership/detector.rs
+++ b/crates/membership/src/membership/detector.rs
@@ -1,4 +1,4 @@
-//! Runs the failure detector (crate `foca`) and carries out its effects.
+//! Runs the failure detector (crate `foca`) and applies its effects.
 
 use super::Membership;
 use crate::detector_hooks::DetectorHooks;
@@ -9,29 +9,29 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that are asked to probe indirectly for this one.
+/// Number of members that are requested to probe a member indirectly.
 const INDIRECT_PROBES: usize = 3;
-/// How often an update is gossiped.
+/// Number of times a member retransmits an update.
 const MAX_TRANSMISSIONS: u8 = 12;
-/// How often, and to how many alive members, this member announces itself.
+/// Periodic announcement of this member to alive members.
 const ANNOUNCE: Periodic = Periodic {
     interval: 3.0,
-    members: 1,
+    member_count: 1,
 };
-/// The same for failed members: two halves of a fleet that declared each other failed find each other again.
+/// Periodic announcement to failed members, by which two partitions that declared each other failed merge again.
 const ANNOUNCE_TO_FAILED: Periodic = Periodic {
     interval: 1.5,
-    members: 2,
+    member_count: 2,
 };
-/// How often, and to how many members, updates are gossiped beside the probes.
+/// Periodic gossip of updates, in addition to those piggybacked on probes.
 const GOSSIP: Periodic = Periodic {
     interval: 0.2,
-    members: 3,
+    member_count: 3,
 };
 
 pub(super) type Detector = Foca<MemberId, DetectorHooks, Pcg32, DetectorHooks>;
 
-/// A timer of the detector: when it fires, and a number that keeps timers of the same time in order.
+/// Key of a detector timer: its expiry, and a sequence number that keeps timers of equal expiry in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     at_micros: u64,
@@ -39,23 +39,23 @@
 }
 
 impl TimerKey {
-    /// When the timer fires, in seconds of the protocol's time.
+    /// Expiry of the timer, by the protocol's clock.
     pub(super) fn seconds(&self) -> Seconds {
         self.at_micros as f64 / 1e6
     }
 }
 
-/// Something that is done periodically with some random members.
+/// Parameters of a message that is sent periodically to random members.
 struct Periodic {
     interval: Seconds,
-    members: usize,
+    member_count: usize,
 }
 
 impl Periodic {
     fn params(&self) -> Option<PeriodicParams> {
         Some(PeriodicParams {
             frequency: Duration::from_secs_f64(self.interval),
-            num_members: at_least_one(self.members),
+            num_members: at_least_one(self.member_count),
         })
     }
 }
@@ -70,13 +70,13 @@
     data: Vec<u8>,
 }
 
-/// What the detector asks its runtime for, collected.
+/// Effects that the detector requested from its runtime during one call.
 #[derive(Default)]
 pub(super) struct DetectorEffects {
     sends: Vec<OutgoingData>,
     timers: Vec<TimerRequest>,
     is_view_changed: bool,
-    /// The others have declared this member failed.
+    /// Whether other members have declared this member failed.
     is_declared_failed: bool,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl Membership {
-    /// Calls the detector and carries out its effects; returns whether its view may have changed.
+    /// Calls the detector and applies its effects; returns whether its view may have changed.
     pub(super) fn run_detector(
         &mut self,
         now: Seconds,
--- a/crates/membership/src/membership/member_states.rs
+++ b/crates/membership/src/membership/member_states.rs
@@ -1,15 +1,16 @@
-//! The view of the other members: follows the failure detector, reports changes, and forgets failed members.
+//! The states of the other members: follows the failure detector, reports changes, and removes failed members.
 
 use super::Membership;
 use crate::{MemberId, MemberState, MemberStatus, MembershipView, Output, Seconds};
 use foca::{State, Timer};
 use std::collections::BTreeSet;
 
-/// How often the view is refreshed even if the failure detector reports no change: suspicion is not reported.
+/// Interval at which the view is refreshed without a notification of the failure detector, which does not notify of
+/// suspicions.
 const REFRESH_INTERVAL: Seconds = 0.2;
-/// A member that has just met others exchanges metadata versions after this.
+/// Delay of the exchange of metadata versions after a member has joined.
 const FIRST_EXCHANGE_DELAY: Seconds = 0.05;
-// FNV-1a (Fowler, Noll, Vo), 64 bits: the same on all machines.
+// 64-bit FNV-1a (Fowler, Noll, Vo), which gives the same hash on all machines.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
@@ -20,7 +21,7 @@
 }
 
 impl Membership {
-    /// A hash of the alive members, equal at all members that see the same ones.
+    /// Hash of the alive members, this one included; members that see the same ones compute the same hash.
     pub(super) fn hash_view(&self) -> u64 {
         let mut alive: Vec<(&String, u64)> = self
             .members
@@ -40,7 +41,7 @@
         hash
     }
 
-    /// Compares the view of the failure detector with the known states, and reports what has changed.
+    /// Updates the member states from the failure detector and reports the changes.
     pub(super) fn refresh_members(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         self.next_refresh_at = self.protocol_time(now) + REFRESH_INTERVAL;
         if self.resolve_duplicate(now, outputs) {
@@ -52,15 +53,14 @@
         for member in self.detector.iter_membership_state() {
             let id = member.id();
             if id.name == self.own.name {
-                // An earlier identity of this member, which the others have declared failed.
+                // An earlier identity of this member, which was declared failed.
                 continue;
             }
             known_names.insert(id.name.clone());
             let status = self.status(id, member.state());
-            let is_known = self
-                .members
-                .get(&id.name)
-                .is_some_and(|known| known.id.age() == id.age() && known.status == status);
+            let is_known = self.members.get(&id.name).is_some_and(|known| {
+                known.id.precedence() == id.precedence() && known.status == status
+            });
             if !is_known {
                 changed.push(ChangedMember {
                     id: id.clone(),
@@ -114,7 +114,7 @@
         let known = self.members.get(&name);
         let was_alive = known.is_some_and(|known| known.status.is_alive());
         let previous_status = known
-            .filter(|known| known.id.age() == id.age())
+            .filter(|known| known.id.precedence() == id.precedence())
             .map(|known| known.status);
         let event = match (previous_status, status) {
             (Some(MemberStatus::Suspect), MemberStatus::Alive) => {
@@ -126,7 +126,7 @@
             (_, MemberStatus::Alive | MemberStatus::Suspect) => {
                 Some(Output::MemberJoined(name.clone()))
             }
-            // The end of a member that was never seen alive is not reported.
+            // Failure and departure of a member that was never seen alive are not reported.
             (_, MemberStatus::Failed) if was_alive => Some(Output::MemberFailed(name.clone())),
             (_, MemberStatus::Left) if was_alive => Some(Output::MemberLeft(name.clone())),
             _ => None,
@@ -155,8 +155,9 @@
             .count();
     }
 
-    /// Forgets the members that failed first if more failed ones are remembered than may be alive. They are remembered
-    /// beside the alive ones: if they were forgotten too soon, whoever still believes in them would bring them back.
+    /// Removes the members that failed first if more than `max_members` failed ones are known. Failed members are kept
+    /// in addition to the alive ones: if one were removed too early, a member that still holds it for alive would add
+    /// it again by gossip.
     fn forget_excess_failed(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
         let is_failed = |member: &&foca::Member<MemberId>| member.state() == State::Down;
         let count = self
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The fleet as this member sees it.
+    /// The current view of the fleet.
     pub fn view(&self) -> MembershipView {
         let state = self.hooks.lock();
         let mut members: Vec<MemberState> = self.members.values().cloned().collect();
--- a/crates/membership/src/membership/metadata_exchange.rs
+++ b/crates/membership/src/membership/metadata_exchange.rs
@@ -1,25 +1,26 @@
-//! Publishing the own metadata, and the exchange of versions with random members that repairs what gossip missed.
+//! Publishes the metadata of this member, and repairs what gossip missed by an anti-entropy exchange of versions with
+//! random members.
 
 use super::Membership;
 use crate::wire::{Body, MAX_BODY_BYTES};
 use crate::{MemberId, MetadataUpdate, MetadataVersion, Output, Seconds};
 use rand::RngExt;
 
-/// Versions are exchanged with a random member after a random pause between half of this and all of it.
+/// Maximum interval between two exchanges of versions; the interval is random, from half of this on.
 pub(super) const EXCHANGE_INTERVAL: Seconds = 1.5;
-/// Updates that are sent in reply to one request.
+/// Maximum number of updates that are sent in reply to one request.
 const MAX_UPDATES_PER_REPLY: usize = 32;
-/// Versions that are compared in one datagram.
+/// Maximum number of versions of one datagram that are compared.
 const MAX_COMPARED_VERSIONS: usize = MAX_UPDATES_PER_REPLY * 2;
-/// Names whose metadata is requested in one datagram.
+/// Maximum number of names whose metadata is requested in one datagram.
 const MAX_REQUESTED_NAMES: usize = MAX_UPDATES_PER_REPLY / 2;
-/// Space for names, updates and versions in a body, without the sender and the lengths of the lists, in bytes.
+/// Maximum size of names, updates and versions in a body, in bytes; the rest is for the sender and the list lengths.
 const MAX_LIST_BYTES: usize = MAX_BODY_BYTES - 128;
-/// Upper bound of the encoded size of a version and the length of a name, in bytes.
+/// Upper bound of the encoded size of a version and the length prefix of its name, in bytes.
 const VERSION_BYTES: usize = 16;
 
 impl Membership {
-    /// Gossips the metadata of this member as a new version.
+    /// Broadcasts the metadata of this member as a new version.
     pub(super) fn publish_metadata(&mut self) {
         self.metadata_version.count = self.metadata_version.count.wrapping_add(1);
         let update = self.own_update().encode();
@@ -37,7 +38,7 @@
     }
 
     pub(super) fn store_metadata(&mut self, update: MetadataUpdate, outputs: &mut Vec<Output>) {
-        // Metadata under the own name is the own one, or that of another process with this name.
+        // An update under this member's name is its own, or that of another process of this name.
         if !update.is_valid() || update.name == self.own.name {
             return;
         }
@@ -47,10 +48,11 @@
         }
     }
 
-    /// Sends the versions of the known metadata to a random member, a part of the names at a time.
+    /// Sends the versions of known metadata to a random member. Each call covers as many names as fit into a datagram,
+    /// and continues after the last name of the previous call.
     pub(super) fn exchange_versions(&mut self, now: Seconds, outputs: &mut Vec<Output>) {
-        let pause = EXCHANGE_INTERVAL * self.rng.random_range(0.5..1.0);
-        self.next_exchange_at = self.protocol_time(now) + pause;
+        let interval = EXCHANGE_INTERVAL * self.rng.random_range(0.5..1.0);
+        self.next_exchange_at = self.protocol_time(now) + interval;
         let addresses = self.alive_addresses();
         if addresses.is_empty() {
             return;
@@ -63,7 +65,7 @@
         self.send(to, &Body::Versions(self.own.clone(), versions), outputs);
     }
 
-    /// As many versions as fit into a datagram, from the name after the cursor on.
+    /// As many versions as fit into a datagram, from the first name after the cursor on, cyclically.
     fn next_versions(&self) -> Vec<(String, MetadataVersion)> {
         let state = self.hooks.lock();
         let names: Vec<&String> = state.known_names.iter().chain([&self.own.name]).collect();
@@ -84,7 +86,7 @@
         versions
     }
 
-    /// Compares the versions of another member: sends it newer metadata, and requests what is newer there.
+    /// Compares the versions that another member has: sends it newer metadata, and requests what is newer there.
     pub(super) fn compare_versions(
         &mut self,
         from: &MemberId,
@@ -112,7 +114,7 @@
         self.send_metadata(from, &newer_here, outputs);
     }
 
-    /// Sends the known metadata of these members, as many to a datagram as fit.
+    /// Sends the known metadata of these members, with as many updates per datagram as fit.
     pub(super) fn send_metadata(
         &mut self,
         to: &MemberId,
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -6,33 +6,33 @@
 /// An input of a member.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A datagram was received.
+    /// A datagram, as it was received from the socket.
     DatagramReceived(Vec<u8>),
-    /// Gossip this metadata of this member from now on.
+    /// Replaces the metadata that this member gossips.
     UpdateMetadata(MemberMetadata),
-    /// Leave the fleet in order.
+    /// Leaves the fleet gracefully; the member ends.
     LeaveFleet,
 }
 
-/// An output of a member: an effect to carry out, or an event.
+/// An output of a member: a datagram to send, or an event for the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a datagram to this address.
+    /// Sends a datagram to this address.
     SendDatagram(SocketAddr, Vec<u8>),
-    /// The member of this name is alive, for the first time or again.
+    /// The member of this name is alive, for the first time, again, or under a newer identity.
     MemberJoined(String),
     /// The member of this name did not reply to a probe.
     MemberSuspected(String),
-    /// The suspected member of this name has shown that it is alive.
+    /// The suspected member of this name has refuted the suspicion.
     SuspicionRefuted(String),
     /// The member of this name was declared failed.
     MemberFailed(String),
-    /// The member of this name has left in order.
+    /// The member of this name has left the fleet gracefully.
     MemberLeft(String),
-    /// The metadata of the member of this name has changed.
+    /// Newer metadata of the member of this name was received.
     MetadataChanged(String),
-    /// The others had declared this member failed; it rejoins.
+    /// Other members had declared this member failed; it rejoins under a newer identity.
     Rejoined,
-    /// A newer process, this one, has the name of this member: the program has to shut down.
+    /// A newer process, with this identity, uses the name of this member: the process has to shut down.
     Replaced(MemberId),
 }
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,9 +1,9 @@
-//! Metadata that each member publishes of itself, and its form on the wire.
+//! Metadata that each member publishes about itself, and its encoding on the wire.
 
 use crate::id::is_valid_name;
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded size of the metadata of a member, in bytes.
+/// Maximum size of an encoded [`MetadataUpdate`], in bytes.
 pub const MAX_METADATA_BYTES: usize = 400;
 
 /// Role of a member.
@@ -25,12 +25,12 @@
     }
 }
 
-/// Metadata of a member.
+/// Metadata that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMetadata {
-    /// Its role.
+    /// What the process does.
     pub role: Role,
-    /// Its zone; empty if it has none.
+    /// Zone of the member; empty if it has none.
     pub zone: String,
     /// Address of the API of an edge; empty for a planner.
     #[serde(rename = "api")]
@@ -38,16 +38,16 @@
     /// Address at which an edge accepts planners; empty for a planner.
     #[serde(rename = "link")]
     pub link_address: String,
-    /// Number of tasks without an outcome, if the member publishes it.
+    /// Number of tasks without an outcome; `None` if the member does not publish it.
     #[serde(rename = "open")]
     pub open_tasks: Option<u32>,
-    /// Whether it is shutting down in order and accepts no more work.
+    /// Whether the member is shutting down gracefully and accepts no more work.
     #[serde(rename = "leaving")]
     pub is_leaving: bool,
 }
 
 impl MemberMetadata {
-    /// Metadata of a member of this role, with all other fields empty.
+    /// Metadata for a member of this role, with all other fields empty.
     pub fn for_role(role: Role) -> Self {
         Self {
             role,
@@ -65,12 +65,12 @@
 pub struct MetadataUpdate {
     /// Name of the member.
     pub name: String,
-    /// Version of the metadata.
+    /// Version of the metadata; replaces all lower ones.
     pub version: MetadataVersion,
-    /// Hash of the alive members that it sees; equal for equal views.
+    /// Hash of the alive members in its view; equal views have equal hashes.
     #[serde(rename = "sees")]
     pub view_hash: u64,
-    /// The metadata.
+    /// The metadata itself.
     #[serde(rename = "facts")]
     pub metadata: MemberMetadata,
 }
@@ -81,17 +81,16 @@
     /// Incarnation of the member's process.
     #[serde(rename = "born")]
     pub incarnation: u64,
-    /// Number of updates of this incarnation.
+    /// Number of updates within this incarnation.
     pub count: u32,
 }
 
 impl MetadataUpdate {
-    /// Encodes the update.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes an update; `None` if the bytes are no valid one.
+    /// Decodes an update; `None` if it is malformed or too large.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let update: Self = postcard::from_bytes(bytes).ok()?;
         update.is_valid().then_some(update)
--- a/crates/membership/src/metadata_table.rs
+++ b/crates/membership/src/metadata_table.rs
@@ -1,9 +1,9 @@
-//! The newest known metadata of all other members.
+//! The newest received metadata of each member.
 
 use crate::{MetadataUpdate, MetadataVersion, Seconds};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The newest update of a member.
+/// The newest update of a member, with the time of its receipt.
 #[derive(Debug)]
 pub(crate) struct ReceivedMetadata {
     pub(crate) update: MetadataUpdate,
@@ -13,14 +13,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct MetadataTable {
     by_name: BTreeMap<String, ReceivedMetadata>,
-    /// Number of members whose metadata is kept.
+    /// Maximum number of members whose metadata is kept.
     pub(crate) max_entries: usize,
-    /// The current time, for the updates that are received.
+    /// The time of the current step, stored with each received update.
     pub(crate) now: Seconds,
 }
 
 impl MetadataTable {
-    /// Stores an update; `false` if it is not newer than the known one, or the table is full.
+    /// Stores an update; returns `false` if it is not newer than the known one, or the table is full.
     pub(crate) fn insert(&mut self, update: MetadataUpdate) -> bool {
         let known = self.by_name.get(&update.name);
         let is_newer = known.is_none_or(|known| update.version > known.update.version);
@@ -45,7 +45,7 @@
         self.get(name).map(|received| received.update.version)
     }
 
-    /// Removes the metadata of all members but these and `own_name`.
+    /// Removes the metadata of all members except `names` and `own_name`.
     pub(crate) fn retain(&mut self, names: &BTreeSet<String>, own_name: &str) {
         self.by_name
             .retain(|name, _| names.contains(name) || name == own_name);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of a member, and their check.
+//! Settings of a member, and their validation.
 
 use crate::id::is_valid_name;
 use crate::{MembershipError, Seconds};
 use std::net::SocketAddr;
 
-/// Upper bound of all times in the settings.
+/// Upper bound of all times in the settings, in seconds.
 const MAX_TIME: Seconds = 1e6;
 
 /// Settings of a member.
@@ -12,17 +12,17 @@
 pub struct Settings {
     /// Name of the cluster. Datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Addresses at which other members may be found at first.
+    /// Addresses of members that are contacted to join the fleet; may include the member's own.
     pub seed_addresses: Vec<SocketAddr>,
-    /// Number of members that may be alive. As many failed ones are remembered.
+    /// Maximum number of alive members. As many failed ones are kept in addition.
     pub max_members: usize,
-    /// How often this member probes another one.
+    /// Interval between two probes by this member, in seconds.
     pub probe_interval: Seconds,
-    /// How long this member waits for a reply before it probes indirectly, by others.
+    /// Time without a reply, in seconds, after which this member probes indirectly, through other members.
     pub probe_timeout: Seconds,
-    /// How long a suspected member has to refute the suspicion.
+    /// Time in which a suspected member may refute the suspicion, in seconds; then it is declared failed.
     pub suspicion_timeout: Seconds,
-    /// How long failed members are remembered, and announced to.
+    /// Time for which failed members are kept and receive announcements, in seconds.
     pub forget_after: Seconds,
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,23 +1,23 @@
-//! The view that a member has of the fleet, for its program and for operators.
+//! The fleet as one member sees it, for the process that runs the member and for operators.
 
 use crate::{DropReason, MemberId, MemberMetadata, Seconds};
 use std::collections::BTreeMap;
 
-/// Status of a member.
+/// Status of a member, as the failure detector of another member sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
     /// It replies to probes.
     Alive,
-    /// It did not reply to a probe, and has some time to refute the suspicion.
+    /// It did not reply to a probe, and may refute the suspicion until the suspicion timeout.
     Suspect,
-    /// It was declared failed.
+    /// It was declared failed: the suspicion was not refuted in time.
     Failed,
-    /// It has left in order.
+    /// It has left the fleet gracefully.
     Left,
 }
 
 impl MemberStatus {
-    /// Whether it counts as a member; a suspected one does.
+    /// Whether it counts as a member: alive or suspected.
     pub fn is_alive(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -33,18 +33,18 @@
     }
 }
 
-/// The state of a member as another one sees it.
+/// The state of a member as the member that has the view sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberState {
-    /// Its identity.
+    /// The newest known identity of the member.
     pub id: MemberId,
-    /// Its status.
+    /// The status of that identity.
     pub status: MemberStatus,
-    /// When the status last changed, by the clock of the member that sees it.
+    /// When the status last changed, by the clock of the member that has the view.
     pub since: Seconds,
-    /// Its metadata, once it was received.
+    /// The newest received metadata; `None` until some is received.
     pub metadata: Option<MemberMetadata>,
-    /// When the metadata was received.
+    /// When the metadata was received, by the same clock; 0 without metadata.
     pub metadata_received_at: Seconds,
 }
 
@@ -55,13 +55,13 @@
     pub own: MemberId,
     /// All known members, itself included, in order of their names.
     pub members: Vec<MemberState>,
-    /// Whether the view has converged: all alive members have published the same view as this one.
+    /// Whether the metadata of every alive member carries the same view hash as this member's own view.
     pub has_converged: bool,
-    /// Number of dropped datagrams by reason.
+    /// Number of dropped datagrams by reason, since the start.
     pub drops: BTreeMap<DropReason, u64>,
-    /// How often this member was declared failed and rejoined.
+    /// Number of times this member was declared failed and rejoined.
     pub rejoins: u64,
-    /// How often this member was suspended for longer than a member may be.
+    /// Number of times this process was suspended long enough that the failure detector's clock was stopped meanwhile.
     pub stalls: u64,
 }
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,19 +1,19 @@
 //! Format of datagrams.
 //!
-//! Datagrams of other clusters and other versions, truncated and malformed ones are dropped, and counted by the reason.
-//! There is no protection against members that lie on purpose: the network between schedulers is trusted.
+//! Datagrams of other clusters or format versions, and truncated or malformed ones, are dropped and counted by reason.
+//! Senders are not authenticated and false statements are not detected: the network between schedulers is trusted.
 
 use crate::id::MemberId;
 use crate::metadata::{MetadataUpdate, MetadataVersion};
 use serde::{Deserialize, Serialize};
 
-/// Largest size of a datagram, in bytes, so that none is fragmented on the way.
+/// Maximum size of a datagram, in bytes; small enough to avoid IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Largest size of the envelope: a name of a cluster, and the other fields.
+/// Upper bound of the size of the envelope, in bytes: the name of the cluster, and the other fields.
 const MAX_ENVELOPE_BYTES: usize = 64 + 8;
-/// Largest size of the body of a datagram, in bytes.
+/// Maximum size of the body of a datagram, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES;
-/// First bytes of each datagram.
+/// First bytes of each datagram, by which other traffic is rejected.
 const MAGIC: &[u8; 3] = b"tsf";
 /// Version of the format; datagrams of another version are dropped.
 const VERSION: u8 = 1;
@@ -23,23 +23,23 @@
 pub enum Body {
     /// A message of the failure detector, in the format of the crate `foca`.
     Swim(Vec<u8>),
-    /// Asks the receiver for its identity; the sender is this member.
+    /// Requests the identity of the receiver; carries that of the sender.
     Hello(MemberId),
-    /// The reply to `Hello`, with the identity of its sender.
+    /// The reply to `Hello`; carries the identity of its sender.
     Welcome(MemberId),
-    /// Notifies an older process of a name that this one has replaced it.
+    /// Notifies the receiver that this newer process has replaced it under its name.
     #[serde(rename = "Newer")]
     ReplacedBy(MemberId),
-    /// Versions of the metadata that the sender, this member, has. The reply consists of newer metadata, and of the names
-    /// whose metadata the replier lacks.
+    /// The sender, and the versions of the metadata that it has. The receiver replies with metadata that is newer, and
+    /// with the names whose metadata is newer at the sender.
     Versions(MemberId, Vec<(String, MetadataVersion)>),
-    /// Metadata that the sender has, and names of members whose metadata it requests.
+    /// The sender, metadata that it has, and names of members whose metadata it requests.
     #[serde(rename = "Facts")]
     Metadata(MemberId, Vec<MetadataUpdate>, Vec<String>),
 }
 
 impl Body {
-    /// The identity of the sender; a message of the failure detector has its own.
+    /// The identity of the sender; `None` for a message of the failure detector, whose header has it.
     pub(crate) fn sender(&self) -> Option<&MemberId> {
         match self {
             Self::Swim(_) => None,
@@ -55,18 +55,18 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// It is no datagram of this protocol, truncated, or malformed.
+    /// It is not a datagram of this protocol, or is truncated or malformed.
     Malformed,
-    /// It has another version of the format.
+    /// Its format version is not supported.
     ProtocolVersion,
-    /// It is of another cluster.
+    /// It belongs to another cluster.
     OtherCluster,
-    /// It names more members than are allowed.
+    /// It names a new member while the maximum number of members is alive.
     TooManyMembers,
 }
 
 impl DropReason {
-    /// Name of its counter in JSON.
+    /// Name of the reason's counter in JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "unreadable",
@@ -77,7 +77,7 @@
     }
 }
 
-/// Encodes a datagram.
+/// Encodes a datagram of the cluster, envelope included.
 pub fn encode(cluster: &str, body: &Body) -> Vec<u8> {
     let encoded = postcard::to_stdvec(body).unwrap_or_default();
     let mut bytes = Vec::with_capacity(encoded.len() + cluster.len() + 7);
@@ -85,16 +85,16 @@
     bytes.push(VERSION);
     bytes.push(cluster.len() as u8);
     bytes.extend(cluster.as_bytes());
-    // By the length a truncated datagram is told from a complete one that happens to be decodable.
+    // The length distinguishes a complete datagram from a truncated one, which may still be decodable.
     bytes.extend((encoded.len() as u16).to_be_bytes());
     bytes.extend(encoded);
     bytes
 }
 
-/// Decodes a datagram.
+/// Decodes a datagram, and checks that it belongs to the cluster.
 ///
 /// # Errors
-/// Why it has to be dropped.
+/// The reason for which the datagram has to be dropped.
 pub fn decode(cluster: &str, bytes: &[u8]) -> Result<Body, DropReason> {
     let rest = bytes.strip_prefix(MAGIC).ok_or(DropReason::Malformed)?;
     let (&version, rest) = rest.split_first().ok_or(DropReason::Malformed)?;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Members in simulated time, and their datagrams.
+//! Runs members in simulated time without packet loss, and builds datagrams.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddr;
@@ -25,7 +25,8 @@
         .expect("a valid member")
 }
 
-/// Delivers datagrams between members, by port, until `end`; returns the events of each member, by its index.
+/// Runs the members from `start` to `end` in steps of 10 ms. A datagram to port n is delivered at once to the member
+/// with index n - 1. Returns the events, each with the index of its member.
 pub fn run(members: &mut [Membership], start: f64, end: f64) -> Vec<(usize, Output)> {
     let mut events = Vec::new();
     let mut now = start;
@@ -56,14 +57,15 @@
     events
 }
 
-pub fn join() -> Settings {
+/// Settings with the member at port 1 as the only seed.
+pub fn settings_with_seed() -> Settings {
     Settings {
         seed_addresses: vec![address(1)],
         ..Settings::default()
     }
 }
 
-/// The first datagram of a member, which greets its seed.
+/// The first datagram of a member at port 9: `Hello` to its seed.
 pub fn hello(settings: Settings, name: &str) -> Vec<u8> {
     let mut outputs = Vec::new();
     member(id(name, 9, 1), settings, 0.0).step(0.0, [], &mut outputs);
@@ -73,10 +75,10 @@
             Output::SendDatagram(_, bytes) => Some(bytes),
             _ => None,
         })
-        .expect("it greets its seed")
+        .expect("it sends a datagram to its seed")
 }
 
-/// The bytes of a datagram that is sent; `None` for other outputs.
+/// The bytes of a sent datagram; `None` for other outputs.
 pub fn datagram(output: Output) -> Option<Vec<u8>> {
     match output {
         Output::SendDatagram(_, bytes) => Some(bytes),
@@ -84,7 +86,7 @@
     }
 }
 
-/// The state of the member of this name in the view of another one.
+/// The state of the member `name` in the view of `member`.
 pub fn state_of(member: &Membership, name: &str) -> MemberState {
     let members = member.view().members;
     members
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! The bytes of gossip datagrams stay as an earlier version wrote them, so that old and new members form one cluster
-//! while it is upgraded.
+//! The encoding of datagrams is the same as in earlier versions, so that old and new members form one cluster during a
+//! rolling upgrade.
 
 use foca::{Header, Member, Message};
 use serde::Serialize;
@@ -81,7 +81,7 @@
     }
 }
 
-/// A new variant fails to compile here until it has a name; add a sample of it to [`bodies`] as well.
+/// Exhaustive, so that a new variant fails to compile here; it also needs a sample in [`bodies`].
 fn body_name(body: &Body) -> &'static str {
     match body {
         Body::Swim(_) => "swim",
@@ -158,7 +158,7 @@
     );
 }
 
-/// It is also gossiped on its own, as broadcasts within the failure detector's datagrams.
+/// Metadata is also gossiped outside of [`Body::Metadata`]: as broadcasts in the failure detector's messages.
 #[test]
 fn metadata_keeps_its_bytes_when_encoded_and_decoded() {
     let samples =
--- a/crates/membership/tests/limits.rs
+++ b/crates/membership/tests/limits.rs
@@ -1,40 +1,40 @@
-//! Members under malformed datagrams and too many members.
+//! A member under malformed datagrams and with more members than the limit.
 
 mod common;
 
-use common::{address, datagram, hello, id, join, member, run, state_of};
+use common::{address, datagram, hello, id, member, run, settings_with_seed, state_of};
 use tidespur_membership::{
     DropReason, Input, MemberId, MemberMetadata, MemberStatus, Membership, Output, Role, Settings,
 };
 
 #[test]
 fn datagrams_are_dropped_and_counted_when_they_are_malformed_or_of_another_cluster_or_version() {
-    let mut one = member(id("a", 1, 1), Settings::default(), 0.0);
-    let good = hello(join(), "b");
-    let other = hello(
+    let mut member = member(id("a", 1, 1), Settings::default(), 0.0);
+    let good = hello(settings_with_seed(), "b");
+    let other_cluster = hello(
         Settings {
             cluster: "other".into(),
-            ..join()
+            ..settings_with_seed()
         },
         "b",
     );
-    let mut version = good.clone();
-    version[3] += 1;
+    let mut other_version = good.clone();
+    other_version[3] += 1;
     let mut outputs = Vec::new();
-    let mut take =
-        |bytes: &[u8]| one.step(0.1, [Input::DatagramReceived(bytes.to_vec())], &mut outputs);
-    (0..good.len()).for_each(|length| take(&good[..length]));
-    take(&[good.clone(), vec![0]].concat());
-    take(&other);
-    take(&version);
-    take(&[0xff; 4_000]);
+    let mut receive =
+        |bytes: &[u8]| member.step(0.1, [Input::DatagramReceived(bytes.to_vec())], &mut outputs);
+    (0..good.len()).for_each(|length| receive(&good[..length]));
+    receive(&[good.clone(), vec![0]].concat());
+    receive(&other_cluster);
+    receive(&other_version);
+    receive(&[0xff; 4_000]);
     assert!(
         !outputs
             .iter()
             .any(|output| matches!(output, Output::SendDatagram(to, _) if to.port() == 9)),
         "{outputs:?}"
     );
-    let drops = one.view().drops;
+    let drops = member.view().drops;
     assert_eq!(drops[&DropReason::Malformed], good.len() as u64 + 2);
     assert_eq!(
         (
@@ -43,7 +43,7 @@
         ),
         (1, 1)
     );
-    one.step(0.2, [Input::DatagramReceived(good)], &mut outputs);
+    member.step(0.2, [Input::DatagramReceived(good)], &mut outputs);
     assert!(
         outputs
             .iter()
@@ -52,29 +52,29 @@
     );
 }
 
-/// Each byte of a valid datagram is changed, one at a time.
+/// Changes each byte of a valid datagram, one at a time; the member must not panic.
 #[test]
-fn member_survives_datagrams_with_any_byte_changed() {
-    let mut one = member(id("a", 1, 1), join(), 0.0);
-    let good = hello(join(), "b");
+fn member_does_not_panic_when_any_byte_of_a_datagram_is_changed() {
+    let mut member = member(id("a", 1, 1), settings_with_seed(), 0.0);
+    let good = hello(settings_with_seed(), "b");
     let mut outputs = Vec::new();
     for at in 0..good.len() {
         for change in [1, 0x40, 0x80, 0xff] {
             let mut bytes = good.clone();
             bytes[at] ^= change;
-            one.step(0.1, [Input::DatagramReceived(bytes)], &mut outputs);
+            member.step(0.1, [Input::DatagramReceived(bytes)], &mut outputs);
         }
     }
-    one.step(0.2, [], &mut outputs);
+    member.step(0.2, [], &mut outputs);
 }
 
-/// Sixty thousand members that do not exist announce themselves, one after the other: memory stays bounded, and the
-/// members that exist stay.
+/// 60,000 fake members join one after the other and then stop replying. The number of known members must stay bounded,
+/// and the real members must stay alive.
 #[test]
-fn known_members_are_bounded_when_sixty_thousand_announce_themselves() {
+fn known_members_are_bounded_when_sixty_thousand_fake_members_join() {
     let settings = Settings {
         max_members: 64,
-        ..join()
+        ..settings_with_seed()
     };
     let mut members = [
         member(id("a", 1, 1), settings.clone(), 0.0),
@@ -82,28 +82,28 @@
     ];
     run(&mut members, 0.0, 2.0);
     for n in 0..60_000 {
-        let claim = MemberId {
-            name: format!("ghost-{n}"),
+        let fake_id = MemberId {
+            name: format!("fake-{n}"),
             address: address(7),
             incarnation: 1,
             rejoin_count: 0,
         };
-        let mut ghost = Membership::new(
+        let mut fake = Membership::new(
             settings.clone(),
-            claim,
+            fake_id,
             MemberMetadata::for_role(Role::Planner),
             n,
             0.0,
         )
         .expect("a valid member");
         let mut outputs = Vec::new();
-        // It greets `a` as a seed, and sends it all that it would send.
-        ghost.step(0.0, [], &mut outputs);
-        let greetings: Vec<Vec<u8>> = outputs.drain(..).filter_map(datagram).collect();
+        // The fake member contacts `a` as its seed, and replies once to what `a` sends.
+        fake.step(0.0, [], &mut outputs);
+        let hellos: Vec<Vec<u8>> = outputs.drain(..).filter_map(datagram).collect();
         let mut replies = Vec::new();
         members[0].step(
             2.0,
-            greetings.into_iter().map(Input::DatagramReceived),
+            hellos.into_iter().map(Input::DatagramReceived),
             &mut replies,
         );
         let replies: Vec<Vec<u8>> = replies
@@ -111,7 +111,7 @@
             .filter(|output| matches!(output, Output::SendDatagram(to, _) if to.port() == 7))
             .filter_map(datagram)
             .collect();
-        ghost.step(
+        fake.step(
             0.0,
             replies.into_iter().map(Input::DatagramReceived),
             &mut outputs,
@@ -132,32 +132,32 @@
         "{:?}",
         view.drops
     );
-    // Nobody replies for them: they are declared failed, and do not count any more.
+    // The fake members do not reply to probes, are declared failed, and no longer count as alive.
     run(&mut members, 2.0, 90.0);
     let b = state_of(&members[0], "b");
     assert_eq!(b.status, MemberStatus::Alive);
 }
 
-/// A member that may know no more members receives the names of others from one that it knows: the rest of that
-/// message, replies to probes for instance, must not be dropped with them.
+/// A member at its limit rejects new members that are named in a message of a known one. The rest of that message, such
+/// as replies to probes, must not be dropped with them, else the known member would be declared failed.
 #[test]
 fn known_members_stay_alive_when_a_member_rejects_further_ones() {
-    let small = Settings {
+    let limited = Settings {
         max_members: 1,
-        ..join()
+        ..settings_with_seed()
     };
     let mut members = vec![
-        member(id("a", 1, 1), small, 0.0),
-        member(id("b", 2, 1), join(), 0.0),
+        member(id("a", 1, 1), limited, 0.0),
+        member(id("b", 2, 1), settings_with_seed(), 0.0),
     ];
     run(&mut members, 0.0, 2.0);
-    // The others join by `b`, which names them to `a`.
-    let join_by_b = Settings {
+    // The other members join through `b`, which names them to `a`.
+    let seeded_by_b = Settings {
         seed_addresses: vec![address(2)],
         ..Settings::default()
     };
-    members.push(member(id("c", 3, 1), join_by_b.clone(), 2.0));
-    members.push(member(id("d", 4, 1), join_by_b, 2.0));
+    members.push(member(id("c", 3, 1), seeded_by_b.clone(), 2.0));
+    members.push(member(id("d", 4, 1), seeded_by_b, 2.0));
     let events = run(&mut members, 2.0, 20.0);
     let is_loss_of_b = |output: &Output| matches!(output, Output::MemberFailed(name) | Output::MemberSuspected(name) if name == "b");
     assert!(
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,22 +1,22 @@
-//! A few members, with datagrams and metadata from outside.
+//! Name conflicts, graceful departure, and metadata, among a few members in simulated time.
 
 mod common;
 
-use common::{datagram, id, join, member, run, state_of};
+use common::{datagram, id, member, run, settings_with_seed, state_of};
 use tidespur_membership::{
     Input, MemberMetadata, MemberStatus, Membership, MembershipError, Output, Role, Settings,
 };
 
-/// The newer process of a name stays; the older one is notified, and sends nothing any more.
+/// The newer process keeps the name; the older one is notified, ends and sends nothing more.
 #[test]
 fn older_process_ends_when_two_have_the_same_name() {
     let mut members = [
-        member(id("a", 1, 1), join(), 0.0),
-        member(id("x", 2, 5), join(), 0.0),
+        member(id("a", 1, 1), settings_with_seed(), 0.0),
+        member(id("x", 2, 5), settings_with_seed(), 0.0),
     ];
     run(&mut members, 0.0, 5.0);
     let [a, x] = members;
-    let mut members = [a, x, member(id("x", 3, 9), join(), 5.0)];
+    let mut members = [a, x, member(id("x", 3, 9), settings_with_seed(), 5.0)];
     let events = run(&mut members, 5.0, 10.0);
     assert!(
         events.contains(&(1, Output::Replaced(id("x", 3, 9)))),
@@ -35,16 +35,16 @@
     );
 }
 
-/// The incarnation of the restarted process is lower than that of the one that was killed.
+/// The restarted process has a lower incarnation than the killed one, and must not be taken for an older process.
 #[test]
 fn restarted_process_joins_when_the_clock_was_set_back() {
     let mut members = [
-        member(id("a", 1, 1), join(), 0.0),
-        member(id("x", 2, 500), join(), 0.0),
+        member(id("a", 1, 1), settings_with_seed(), 0.0),
+        member(id("x", 2, 500), settings_with_seed(), 0.0),
     ];
     run(&mut members, 0.0, 5.0);
     let [a, _] = members;
-    let mut members = [a, member(id("x", 2, 400), join(), 5.0)];
+    let mut members = [a, member(id("x", 2, 400), settings_with_seed(), 5.0)];
     let events = run(&mut members, 5.0, 15.0);
     assert!(
         !events
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn member_is_reported_as_left_and_not_as_failed_when_it_leaves_in_order() {
+fn member_is_reported_as_left_and_not_as_failed_when_it_leaves_gracefully() {
     let mut members = [
-        member(id("a", 1, 1), join(), 0.0),
-        member(id("b", 2, 1), join(), 0.0),
+        member(id("a", 1, 1), settings_with_seed(), 0.0),
+        member(id("b", 2, 1), settings_with_seed(), 0.0),
     ];
     run(&mut members, 0.0, 3.0);
     let mut outputs = Vec::new();
@@ -89,11 +89,11 @@
 
 #[test]
 fn starting_fails_when_the_metadata_does_not_fit_into_a_datagram() {
-    let long = MemberMetadata {
+    let too_large = MemberMetadata {
         zone: "z".repeat(500),
         ..MemberMetadata::for_role(Role::Edge)
     };
-    let error = Membership::new(Settings::default(), id("a", 1, 1), long, 1, 0.0).err();
+    let error = Membership::new(Settings::default(), id("a", 1, 1), too_large, 1, 0.0).err();
     assert!(error.is_some_and(|error| {
         matches!(error, MembershipError::MetadataTooLarge { .. })
             && error.to_string().contains("400 bytes")
@@ -103,13 +103,13 @@
 #[test]
 fn newest_metadata_is_known_to_the_others_when_a_member_updates_it() {
     let mut members = [
-        member(id("a", 1, 1), join(), 0.0),
-        member(id("b", 2, 1), join(), 0.0),
+        member(id("a", 1, 1), settings_with_seed(), 0.0),
+        member(id("b", 2, 1), settings_with_seed(), 0.0),
     ];
     run(&mut members, 0.0, 3.0);
-    for open in 1..20 {
+    for open_tasks in 1..20 {
         let metadata = MemberMetadata {
-            open_tasks: Some(open),
+            open_tasks: Some(open_tasks),
             link_address: "127.0.0.1:7".into(),
             ..MemberMetadata::for_role(Role::Planner)
         };
@@ -121,7 +121,7 @@
         .members
         .iter()
         .find(|member| member.id.name == "b")
-        .expect("it is known");
+        .expect("member b is known");
     assert_eq!(
         b.metadata
             .as_ref()
