--- a/crates/membership-net/src/error.rs
+++ b/crates/membership-net/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of joining a fleet, and of a process that was replaced.
+//! Errors of joining a fleet, and the error of a process that was replaced by a newer one.
 
 use std::io;
 use std::net::AddrParseError;
@@ -11,15 +11,15 @@
     /// An address in the settings can't be parsed.
     #[error("fleet.join: {address}: {reason}; an IP address and a port are needed")]
     SeedAddress {
-        /// The address.
+        /// The address as it is in the settings.
         address: String,
-        /// The parser's error.
+        /// Why it can't be parsed.
         reason: AddrParseError,
     },
-    /// The address for datagrams can't be used.
+    /// The address for datagrams can't be resolved or bound.
     #[error("{address}: can't receive datagrams: {reason}; look at fleet.listen or --fleet-listen")]
     Listen {
-        /// The address.
+        /// The address, from the settings or the option.
         address: String,
         /// The operating system's error.
         reason: io::Error,
@@ -27,12 +27,12 @@
     /// The handler of SIGTERM can't be installed.
     #[error("can't wait for SIGTERM: {0}")]
     Signals(io::Error),
-    /// The member can't start.
+    /// The identity, the settings or the metadata of the member are not valid.
     #[error(transparent)]
     Member(#[from] MembershipError),
 }
 
-/// The process has shut down because a newer one has its name.
+/// The process has shut down because a newer one uses its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a newer process has this one's name; give each process a --name of its own")]
 pub struct ReplacedError;
--- a/crates/membership-net/src/event_log.rs
+++ b/crates/membership-net/src/event_log.rs
@@ -1,16 +1,17 @@
-//! Log lines about membership events, limited in rate: in a large fleet one partition changes the state of all members.
+//! Rate-limited log lines about membership events: in a large fleet a network partition changes the state of very many
+//! members at once.
 
 use tidespur_membership::{Output, Seconds};
 
-/// Log lines per second, and the largest burst. The events beyond it are counted.
+/// Maximum number of log lines per second, and of a burst. Events above it are only counted.
 const MAX_LINES_PER_SECOND: f64 = 20.0;
 
-/// Logs events of one member. The rate is limited by a token bucket.
+/// Logs the events of one member, limited by a token bucket.
 pub(crate) struct EventLog {
     member: String,
     tokens: f64,
     refilled_at: Seconds,
-    /// Number of events since the last line that were not logged.
+    /// Number of events that were not logged since the last line.
     suppressed: u64,
 }
 
@@ -30,7 +31,7 @@
         self.refilled_at = now;
     }
 
-    /// Logs the event, or counts it as suppressed.
+    /// Logs the event, or counts it as suppressed if no token is left.
     pub(crate) fn log(&mut self, event: &Output) {
         if self.tokens < 1.0 {
             self.suppressed += 1;
--- a/crates/membership-net/src/event_loop.rs
+++ b/crates/membership-net/src/event_loop.rs
@@ -10,14 +10,14 @@
 use tidespur_membership::{Input, MAX_DATAGRAM_BYTES, Membership, Output, Seconds};
 use tidespur_net::clock;
 
-/// Inputs that are taken into one step.
+/// Maximum number of inputs of one step.
 const MAX_INPUTS_PER_STEP: usize = 256;
 
 pub(crate) struct EventLoop {
     pub(crate) member: Arc<Mutex<Membership>>,
     pub(crate) socket: UdpSocket,
     pub(crate) inputs: Receiver<Input>,
-    /// Events for the process. If it reads none, they are dropped: the view tells all of them.
+    /// Events for the process. They are dropped if the process does not read them: the view has the same information.
     pub(crate) events: Sender<Output>,
     pub(crate) log: EventLog,
 }
@@ -25,7 +25,7 @@
 impl EventLoop {
     /// Runs until the member has ended: it has left the fleet, or was replaced.
     pub(crate) async fn run(mut self) {
-        // One byte more than allowed, by which a datagram that is too large is recognized.
+        // One byte larger than allowed, so that an oversized datagram is not truncated to a valid size.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let wake = self.member.lock().next_wake();
@@ -42,11 +42,12 @@
         }
     }
 
-    /// Waits for an input or the timeout, then takes all datagrams that have arrived: they are handled before time goes
-    /// on.
+    /// Waits for an input or the timeout, then receives all datagrams that have already arrived, so that they are
+    /// handled before the timers of the next step.
     async fn receive(&self, timeout: Seconds, buffer: &mut [u8]) -> Vec<Input> {
         let datagram = async {
-            // An error concerns a datagram that was sent before: some systems report that its receiver is gone.
+            // An error concerns a datagram that was sent earlier: some systems report here that its receiver is
+            // unreachable.
             let length = self.socket.recv(buffer).await.ok()?;
             Some(Input::DatagramReceived(buffer[..length].to_vec()))
         };
@@ -69,12 +70,12 @@
             return;
         }
         self.log.log(&output);
-        // A full channel is not read; see the field.
+        // The channel is full if the process does not read it; see the field.
         let _ = self.events.try_send(output);
     }
 
     async fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // A datagram that can't be sent at once is lost, as one may be on the network.
+        // A datagram that can't be sent at once is dropped; the protocol tolerates lost datagrams.
         let _ = smol::future::poll_once(self.socket.send_to(bytes, to)).await;
     }
 }
--- a/crates/membership-net/src/handle.rs
+++ b/crates/membership-net/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle on a running member, which owns its tasks. Used by edge and planner.
+//! The handle to a running member, which owns its tasks. Used by edge and planner.
 
 use crate::event_log::EventLog;
 use crate::event_loop::EventLoop;
@@ -18,28 +18,28 @@
 };
 use tidespur_net::clock;
 
-/// Inputs that wait for the event loop.
+/// Maximum number of inputs that wait for the event loop.
 const MAX_QUEUED_INPUTS: usize = 16;
-/// Events that wait for the process.
+/// Maximum number of events that wait for the process.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// A running member. Its tasks are cancelled when this is dropped.
+/// A running member. Its tasks are cancelled when the handle is dropped.
 pub struct MemberHandle {
     member: Arc<Mutex<Membership>>,
     inputs: Sender<Input>,
     events: Receiver<Output>,
-    /// Address at which it receives datagrams.
+    /// Address at which the member receives datagrams, with the port that was bound.
     pub address: SocketAddr,
     is_leaving: Arc<AtomicBool>,
     _tasks: [smol::Task<()>; 2],
 }
 
 impl MemberHandle {
-    /// Joins the fleet; `None` if neither settings nor options name one. `incarnation` is that of the process's store,
-    /// if it has one; otherwise it follows from the wall clock.
+    /// Joins the fleet; `None` if neither settings nor options name one. `incarnation` is that of the process's store;
+    /// without a store it is the wall-clock time.
     ///
     /// # Errors
-    /// What keeps it from joining.
+    /// If an address, the identity or the metadata is not valid, or the socket or the signal handler can't be set up.
     pub async fn join(
         config: &Config,
         options: &JoinOptions,
@@ -51,10 +51,10 @@
         if config.membership.is_none() && options.is_empty() {
             return Ok(None);
         }
-        let block = config.membership.clone().unwrap_or_default();
-        let seed_addresses = seed_addresses(&block, options)?;
-        let (socket, address) = bind(&block, options).await?;
-        // The wall clock may be set back between two starts; the store's incarnation rises with each of them.
+        let section = config.membership.clone().unwrap_or_default();
+        let seed_addresses = seed_addresses(&section, options)?;
+        let (socket, address) = bind(&section, options).await?;
+        // The store's incarnation is preferred: it is higher at each start, even if the wall clock was set back.
         let incarnation = incarnation.unwrap_or_else(wall_clock_micros);
         let own = MemberId {
             name: name.to_owned(),
@@ -63,9 +63,9 @@
             rejoin_count: 0,
         };
         let settings = Settings {
-            cluster: block.cluster,
+            cluster: section.cluster,
             seed_addresses,
-            max_members: block.max_members as usize,
+            max_members: section.max_members as usize,
             ..Settings::default()
         };
         let member = Membership::new(settings, own, metadata, seed ^ incarnation, clock::now())?;
@@ -106,15 +106,16 @@
         }
     }
 
-    /// The fleet as this member sees it.
+    /// The current view of the fleet.
     pub fn view(&self) -> MembershipView {
         self.member.lock().view()
     }
 
-    /// Waits for an event, for `timeout` at most. Returns the reason if the process has to shut down.
+    /// Waits for an event, for `timeout` at most, and returns the reason if the process has to shut down. Must be
+    /// called repeatedly: other events are consumed without effect.
     pub async fn wait_for_shutdown(&self, timeout: Seconds) -> Option<ShutdownReason> {
         let event = clock::timeout(timeout, self.events.recv()).await;
-        // The channel is closed once the event loop has ended, which it does only if the member has left or was
+        // The channel is closed when the event loop has ended, which happens only if the member has left or was
         // replaced.
         let has_ended = matches!(event, Some(Ok(Output::Replaced(_)) | Err(_)));
         if !has_ended {
@@ -128,20 +129,20 @@
         Some(ShutdownReason::Replaced)
     }
 
-    /// Gossips this metadata of this member from now on.
+    /// Replaces the metadata that this member gossips.
     pub fn update_metadata(&self, metadata: MemberMetadata) {
-        // If the queue is full, the next update, which is newer, replaces this one.
+        // If the queue is full, this update is dropped; the next one is newer and complete.
         let _ = self.inputs.try_send(Input::UpdateMetadata(metadata));
     }
 }
 
-/// The seed addresses of the options, then those of the settings.
+/// The seed addresses of the options, followed by those of the settings.
 fn seed_addresses(
-    block: &MembershipSection,
+    section: &MembershipSection,
     options: &JoinOptions,
 ) -> Result<Vec<SocketAddr>, JoinError> {
     let mut addresses = options.fleet_join.clone();
-    for address in &block.join {
+    for address in &section.join {
         let parsed = address.parse().map_err(|reason| JoinError::SeedAddress {
             address: address.clone(),
             reason,
@@ -152,12 +153,12 @@
 }
 
 async fn bind(
-    block: &MembershipSection,
+    section: &MembershipSection,
     options: &JoinOptions,
 ) -> Result<(UdpSocket, SocketAddr), JoinError> {
     let listen = match options.fleet_listen {
         Some(address) => address.to_string(),
-        None => block.listen.clone(),
+        None => section.listen.clone(),
     };
     let listen_error = |reason| JoinError::Listen {
         address: listen.clone(),
--- a/crates/membership-net/src/lib.rs
+++ b/crates/membership-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drives a member of a fleet: a datagram socket and timers. It decides nothing; what a member does is in
-//! `tidespur-membership`. Started by edge and planner.
+//! Runs a fleet member: UDP socket, timers, and shutdown on SIGTERM. The protocol itself is in `tidespur-membership`.
+//! Started by edge and planner.
 
 mod error;
 mod event_log;
--- a/crates/membership-net/src/report.rs
+++ b/crates/membership-net/src/report.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value, json};
 use tidespur_membership::{MemberState, MembershipView, Seconds};
 
-/// A view as JSON, for operators and their tools. `now` is the time of the clock of the member that has the view.
+/// Converts a view to JSON for operators and their tools. `now` is a time of the clock of the member that has the view.
 pub fn view_to_json(view: &MembershipView, now: Seconds) -> Value {
     let members: Vec<Value> = view
         .members
--- a/crates/membership-net/src/shutdown.rs
+++ b/crates/membership-net/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Why a process shuts down, and waiting for SIGTERM.
+//! The reasons for which a process shuts down, and waiting for SIGTERM.
 
 use crate::ReplacedError;
 use async_channel::Sender;
@@ -9,20 +9,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tidespur_membership::Input;
 
-/// Why a process shuts down. Its event loop completes what is pending and returns.
+/// Why a process shuts down. In both cases its event loop first completes pending work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownReason {
-    /// It received SIGTERM, and has left the fleet.
+    /// It received SIGTERM, and has left the fleet if it was in one.
     Signalled,
-    /// A newer process has its name.
+    /// A newer process uses its name.
     Replaced,
 }
 
 impl ShutdownReason {
-    /// The result of the program.
+    /// The result with which the program ends.
     ///
     /// # Errors
-    /// If an operator should look at it: another process has the same name.
+    /// If the process was replaced: two processes had the same name, which an operator should correct.
     pub fn into_result(self) -> Result<(), ReplacedError> {
         match self {
             Self::Signalled => Ok(()),
@@ -31,17 +31,17 @@
     }
 }
 
-/// Waits for SIGTERM, for a process that is in no fleet.
+/// Waits for SIGTERM in a process that is in no fleet.
 ///
 /// # Errors
-/// If the handler of the signal can't be installed.
+/// If the signal handler can't be installed.
 pub async fn shutdown_signal() -> io::Result<ShutdownReason> {
     let mut signals = Signals::new([Signal::Term])?;
     while signals.next().await.is_none() {}
     Ok(ShutdownReason::Signalled)
 }
 
-/// Leaves the fleet once SIGTERM is received.
+/// Waits for SIGTERM, then requests that the member leaves the fleet.
 pub(crate) async fn leave_on_signal(
     mut signals: Signals,
     is_leaving: Arc<AtomicBool>,
@@ -49,7 +49,7 @@
 ) {
     if signals.next().await.is_some() {
         is_leaving.store(true, Ordering::Relaxed);
-        // The channel is closed only if the event loop has ended already.
+        // Sending fails only if the event loop has already ended.
         let _ = inputs.send(Input::LeaveFleet).await;
     }
 }
--- a/crates/membership-net/tests/compatibility.rs
+++ b/crates/membership-net/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! The JSON of `/debug/fleet`, which `tidespur fleet -o json` prints, stays as an earlier version wrote it.
+//! The JSON of `/debug/fleet`, which `tidespur fleet -o json` prints, is the same as in earlier versions.
 
 use std::collections::BTreeMap;
 use tidespur_fixtures::{assert_lines, fixture_path};
@@ -9,7 +9,7 @@
 
 const NOW: f64 = 100.0;
 
-/// A new variant fails to compile here; add it to [`STATUSES`] as well.
+/// Exhaustive, so that a new variant fails to compile here; it also has to be added to [`STATUSES`].
 fn status_name(status: MemberStatus) -> &'static str {
     match status {
         MemberStatus::Alive => "live",
@@ -26,9 +26,9 @@
     MemberStatus::Left,
 ];
 
-/// A new variant fails to compile here; add it to [`DROPS`] as well.
-fn drop_count(drop: DropReason) -> u64 {
-    match drop {
+/// Exhaustive, so that a new variant fails to compile here; it also has to be added to [`DROP_REASONS`].
+fn drop_count(reason: DropReason) -> u64 {
+    match reason {
         DropReason::Malformed => 1,
         DropReason::ProtocolVersion => 2,
         DropReason::OtherCluster => 3,
@@ -36,7 +36,7 @@
     }
 }
 
-const DROPS: [DropReason; 4] = [
+const DROP_REASONS: [DropReason; 4] = [
     DropReason::Malformed,
     DropReason::ProtocolVersion,
     DropReason::OtherCluster,
@@ -94,9 +94,9 @@
         own: id("live", 0),
         members,
         has_converged: true,
-        drops: DROPS
+        drops: DROP_REASONS
             .into_iter()
-            .map(|drop| (drop, drop_count(drop)))
+            .map(|reason| (reason, drop_count(reason)))
             .collect::<BTreeMap<_, _>>(),
         rejoins: 5,
         stalls: 6,
@@ -105,13 +105,13 @@
 
 #[test]
 fn report_keeps_its_json_when_members_of_each_state_are_known() {
-    let unsettled = MembershipView {
+    let empty_view = MembershipView {
         has_converged: false,
         members: vec![],
         drops: BTreeMap::new(),
         ..view()
     };
-    let lines = [("full", view()), ("empty", unsettled)]
+    let lines = [("full", view()), ("empty", empty_view)]
         .map(|(name, view)| (name.to_owned(), view_to_json(&view, NOW).to_string()));
     assert_lines(
         &fixture_path(env!("CARGO_MANIFEST_DIR"), "debug-fleet.txt"),
--- a/crates/membership-net/tests/report.rs
+++ b/crates/membership-net/tests/report.rs
@@ -1,4 +1,4 @@
-//! Keys and values of the fleet's report, which `/debug/fleet` and `tidespur fleet -o json` show.
+//! Keys and values of the JSON report that `/debug/fleet` and `tidespur fleet -o json` return.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -31,23 +31,23 @@
 }
 
 #[test]
-fn report_is_the_same_to_the_byte_when_members_of_each_state_are_known() {
-    let mut unknown = member("edge-9", MemberStatus::Alive, Role::Edge);
-    unknown.metadata = None;
+fn report_equals_the_fixture_byte_for_byte_when_members_of_each_status_are_known() {
+    let mut without_metadata = member("edge-9", MemberStatus::Alive, Role::Edge);
+    without_metadata.metadata = None;
     let members = vec![
         member("edge-0", MemberStatus::Alive, Role::Edge),
         member("edge-1", MemberStatus::Suspect, Role::Edge),
         member("planner-0", MemberStatus::Failed, Role::Planner),
         member("planner-1", MemberStatus::Left, Role::Planner),
-        unknown,
+        without_metadata,
     ];
-    let causes = [
+    let drop_reasons = [
         DropReason::Malformed,
         DropReason::ProtocolVersion,
         DropReason::OtherCluster,
         DropReason::TooManyMembers,
     ];
-    let drops: BTreeMap<DropReason, u64> = causes.into_iter().zip(1..).collect();
+    let drops: BTreeMap<DropReason, u64> = drop_reasons.into_iter().zip(1..).collect();
     let own = members[0].id.clone();
     let view = MembershipView {
         own,
