--- a/crates/persistence/src/durable_store.rs
+++ b/crates/persistence/src/durable_store.rs
@@ -1,4 +1,4 @@
-//! The store of a running process: a writer thread, subscribers to its progress, and the mark of a clean shutdown.
+//! The store of a running process: a writer thread, subscribers to its progress, and the marker of a clean shutdown.
 //! Owned by the event loops of edge and planner.
 
 use crate::{Batch, Identity, LoadedRecords, PersistenceError, RecordStore, Writer};
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the shutdown of a process waits for its last writes.
+/// Maximum time for which the shutdown of a process waits for its last writes.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
-/// Kind of the record that marks a clean shutdown. It is removed at each start.
+/// Kind of the marker record that is written at a clean shutdown and removed at the next start.
 pub(crate) const CLEAN_SHUTDOWN_KIND: &str = "end";
 
 /// A store with a running writer.
@@ -23,7 +23,7 @@
     /// Opens the store of a process, in the folder of its name beneath `directory`.
     ///
     /// # Errors
-    /// Why it can't be used, and what an operator can do.
+    /// If the store can't be used; the message says what an operator can do.
     pub fn open(
         directory: &Path,
         identity: &Identity,
@@ -40,30 +40,30 @@
         Ok((store, loaded))
     }
 
-    /// Starts the writer thread, and removes the mark of the previous process's clean shutdown.
+    /// Starts the writer thread, and removes the clean-shutdown marker of the previous process.
     ///
     /// # Errors
     /// If the operating system can't start a thread.
     pub fn start(store: RecordStore) -> Result<Self, PersistenceError> {
         let subscribers: Arc<Mutex<Vec<Sender<()>>>> = Arc::default();
-        let notified = subscribers.clone();
+        let notified_subscribers = subscribers.clone();
         let writer = Writer::start(store, move |_| {
-            for subscriber in notified.lock().iter() {
-                // A full channel holds a notification already, and a closed one has no receiver any more.
+            for subscriber in notified_subscribers.lock().iter() {
+                // A full channel already has a notification, and a closed one no longer has a receiver.
                 let _ = subscriber.try_send(());
             }
         })?;
-        let mut unmark = Batch::default();
-        unmark.remove(CLEAN_SHUTDOWN_KIND, "");
-        writer.write(unmark);
+        let mut removal = Batch::default();
+        removal.remove(CLEAN_SHUTDOWN_KIND, "");
+        writer.write(removal);
         Ok(Self {
             writer,
             subscribers,
         })
     }
 
-    /// Returns a channel that receives a notification after each attempt to write, whether it succeeded or failed.
-    /// Notifications that are not received yet are merged into one.
+    /// Returns a channel that is notified after each attempt to write, successful or not. Notifications that are not
+    /// yet received are merged into one.
     pub fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
         self.subscribers.lock().push(sender);
@@ -75,27 +75,27 @@
         self.writer.write(batch)
     }
 
-    /// All batches up to this number are on the disk.
+    /// Number of the last synced batch; all earlier ones are synced as well.
     pub fn synced(&self) -> u64 {
         self.writer.progress().synced
     }
 
-    /// Why the last write failed, until one succeeds.
+    /// Error of the last write; `None` if it succeeded.
     pub fn error(&self) -> Option<String> {
         self.writer.progress().error
     }
 
-    /// Number of syncs so far.
+    /// Number of syncs by this process.
     pub fn syncs(&self) -> u64 {
         self.writer.progress().syncs
     }
 
-    /// Marks a clean shutdown and waits, for a bounded time, until everything is written.
+    /// Writes the clean-shutdown marker and waits until everything is synced, for 5 seconds at most.
     pub fn shut_down(&self) {
-        let mut mark = Batch::default();
-        // The record is far smaller than the limit, so this can't fail.
-        drop(mark.put(CLEAN_SHUTDOWN_KIND, "", b"in order".to_vec()));
-        self.writer.write(mark);
+        let mut marker = Batch::default();
+        // This can't fail, because the record is far smaller than the limit.
+        drop(marker.put(CLEAN_SHUTDOWN_KIND, "", b"in order".to_vec()));
+        self.writer.write(marker);
         if !self.writer.flush(FLUSH_TIMEOUT) {
             tracing::error!(
                 timeout = ?FLUSH_TIMEOUT,
--- a/crates/persistence/src/error.rs
+++ b/crates/persistence/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a store. Each message says what failed, with which file, and what an operator can do.
+//! Errors of a store. Each message names the file or record, and says what failed and what an operator can do.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum PersistenceError {
-    /// The folder does not exist and can't be created, or can't be accessed.
+    /// The folder can't be created or accessed.
     #[error(
         "{folder}: the folder can't be used: {reason}; make it, give this user rights to it, or name another with --data"
     )]
@@ -25,7 +25,7 @@
         /// The file.
         file: PathBuf,
     },
-    /// The file is the store of another process.
+    /// The file belongs to a process of another role or name.
     #[error(
         "{file}: it is the store of {found}, not of {wanted}; start that one here, or name another folder with --data"
     )]
@@ -61,7 +61,7 @@
         /// The newest format version that this program reads.
         known: u64,
     },
-    /// The file was not written by tidespur, or its header is damaged.
+    /// The file is not a store, or its header is damaged.
     #[error(
         "{file}: it is no store of tidespur, or its header is damaged; restore it from a copy, or move it away to start with an empty store"
     )]
@@ -69,7 +69,7 @@
         /// The file.
         file: PathBuf,
     },
-    /// The file is shorter than its header says.
+    /// The file is shorter than its content requires.
     #[error(
         "{file}: it is truncated ({reason}); move it away, then restore it from a copy or start with an empty store: the other processes are asked for what it held"
     )]
@@ -97,14 +97,14 @@
         /// The file.
         file: PathBuf,
     },
-    /// Any other error of the disk or of the operating system.
+    /// Any other error of the disk, the operating system or the database library.
     #[error(
         "{file}: the disk does not do what it is asked: {reason}; look at the disk and at the rights of this user"
     )]
     Io {
         /// The file.
         file: PathBuf,
-        /// The operating system's error.
+        /// Text of the underlying error.
         reason: String,
     },
     /// A record is larger than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
@@ -119,7 +119,7 @@
     },
 }
 
-/// Converts an error of the database library. `file` is the file that it concerns.
+/// Converts an error of the database library that concerns `file`.
 pub(crate) fn from_database(file: &Path, error: redb::Error) -> PersistenceError {
     let file = file.to_owned();
     match error {
@@ -128,8 +128,8 @@
             file,
             reason: format!("an old format of its library, {version}"),
         },
-        // The library tells truncation from corruption by its text only. Unknown texts count as corruption, which is
-        // the worse of the two.
+        // The library distinguishes truncation from corruption only in the text of the error. Unknown texts count as
+        // corruption, which is the worse of the two.
         redb::Error::Corrupted(reason) if reason.contains("truncated") => {
             PersistenceError::Truncated { file, reason }
         }
--- a/crates/persistence/src/export.rs
+++ b/crates/persistence/src/export.rs
@@ -1,4 +1,5 @@
-//! Reading what is still readable of a damaged store. A library call for an operator's own program; no command uses it.
+//! Export of the readable records of a damaged store. A library function for an operator's own program; no command uses
+//! it.
 
 use crate::error::from_database;
 use crate::tables::{RECORDS, read_records};
@@ -7,18 +8,18 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The readable part of a store.
+/// The readable records of a store.
 #[derive(Clone, Debug, Default)]
 pub struct Export {
-    /// Records that could be read.
+    /// Values of the records that could be read.
     pub records: BTreeMap<RecordKey, Vec<u8>>,
-    /// Why records may be missing: the error at each place where reading had to stop.
+    /// Errors at which reading stopped, so that records may be missing; empty if the export is complete.
     pub missing: Vec<String>,
 }
 
-/// Reads all records that can be read, from the front and from the back up to the damage. It works on a copy and leaves
-/// the store as it is; no process may have the store open. Not all pages are verified here, so a record may have an
-/// older value than the one that was lost.
+/// Reads the records from the first one forwards and from the last one backwards, each up to the first damaged page.
+/// Works on a temporary copy in the same folder and does not change the store; no process may have the store open. Not
+/// all pages are verified, so a record may have an older value than the one that was lost.
 ///
 /// # Errors
 /// If the file can't be read or copied, or no record can be read from it.
@@ -56,10 +57,8 @@
 
 fn read_from_both_ends(database: &Database, export: &mut Export) -> Result<(), redb::Error> {
     let table = database.begin_read()?.open_table(RECORDS)?;
-    let forwards = table.iter()?;
-    read_until_error(forwards, export);
-    let backwards = table.iter()?.rev();
-    read_until_error(backwards, export);
+    read_until_error(table.iter()?, export);
+    read_until_error(table.iter()?.rev(), export);
     Ok(())
 }
 
--- a/crates/persistence/src/header.rs
+++ b/crates/persistence/src/header.rs
@@ -1,5 +1,4 @@
-//! The header of a store: whose it is, in which format, how often it was opened and when it was created. Called when a
-//! store is opened.
+//! The header of a store: its owner, format version, generation and creation time. Checked when the store is opened.
 
 use crate::error::from_database;
 use crate::tables::{HeaderFields, read_header, read_records, write_header};
@@ -8,25 +7,25 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Format version that this program writes. It rises where an older program could not read what a newer one wrote.
+/// Format version that this program writes; raised when older programs can't read the new format.
 const FORMAT: u64 = 1;
 
-// Names of the fields in the file; they are part of the format.
+// Field names in the file, which are part of the format.
 const FIELD_FORMAT: &str = "format";
 const FIELD_OWNER: &str = "name";
 const FIELD_CLUSTER: &str = "cluster";
 const FIELD_GENERATION: &str = "turn";
 const FIELD_CREATED_AT: &str = "begun";
 
-/// What the header says of the starts of the process.
+/// Starts of the process, as the header records them.
 pub(crate) struct StartHistory {
-    /// How often the store was opened.
+    /// Number of times the store was opened; 0 for a new one.
     pub(crate) generation: u64,
-    /// When it was created, in microseconds since 1970.
+    /// Creation time of the store, in microseconds since the Unix epoch.
     pub(crate) created_at: u64,
 }
 
-/// Checks that the store belongs to this process and has a known format; writes the header of a new store.
+/// Checks that the store belongs to this process and has a supported format; writes the header of a new store.
 pub(crate) fn check(
     database: &Database,
     file: &Path,
@@ -40,12 +39,12 @@
     check_format(file, format)?;
     check_owner(file, &fields, &owner, &identity.cluster)?;
     Ok(StartHistory {
-        generation: number(file, &fields, FIELD_GENERATION)?,
-        created_at: number(file, &fields, FIELD_CREATED_AT)?,
+        generation: parse_number(file, &fields, FIELD_GENERATION)?,
+        created_at: parse_number(file, &fields, FIELD_CREATED_AT)?,
     })
 }
 
-/// Commits the generation of this start.
+/// Commits the generation of the current start.
 pub(crate) fn write_generation(
     database: &Database,
     file: &Path,
@@ -119,8 +118,8 @@
     Ok(())
 }
 
-/// The number in a field; 0 if the field was never written.
-fn number(file: &Path, fields: &HeaderFields, field: &str) -> Result<u64, PersistenceError> {
+/// Parses the number in a field; 0 if the field was never written.
+fn parse_number(file: &Path, fields: &HeaderFields, field: &str) -> Result<u64, PersistenceError> {
     match fields.get(field) {
         None => Ok(0),
         Some(text) => text.parse().map_err(|_| not_a_store(file)),
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,14 +1,13 @@
-//! The store of one process, which outlives it: records by kind and key, written in batches that are synced before
-//! anybody is told of them.
+//! Durable records of one process, by kind and key, written in batches that are synced before they are acknowledged.
 //!
-//! A [`Batch`] is committed atomically. [`RecordStore`] is the file; [`Writer`] writes to it from a thread of its own
-//! and commits several batches in one sync if they are submitted faster than the disk takes them. Messages that may be
-//! sent only after a batch is synced wait in an [`Outbox`], which is a state machine without I/O. [`DurableStore`] is what a
-//! running process uses: a store with its writer and subscribers.
+//! A [`Batch`] is committed atomically. [`RecordStore`] is the file. [`Writer`] writes to it from a thread of its own,
+//! with a group commit: batches that are submitted during a sync share the next one. Messages that may be sent only
+//! after a batch is synced wait in an [`Outbox`], which does no I/O. [`DurableStore`] is what a running process uses: a
+//! store with its writer and subscribers.
 //!
 //! The file is a `redb` database: a copy-on-write tree with checksums, in which a torn write can only damage what was
-//! not yet synced. This package adds the identity of its owner, a format version, a count of its starts, and errors
-//! that an operator can act on. Called by the event loops of edge, planner and voter.
+//! not yet synced. This package adds the identity of the owner, a format version, a generation that counts the starts,
+//! and errors that an operator can act on. Called by the event loops of edge, planner and voter.
 
 mod batch;
 mod durable_store;
@@ -30,5 +29,5 @@
 pub use record_store::{RecordStore, STORE_FILE};
 pub use writer::{Progress, Writer};
 
-/// Largest size of a record, in bytes of kind, key and value. [`Batch::put`] refuses larger ones.
+/// Maximum size of a record, as the sum of kind, key and value, in bytes. [`Batch::put`] rejects larger ones.
 pub const MAX_RECORD_BYTES: usize = 8 << 20;
--- a/crates/persistence/src/loaded_records.rs
+++ b/crates/persistence/src/loaded_records.rs
@@ -1,26 +1,26 @@
-//! Whose store it is, and what earlier processes of that identity left in it.
+//! The owner of a store, and the records that its earlier processes wrote.
 
 use crate::RecordKey;
 use crate::durable_store::CLEAN_SHUTDOWN_KIND;
 use std::collections::BTreeMap;
 
-/// The process that a store belongs to.
+/// The process to which a store belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// What the process does: `edge`, `planner`.
+    /// Role of the process, such as `edge` or `planner`.
     pub role: String,
     /// Name of the process, unique within its role and cluster.
     pub name: String,
-    /// The cluster that it belongs to.
+    /// Name of the cluster to which the process belongs.
     pub cluster: String,
 }
 
 /// How the previous process of the store ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreviousShutdown {
-    /// There was no previous process.
+    /// The store is new: there was no previous process.
     FirstStart,
-    /// It shut down in order, with everything written.
+    /// It shut down gracefully, with everything synced.
     Clean,
     /// It was killed, crashed or lost power.
     Unclean,
@@ -29,18 +29,18 @@
 /// The content of a store at the start of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedRecords {
-    /// All records.
+    /// Values of all records.
     pub records: BTreeMap<RecordKey, Vec<u8>>,
-    /// How often the store was opened, this time included. It rises with each start and never falls.
+    /// Number of times the store was opened, this time included; it rises by one with each start.
     pub generation: u64,
-    /// When the store was created, in microseconds since 1970 by the wall clock of that moment.
+    /// Creation time of the store by the wall clock, in microseconds since the Unix epoch.
     pub created_at: u64,
 }
 
 impl LoadedRecords {
-    /// The incarnation of this process. It is higher than that of each earlier process of this store, independent of
-    /// the wall clock. The incarnations of a new store begin at its creation time, so that they are higher than those
-    /// of a store that was lost.
+    /// The incarnation of this process. It is higher than that of each earlier process of this store, even if the wall
+    /// clock was set back. The incarnations of a new store start at its creation time, so that they are higher than
+    /// those of a store that was lost.
     pub fn incarnation(&self) -> u64 {
         self.created_at.saturating_add(self.generation)
     }
@@ -57,7 +57,7 @@
             .map(|(record, value)| (record.key.as_str(), value.as_slice()))
     }
 
-    /// How the previous process ended.
+    /// How the previous process ended, from the generation and the clean-shutdown marker.
     pub fn previous_shutdown(&self) -> PreviousShutdown {
         if self.generation == 1 {
             return PreviousShutdown::FirstStart;
--- a/crates/persistence/src/record_store.rs
+++ b/crates/persistence/src/record_store.rs
@@ -1,4 +1,4 @@
-//! The store of one process: a database file that one process has open at a time. Owns the file.
+//! The database file of a store: opening, verification, compaction and writes.
 
 use crate::error::from_database;
 use crate::header;
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Name of the file in the folder.
+/// Name of the database file in the folder of a store.
 pub const STORE_FILE: &str = "memory.redb";
-/// Size of the page cache of the database library, in bytes. It is small because records are read at the start only.
+/// Page cache of the database library, in bytes; small, because records are read only when the store is opened.
 const PAGE_CACHE_BYTES: usize = 4 << 20;
-/// Size from which a file is compacted at the start, in bytes, if it is sparse as well.
+/// Minimum size of a file that is compacted when it is opened, in bytes.
 const MIN_COMPACTION_BYTES: u64 = 32 << 20;
-/// A file is sparse if it is this many times as large as the records in it.
+/// A file is compacted only if it is at least this many times as large as its records.
 const COMPACTION_RATIO: u64 = 4;
 
-/// An open store. One process has it open at a time.
+/// An open store. Only one process can have it open at a time.
 #[derive(Debug)]
 pub struct RecordStore {
     file: PathBuf,
@@ -26,11 +26,11 @@
 }
 
 impl RecordStore {
-    /// Opens the store in a folder, or creates it. Verifies every page, the identity and the format version. The new
-    /// generation is committed when this returns.
+    /// Opens the store in a folder, or creates it. Verifies every page, the identity and the format version, and
+    /// commits the new generation.
     ///
     /// # Errors
-    /// Each says what an operator can do. The records are unchanged then.
+    /// If the store can't be used; the message says what an operator can do. The records are then unchanged.
     pub fn open(
         folder: &Path,
         identity: &Identity,
@@ -44,7 +44,7 @@
         let is_new = !file.try_exists().map_err(folder_error)?;
         let database = open_database(&file)?;
         if is_new {
-            // The directory entry of a new file is durable only after a sync of the folder.
+            // The directory entry of a new file is durable only after the folder is synced.
             std::fs::File::open(folder)
                 .and_then(|folder| folder.sync_all())
                 .map_err(folder_error)?;
@@ -52,7 +52,7 @@
         Self::load(file, database, identity)
     }
 
-    /// Opens the store on a storage backend of the caller, for instance a simulated disk.
+    /// Opens a store on a storage backend of the caller, such as a simulated disk.
     ///
     /// # Errors
     /// As [`RecordStore::open`].
@@ -72,7 +72,7 @@
         mut database: Database,
         identity: &Identity,
     ) -> Result<(Self, LoadedRecords), PersistenceError> {
-        // Opening has rolled back what a power loss interrupted. What is left must be undamaged.
+        // Opening has rolled back a write that a power loss interrupted. All remaining pages must be intact.
         let is_intact = database
             .check_integrity()
             .map_err(|error| from_database(&file, error.into()))?;
@@ -103,21 +103,21 @@
         read_records(self.database()?).map_err(|error| self.convert(error))
     }
 
-    /// Commits a batch. It is on the disk as a whole when this returns.
+    /// Commits a batch atomically; it is synced when this returns.
     ///
     /// # Errors
-    /// Nothing of the batch counts as written then, and [`RecordStore::reopen`] has to be called before the next write.
+    /// The batch then counts as not written, and [`RecordStore::reopen`] has to be called before the next write.
     pub fn write(&mut self, batch: &Batch) -> Result<(), PersistenceError> {
         write_records(self.database()?, batch).map_err(|error| self.convert(error))
     }
 
-    /// Closes the file and opens it again, which the database library demands after a failed write. The generation
-    /// stays the same.
+    /// Closes the file and opens it again, which the database library requires after a failed write. The generation is
+    /// unchanged.
     ///
     /// # Errors
     /// As [`RecordStore::open`]; the call may be repeated.
     pub fn reopen(&mut self) -> Result<(), PersistenceError> {
-        // The library refuses to open a file that is still open.
+        // The file has to be closed first: the library does not open a file twice.
         self.database = None;
         self.database = Some(open_database(&self.file)?);
         Ok(())
--- a/crates/persistence/src/tables.rs
+++ b/crates/persistence/src/tables.rs
@@ -1,5 +1,4 @@
-//! The tables of the database file: the records, and the header that says whose store it is. Called by the store and by
-//! the export of a damaged one.
+//! The tables of the database file: records and header. Used to open, write and export a store.
 
 use crate::{Batch, RecordKey};
 use redb::{
@@ -15,7 +14,7 @@
 /// Fields of the header by name.
 pub(crate) type HeaderFields = BTreeMap<String, String>;
 
-/// Reads all records; none if the table was never written.
+/// Reads all records; empty if the table was never written.
 pub(crate) fn read_records(
     database: &impl ReadableDatabase,
 ) -> Result<BTreeMap<RecordKey, Vec<u8>>, redb::Error> {
@@ -33,7 +32,7 @@
     Ok(records)
 }
 
-/// Commits a batch of changes of records.
+/// Commits a batch of record changes.
 pub(crate) fn write_records(database: &Database, batch: &Batch) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     apply_changes(&transaction, batch)?;
@@ -44,7 +43,7 @@
     let mut table = transaction.open_table(RECORDS)?;
     for (record, value) in batch.changes() {
         let key = (record.kind.as_str(), record.key.as_str());
-        // The replaced or removed value is not needed.
+        // Both calls return the previous value, which is not needed.
         match value {
             Some(value) => drop(table.insert(key, value)?),
             None => drop(table.remove(key)?),
@@ -53,7 +52,7 @@
     Ok(())
 }
 
-/// Reads all fields of the header; none if it was never written.
+/// Reads all fields of the header; empty if it was never written.
 pub(crate) fn read_header(database: &Database) -> Result<HeaderFields, redb::Error> {
     let table = match database.begin_read()?.open_table(HEADER) {
         Ok(table) => table,
@@ -68,7 +67,7 @@
     Ok(fields)
 }
 
-/// Commits these fields of the header; the others keep their values.
+/// Commits these fields of the header; other fields are unchanged.
 pub(crate) fn write_header(
     database: &Database,
     fields: &[(&str, &str)],
--- a/crates/persistence/src/writer.rs
+++ b/crates/persistence/src/writer.rs
@@ -1,32 +1,32 @@
-//! The writer thread, the only one that waits for the disk. Owned by [`DurableStore`](crate::DurableStore).
+//! The writer thread, the only thread that waits for the disk. Owned by [`DurableStore`](crate::DurableStore).
 
 use crate::{Batch, PersistenceError, RecordStore};
 use parking_lot::{Condvar, Mutex};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause before a failed write is retried for the first time; it doubles with each retry.
+/// Delay before the first retry of a failed write; it doubles with each retry.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest pause between retries.
+/// Maximum delay between retries.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How far the writer has come.
+/// Progress of the writer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// All batches up to this number are on the disk.
+    /// Number of the last synced batch; all earlier ones are synced as well.
     pub synced: u64,
-    /// Number of the last batch that was submitted.
+    /// Number of the last submitted batch; 0 if there is none.
     pub submitted: u64,
-    /// Number of syncs so far.
+    /// Number of syncs, each of which may cover several batches.
     pub syncs: u64,
-    /// Why the last write failed, until one succeeds.
+    /// Error of the last write; `None` if it succeeded.
     pub error: Option<String>,
 }
 
 #[derive(Default)]
 struct State {
     progress: Progress,
-    /// Changes that are submitted and not yet taken by the thread.
+    /// Submitted changes that the thread has not yet taken.
     pending: Batch,
     is_closing: bool,
 }
@@ -38,18 +38,17 @@
     changed: Condvar,
 }
 
-/// Writes batches in the order of their submission. All batches that are submitted during a sync share the next one.
+/// Writes batches in the order of submission. All batches that are submitted during a sync share the next one.
 ///
-/// Its callers never wait for the disk. A failed write is retried together with what was submitted after it, so a full
-/// disk delays writes and loses none. Pending changes need bounded memory, because only the last change of each record
-/// is kept.
+/// Submitting never waits for the disk. A failed write is retried together with later submissions, so that a full disk
+/// delays writes but loses none. Only the last change of each record is pending, which bounds the memory.
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts the thread. `on_progress` is called from it after each attempt to write.
+    /// Starts the thread, which calls `on_progress` after each attempt to write.
     ///
     /// # Errors
     /// If the operating system can't start a thread.
@@ -58,10 +57,10 @@
         on_progress: impl Fn(&Progress) + Send + 'static,
     ) -> Result<Self, PersistenceError> {
         let shared = Arc::new(Shared::default());
-        let thread_shared = shared.clone();
+        let shared_with_thread = shared.clone();
         let thread = std::thread::Builder::new()
             .name("persistence".into())
-            .spawn(move || write_until_closed(&thread_shared, store, on_progress))
+            .spawn(move || write_until_closed(&shared_with_thread, store, on_progress))
             .map_err(|error| PersistenceError::Io {
                 file: "".into(),
                 reason: format!("no thread: {error}"),
@@ -72,8 +71,8 @@
         })
     }
 
-    /// Submits a batch and returns its number. An empty batch gets no number of its own: the number of the last batch
-    /// is returned, on which everything up to now depends.
+    /// Submits a batch and returns its number. For an empty batch it returns the number of the last submitted one,
+    /// whose sync covers all earlier changes.
     pub fn write(&self, batch: Batch) -> u64 {
         let mut state = self.shared.state.lock();
         if !batch.is_empty() {
@@ -84,12 +83,12 @@
         state.progress.submitted
     }
 
-    /// How far the writer has come.
+    /// The current progress.
     pub fn progress(&self) -> Progress {
         self.shared.state.lock().progress.clone()
     }
 
-    /// Waits until everything that was submitted is on the disk, for `timeout` at most. Returns whether it is.
+    /// Waits until all batches that are submitted so far are synced, for `timeout` at most. Returns whether they are.
     pub fn flush(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut state = self.shared.state.lock();
@@ -98,7 +97,7 @@
             if Instant::now() >= deadline {
                 return false;
             }
-            // The loop checks both conditions again, so it does not matter which of them ended the wait.
+            // The loop checks both conditions again, so the cause of the wake-up does not matter.
             let _ = self.shared.changed.wait_until(&mut state, deadline);
         }
         true
@@ -110,19 +109,20 @@
         self.shared.state.lock().is_closing = true;
         self.shared.changed.notify_all();
         if let Some(thread) = self.thread.take() {
-            // The thread ends after the next write, successful or not. A panic of it was reported by the panic hook.
+            // The thread ends when nothing is pending or a write fails. A panic was reported by the panic hook.
             let _ = thread.join();
         }
     }
 }
 
-/// A batch that the thread has taken, with the number of the last submitted batch in it.
+/// The merged pending batches that the thread writes in one sync.
 struct PendingWrite {
     batch: Batch,
-    last: u64,
+    /// Number of the last submitted batch in it.
+    last_batch: u64,
 }
 
-/// Waits for something to write; `None` once the writer is closed and nothing is pending.
+/// Waits for pending changes; `None` once the writer is closing and nothing is pending.
 fn next_write(shared: &Shared) -> Option<PendingWrite> {
     let mut state = shared.state.lock();
     while state.pending.is_empty() {
@@ -133,7 +133,7 @@
     }
     Some(PendingWrite {
         batch: std::mem::take(&mut state.pending),
-        last: state.progress.submitted,
+        last_batch: state.progress.submitted,
     })
 }
 
@@ -147,13 +147,13 @@
     match result {
         Ok(()) => {
             state.progress.error = None;
-            state.progress.synced = write.last;
+            state.progress.synced = write.last_batch;
             state.progress.syncs += 1;
         }
         Err(error) => {
             state.progress.error = Some(error.to_string());
             let mut retried = write.batch;
-            // What was submitted meanwhile is newer.
+            // Changes that were submitted meanwhile are newer.
             retried.extend(std::mem::take(&mut state.pending));
             state.pending = retried;
         }
@@ -177,7 +177,7 @@
         }
         std::thread::sleep(backoff);
         backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
-        // If the store can't be opened, the next write fails and its error is recorded.
+        // If the store can't be reopened, the next write fails and its error is recorded.
         let _ = store.reopen();
     }
 }
--- a/crates/persistence/tests/compatibility.rs
+++ b/crates/persistence/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! A data folder that an earlier version wrote is opened, and a new one has the same tables and header fields.
+//! A data folder of an earlier version is readable, and a new one has the same tables and header fields.
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn records_are_whole_when_loaded_from_an_earlier_versions_folder() {
+fn records_are_complete_when_loaded_from_the_folder_of_an_earlier_version() {
     let stored = assert_stored(env!("CARGO_MANIFEST_DIR"), "records", &owner(), &batch());
 
     assert_eq!(stored.loaded.generation, 2);
@@ -42,7 +42,7 @@
     assert_eq!(stored.loaded.previous_shutdown(), PreviousShutdown::Unclean);
 }
 
-/// Fields of a file's header, without the creation time.
+/// Fields of the header in a file, without the creation time, which differs in each run.
 fn header_fields(file: &Path) -> Vec<(String, String)> {
     let database = Database::create(file).unwrap();
     let table = database.begin_read().unwrap().open_table(HEADER).unwrap();
@@ -85,7 +85,7 @@
     assert_eq!(raw_records(&file), written);
 }
 
-/// Runs a process to its clean shutdown, with its store in the folder of its name beneath `directory`.
+/// Opens the store of a process beneath `directory`, writes a batch and shuts down cleanly.
 fn run_to_clean_shutdown(directory: &Path) -> LoadedRecords {
     let (store, loaded) = DurableStore::open(directory, &owner()).unwrap();
     let disk = DurableStore::start(store).unwrap();
@@ -109,14 +109,14 @@
     drop(store);
 
     assert_eq!(loaded.previous_shutdown(), PreviousShutdown::Clean);
-    let mark = RecordKey::new("end", "");
-    assert!(loaded.records.contains_key(&mark));
-    assert_eq!(loaded.records[&mark], b"in order");
+    let marker = RecordKey::new("end", "");
+    assert!(loaded.records.contains_key(&marker));
+    assert_eq!(loaded.records[&marker], b"in order");
     assert_eq!(loaded.records.len(), batch().len());
 }
 
 #[test]
-fn mark_of_a_clean_shutdown_is_written_as_before_when_a_process_ends() {
+fn clean_shutdown_marker_is_the_same_as_in_earlier_versions() {
     let directory = tempfile::tempdir().unwrap();
     assert_eq!(
         run_to_clean_shutdown(directory.path()).previous_shutdown(),
@@ -125,8 +125,8 @@
 
     let written = raw_records(&directory.path().join(owner().name).join(STORE_FILE));
 
-    let mark = ("end".to_owned(), String::new(), b"in order".to_vec());
-    assert!(written.contains(&mark), "{written:?}");
+    let marker = ("end".to_owned(), String::new(), b"in order".to_vec());
+    assert!(written.contains(&marker), "{written:?}");
     let lines = read_lines(&fixture_path(
         env!("CARGO_MANIFEST_DIR"),
         "records.records.txt",
--- a/crates/persistence/tests/errors.rs
+++ b/crates/persistence/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Messages of the errors, and the error of a record that is too large.
+//! Error messages, and the error for a record that is too large.
 
 use tidespur_persistence::{Batch, PersistenceError};
 
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn each_error_says_what_an_operator_can_do() {
-    let verbs = [
+fn each_error_names_its_file_or_record_and_says_what_an_operator_can_do() {
+    let advice = [
         "make",
         "end that",
         "start",
@@ -62,7 +62,7 @@
     ];
     for error in all_errors() {
         let text = error.to_string();
-        assert!(verbs.iter().any(|verb| text.contains(verb)), "{text}");
+        assert!(advice.iter().any(|words| text.contains(words)), "{text}");
         assert!(
             text.contains("/var/lib/x") || text.contains("object x"),
             "{text}"
@@ -73,10 +73,10 @@
 #[test]
 fn batch_is_unchanged_when_a_record_is_too_large() {
     let mut batch = Batch::default();
-    let large = batch.put(
+    let result = batch.put(
         "object",
         "x",
         vec![0; tidespur_persistence::MAX_RECORD_BYTES],
     );
-    assert!(matches!(large, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
+    assert!(matches!(result, Err(PersistenceError::RecordTooLarge { .. })) && batch.is_empty());
 }
--- a/crates/persistence/tests/folder.rs
+++ b/crates/persistence/tests/folder.rs
@@ -1,4 +1,5 @@
-//! Opening a store: each defect of its folder is an error of its own that says what to do, and loses nothing.
+//! Opening a store: each defect of the folder or file has its own error and loses no records. Also growth of the file,
+//! and messages that wait for a sync.
 
 use std::fs;
 use std::os::unix::fs::FileExt;
@@ -16,10 +17,10 @@
     }
 }
 
-fn write_records(folder: &Path, records: usize) {
+fn write_records(folder: &Path, count: usize) {
     let (mut store, _) = RecordStore::open(folder, &identity("a", "c")).unwrap();
     let mut batch = Batch::default();
-    for i in 0..records {
+    for i in 0..count {
         batch
             .put("object", &format!("{i:05}"), vec![7; 500])
             .unwrap();
@@ -30,7 +31,7 @@
 fn open_error(folder: &Path) -> PersistenceError {
     RecordStore::open(folder, &identity("a", "c"))
         .map(|_| ())
-        .expect_err("it must not open")
+        .expect_err("opening must fail")
 }
 
 #[test]
@@ -100,14 +101,14 @@
 }
 
 #[test]
-fn opening_fails_when_the_file_is_no_store_or_the_folder_no_folder() {
+fn opening_fails_when_the_file_is_not_a_store_or_the_folder_is_a_file() {
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join(STORE_FILE), b"something else altogether").unwrap();
     assert!(matches!(
         open_error(folder.path()),
         PersistenceError::NotAStore { .. }
     ));
-    // A file where the folder should be.
+    // A regular file at the path of the folder.
     fs::write(folder.path().join("plain"), b"").unwrap();
     assert!(matches!(
         open_error(&folder.path().join("plain")),
@@ -116,13 +117,13 @@
 }
 
 #[test]
-fn damaged_pages_and_truncation_are_told_apart_and_readable_records_are_exported() {
+fn damaged_pages_and_truncation_have_different_errors_and_readable_records_are_exported() {
     let folder = tempfile::tempdir().unwrap();
     write_records(folder.path(), 2_000);
     let path = folder.path().join(STORE_FILE);
     let intact = fs::read(&path).unwrap();
-    // Each third page is damaged on its own: either the damage is found, or no record was on that page.
-    let (mut found, mut exported) = (0, 0);
+    // Every third page is damaged in turn. Either opening reports the damage, or all records can be read.
+    let (mut detected, mut exported) = (0, 0);
     for page in (0..intact.len() / 4096).step_by(3) {
         fs::write(&path, &intact).unwrap();
         let file = fs::File::options().write(true).open(&path).unwrap();
@@ -136,7 +137,7 @@
                 "records were lost with page {page}"
             ),
             Err(PersistenceError::Corrupted { .. }) => {
-                found += 1;
+                detected += 1;
                 if let Ok(export) = export(folder.path()) {
                     exported += usize::from(export.records.len() > 200);
                 }
@@ -145,11 +146,11 @@
         }
     }
     assert!(
-        found > 10 && exported > 0,
-        "{found} found, {exported} exported"
+        detected > 10 && exported > 0,
+        "{detected} detected, {exported} exported"
     );
-    for part in [4, 2] {
-        fs::write(&path, &intact[..intact.len() * (part - 1) / part]).unwrap();
+    for kept_bytes in [intact.len() * 3 / 4, intact.len() / 2] {
+        fs::write(&path, &intact[..kept_bytes]).unwrap();
         assert!(
             matches!(
                 open_error(folder.path()),
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn file_size_is_bounded_when_records_are_overwritten_again_and_again() {
+fn file_size_is_bounded_when_records_are_overwritten_repeatedly() {
     let folder = tempfile::tempdir().unwrap();
     let (mut store, _) = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
     let size = || fs::metadata(folder.path().join(STORE_FILE)).unwrap().len();
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn messages_wait_for_their_batch_and_keep_their_order() {
+fn messages_wait_for_the_sync_of_their_batch_and_keep_their_order() {
     let folder = tempfile::tempdir().unwrap();
     let (store, _) = RecordStore::open(folder.path(), &identity("a", "c")).unwrap();
     let (progress_sender, progress) = std::sync::mpsc::channel();
--- a/crates/persistence/tests/power_loss.rs
+++ b/crates/persistence/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Simulated power loss at every write and every sync of a small run: what was not synced is lost, torn or reordered,
-//! and the records that are loaded afterwards are checked.
+//! Simulated power loss after every disk operation of a small run: operations that were not synced are lost, torn or
+//! reordered. The records that are loaded afterwards must be those of the last acknowledged batch or the next one.
 
 use rand::{Rng, SeedableRng};
 use redb::StorageBackend;
@@ -44,7 +44,7 @@
     match operation {
         Operation::Write(at, data) => {
             let at = *at as usize;
-            // A write that outlives the growth of the file before it.
+            // The write may be kept although the preceding growth of the file was lost.
             bytes.resize(bytes.len().max(at + data.len()), 0);
             bytes[at..at + data.len()].copy_from_slice(data);
         }
@@ -96,7 +96,7 @@
 
 /// The acknowledgement of a batch.
 struct Acknowledgement {
-    /// Number of disk operations before it.
+    /// Number of disk operations before the acknowledgement.
     operations: usize,
     /// All records with that batch applied.
     records: BTreeMap<RecordKey, Vec<u8>>,
@@ -141,8 +141,9 @@
     }
 }
 
-/// The bytes of a disk after a power loss: everything that was synced, and a part of the rest, in any order and with the
-/// last write torn. `loss` says what happens to the rest: lost, complete, random parts of it, or reordered.
+/// The bytes of a disk after a power loss: all synced operations, and some unsynced ones with the last write torn.
+/// `loss` selects the unsynced operations that are kept: 0 none, 1 all, 2 a random subset, otherwise a random number of
+/// them in random order.
 fn bytes_after_power_loss(operations: &[Operation], loss: u32, rng: &mut impl Rng) -> Vec<u8> {
     let synced = operations
         .iter()
@@ -165,11 +166,12 @@
         }
     }
     if let Some(Operation::Write(_, data)) = unsynced.last_mut() {
-        // Sectors of 512 bytes are whole or not there.
+        // Sectors of 512 bytes are written completely or not at all.
         let sectors = data.len().div_ceil(512);
         data.truncate(rng.random_range(0..=sectors) * 512);
     }
-    // The file system keeps the size of a file: it does not shrink in a power loss, and grows before its content is written.
+    // The file system preserves the size of a file: it does not shrink in a power loss, and grows before its content is
+    // written.
     for operation in &unsynced {
         apply(&mut bytes, operation);
     }
@@ -177,9 +179,9 @@
 }
 
 #[test]
-fn acknowledged_batches_are_loaded_and_no_batch_in_part_after_each_power_loss() {
-    let mut losses = 0;
-    let mut rolled_back = 0;
+fn acknowledged_batches_are_loaded_and_no_batch_partially_after_each_power_loss() {
+    let mut loss_count = 0;
+    let mut rollback_count = 0;
     for seed in 0..6 {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
         let run = run(&mut rng);
@@ -195,7 +197,7 @@
                     .iter()
                     .rposition(|acknowledgement| acknowledgement.operations <= cut)
                     .unwrap();
-                // The batch that was being written may be there, but only as a whole.
+                // The batch that was being written may be loaded, but only completely.
                 let next = run.acknowledgements.get(last + 1).map(|next| &next.records);
                 let is_next = Some(&loaded.records) == next;
                 assert!(
@@ -204,17 +206,17 @@
                 );
                 assert_eq!(
                     loaded.generation, 2,
-                    "the generation rises over a power loss"
+                    "the generation rises after a power loss"
                 );
-                losses += 1;
-                rolled_back += usize::from(!is_next);
+                loss_count += 1;
+                rollback_count += usize::from(!is_next);
             }
         }
     }
-    // Both outcomes must have been seen, else the power is lost at the wrong moments.
+    // Both outcomes must occur, else the simulated power losses do not cover a write in progress.
     assert!(
-        losses > 500 && rolled_back > 100 && rolled_back < losses,
-        "{losses} losses of power, {rolled_back} rolled back"
+        loss_count > 500 && rollback_count > 100 && rollback_count < loss_count,
+        "{loss_count} power losses, {rollback_count} rollbacks"
     );
 }
 
