--- a/crates/net/src/list_watch.rs
+++ b/crates/net/src/list_watch.rs
@@ -18,7 +18,8 @@
 
 /// Lists and watches a collection, sending each event to `events` after converting it with `convert`. Returns the
 /// reason once the list or watch fails or ends. `request_timeout` limits the list and the opening of the watch, in
-/// seconds. A watch that is silent for `max_silence` seconds counts as lost, so the server must send bookmarks more often.
+/// seconds. A watch that is silent for `max_silence` seconds counts as lost, so the server must send bookmarks
+/// more often.
 pub async fn list_and_watch<T: Send>(
     client: &Client,
     path: &str,
