--- a/crates/rest/src/handle.rs
+++ b/crates/rest/src/handle.rs
@@ -1,6 +1,6 @@
-//! Requests to verbs, answers to responses.
+//! Dispatches HTTP requests to verbs and builds the responses.
 
-use crate::verbs::Answer;
+use crate::verbs::VerbResult;
 use crate::{Api, Hooks, RequestLog, RequestOptions, Route, Target, route};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -11,7 +11,7 @@
 use tidespur_net::body::{self, BodyError};
 use tidespur_net::{Body, server};
 
-/// Serves an API.
+/// HTTP request handler of an API.
 pub struct ApiHandler<H>(pub Arc<Api<H>>);
 
 impl<H: Hooks> server::Handler for ApiHandler<H> {
@@ -66,8 +66,8 @@
             }
         };
         let (status, answer) = match outcome {
-            Ok(Good::Object(status, object, warnings)) => (status, Ok((object, warnings))),
-            Ok(Good::Stream(stream)) => {
+            Ok(Success::Object(status, object, warnings)) => (status, Ok((object, warnings))),
+            Ok(Success::Stream(stream)) => {
                 api.hooks.log_request(&RequestLog {
                     peer,
                     method: &method,
@@ -80,12 +80,12 @@
                     "content-type",
                     hyper::header::HeaderValue::from_static("application/json"),
                 );
-                return decorated(api, response);
+                return with_headers(api, response);
             }
             Err(error) if error.code == crate::ABORT_CONNECTION => {
-                let mut cut = Response::new(body::full(""));
-                cut.extensions_mut().insert(server::ConnectionAborted);
-                return cut;
+                let mut aborted = Response::new(body::full(""));
+                aborted.extensions_mut().insert(server::ConnectionAborted);
+                return aborted;
             }
             Err(error) => (error.code, Err(error)),
         };
@@ -97,26 +97,26 @@
             object,
             status,
         });
-        decorated(api, response(status, answer))
+        with_headers(api, response(status, answer))
     }
 }
 
-enum Good {
+enum Success {
     Object(u16, Object, Vec<String>),
     Stream(Body),
 }
 
-fn plain(object: Value) -> Result<Good, ApiError> {
-    Ok(Good::Object(200, object, vec![]))
+fn plain(object: Value) -> Result<Success, ApiError> {
+    Ok(Success::Object(200, object, vec![]))
 }
 
 async fn respond<H: Hooks>(
     api: &Arc<Api<H>>,
     head: &hyper::http::request::Parts,
     body: Bytes,
-) -> Result<Good, ApiError> {
+) -> Result<Success, ApiError> {
     let path = head.uri.path();
-    let read = head.method == Method::GET;
+    let is_get = head.method == Method::GET;
     match route::parse(path)? {
         Route::Objects(target) if api.hooks.serves(target.resource) => {
             objects(api, head, &target, body).await
@@ -125,15 +125,15 @@
             .hooks
             .handle_other(head.method.as_str(), path, &body)
             .unwrap_or_else(|| Err(ApiError::no_such_path()))
-            .map(|object| Good::Object(200, object, vec![])),
+            .map(|object| Success::Object(200, object, vec![])),
         Route::Objects(_) => Err(ApiError::no_such_path()),
-        _ if !read => Err(ApiError::method_not_allowed()),
+        _ if !is_get => Err(ApiError::method_not_allowed()),
         Route::Version => plain(version()),
         Route::Health
             if path.starts_with("/readyz")
                 && head.uri.query().is_some_and(|q| q.contains("verbose")) =>
         {
-            plain(json!(verbose(api)))
+            plain(json!(verbose_readiness(api)))
         }
         Route::Health if path.starts_with("/readyz") => plain(json!(api.hooks.ready()?)),
         Route::Health => plain(json!("ok")),
@@ -141,9 +141,9 @@
             json!({"kind": "APIVersions", "versions": ["v1"], "serverAddressByClientCIDRs": []}),
         ),
         Route::Groups => {
-            plain(json!({"kind": "APIGroupList", "apiVersion": "v1", "groups": [batch()]}))
+            plain(json!({"kind": "APIGroupList", "apiVersion": "v1", "groups": [batch_group()]}))
         }
-        Route::Group(group) if group == "batch" => plain(batch()),
+        Route::Group(group) if group == "batch" => plain(batch_group()),
         Route::Resources(group) if group.is_empty() || group == "batch" => {
             plain(resource::resource_list(&group))
         }
@@ -155,34 +155,34 @@
     }
 }
 
-/// Each part of the program in a line, as published servers show them.
-fn verbose<H: Hooks>(api: &Api<H>) -> String {
-    let line = |(name, stands): (&str, Result<String, String>)| match stands {
-        Ok(how) => format!("[+]{name} ok: {how}\n"),
-        Err(waits) => format!("[-]{name} waits: {waits}\n"),
+/// One line for each component of the program, in the format of Kubernetes API servers.
+fn verbose_readiness<H: Hooks>(api: &Api<H>) -> String {
+    let line = |(name, status): (&str, Result<String, String>)| match status {
+        Ok(state) => format!("[+]{name} ok: {state}\n"),
+        Err(cause) => format!("[-]{name} waits: {cause}\n"),
     };
     let lines: String = api.hooks.component_status().into_iter().map(line).collect();
-    let whole = if api.hooks.ready().is_ok() {
+    let summary = if api.hooks.ready().is_ok() {
         "passed"
     } else {
         "failed"
     };
-    format!("{lines}readyz check {whole}\n")
+    format!("{lines}readyz check {summary}\n")
 }
 
-/// Every field of the published type. What is not known of this build is said to be so.
+/// All fields of the published version type; those that are not known of this build say so.
 fn version() -> Value {
-    let built = |told: Option<&'static str>, otherwise: &'static str| told.unwrap_or(otherwise);
+    let build_info = |value: Option<&'static str>, default: &'static str| value.unwrap_or(default);
     json!({"major": "1", "minor": "37",
         "gitVersion": concat!("v1.37.0+tidespur-", env!("CARGO_PKG_VERSION")),
-        "gitCommit": built(option_env!("TIDESPUR_COMMIT"), "unknown"),
-        "gitTreeState": built(option_env!("TIDESPUR_TREE_STATE"), "unknown"),
-        "buildDate": built(option_env!("TIDESPUR_BUILD_DATE"), "1970-01-01T00:00:00Z"),
+        "gitCommit": build_info(option_env!("TIDESPUR_COMMIT"), "unknown"),
+        "gitTreeState": build_info(option_env!("TIDESPUR_TREE_STATE"), "unknown"),
+        "buildDate": build_info(option_env!("TIDESPUR_BUILD_DATE"), "1970-01-01T00:00:00Z"),
         "goVersion": "none", "compiler": "rustc",
         "platform": format!("{}/{}", std::env::consts::OS, std::env::consts::ARCH)})
 }
 
-fn batch() -> Value {
+fn batch_group() -> Value {
     let version = json!({"groupVersion": "batch/v1", "version": "v1"});
     json!({"kind": "APIGroup", "apiVersion": "v1", "name": "batch", "versions": [version], "preferredVersion": version})
 }
@@ -192,7 +192,7 @@
     head: &hyper::http::request::Parts,
     target: &Target,
     body: Bytes,
-) -> Result<Good, ApiError> {
+) -> Result<Success, ApiError> {
     let mut options = RequestOptions::parse(head.uri.query().unwrap_or(""))?;
     options.watch |= target.watch;
     let header = |name: &str| {
@@ -203,22 +203,24 @@
     };
     let media = header("content-type");
     let accept = header("accept");
-    let json_wanted = accept.is_empty()
+    let accepts_json = accept.is_empty()
         || ["json", "*/*", "application/*"]
             .iter()
             .any(|m| accept.contains(m));
-    if !json_wanted {
+    if !accepts_json {
         let text = format!("only application/json is served, not {accept:?}");
         return Err(ApiError::new(406, "NotAcceptable", text));
     }
-    let sent = matches!(head.method, Method::POST | Method::PUT);
-    if sent && !media.is_empty() && !media.starts_with("application/json") {
+    let has_object = matches!(head.method, Method::POST | Method::PUT);
+    if has_object && !media.is_empty() && !media.starts_with("application/json") {
         let text = format!("the media type {media:?} is not supported: use application/json");
         return Err(ApiError::new(415, "UnsupportedMediaType", text));
     }
-    let one = !target.name.is_empty();
-    let answer: Answer = match (&head.method, one) {
-        (&Method::GET, _) if options.watch => return api.watch(target, &options).map(Good::Stream),
+    let is_single = !target.name.is_empty();
+    let result: VerbResult = match (&head.method, is_single) {
+        (&Method::GET, _) if options.watch => {
+            return api.watch(target, &options).map(Success::Stream);
+        }
         (&Method::GET, true) => api.get(target),
         (&Method::GET, false) => api.list(target, &options),
         (&Method::POST, false) => api.create(target, &options, &head.headers, &body).await,
@@ -233,15 +235,15 @@
         (&Method::DELETE, false) => api.delete_collection(target, &options, &body),
         _ => Err(ApiError::method_not_allowed()),
     };
-    let (status, object, mut warnings) = answer?;
-    // Whatever was written or read: nothing is told that a power loss could take back.
+    let (status, object, mut warnings) = result?;
+    // For reads and writes alike: a response must not contain anything that a power loss could undo.
     let version = api.store().version();
     warnings.extend(
         api.hooks
             .wait_durable(version, head.method != Method::GET)
             .await?,
     );
-    Ok(Good::Object(status, object, warnings))
+    Ok(Success::Object(status, object, warnings))
 }
 
 fn response(status: u16, answer: Result<(Object, Vec<String>), ApiError>) -> Response<Body> {
@@ -268,7 +270,7 @@
         }
     };
     let bytes = match object {
-        // Health answers are plain text.
+        // Health endpoints return plain text.
         Value::String(text) => text.into_bytes(),
         other => serde_json::to_vec(&other).unwrap_or_default(),
     };
@@ -277,7 +279,7 @@
         .unwrap_or_else(|_| Response::new(body::full("")))
 }
 
-fn decorated<H: Hooks>(api: &Api<H>, mut response: Response<Body>) -> Response<Body> {
+fn with_headers<H: Hooks>(api: &Api<H>, mut response: Response<Body>) -> Response<Body> {
     for (name, value) in api.hooks.headers() {
         if let Ok(value) = hyper::header::HeaderValue::from_str(&value) {
             response.headers_mut().insert(name, value);
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -1,5 +1,7 @@
-//! The published REST API over a store. The edge serves all of it; the stand-ins of register and node serve their
-//! part by the same code, so that a client finds the same API everywhere.
+//! Kubernetes-compatible REST API over a store.
+//!
+//! The edge serves all of it; the emulated registry and nodes serve their part by the same code, so that clients find
+//! the same API everywhere. [`Hooks`] is what each program adds.
 
 mod handle;
 mod options;
@@ -17,16 +19,16 @@
 use tidespur_api::{ApiError, Object, Resource, meta};
 use tidespur_store::{Precondition, Store};
 
-/// Bounds of the API.
+/// Limits of the API. Times are seconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes of one body.
+    /// Bytes of one request body; a longer one gets 413.
     pub max_body_bytes: usize,
-    /// A body must be there within this.
+    /// Time within which a request body has to arrive; a later one gets 408.
     pub body_timeout: f64,
-    /// A bookmark goes to watches that want them this often.
+    /// How often watches that ask for bookmarks get one.
     pub bookmark_interval: f64,
-    /// A watcher that takes nothing for this long is cut.
+    /// A watch is closed if its client reads nothing for this long.
     pub write_timeout: f64,
 }
 
@@ -41,47 +43,51 @@
     }
 }
 
-/// How an object is to be deleted.
+/// Options of a deletion, from its query and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeleteOptions {
-    /// `Background`, `Foreground` or `Orphan`.
+    /// Propagation policy: `Background`, `Foreground`, `Orphan`; `None` if the request names none.
     pub propagation: Option<String>,
-    /// Demanded uid.
+    /// Precondition: the object's uid.
     pub uid: Option<String>,
-    /// Demanded version.
+    /// Precondition: the object's `resourceVersion`.
     pub version: Option<u64>,
 }
 
 impl DeleteOptions {
-    /// Removes the object alone, if it is the one that is demanded.
+    /// Removes the object, without its dependents, if it meets the preconditions.
+    ///
+    /// # Errors
+    /// 404 if the object does not exist, 409 if a precondition does not hold.
     pub fn apply(
         &self,
         store: &mut Store,
         resource: &Resource,
         object: &Object,
     ) -> Result<Object, ApiError> {
-        let expect = Precondition {
+        let precondition = Precondition {
             uid: self.uid.clone(),
             version: self.version,
         };
         let (space, name) = (meta::namespace(object), meta::name(object));
         store
-            .delete(resource, space, name, &expect)
+            .delete(resource, space, name, &precondition)
             .map(|object| (*object).clone())
     }
 }
 
-/// What a program adds to the plain API: what is served, what a write must pass, what follows from it.
+/// Extension points by which a program adapts the API: which resources it serves, admission of writes, and what follows
+/// from them.
 pub trait Hooks: Send + Sync + Sized + 'static {
-    /// Whether a resource is served here.
+    /// Whether this program serves a resource; requests for others get 404.
     fn serves(&self, _resource: &Resource) -> bool {
         true
     }
-    /// Known classes, for the check of Pods.
+    /// Class names that `priorityClassName` of a Pod may have.
     fn classes(&self) -> &[String] {
         &[]
     }
-    /// May change or refuse an object before it is checked and stored.
+    /// Admission of an object that is to be created: may change or reject it before it is validated and stored.
     fn admit(
         &self,
         _store: &Store,
@@ -90,7 +96,8 @@
     ) -> Result<(), ApiError> {
         Ok(())
     }
-    /// Takes a write over in place of the store, such as one for the owner of that object elsewhere.
+    /// Handles a write in place of the store, for instance by forwarding it to the program that owns the object. `None`
+    /// lets the write go to the store.
     fn intercept_write(
         &self,
         _verb: Verb,
@@ -100,43 +107,44 @@
     ) -> impl Future<Output = Option<Result<Object, ApiError>>> + Send {
         async { None }
     }
-    /// Called under the store's lock once an object is to be removed; removes it and what belongs to it.
+    /// Removes an object and its dependents. Called with the store locked.
     fn delete(
         &self,
         store: &mut Store,
         resource: &Resource,
         object: &Object,
-        how: &DeleteOptions,
+        options: &DeleteOptions,
     ) -> Result<Object, ApiError> {
-        how.apply(store, resource, object)
+        options.apply(store, resource, object)
     }
-    /// Called after any write, without the lock.
+    /// Called after each write, with the store unlocked.
     fn on_write(&self) {}
-    /// Waits until all up to this version of the store will be there after a power loss; an answer may rest on it then.
-    /// A read that can't wait for that comes back with a warning for its reader.
+    /// Waits until the store is durable up to this version, that is, survives a power loss; only then may a response
+    /// depend on it. For a read that can't wait for that, returns a warning for the client.
     ///
     /// # Errors
-    /// What is told the writer (`wrote`) instead of an answer.
+    /// The response to the client of a write (`is_write`) that did not become durable.
     fn wait_durable(
         &self,
         _version: u64,
-        _wrote: bool,
+        _is_write: bool,
     ) -> impl Future<Output = Result<Option<String>, ApiError>> + Send {
         async { Ok(None) }
     }
-    /// Headers for every answer.
+    /// Headers that are added to every response, except for plain text and aborted connections.
     fn headers(&self) -> Vec<(&'static str, String)> {
         vec![]
     }
-    /// Text of `/readyz`, or why work can't be taken now.
+    /// Text of `/readyz`, or why the program is not ready to take work.
     fn ready(&self) -> Result<String, ApiError> {
         Ok("ok".into())
     }
-    /// What `/readyz?verbose` shows, a line each: a part of the program, and how it stands or what it waits for.
+    /// Components of the program for `/readyz?verbose`, one per line, with their state (`Ok`) or what they wait for
+    /// (`Err`).
     fn component_status(&self) -> Vec<(&'static str, Result<String, String>)> {
         vec![]
     }
-    /// Answers what the plain API does not know.
+    /// Handles a path that is not part of the API. `None` answers 404.
     fn handle_other(
         &self,
         _method: &str,
@@ -145,11 +153,12 @@
     ) -> Option<Result<Object, ApiError>> {
         None
     }
-    /// Plain text that is served at a path, such as `/metrics`.
+    /// Plain text that a GET of a path returns, such as `/metrics`; `None` if the path is not served this way.
     fn serve_text(&self, _path: &str) -> Option<String> {
         None
     }
-    /// Waits as long as nothing may be answered to this caller, if it is cut off.
+    /// Waits while this client is cut off from the program by an injected network fault. Called before the request is
+    /// handled.
     fn wait_until_reachable(
         &self,
         _method: &hyper::Method,
@@ -157,14 +166,15 @@
     ) -> impl Future<Output = ()> + Send {
         async {}
     }
-    /// Told of each request and answer, for recordings.
+    /// Called with each request and its response, for recordings.
     fn log_request(&self, _request: &RequestLog<'_>) {}
 }
 
-/// An answer of this code is never sent: the connection is cut instead. For stand-ins that lose answers.
+/// Error code that is never sent: the connection is closed without a response instead. Emulators use it to lose
+/// responses.
 pub const ABORT_CONNECTION: u16 = 0;
 
-/// A write.
+/// Kind of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// POST.
@@ -175,61 +185,61 @@
     Delete,
 }
 
-/// One request and its answer.
+/// A request and its response, for [`Hooks::log_request`].
 #[derive(Debug)]
 pub struct RequestLog<'a> {
-    /// Who asked.
+    /// Address of the client.
     pub peer: std::net::SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path with query.
     pub path: &'a str,
-    /// The object of a write.
+    /// Object in the response; null for errors and watches.
     pub object: &'a Object,
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
 }
 
-/// A store with its API.
+/// The API of one store.
 #[derive(Debug)]
 pub struct Api<H> {
     store: Mutex<Store>,
-    bell: Event,
+    changed: Event,
     watch_generation: AtomicU64,
-    /// Bounds.
+    /// Limits of requests and watches.
     pub limits: Limits,
-    /// What the program adds.
+    /// Extension points that the program implements.
     pub hooks: H,
 }
 
 impl<H: Hooks> Api<H> {
-    /// The API of a store.
+    /// Serves this store; nothing listens until a [`server`](tidespur_net::server) is started with an [`ApiHandler`].
     pub fn new(store: Store, limits: Limits, hooks: H) -> Self {
         Self {
             store: Mutex::new(store),
-            bell: Event::new(),
+            changed: Event::new(),
             watch_generation: AtomicU64::new(0),
             limits,
             hooks,
         }
     }
 
-    /// The store. Held for moments only, never over an await.
+    /// Locks the store. The guard must be dropped soon and must not be held across an await.
     pub fn store(&self) -> MutexGuard<'_, Store> {
-        // A panic under the lock can leave no half-made change: each change is one call.
+        // A poisoned lock can be used: each change is one call, so a panic of its holder leaves no partial change.
         self.store
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Ends all watches that are open now, as a fault or a shutdown does.
+    /// Closes all open watches, for an injected fault or a shutdown.
     pub fn close_watches(&self) {
         self.watch_generation.fetch_add(1, Ordering::Relaxed);
         self.notify_watchers();
     }
 
-    /// Wakes all watches; to be called after changes.
+    /// Wakes all watches; has to be called after changes of the store.
     pub fn notify_watchers(&self) {
-        self.bell.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 }
--- a/crates/rest/src/options.rs
+++ b/crates/rest/src/options.rs
@@ -1,46 +1,49 @@
-//! Query parameters.
+//! Parses the query parameters of requests and the options of deletions.
 
 use tidespur_api::decode::FieldValidation;
 use tidespur_api::selector::Selector;
 use tidespur_api::status::Cause;
 use tidespur_api::{ApiError, meta};
 
-/// What a request's query says.
+/// Query parameters of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestOptions {
-    /// Narrowed to these.
+    /// Restricts lists and watches to objects that it matches.
     pub selector: Selector,
-    /// Page size, 0 for all.
+    /// Page size of a list; 0 for no limit.
     pub limit: usize,
-    /// Next page of this token.
+    /// Token of the list page to continue from.
     pub continue_token: Option<String>,
-    /// From or at this version.
+    /// `resourceVersion` at which to list or from which to watch.
     pub version: Option<u64>,
-    /// How `version` is meant in a list.
+    /// `resourceVersionMatch`: `Exact` or `NotOlderThan`.
     pub version_match: Option<String>,
-    /// A watch.
+    /// Whether the request is a watch.
     pub watch: bool,
-    /// The watch wants bookmarks.
+    /// Whether the watch asks for bookmarks.
     pub bookmarks: bool,
-    /// The watch wants what stands first.
+    /// Whether the watch begins with the present objects; if not given, `version` decides.
     pub send_initial_events: Option<bool>,
-    /// The watch ends after this.
+    /// Seconds after which the watch ends, [`MAX_WATCH_SECONDS`] at most.
     pub timeout: Option<f64>,
-    /// Nothing is to be changed.
+    /// Whether the request is only checked and changes nothing.
     pub dry_run: bool,
-    /// Fields that the type does not have.
+    /// How unknown and duplicate fields are handled.
     pub field_validation: FieldValidation,
-    /// For deletions.
+    /// Propagation policy of a deletion; its body takes precedence.
     pub propagation: Option<String>,
-    /// For deletions: seconds until the end.
+    /// Grace period of a deletion; its body takes precedence.
     pub grace_period_seconds: Option<u64>,
 }
 
-/// A watch ends after at most this.
+/// Longest duration of a watch, in seconds.
 pub const MAX_WATCH_SECONDS: f64 = 3600.0;
 
 impl RequestOptions {
-    /// Reads a query; unknown parameters are left alone, as published servers do.
+    /// Parses a query string; unknown parameters are ignored, as Kubernetes API servers do.
+    ///
+    /// # Errors
+    /// 400 for a malformed query or value.
     pub fn parse(query: &str) -> Result<Self, ApiError> {
         let pairs: Vec<(String, String)> = serde_urlencoded::from_str(query)
             .map_err(|e| ApiError::bad_request(format!("the query can't be read: {e}")))?;
@@ -117,7 +120,10 @@
         Ok(options)
     }
 
-    /// Takes in the body of a deletion.
+    /// Combines the query with the body of a deletion, which may be null.
+    ///
+    /// # Errors
+    /// 400 for a malformed value, 422 for options that are not supported.
     pub fn delete_options(
         &self,
         body: &serde_json::Value,
@@ -143,7 +149,7 @@
             .as_u64()
             .or(self.grace_period_seconds)
             .unwrap_or(0);
-        let refused = [
+        let unsupported = [
             (
                 grace > 0,
                 "gracePeriodSeconds",
@@ -155,9 +161,9 @@
                 "use propagationPolicy",
             ),
         ];
-        let causes: Vec<Cause> = refused
+        let causes: Vec<Cause> = unsupported
             .into_iter()
-            .filter(|(refused, ..)| *refused)
+            .filter(|(is_set, ..)| *is_set)
             .map(|(_, field, message)| Cause {
                 reason: "FieldValueNotSupported",
                 field: field.into(),
@@ -182,7 +188,7 @@
         })
     }
 
-    /// Whether the body of a deletion asks for a dry run.
+    /// Whether the query or the body of a deletion asks for a dry run.
     pub fn is_dry_run_delete(&self, body: &serde_json::Value) -> bool {
         self.dry_run
             || meta::value_at(body, &["dryRun"])
--- a/crates/rest/src/route.rs
+++ b/crates/rest/src/route.rs
@@ -1,9 +1,9 @@
-//! Paths.
+//! Parses request paths.
 
 use percent_encoding::percent_decode_str;
 use tidespur_api::{ApiError, Resource};
 
-/// What a path names.
+/// Endpoint of the API that a path denotes.
 #[derive(Clone, Debug)]
 pub enum Route {
     /// `/version`.
@@ -22,28 +22,31 @@
     OpenApiIndex,
     /// `/openapi/v3/...`.
     OpenApi(String),
-    /// Objects.
+    /// A collection of objects or one object.
     Objects(Target),
-    /// None of these.
+    /// Not part of the API; see [`Hooks::handle_other`](crate::Hooks::handle_other).
     Other,
 }
 
-/// Objects that a path names.
+/// Collection or object that a path denotes.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Their resource.
+    /// Resource type.
     pub resource: &'static Resource,
-    /// Namespace, "" for all or none.
+    /// Namespace; empty for all namespaces and for resources without one.
     pub namespace: String,
-    /// Name, "" for the collection.
+    /// Name of the object; empty for the collection.
     pub name: String,
-    /// Whether the status subresource is meant.
+    /// Whether the path denotes the status subresource.
     pub status: bool,
-    /// The old form `/watch/` of a watch.
+    /// Whether the path has the deprecated prefix `/watch/`, which makes a GET a watch.
     pub watch: bool,
 }
 
-/// Reads a path.
+/// Parses a path, percent-encoded as in the request.
+///
+/// # Errors
+/// 400 if it is not UTF-8, 404 if it denotes no resource of a served group.
 pub fn parse(path: &str) -> Result<Route, ApiError> {
     let mut parts = Vec::new();
     for part in path.split('/').filter(|part| !part.is_empty()) {
--- a/crates/rest/src/verbs.rs
+++ b/crates/rest/src/verbs.rs
@@ -1,4 +1,4 @@
-//! Verbs on objects, without sockets.
+//! Verbs on objects, independent of HTTP connections.
 
 use crate::{Api, DeleteOptions, Hooks, RequestOptions, Target, Verb};
 use hyper::HeaderMap;
@@ -9,34 +9,34 @@
 use tidespur_net::clock;
 use tidespur_store::{PageRequest, Precondition, Store};
 
-/// A good answer: status, object, warnings.
-pub(crate) type Answer = Result<(u16, Object, Vec<String>), ApiError>;
+/// Result of a verb: HTTP status, object and warnings.
+pub(crate) type VerbResult = Result<(u16, Object, Vec<String>), ApiError>;
 
-/// A write is tried again so often where another came between, as published servers do for patches.
-const PATCH_TRIES: usize = 5;
+/// Attempts to apply a patch while other writes change the object in between, as Kubernetes API servers do.
+const MAX_PATCH_ATTEMPTS: usize = 5;
 
 impl<H: Hooks> Api<H> {
-    /// Tells the program of a write, and all watches: the program may have nothing to add to it.
+    /// Notifies the program of a write and wakes all watches.
     fn after_write(&self) {
         self.hooks.on_write();
         self.notify_watchers();
     }
 
-    pub(crate) fn get(&self, target: &Target) -> Answer {
+    pub(crate) fn get(&self, target: &Target) -> VerbResult {
         let store = self.store();
         let found = find(&store, target)?;
         Ok((200, (*found).clone(), vec![]))
     }
 
-    pub(crate) fn list(&self, target: &Target, options: &RequestOptions) -> Answer {
+    pub(crate) fn list(&self, target: &Target, options: &RequestOptions) -> VerbResult {
         let mut store = self.store();
-        let now_at = store.version();
-        if options.version.is_some_and(|version| version > now_at) {
+        let current = store.version();
+        if options.version.is_some_and(|version| version > current) {
             let mut error = ApiError::new(
                 504,
                 "Timeout",
                 format!(
-                    "Too large resource version: {}, current: {now_at}",
+                    "Too large resource version: {}, current: {current}",
                     options.version.unwrap_or(0)
                 ),
             );
@@ -76,7 +76,7 @@
         options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
-    ) -> Answer {
+    ) -> VerbResult {
         let r = target.resource;
         let (mut object, warnings) = decode::object(r, body, options.field_validation)?;
         if !object["metadata"].is_object() {
@@ -103,9 +103,9 @@
                 "resourceVersion should not be set on objects to be created",
             ));
         }
-        let base = meta::text_at(&object, &["metadata", "generateName"]).to_owned();
-        if meta::name(&object).is_empty() && !base.is_empty() {
-            let name = format!("{base}{}", self.store().random_suffix());
+        let name_prefix = meta::text_at(&object, &["metadata", "generateName"]).to_owned();
+        if meta::name(&object).is_empty() && !name_prefix.is_empty() {
+            let name = format!("{name_prefix}{}", self.store().random_suffix());
             meta::set(&mut object, "name", name.into());
         }
         if meta::name(&object).is_empty() {
@@ -127,19 +127,19 @@
             return done.map(|object| (201, object, warnings));
         }
         let mut store = self.store();
-        let stands = store
+        let exists = store
             .get(r, &target.namespace, meta::name(&object))
             .is_some();
         if options.dry_run {
-            if stands {
+            if exists {
                 return Err(ApiError::already_exists(r.plural, meta::name(&object)));
             }
             return Ok((201, object, warnings));
         }
-        let made = store.create(r, object, clock::now())?;
+        let created = store.create(r, object, clock::now())?;
         drop(store);
         self.after_write();
-        Ok((201, (*made).clone(), warnings))
+        Ok((201, (*created).clone(), warnings))
     }
 
     pub(crate) async fn replace(
@@ -148,7 +148,7 @@
         options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
-    ) -> Answer {
+    ) -> VerbResult {
         let r = target.resource;
         let (mut object, warnings) = decode::object(r, body, options.field_validation)?;
         for (key, wanted) in [("name", &target.name), ("namespace", &target.namespace)] {
@@ -164,7 +164,7 @@
             }
         }
         let version = meta::text_at(&object, &["metadata", "resourceVersion"]);
-        let expect = match version {
+        let precondition = match version {
             "" => Precondition::default(),
             text => {
                 let version = text.parse().map_err(|_| {
@@ -178,7 +178,7 @@
                 }
             }
         };
-        self.write(target, options, headers, object, &expect, warnings)
+        self.write(target, options, headers, object, &precondition, warnings)
             .await
     }
 
@@ -189,14 +189,14 @@
         headers: &HeaderMap,
         media: &str,
         body: &[u8],
-    ) -> Answer {
+    ) -> VerbResult {
         let kind = PatchKind::parse(media)?;
         let (change, repeated) = decode::json(body)?;
         let repeated: Vec<String> = repeated
             .iter()
             .map(|path| format!("duplicate field \"{path}\""))
             .collect();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             let old = find(&self.store(), target)?;
             let after = patch::apply(kind, &old, change.clone())?;
@@ -206,44 +206,48 @@
                 repeated.clone(),
                 options.field_validation,
             )?;
-            // A patch that names a version demands it; another is tried again where a write came between.
-            let demanded = meta::version(&after) != meta::version(&old);
-            let version = if demanded {
+            // A patch that sets a version has it as a precondition; any other is retried after a concurrent write.
+            let has_precondition = meta::version(&after) != meta::version(&old);
+            let version = if has_precondition {
                 meta::version(&after)
             } else {
                 meta::version(&old)
             };
-            let expect = Precondition {
+            let precondition = Precondition {
                 version: Some(version),
                 uid: None,
             };
-            tries += 1;
+            attempts += 1;
             match self
-                .write(target, options, headers, after, &expect, warnings)
+                .write(target, options, headers, after, &precondition, warnings)
                 .await
             {
-                Err(e) if e.reason == "Conflict" && !demanded && tries < PATCH_TRIES => {}
+                Err(e)
+                    if e.reason == "Conflict"
+                        && !has_precondition
+                        && attempts < MAX_PATCH_ATTEMPTS => {}
                 answer => return answer,
             }
         }
     }
 
-    /// Writes over an object; the status subresource changes only the status, the object all but the status.
+    /// Replaces an object. A write to the status subresource changes only the status, labels and annotations. Any
+    /// other write keeps the status, except for Nodes and for resources without a status subresource.
     async fn write(
         &self,
         target: &Target,
         options: &RequestOptions,
         headers: &HeaderMap,
         mut object: Object,
-        expect: &Precondition,
+        precondition: &Precondition,
         warnings: Vec<String>,
-    ) -> Answer {
+    ) -> VerbResult {
         let r = target.resource;
         let old = find(&self.store(), target)?;
         let uid = meta::uid(&object);
         if !uid.is_empty() && uid != meta::uid(&old) {
-            let why = format!("the uid ({uid}) differs from that of the object that stands");
-            return Err(ApiError::conflict(r.plural, &target.name, &why));
+            let reason = format!("the uid ({uid}) differs from that of the object that stands");
+            return Err(ApiError::conflict(r.plural, &target.name, &reason));
         }
         let keep = |object: &mut Object, from: &Object, key: &str| match from.get(key) {
             Some(value) => object[key] = value.clone(),
@@ -276,7 +280,7 @@
         {
             return done.map(|object| (200, object, warnings));
         }
-        let written = self.store().update(r, object, expect)?;
+        let written = self.store().update(r, object, precondition)?;
         self.after_write();
         Ok((200, (*written).clone(), warnings))
     }
@@ -287,13 +291,13 @@
         options: &RequestOptions,
         headers: &HeaderMap,
         body: &[u8],
-    ) -> Answer {
+    ) -> VerbResult {
         let body = if body.is_empty() {
             Value::Null
         } else {
             decode::json(body)?.0
         };
-        let how = options.delete_options(&body)?;
+        let delete_options = options.delete_options(&body)?;
         let object = find(&self.store(), target)?;
         if options.is_dry_run_delete(&body) {
             return Ok((200, (*object).clone(), vec![]));
@@ -305,16 +309,16 @@
         {
             return done.map(|object| (200, object, vec![]));
         }
-        let gone = self
-            .hooks
-            .delete(&mut self.store(), target.resource, &object, &how)?;
+        let deleted =
+            self.hooks
+                .delete(&mut self.store(), target.resource, &object, &delete_options)?;
         self.after_write();
-        let done = match target.resource.kind {
-            // Clients wait for these by what comes back: the object as it went.
-            "Pod" | "Namespace" => gone,
-            _ => status::success(target.resource.plural, &target.name, meta::uid(&gone)),
+        let response = match target.resource.kind {
+            // Clients that wait for the end of such a deletion expect the deleted object in the response.
+            "Pod" | "Namespace" => deleted,
+            _ => status::success(target.resource.plural, &target.name, meta::uid(&deleted)),
         };
-        Ok((200, done, vec![]))
+        Ok((200, response, vec![]))
     }
 
     pub(crate) fn delete_collection(
@@ -322,13 +326,13 @@
         target: &Target,
         options: &RequestOptions,
         body: &[u8],
-    ) -> Answer {
+    ) -> VerbResult {
         let body = if body.is_empty() {
             Value::Null
         } else {
             decode::json(body)?.0
         };
-        let how = DeleteOptions {
+        let delete_options = DeleteOptions {
             uid: None,
             version: None,
             ..options.delete_options(&body)?
@@ -339,18 +343,18 @@
             .filter(|object| options.selector.matches(object))
             .cloned()
             .collect();
-        let mut gone = Vec::new();
+        let mut deleted = Vec::new();
         for object in all {
             if options.is_dry_run_delete(&body) {
-                gone.push((*object).clone());
+                deleted.push((*object).clone());
                 continue;
             }
             match self
                 .hooks
-                .delete(&mut store, target.resource, &object, &how)
+                .delete(&mut store, target.resource, &object, &delete_options)
             {
-                Ok(object) => gone.push(object),
-                // One that another deletion took with it.
+                Ok(object) => deleted.push(object),
+                // Removed already, as a dependent of another object.
                 Err(e) if e.code == 404 => {}
                 Err(e) => return Err(e),
             }
@@ -360,7 +364,7 @@
         self.after_write();
         let kind = format!("{}List", target.resource.kind);
         let api = target.resource.api_version();
-        let list = json!({"kind": kind, "apiVersion": api, "metadata": {"resourceVersion": version}, "items": gone});
+        let list = json!({"kind": kind, "apiVersion": api, "metadata": {"resourceVersion": version}, "items": deleted});
         Ok((200, list, vec![]))
     }
 }
--- a/crates/rest/src/watch.rs
+++ b/crates/rest/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: a cursor into the store for each, and a bounded pipe to its reader.
+//! Watches. Each has a cursor into the store's history and a bounded channel to its client.
 
 use crate::{Api, Hooks, RequestOptions, Target};
 use bytes::Bytes;
@@ -10,15 +10,15 @@
 use tidespur_net::{Body, body, clock};
 use tidespur_store::{Change, ChangeKind, Cursor, PageRequest};
 
-/// Changes that are looked at in one go.
-const BATCH: usize = 256;
-/// Pieces that wait for a slow reader; behind them only its place in the history is kept.
-const PIPE: usize = 8;
-/// A piece is passed on from this size on.
-const PIECE: usize = 32 * 1024;
+/// Most changes that are read from the store at a time.
+const MAX_BATCH: usize = 256;
+/// Chunks that are queued for a slow client; beyond that, only its position in the history is kept.
+const MAX_QUEUED_CHUNKS: usize = 8;
+/// Size from which on a chunk is sent without waiting for further changes, in bytes.
+const CHUNK_BYTES: usize = 32 * 1024;
 
-fn line(out: &mut Vec<u8>, kind: &str, object: &Value) {
-    // Written by hand around the object so that it need not be cloned.
+fn write_event(out: &mut Vec<u8>, kind: &str, object: &Value) {
+    // The event is assembled by hand, as a `json!` value would need a clone of the object.
     out.extend_from_slice(b"{\"type\":\"");
     out.extend_from_slice(kind.as_bytes());
     out.extend_from_slice(b"\",\"object\":");
@@ -44,63 +44,64 @@
     name: String,
     selector: Selector,
     bookmarks: bool,
-    ends: f64,
+    ends_at: f64,
     generation: u64,
-    pipe: async_channel::Sender<Bytes>,
+    chunks: async_channel::Sender<Bytes>,
 }
 
 impl Watch {
-    fn wants(&self, object: &Object) -> bool {
+    fn matches(&self, object: &Object) -> bool {
         (self.namespace.is_empty() || meta::namespace(object) == self.namespace)
             && (self.name.is_empty() || meta::name(object) == self.name)
             && self.selector.matches(object)
     }
 
-    /// What a change is to this watcher: one that comes to match is added, one that no longer does is deleted.
-    fn show(&self, change: &Change, out: &mut Vec<u8>) {
-        let now = change.kind != ChangeKind::Deleted && self.wants(&change.object);
+    /// Writes a change as this watch sees it: an object that begins to match is added, one that stops matching is
+    /// deleted.
+    fn write_change(&self, change: &Change, out: &mut Vec<u8>) {
+        let now = change.kind != ChangeKind::Deleted && self.matches(&change.object);
         let before = change
             .previous
             .as_ref()
-            .is_some_and(|before| self.wants(before));
+            .is_some_and(|previous| self.matches(previous));
         let kind = match (before, now) {
             (false, true) => "ADDED",
             (true, true) => "MODIFIED",
             (true, false) => "DELETED",
             (false, false) => return,
         };
-        line(out, kind, &change.object);
+        write_event(out, kind, &change.object);
     }
 }
 
 impl<H: Hooks> Api<H> {
-    /// Starts a watch; its body comes as it goes.
+    /// Starts a watch and returns the body that its events are streamed to.
     pub(crate) fn watch(
         self: &Arc<Self>,
         target: &Target,
         options: &RequestOptions,
     ) -> Result<Body, ApiError> {
-        let (send, receive) = async_channel::bounded(PIPE);
+        let (send, receive) = async_channel::bounded(MAX_QUEUED_CHUNKS);
         let mut store = self.store();
-        // Without a version, or from 0, a watch begins with what stands.
-        let from_now =
+        // Without a version or from version 0, a watch begins with the present objects.
+        let is_from_present =
             options.send_initial_events == Some(true) || matches!(options.version, None | Some(0));
-        let mut first = Vec::new();
-        let version = if from_now && options.send_initial_events != Some(false) {
+        let mut initial_events = Vec::new();
+        let version = if is_from_present && options.send_initial_events != Some(false) {
             let request = PageRequest {
                 namespace: target.namespace.clone(),
                 ..PageRequest::default()
             };
             let page = store.list(target.resource, &request)?;
             for item in page.items.iter() {
-                let named = target.name.is_empty() || meta::name(item) == target.name;
-                if named && options.selector.matches(item) {
-                    line(&mut first, "ADDED", item);
+                let is_name_matched = target.name.is_empty() || meta::name(item) == target.name;
+                if is_name_matched && options.selector.matches(item) {
+                    write_event(&mut initial_events, "ADDED", item);
                 }
             }
             if options.send_initial_events == Some(true) {
-                line(
-                    &mut first,
+                write_event(
+                    &mut initial_events,
                     "BOOKMARK",
                     &bookmark(target.resource, page.version, true),
                 );
@@ -120,85 +121,86 @@
             name: target.name.clone(),
             selector: options.selector.clone(),
             bookmarks: options.bookmarks,
-            ends: clock::now() + options.timeout.unwrap_or(crate::options::MAX_WATCH_SECONDS),
+            ends_at: clock::now() + options.timeout.unwrap_or(crate::options::MAX_WATCH_SECONDS),
             generation: self.watch_generation.load(Ordering::Relaxed),
-            pipe: send,
+            chunks: send,
         };
         let api = self.clone();
-        smol::spawn(async move { api.follow(watch, first).await }).detach();
+        smol::spawn(async move { api.send_events(watch, initial_events).await }).detach();
         Ok(body::stream(receive))
     }
 
-    async fn follow(self: Arc<Self>, mut watch: Watch, mut ready: Vec<u8>) {
+    async fn send_events(self: Arc<Self>, mut watch: Watch, mut buffer: Vec<u8>) {
         let mut bookmark_at = clock::now() + self.limits.bookmark_interval;
-        let mut told = watch.cursor.version();
-        // What stood when it began; where it is not safe in time, what follows is all the same.
-        drop(self.hooks.wait_durable(told, false).await);
+        let mut bookmarked = watch.cursor.version();
+        // The initial objects should be durable before they are sent. The watch goes on even if they are not in time:
+        // later changes are read only once they are visible.
+        drop(self.hooks.wait_durable(bookmarked, false).await);
         loop {
-            let bell = self.bell.listen();
+            let changed = self.changed.listen();
             let mut changes = Vec::new();
             let polled = self
                 .store()
-                .poll_visible(&mut watch.cursor, BATCH, &mut changes);
+                .poll_visible(&mut watch.cursor, MAX_BATCH, &mut changes);
             for change in &changes {
-                watch.show(change, &mut ready);
-                if ready.len() >= PIECE && !self.pass(&watch, &mut ready).await {
+                watch.write_change(change, &mut buffer);
+                if buffer.len() >= CHUNK_BYTES && !self.send_chunk(&watch, &mut buffer).await {
                     return;
                 }
             }
             let now = clock::now();
             if let Err(expired) = polled {
-                line(
-                    &mut ready,
+                write_event(
+                    &mut buffer,
                     "ERROR",
                     &ApiError::expired(expired.to_string()).to_status(),
                 );
-                self.pass(&watch, &mut ready).await;
+                self.send_chunk(&watch, &mut buffer).await;
                 return;
             }
             if watch.bookmarks && now >= bookmark_at {
                 bookmark_at = now + self.limits.bookmark_interval;
-                told = watch.cursor.version();
-                line(
-                    &mut ready,
+                bookmarked = watch.cursor.version();
+                write_event(
+                    &mut buffer,
                     "BOOKMARK",
-                    &bookmark(watch.resource, told, false),
+                    &bookmark(watch.resource, bookmarked, false),
                 );
             }
-            let ends = now >= watch.ends;
-            if ends && watch.bookmarks && told != watch.cursor.version() {
-                line(
-                    &mut ready,
+            let is_over = now >= watch.ends_at;
+            if is_over && watch.bookmarks && bookmarked != watch.cursor.version() {
+                write_event(
+                    &mut buffer,
                     "BOOKMARK",
                     &bookmark(watch.resource, watch.cursor.version(), false),
                 );
             }
-            if !ready.is_empty() && !self.pass(&watch, &mut ready).await {
+            if !buffer.is_empty() && !self.send_chunk(&watch, &mut buffer).await {
                 return;
             }
-            let broken = self.watch_generation.load(Ordering::Relaxed) != watch.generation;
-            if ends || broken || watch.pipe.is_closed() {
+            let is_closed = self.watch_generation.load(Ordering::Relaxed) != watch.generation;
+            if is_over || is_closed || watch.chunks.is_closed() {
                 return;
             }
             if changes.is_empty() {
-                let wake = if watch.bookmarks {
-                    watch.ends.min(bookmark_at)
+                let wake_at = if watch.bookmarks {
+                    watch.ends_at.min(bookmark_at)
                 } else {
-                    watch.ends
+                    watch.ends_at
                 };
                 let closed = async {
-                    watch.pipe.closed().await;
+                    watch.chunks.closed().await;
                 };
-                clock::timeout(wake - now, futures_lite::future::or(bell, closed)).await;
+                clock::timeout(wake_at - now, futures_lite::future::or(changed, closed)).await;
             }
         }
     }
 
-    /// Hands a piece to the reader; one that takes nothing for too long is cut.
-    async fn pass(&self, watch: &Watch, ready: &mut Vec<u8>) -> bool {
-        let piece = Bytes::from(std::mem::take(ready));
+    /// Sends the buffer to the client; `false` if the client is gone or has read nothing for the write timeout.
+    async fn send_chunk(&self, watch: &Watch, buffer: &mut Vec<u8>) -> bool {
+        let chunk = Bytes::from(std::mem::take(buffer));
         matches!(
-            clock::timeout(self.limits.write_timeout, watch.pipe.send(piece)).await,
+            clock::timeout(self.limits.write_timeout, watch.chunks.send(chunk)).await,
             Some(Ok(()))
         )
     }
