--- a/crates/api/src/decode.rs
+++ b/crates/api/src/decode.rs
@@ -1,14 +1,14 @@
-//! Decodes request bodies into objects: syntax, duplicate and unknown fields, types.
+//! Decodes request bodies into objects and reports syntax errors, duplicate and unknown fields, and wrong types.
 
 use crate::{ApiError, Object, Resource};
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Repeated keys that are reported of one body.
-const MAX_REPEATED_KEYS: usize = 16;
+/// Most duplicate keys that are reported for one body.
+const MAX_DUPLICATE_KEYS: usize = 16;
 
-/// What is done about unknown and duplicate fields.
+/// How unknown and duplicate fields are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum FieldValidation {
     /// They are dropped silently.
@@ -37,22 +37,22 @@
     }
 }
 
-/// Parses JSON and returns it with the paths of repeated keys, of which the last one counts.
+/// Parses JSON and returns it with the paths of duplicate keys, of which the last value is used.
 ///
 /// # Errors
 /// 400 for invalid JSON.
 pub fn json(body: &[u8]) -> Result<(Value, Vec<String>), ApiError> {
-    let mut repeated = Vec::new();
+    let mut duplicates = Vec::new();
     let mut deserializer = serde_json::Deserializer::from_slice(body);
-    let seed = RepeatedKeys {
+    let seed = DuplicateKeys {
         path: String::new(),
-        repeated: &mut repeated,
+        duplicates: &mut duplicates,
     };
     let value = seed
         .deserialize(&mut deserializer)
         .and_then(|value| deserializer.end().map(|()| value))
         .map_err(|e| ApiError::bad_request(format!("the body is not valid JSON: {e}")))?;
-    Ok((value, repeated))
+    Ok((value, duplicates))
 }
 
 /// Decodes an object of this resource from a body and returns it with warnings.
@@ -64,8 +64,8 @@
     body: &[u8],
     validation: FieldValidation,
 ) -> Result<(Object, Vec<String>), ApiError> {
-    let (value, repeated) = json(body)?;
-    let warnings = repeated
+    let (value, duplicates) = json(body)?;
+    let warnings = duplicates
         .into_iter()
         .map(|path| format!("duplicate field \"{path}\""))
         .collect();
@@ -120,20 +120,20 @@
     Ok((object, warnings))
 }
 
-/// Deserializes any JSON value and records the paths of repeated keys.
-struct RepeatedKeys<'a> {
+/// Deserializes any JSON value and records the paths of duplicate keys.
+struct DuplicateKeys<'a> {
     path: String,
-    repeated: &'a mut Vec<String>,
+    duplicates: &'a mut Vec<String>,
 }
 
-impl<'de> DeserializeSeed<'de> for RepeatedKeys<'_> {
+impl<'de> DeserializeSeed<'de> for DuplicateKeys<'_> {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
         deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for RepeatedKeys<'_> {
+impl<'de> Visitor<'de> for DuplicateKeys<'_> {
     type Value = Value;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a JSON value")
@@ -160,9 +160,9 @@
         let mut list = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, list.len());
-            match seq.next_element_seed(RepeatedKeys {
+            match seq.next_element_seed(DuplicateKeys {
                 path,
-                repeated: self.repeated,
+                duplicates: self.duplicates,
             })? {
                 Some(value) => list.push(value),
                 None => return Ok(Value::Array(list)),
@@ -177,12 +177,12 @@
             } else {
                 format!("{}.{key}", self.path)
             };
-            if map.contains_key(&key) && self.repeated.len() < MAX_REPEATED_KEYS {
-                self.repeated.push(path.clone());
+            if map.contains_key(&key) && self.duplicates.len() < MAX_DUPLICATE_KEYS {
+                self.duplicates.push(path.clone());
             }
-            let value = access.next_value_seed(RepeatedKeys {
+            let value = access.next_value_seed(DuplicateKeys {
                 path,
-                repeated: self.repeated,
+                duplicates: self.duplicates,
             })?;
             map.insert(key, value);
         }
--- a/crates/api/src/fields.rs
+++ b/crates/api/src/fields.rs
@@ -1,5 +1,6 @@
-//! Which fields of the published types are supported. An unsupported field is rejected by name; none is accepted and
-//! then ignored. What only a node's runtime reads (image, command, volumes, ...) is passed to the node as written.
+//! Fields of the published types that are supported. A request with an unsupported field is rejected with the name of
+//! the field; no field is accepted and then ignored. Fields that only a node's runtime reads (image, command, volumes,
+//! ...) are passed to the node unchanged.
 
 use crate::status::Cause;
 use crate::{Object, Resource, meta};
@@ -19,7 +20,7 @@
     "manualSelector",
 ];
 
-/// Supported fields of a Pod's spec: placement reads the first four, nodes the others.
+/// Supported fields of a Pod's spec: the first four are read for placement, the others by nodes.
 const POD_FIELDS: [&str; 25] = [
     "containers",
     "priorityClassName",
@@ -70,7 +71,7 @@
     "terminationMessagePolicy",
 ];
 
-/// Fields of a Job's spec of which a single value is supported.
+/// Fields of a Job's spec for which only one value is supported.
 const JOB_SINGLE_VALUES: [(&str, &str); 2] = [
     ("completionMode", "NonIndexed"),
     ("podReplacementPolicy", "TerminatingOrFailed"),
@@ -84,26 +85,27 @@
     }
 }
 
-const NOT_SERVED: &str = "is not served by tidespur; leave it out (docs/api.md lists what is)";
+const UNSUPPORTED_FIELD: &str =
+    "is not served by tidespur; leave it out (docs/api.md lists what is)";
 
-/// Names each field of `object` that is not among `names` and not empty.
-fn check_names(object: &Value, path: &str, names: &[&str], causes: &mut Vec<Cause>) {
+/// Reports each field of `object` that is not empty and not among `names`.
+fn check_field_names(object: &Value, path: &str, names: &[&str], causes: &mut Vec<Cause>) {
     for (key, value) in object.as_object().into_iter().flatten() {
         let is_empty = value.is_null() || value.as_array().is_some_and(Vec::is_empty);
         if !is_empty && !names.contains(&key.as_str()) {
-            causes.push(unsupported(format!("{path}.{key}"), NOT_SERVED));
+            causes.push(unsupported(format!("{path}.{key}"), UNSUPPORTED_FIELD));
         }
     }
 }
 
-/// Names each unsupported field of an object.
+/// Reports each unsupported field of an object.
 pub(crate) fn check(resource: &Resource, object: &Object, causes: &mut Vec<Cause>) {
-    let listed = |path: &[&str]| {
+    let is_nonempty_list = |path: &[&str]| {
         meta::value_at(object, path)
             .as_array()
             .is_some_and(|list| !list.is_empty())
     };
-    if listed(&["metadata", "finalizers"]) {
+    if is_nonempty_list(&["metadata", "finalizers"]) {
         let message = "is not served: a deletion is at once; leave it out";
         causes.push(unsupported("metadata.finalizers".into(), message));
     }
@@ -111,7 +113,7 @@
     match resource.kind {
         "Pod" => check_pod(spec, "spec", causes),
         "Job" => {
-            check_names(spec, "spec", &JOB_FIELDS, causes);
+            check_field_names(spec, "spec", &JOB_FIELDS, causes);
             for (field, only) in JOB_SINGLE_VALUES {
                 if spec.get(field).is_some_and(|value| value != only) {
                     causes.push(unsupported(
@@ -130,52 +132,52 @@
                 ));
             }
             let template = meta::value_at(spec, &["template"]);
-            check_names(template, "spec.template", &["metadata", "spec"], causes);
+            check_field_names(template, "spec.template", &["metadata", "spec"], causes);
             check_pod(
                 meta::value_at(template, &["spec"]),
                 "spec.template.spec",
                 causes,
             );
         }
-        "Namespace" if listed(&["spec", "finalizers"]) => {
-            causes.push(unsupported("spec.finalizers".into(), NOT_SERVED));
+        "Namespace" if is_nonempty_list(&["spec", "finalizers"]) => {
+            causes.push(unsupported("spec.finalizers".into(), UNSUPPORTED_FIELD));
         }
         _ => {}
     }
 }
 
-fn check_pod(spec: &Value, at: &str, causes: &mut Vec<Cause>) {
-    check_names(spec, at, &POD_FIELDS, causes);
+fn check_pod(spec: &Value, path: &str, causes: &mut Vec<Cause>) {
+    check_field_names(spec, path, &POD_FIELDS, causes);
     if spec
         .get("terminationGracePeriodSeconds")
         .is_some_and(|grace| grace.as_i64() != Some(0))
     {
         let message = "only 0 is served: nodes stop a Pod at once";
         causes.push(unsupported(
-            format!("{at}.terminationGracePeriodSeconds"),
+            format!("{path}.terminationGracePeriodSeconds"),
             message,
         ));
     }
     let scheduler = meta::text_at(spec, &["schedulerName"]);
     if !["", "default-scheduler", "tidespur"].contains(&scheduler) {
         let message = format!("{scheduler:?} is not served here: use tidespur, or leave it out");
-        causes.push(unsupported(format!("{at}.schedulerName"), &message));
+        causes.push(unsupported(format!("{path}.schedulerName"), &message));
     }
     let containers = meta::value_at(spec, &["containers"]).as_array();
     for (i, container) in containers.into_iter().flatten().enumerate() {
-        let at = format!("{at}.containers[{i}]");
-        check_names(container, &at, &CONTAINER_FIELDS, causes);
+        let path = format!("{path}.containers[{i}]");
+        check_field_names(container, &path, &CONTAINER_FIELDS, causes);
         let resources = meta::value_at(container, &["resources"]);
-        check_names(
+        check_field_names(
             resources,
-            &format!("{at}.resources"),
+            &format!("{path}.resources"),
             &["requests", "limits"],
             causes,
         );
         let requests = meta::value_at(resources, &["requests"]);
-        check_names(
+        check_field_names(
             requests,
-            &format!("{at}.resources.requests"),
+            &format!("{path}.resources.requests"),
             &["cpu", "memory"],
             causes,
         );
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,4 +1,4 @@
-//! The published API objects that tidespur serves, without I/O.
+//! The Kubernetes API objects that tidespur serves, without I/O.
 //!
 //! Objects are JSON values that have been converted through the published types of `k8s-openapi`. This package decodes,
 //! validates and patches them, matches selectors against them and formats errors as `Status`. Owns no state; called by
@@ -20,5 +20,5 @@
 pub use resource::Resource;
 pub use status::ApiError;
 
-/// An object as it is stored and sent.
+/// An object in the form in which it is stored and sent: JSON that passed [`decode`] or was made by this program.
 pub type Object = serde_json::Value;
--- a/crates/api/src/meta.rs
+++ b/crates/api/src/meta.rs
@@ -1,4 +1,4 @@
-//! Reads and writes an object's metadata and conditions.
+//! Accessors for metadata and conditions of objects, and for timestamps.
 
 use serde_json::{Map, Value, json};
 
@@ -16,36 +16,36 @@
     value_at(object, path).as_str().unwrap_or("")
 }
 
-/// `metadata.name`.
+/// `metadata.name`; empty if there is none.
 pub fn name(object: &Value) -> &str {
     text_at(object, &["metadata", "name"])
 }
 
-/// `metadata.namespace`.
+/// `metadata.namespace`; empty if there is none.
 pub fn namespace(object: &Value) -> &str {
     text_at(object, &["metadata", "namespace"])
 }
 
-/// `metadata.uid`.
+/// `metadata.uid`; empty if there is none.
 pub fn uid(object: &Value) -> &str {
     text_at(object, &["metadata", "uid"])
 }
 
-/// `metadata.resourceVersion`; 0 if there is none or it is no number.
+/// `metadata.resourceVersion`; 0 if it is missing or not a number.
 pub fn version(object: &Value) -> u64 {
     text_at(object, &["metadata", "resourceVersion"])
         .parse()
         .unwrap_or(0)
 }
 
-/// The annotation of this key.
+/// The value of an annotation; `None` if it is missing or not a string.
 pub fn annotation<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
     value_at(object, &["metadata", "annotations"])
         .get(key)
         .and_then(Value::as_str)
 }
 
-/// The label of this key.
+/// The value of a label; `None` if it is missing or not a string.
 pub fn label<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
     value_at(object, &["metadata", "labels"])
         .get(key)
@@ -66,12 +66,12 @@
     }
 }
 
-/// Sets a field of the metadata.
+/// Sets a field of the metadata, which is created if it is missing.
 pub fn set(object: &mut Value, key: &str, value: Value) {
     map_mut(object, "metadata").insert(key.to_owned(), value);
 }
 
-/// Sets or replaces the condition of that type.
+/// Adds a condition to the status, or replaces the one of the same type.
 pub fn set_condition(object: &mut Value, condition: Value) {
     let status = map_mut(object, "status");
     let list = status.entry("conditions").or_insert_with(|| json!([]));
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether the condition of that type is `True`.
+/// Whether the object has a condition of this type with the status `True`.
 pub fn has_condition(object: &Value, kind: &str) -> bool {
     let list = value_at(object, &["status", "conditions"]).as_array();
     list.is_some_and(|list| {
@@ -94,20 +94,20 @@
     })
 }
 
-/// A time, in Unix seconds, in the published format.
+/// Formats a time, in Unix seconds, as the published `Time`, with whole seconds; empty if it is out of range.
 pub fn timestamp(unix: f64) -> String {
     jiff::Timestamp::from_second(unix as i64)
         .map(|t| t.to_string())
         .unwrap_or_default()
 }
 
-/// A time, in Unix seconds, in the published format of `MicroTime`.
+/// Formats a time, in Unix seconds, as the published `MicroTime`; empty if it is out of range.
 pub fn timestamp_micro(unix: f64) -> String {
     let stamp = jiff::Timestamp::from_microsecond((unix * 1e6) as i64);
     stamp.map(|t| format!("{t:.6}")).unwrap_or_default()
 }
 
-/// The Unix seconds of a time in the published format.
+/// Parses a published `Time` or `MicroTime` to Unix seconds, with a resolution of 1 ms; `None` if it is malformed.
 pub fn parse_timestamp(text: &str) -> Option<f64> {
     text.parse::<jiff::Timestamp>()
         .ok()
--- a/crates/api/src/names.rs
+++ b/crates/api/src/names.rs
@@ -1,53 +1,54 @@
-//! Words that tidespur adds to the published API: annotations, reasons, headers.
+//! Names of annotations, labels, conditions, reasons and headers: those that tidespur adds to the Kubernetes API, and
+//! the published ones that it uses.
 
-/// Annotation: how long the task is expected to run, in seconds.
+/// Annotation of a Pod: how long the task is expected to run, in seconds.
 pub const EXPECTED_SECONDS: &str = "placement.tidespur.dev/expected-seconds";
-/// Annotation: how long the owner waits for a placement, in seconds.
+/// Annotation of a Pod: how long its owner waits for a placement, in seconds.
 pub const GIVE_UP_SECONDS: &str = "placement.tidespur.dev/give-up-seconds";
-/// Annotation: this Pod comes after one that was refused, failed or lost.
+/// Annotation of a Pod that resubmits a task whose earlier Pod was rejected, failed or lost.
 pub const RESUBMITTED: &str = "placement.tidespur.dev/returned";
-/// Annotation: the name that nodes know this task by, where an orphan of an earlier Pod was taken over.
+/// Annotation of a Pod that adopted an orphaned attempt of an earlier Pod: the Pod name by which nodes know the task.
 pub const ADOPTED_POD_NAME: &str = "placement.tidespur.dev/adopts";
-/// Annotation on Pods at a node: repeats of one key within a group are dropped there.
+/// Annotation of a Pod at a node: idempotency key; further starts with the key in the deduplication domain are dropped.
 pub const IDEMPOTENCY_KEY: &str = "placement.tidespur.dev/key";
-/// Annotation on Pods at a node: the uid of the edge's Pod.
+/// Annotation of a Pod at a node: uid of the Pod at the edge.
 pub const EDGE_POD_UID: &str = "placement.tidespur.dev/uid";
 
-/// Published label: zone of a node.
+/// Published label of a Node: its zone.
 pub const ZONE: &str = "topology.kubernetes.io/zone";
-/// Label: rack of a node.
+/// Label of a Node: its rack.
 pub const RACK: &str = "topology.tidespur.dev/rack";
-/// Published label: kind of a node.
+/// Published label of a Node: its node type in the settings.
 pub const INSTANCE_TYPE: &str = "node.kubernetes.io/instance-type";
-/// Annotation on a Node: where it takes Pods.
+/// Annotation of a Node: address at which it accepts Pods.
 pub const ADDRESS: &str = "node.tidespur.dev/address";
-/// Annotation on a Node: when its process last came up, Unix seconds.
+/// Annotation of a Node: when its process last started, in Unix seconds.
 pub const STARTED_AT: &str = "node.tidespur.dev/up-since";
-/// Annotations on a Node: cores and memory units that no accepted Pod asks for.
+/// Annotation of a Node: CPU that no accepted Pod requests, in cores.
 pub const UNCLAIMED_CPU: &str = "node.tidespur.dev/free-cores";
-/// See [`UNCLAIMED_CPU`].
+/// Annotation of a Node: memory that no accepted Pod requests, in memory units.
 pub const UNCLAIMED_MEMORY: &str = "node.tidespur.dev/free-memory";
 
-/// Header in every answer of a node: `cores=12.5;memory=40;queue=2`, cores and memory units not in use and the
-/// offers and starts that wait.
+/// Header in every response of a node: `cores=12.5;memory=40;queue=2`, that is, the cores and memory units that are not
+/// in use and the number of queued offers and starts.
 pub const LOAD_HEADER: &str = "x-tidespur-load";
-/// Header of a request: the zone that it comes from.
+/// Header of a request: zone of the sender.
 pub const ZONE_HEADER: &str = "x-tidespur-zone";
-/// Header of a request: the program that sent it.
+/// Header of a request: name of the program that sent it.
 pub const PEER_HEADER: &str = "x-tidespur-peer";
 
-/// Published label on Pods: the Job that owns them.
+/// Published label of a Pod: name of the Job that owns it.
 pub const JOB_NAME: &str = "batch.kubernetes.io/job-name";
-/// Published label: uid of the Job.
+/// Published label of a Pod: uid of the Job that owns it.
 pub const JOB_UID: &str = "batch.kubernetes.io/controller-uid";
 
-/// Condition of a Job: its owner's side waits, pausing before asking again or settling what may run.
+/// Condition of a Job whose controller waits: for a backoff to end, or for the outcome of an attempt that may have run.
 pub const PENDING_CONDITION: &str = "placement.tidespur.dev/Waiting";
 
-/// Pod status reason: not placed; asking again is harmless.
+/// Status reason of a Pod: it was not placed, so the task can be retried safely.
 pub const PLACEMENT_REFUSED: &str = "PlacementRefused";
-/// Pod status reason: no claim whether it ran.
+/// Status reason of a Pod: it is unknown whether it ran.
 pub const PLACEMENT_UNKNOWN: &str = "PlacementUnknown";
 
-/// Bytes of one memory unit of the policy.
+/// Size of the memory unit of policy and settings, in bytes.
 pub const MEMORY_UNIT: f64 = 1024.0 * 1024.0 * 1024.0;
--- a/crates/api/src/patch.rs
+++ b/crates/api/src/patch.rs
@@ -1,21 +1,21 @@
-//! The three published kinds of patch.
+//! Applies the patch formats of the Kubernetes API: JSON patch, JSON merge patch and strategic merge patch.
 
 use crate::{ApiError, Object};
 use serde_json::{Map, Value};
 
-/// Kind of a patch, by its media type.
+/// Format of a patch, which is given by its media type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatchKind {
     /// JSON patch (RFC 6902).
     Json,
     /// JSON merge patch (RFC 7396).
     Merge,
-    /// Strategic merge patch: lists with a known key are merged item by item.
+    /// Kubernetes strategic merge patch: lists with a known merge key are merged item by item.
     Strategic,
 }
 
 impl PatchKind {
-    /// The kind of this media type.
+    /// The format of this media type; its parameters are ignored.
     ///
     /// # Errors
     /// 415 for other media types.
@@ -36,10 +36,10 @@
     }
 }
 
-/// Operations that one JSON patch may have.
+/// Most operations of one JSON patch.
 const MAX_OPERATIONS: usize = 1_000;
 
-/// The object after the patch.
+/// Returns the patched object.
 ///
 /// # Errors
 /// The patch is malformed, too long, or cannot be applied.
@@ -67,7 +67,7 @@
     })
 }
 
-/// Keys by which the published types merge their lists.
+/// Merge key of the list field of this name in the published types; `None` for lists that are replaced as a whole.
 fn merge_key(list: &str) -> Option<&'static str> {
     Some(match list {
         "containers"
@@ -88,7 +88,7 @@
     })
 }
 
-/// Merges a strategic merge patch into `target`; `name` is the key that `target` has in its object.
+/// Merges a strategic merge patch into `target`, which is the field `name` of its object.
 fn merge_strategic(target: &mut Value, patch: Value, name: &str) -> Result<(), ApiError> {
     match patch {
         Value::Object(fields) => merge_object(target, fields),
@@ -140,7 +140,8 @@
         return Ok(());
     }
     if key.starts_with("$setElementOrder/") || key.starts_with("$retainKeys") {
-        // The present order of the elements is kept, which every reader allows.
+        // Directives on the order of elements and on retained keys are ignored: the present order is kept, which is
+        // valid for all clients.
         return Ok(());
     }
     if value.is_null() {
@@ -152,7 +153,7 @@
     merge_strategic(&mut target[key], value, key)
 }
 
-/// Merges the items of a patch into a list whose items are identified by `key`.
+/// Merges the items of a patch into a list with the merge key `key`.
 fn merge_list(target: &mut Value, items: Vec<Value>, key: &str) -> Result<(), ApiError> {
     let mut list = match target.take() {
         Value::Array(list) => list,
--- a/crates/api/src/quantity.rs
+++ b/crates/api/src/quantity.rs
@@ -1,20 +1,21 @@
-//! Published resource quantities ("500m", "2Gi", "1e3") as numbers.
+//! Parses Kubernetes resource quantities ("500m", "2Gi", "1e3") as numbers.
 //!
-//! Looked at `kube_quantity` and `k8s-quantity-parser`: both are bound to older releases of the object types.
+//! The packages `kube_quantity` and `k8s-quantity-parser` are not used, as they depend on older releases of the object
+//! types.
 
-/// The largest quantity: far above any machine, far below where sums lose precision.
+/// Largest quantity: far above the capacity of any machine, and small enough that sums keep their precision.
 pub const MAX_QUANTITY: f64 = 1e15;
 
 /// Longest text of a quantity, in bytes.
 const MAX_TEXT_BYTES: usize = 64;
 
-/// Why a text is no quantity.
+/// Why a text is not a valid quantity.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuantityError {
-    /// The text is too long.
+    /// The text has more than 64 characters.
     #[error("a quantity of more than 64 characters")]
     TooLong,
-    /// The text is no number with an optional suffix.
+    /// The text is not a number with an optional suffix.
     #[error("quantity {0:?} must be a number with an optional suffix such as m, k, Mi, Gi")]
     Malformed(String),
     /// The number is negative.
@@ -25,7 +26,7 @@
     TooLarge(String),
 }
 
-/// Suffixes and the factors that they stand for; longer ones first.
+/// Suffixes and their factors. Longer suffixes are first, as the first match is taken.
 const SUFFIXES: [(&str, f64); 15] = [
     ("Ki", 1024.0),
     ("Mi", 1_048_576.0),
@@ -47,7 +48,7 @@
 /// Parses a quantity; it must be finite, at least 0 and at most [`MAX_QUANTITY`].
 ///
 /// # Errors
-/// What is wrong with the text.
+/// The text is too long or not a number, or the number is out of range.
 pub fn parse(text: &str) -> Result<f64, QuantityError> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(QuantityError::TooLong);
@@ -70,7 +71,7 @@
     Ok(value)
 }
 
-/// The number and the factor of its suffix.
+/// Splits a text into the number and the factor of its suffix, which is 1 without one.
 fn split_suffix(text: &str) -> (&str, f64) {
     for (suffix, scale) in SUFFIXES {
         if let Some(number) = text.strip_suffix(suffix) {
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -1,10 +1,10 @@
-//! The table of what is served.
+//! Resource types that are served.
 
 use k8s_openapi::api::{batch::v1 as batch, core::v1 as core};
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 
-/// Converts a value to its published type and back; the paths of unknown fields are appended.
+/// Converts a value to its published type and back, which drops unknown fields; their paths are appended to the list.
 pub type TypeConversion = fn(Value, &mut Vec<String>) -> Result<Value, TypeError>;
 
 /// A value that does not have the published type.
@@ -17,31 +17,31 @@
     pub message: String,
 }
 
-/// Unknown fields that are reported of one object.
+/// Most unknown fields that are reported for one object.
 const MAX_UNKNOWN_FIELDS: usize = 16;
 
-/// A kind of object that is served.
+/// A resource type that is served.
 #[derive(Debug)]
 pub struct Resource {
     /// Index in [`RESOURCES`].
     pub index: usize,
-    /// API group, "" for core.
+    /// API group; empty for the core group.
     pub group: &'static str,
-    /// Version in the group.
+    /// API version within the group.
     pub version: &'static str,
-    /// Name in paths.
+    /// Plural name, as in paths.
     pub plural: &'static str,
-    /// Name of one.
+    /// Singular name, for command lines and messages.
     pub singular: &'static str,
     /// Kind of its objects.
     pub kind: &'static str,
-    /// Short names.
+    /// Short names for the command line, such as `po`.
     pub short_names: &'static [&'static str],
-    /// Whether it lives in namespaces.
+    /// Whether its objects belong to namespaces.
     pub namespaced: bool,
     /// Whether it has a status subresource.
     pub has_status_subresource: bool,
-    /// Brings a value through the published type.
+    /// Converts a value through the published type of this resource.
     pub convert: TypeConversion,
 }
 
@@ -50,15 +50,14 @@
     unknown: &mut Vec<String>,
 ) -> Result<Value, TypeError> {
     let mut track = serde_path_to_error::Track::new();
-    let noting = |path: serde_ignored::Path<'_>| {
+    let mut record_unknown = |path: serde_ignored::Path<'_>| {
         let path = path.to_string().replace(".?", "");
         // These two identify the type and are checked by the caller.
         if unknown.len() < MAX_UNKNOWN_FIELDS && path != "kind" && path != "apiVersion" {
             unknown.push(path);
         }
     };
-    let mut note = noting;
-    let ignored = serde_ignored::Deserializer::new(value, &mut note);
+    let ignored = serde_ignored::Deserializer::new(value, &mut record_unknown);
     let typed: Result<T, _> =
         T::deserialize(serde_path_to_error::Deserializer::new(ignored, &mut track));
     let typed = typed.map_err(|error| TypeError {
@@ -71,7 +70,7 @@
     })
 }
 
-/// All that is served, in the order of [`Resource::index`].
+/// All resource types that are served, in the order of [`Resource::index`].
 pub static RESOURCES: [Resource; 5] = [
     Resource {
         index: 0,
@@ -135,15 +134,15 @@
     },
 ];
 
-/// Namespaces.
+/// Resource type `Namespace` of the core group.
 pub static NAMESPACES: &Resource = &RESOURCES[0];
-/// Nodes.
+/// Resource type `Node` of the core group.
 pub static NODES: &Resource = &RESOURCES[1];
-/// Pods.
+/// Resource type `Pod` of the core group.
 pub static PODS: &Resource = &RESOURCES[2];
-/// Events.
+/// Resource type `Event` of the core group.
 pub static EVENTS: &Resource = &RESOURCES[3];
-/// Jobs.
+/// Resource type `Job` of the group `batch`.
 pub static JOBS: &Resource = &RESOURCES[4];
 
 impl Resource {
@@ -156,32 +155,33 @@
         }
     }
 
-    /// The one of a group that paths call so.
+    /// Finds a resource by group and plural name, as in paths.
     pub fn find(group: &str, plural: &str) -> Option<&'static Resource> {
         RESOURCES
             .iter()
             .find(|r| r.group == group && r.plural == plural)
     }
 
-    /// The one that people call so: plural, singular, kind or short name.
-    pub fn find_by_alias(word: &str) -> Option<&'static Resource> {
-        let word = word.to_ascii_lowercase();
+    /// Finds a resource by any name that command lines allow: plural, singular, kind or short name, in any case.
+    pub fn find_by_alias(alias: &str) -> Option<&'static Resource> {
+        let alias = alias.to_ascii_lowercase();
         RESOURCES.iter().find(|r| {
-            r.plural == word
-                || r.singular == word
-                || r.kind.eq_ignore_ascii_case(&word)
-                || r.short_names.contains(&word.as_str())
+            r.plural == alias
+                || r.singular == alias
+                || r.kind.eq_ignore_ascii_case(&alias)
+                || r.short_names.contains(&alias.as_str())
         })
     }
 
-    /// Path of a collection, or of one object.
+    /// Path of a collection if `name` is empty, otherwise of one object. An empty `namespace` stands for all
+    /// namespaces.
     pub fn path(&self, namespace: &str, name: &str) -> String {
         let group = if self.group.is_empty() {
             "/api".into()
         } else {
             format!("/apis/{}", self.group)
         };
-        let space = if self.namespaced && !namespace.is_empty() {
+        let namespace = if self.namespaced && !namespace.is_empty() {
             format!("/namespaces/{namespace}")
         } else {
             String::new()
@@ -191,7 +191,7 @@
         } else {
             format!("/{name}")
         };
-        format!("{group}/{}{space}/{}{name}", self.version, self.plural)
+        format!("{group}/{}{namespace}/{}{name}", self.version, self.plural)
     }
 }
 
@@ -206,7 +206,7 @@
     "watch",
 ];
 
-/// `APIResourceList` of a group.
+/// The `APIResourceList` of a group, as discovery returns it.
 pub fn resource_list(group: &str) -> Value {
     let mut list = Vec::new();
     for r in RESOURCES.iter().filter(|r| r.group == group) {
--- a/crates/api/src/selector.rs
+++ b/crates/api/src/selector.rs
@@ -1,8 +1,8 @@
-//! Label and field selectors.
+//! Parses label and field selectors and matches them against objects.
 
 use crate::{ApiError, Object, meta};
 
-/// A requirement on one value.
+/// A requirement on the value of one label or field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Requirement {
     In(Vec<String>),
@@ -11,7 +11,7 @@
     Missing,
 }
 
-/// Selects the objects of a list or watch.
+/// Selector of a list or watch; the default matches every object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
     labels: Vec<(String, Requirement)>,
@@ -21,7 +21,7 @@
 /// Longest selector, in bytes.
 const MAX_SELECTOR_BYTES: usize = 4096;
 
-/// Fields that selectors can name.
+/// Fields that are supported in field selectors.
 const FIELDS: [&str; 8] = [
     "metadata.name",
     "metadata.namespace",
@@ -53,12 +53,13 @@
         Ok(selector)
     }
 
-    /// Whether it matches every object.
+    /// Whether it has no requirements and so matches every object.
     pub fn is_empty(&self) -> bool {
         self.labels.is_empty() && self.fields.is_empty()
     }
 
-    /// Whether an object matches.
+    /// Whether an object meets all requirements. A missing field has the value "", `spec.unschedulable` the value
+    /// "false".
     pub fn matches(&self, object: &Object) -> bool {
         let field = |path: &str| {
             let keys: Vec<&str> = path.split('.').collect();
@@ -79,7 +80,7 @@
     }
 }
 
-/// Whether the value that was found meets the requirement.
+/// Whether a value meets the requirement; `None` if there is no such label.
 fn is_met(requirement: &Requirement, found: Option<&str>) -> bool {
     let among = |list: &[String]| found.is_some_and(|found| list.iter().any(|item| item == found));
     match requirement {
@@ -113,7 +114,7 @@
     Ok(requirements)
 }
 
-/// Splits at commas outside parentheses.
+/// Splits a selector at the commas outside parentheses.
 fn terms(text: &str) -> Vec<String> {
     let mut depth = 0;
     let mut terms = Vec::new();
@@ -135,7 +136,7 @@
     trimmed.filter(|term| !term.is_empty()).collect()
 }
 
-/// One term; `None` if it is malformed.
+/// Parses one term; `None` if it is malformed.
 fn parse_term(term: &str) -> Option<(String, Requirement)> {
     if let Some((key, values)) = term.split_once(" notin ") {
         return Some((parse_key(key)?, Requirement::NotIn(parse_values(values)?)));
@@ -164,7 +165,7 @@
     is_valid.then(|| key.to_owned())
 }
 
-/// The values of a list in parentheses.
+/// Parses a list of values in parentheses.
 fn parse_values(list: &str) -> Option<Vec<String>> {
     let inner = list.trim().strip_prefix('(')?.strip_suffix(')')?;
     let values = inner.split(',').map(|value| value.trim().to_owned());
--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -1,4 +1,4 @@
-//! Errors as the published `Status` object.
+//! API errors and their form as the published `Status` object.
 
 use serde_json::{Value, json};
 
@@ -9,11 +9,11 @@
     pub reason: &'static str,
     /// Path of the field.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong and which values are allowed.
     pub message: String,
 }
 
-/// An error of the API.
+/// An error response of the API.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code} {reason}: {message}")]
 pub struct ApiError {
@@ -21,13 +21,13 @@
     pub code: u16,
     /// Published reason, such as `NotFound`.
     pub reason: &'static str,
-    /// What is wrong, for people.
+    /// Message for people.
     pub message: String,
-    /// Causes by field.
+    /// Violations by field, for a 422.
     pub causes: Vec<Cause>,
-    /// Seconds after which the client may retry.
+    /// Seconds after which the client may retry; `None` sends no `Retry-After`.
     pub retry_after: Option<u32>,
-    /// Kind and name of the object that it concerns.
+    /// Kind or plural, and name, of the object that the error concerns.
     pub subject: Option<(String, String)>,
 }
 
@@ -48,13 +48,13 @@
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::new(400, "BadRequest", message)
     }
-    /// 404 for an object.
+    /// 404: the object does not exist.
     pub fn not_found(plural: &str, name: &str) -> Self {
         let mut error = Self::new(404, "NotFound", format!("{plural} \"{name}\" not found"));
         error.subject = Some((plural.to_owned(), name.to_owned()));
         error
     }
-    /// 404 for a path.
+    /// 404: the path denotes no resource.
     pub fn no_such_path() -> Self {
         Self::new(
             404,
@@ -113,7 +113,7 @@
         error
     }
 
-    /// The `Status` object.
+    /// The error as a `Status` object.
     pub fn to_status(&self) -> Value {
         let mut details = serde_json::Map::new();
         if let Some((kind, name)) = &self.subject {
--- a/crates/api/src/task.rs
+++ b/crates/api/src/task.rs
@@ -1,4 +1,4 @@
-//! Pods as placement requests. The only place where Pods are read as tasks.
+//! Converts Pods to placement requests. No other module interprets Pods as tasks.
 
 use crate::{Object, meta, names, quantity};
 use serde::{Deserialize, Serialize};
@@ -17,33 +17,34 @@
     pub service: String,
     /// Class of the settings; empty for the first class.
     pub class: String,
-    /// CPU that it requests, in cores.
+    /// CPU request, in cores.
     pub cores: f64,
-    /// Memory that it requests, in memory units.
+    /// Memory request, in memory units.
     pub memory: f64,
-    /// How long it is expected to run, in seconds.
+    /// Expected run time, in seconds; `None` if its owner doesn't say.
     #[serde(rename = "life")]
     pub expected_duration: Option<f64>,
-    /// How long its owner waits for a placement, in seconds from now.
+    /// How long its owner waits for a placement, in seconds from now; `None` for the deadline of the class.
     #[serde(rename = "within")]
     pub timeout: Option<f64>,
-    /// Whether it comes after a Pod that was rejected, failed or lost.
+    /// Whether an earlier Pod of the task was rejected, failed or lost.
     #[serde(rename = "returned")]
     pub is_resubmission: bool,
-    /// The same for all retries of the task.
+    /// Idempotency key, the same for all retries of the task; the uid if the Pod has none.
     #[serde(rename = "key")]
     pub idempotency_key: String,
     /// The Pod's spec as its owner wrote it, in JSON, for the node.
     pub spec: Arc<str>,
 }
 
-/// CPU in cores and memory in memory units that a Pod's containers request.
+/// Total requests of a Pod's containers: CPU in cores and memory in memory units. Requests that are missing or
+/// malformed count as 0.
 pub fn resource_requests(pod: &Object) -> (f64, f64) {
     let containers = meta::value_at(pod, &["spec", "containers"]).as_array();
     let sum = |key: &str| -> f64 {
-        let one =
+        let parse =
             |c| quantity::parse(meta::text_at(c, &["resources", "requests", key])).unwrap_or(0.0);
-        containers.into_iter().flatten().map(one).sum()
+        containers.into_iter().flatten().map(parse).sum()
     };
     (sum("cpu"), sum("memory") / names::MEMORY_UNIT)
 }
--- a/crates/api/src/validate.rs
+++ b/crates/api/src/validate.rs
@@ -1,17 +1,17 @@
-//! What must hold of a well-typed object; each violation is a cause of a 422.
+//! Validates objects that have the published type; each violation is a cause of a 422.
 
 use crate::status::Cause;
 use crate::{ApiError, Object, Resource, fields, meta, names, quantity};
 use serde_json::Value;
 
-/// Bytes of one annotation's value.
-const MAX_METADATA_BYTES: usize = 256 * 1024;
-/// Pods that one Job may run at a time.
+/// Longest value of an annotation, in bytes.
+const MAX_ANNOTATION_BYTES: usize = 256 * 1024;
+/// Largest `parallelism` of a Job.
 pub const MAX_PARALLELISM: i64 = 10_000;
 
-/// Bytes of one label's value.
+/// Longest value of a label, in bytes.
 const MAX_LABEL_BYTES: usize = 63;
-/// Bytes of the key of a label or annotation.
+/// Longest key of a label or annotation, in bytes: a prefix of 253, a slash and a name of 63.
 const MAX_KEY_BYTES: usize = 317;
 /// Longest duration in an annotation, in seconds.
 const MAX_SECONDS: f64 = 1e9;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether this is a DNS subdomain of at most 253 characters or, if `is_label`, a DNS label of at most 63 (RFC 1123).
+/// Whether a name is a DNS subdomain of at most 253 characters or, if `is_label`, a DNS label of at most 63 (RFC 1123).
 pub fn is_dns_name(name: &str, is_label: bool) -> bool {
     let max_bytes = if is_label { 63 } else { 253 };
     if name.len() > max_bytes {
@@ -42,7 +42,8 @@
     !part.is_empty() && part.chars().all(is_allowed) && !has_dash_at_end
 }
 
-/// Checks an object that is to be created or changed; `old` is the present one.
+/// Validates an object that is to be created or changed. `old` is the stored object, `None` on creation; `classes` are
+/// the class names of the settings.
 ///
 /// # Errors
 /// 422 with all causes.
@@ -81,7 +82,7 @@
     }
     for (field, max_bytes) in [
         ("labels", MAX_LABEL_BYTES),
-        ("annotations", MAX_METADATA_BYTES),
+        ("annotations", MAX_ANNOTATION_BYTES),
     ] {
         let entries = meta::value_at(object, &["metadata", field]).as_object();
         for (key, value) in entries.into_iter().flatten() {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Checks that the fields of a Pod that placement has read are unchanged.
+/// Checks that the fields of a Pod that its placement depends on are unchanged.
 fn check_unchanged(old: &Object, object: &Object, causes: &mut Vec<Cause>) {
     for field in ["containers", "priorityClassName"] {
         let path = ["spec", field];
@@ -157,7 +158,8 @@
     }
 }
 
-/// Checks the spec of a Pod, or of a Pod template. `owner` has the annotations, `path` is the path of the spec.
+/// Checks the spec of a Pod or of a Pod template. `owner` is the object with the annotations, `path` the field path of
+/// the spec.
 fn check_pod(spec: &Value, owner: &Value, path: &str, classes: &[String], causes: &mut Vec<Cause>) {
     let containers = meta::value_at(spec, &["containers"]).as_array();
     if containers.is_none_or(Vec::is_empty) {
--- a/crates/api/tests/compatibility.rs
+++ b/crates/api/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Names in the API that people and scripts use: annotations, labels, headers, reasons, and what is served.
+//! Compatibility of names in the API that clients use: annotations, labels, headers, reasons, resources and paths.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -9,7 +9,7 @@
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 
 #[test]
-fn annotations_labels_headers_and_reasons_stay_as_they_are() {
+fn annotations_labels_headers_and_reasons_are_unchanged() {
     let found = [
         ("annotation: expected seconds", names::EXPECTED_SECONDS),
         (
@@ -54,21 +54,21 @@
 }
 
 #[test]
-fn no_constant_of_names_is_left_out() {
+fn every_constant_of_names_is_in_the_fixture() {
     let source = include_str!("../src/names.rs");
-    let texts = source
+    let constants = source
         .lines()
         .filter(|line| line.starts_with("pub const") && line.contains("&str"))
         .count();
     assert_eq!(
-        texts,
+        constants,
         fixture::read(PACKAGE, "names.txt").len(),
-        "a name without a line in names.txt"
+        "names.txt does not have one line for each name"
     );
 }
 
 #[test]
-fn resources_are_served_and_called_as_before() {
+fn resources_and_their_paths_are_unchanged() {
     let mut lines = Vec::new();
     for group in ["", "batch"] {
         let list = resource::resource_list(group);
