--- a/crates/config/default.hcl
+++ b/crates/config/default.hcl
@@ -1,20 +1,20 @@
-# Settings of edge and planner. Times are seconds, memory is in units of 1 GiB.
-# Each key below stands at the value that holds where it is left out, but for tenant, class and kind.
+# Settings of edge and planner. Times are in seconds, memory in units of 1 GiB.
+# Except for tenant, class and kind, each key below has its default value.
 
 tenant "default" {
-  share       = 1.0  # its fraction of the service
-  quota_per_s = 100  # new tasks a second within the share
+  share       = 1.0  # fraction of the service
+  quota_per_s = 100  # new tasks per second within the share
 }
 
-# Classes go by priorityClassName; the first is for Pods that name none.
+# Classes, by priorityClassName; the first one applies to Pods without one.
 class "termin-web" {
-  aim         = 0.7    # a start within this earns its full worth
+  aim         = 0.7    # a start within this time has its full worth
   deadline    = 6      # how long owners wait for a placement
-  effect      = "safe" # a second start does no harm (keyed, unsafe)
+  effect      = "safe" # a second run does no harm; others: keyed, unsafe
   worth       = 1
   start_worth = 10
   priority    = 0
-  spread      = "node" # of one service at most spread_most in one node (rack, zone), for one planner
+  spread      = "node" # at most spread_most tasks of a service per node (or rack, zone), for each planner
   spread_most = 2
 }
 
@@ -29,7 +29,7 @@
   spread_most = 3
 }
 
-# Kinds of nodes go by the label node.kubernetes.io/instance-type.
+# Node types, by the label node.kubernetes.io/instance-type.
 kind "std-24" {
   cores  = 24
   memory = 48
@@ -41,11 +41,11 @@
 }
 
 nodes {
-  admit_cores  = 2.5  # nodes accept until Pods ask for this multiple of their cores
-  admit_memory = 1.2  # or this multiple of their memory
-  lists_free   = true # the list carries unclaimed cores and memory
-  reports      = true # answers of nodes carry their load
-  reports_use  = true # as what is not in use (else what is not asked for)
+  admit_cores  = 2.5  # accepted Pods request at most this multiple of a node's cores
+  admit_memory = 1.2  # and at most this multiple of its memory
+  lists_free   = true # the node list contains unclaimed cores and memory
+  reports      = true # responses of nodes contain a load report
+  reports_use  = true # with what is not in use (false: with what is not requested)
   probes       = false
   max_attempts = 4
 }
@@ -71,47 +71,47 @@
 }
 
 edge {
-  open_most        = 5000    # tasks without an answer; beyond, creates get 429
-  planner_most     = 500     # of them at one planner; beyond, tasks queue at the edge
+  open_most        = 5000    # tasks without an outcome; further creates are rejected with 429
+  planner_most     = 500     # of them at one planner; further tasks are queued at the edge
   connections_most = 4096
   body_most        = 3145728
   head_timeout     = 10
   body_timeout     = 30
-  history          = 16384   # changes of one resource that watches can go back
+  history          = 16384   # changes of a resource that watches can start from
   objects_most     = 200000
   bookmark_every   = 15
-  planner_patience = 2       # a planner silent for this long is lost
-  one_home         = false   # tasks of one service go to one planner while that is up
+  planner_patience = 2       # a planner that is silent for this long is lost
+  one_home         = false   # tasks of a service go to one planner while it is connected
 }
 
 planner {
-  planners         = 1       # how many share the nodes
-  reasons          = true    # edges are told why their tasks wait
+  planners         = 1       # number of planners that share the nodes
+  reasons          = true    # planners tell edges why their tasks are pending
   node_connections = 16
   step_most        = 512
   edge_patience    = 2
 }
 
 owner {
-  again_first = 1.5 # first pause before a refused or failed task is asked for again
+  again_first = 1.5 # first backoff after a rejected or failed attempt
   again_most  = 60
-  again_lost  = 0.2 # pause after a node was lost or a task was moved
-  settle      = 3   # a task that may run and must not twice is looked for after this long
+  again_lost  = 0.2 # backoff after a lost node or a migration
+  settle      = 3   # delay before planners are queried about an unsafe task that may have run
 }
 
-# fleet {                                  # edges and planners find each other; off without this block
-#   cluster      = "tidespur"              # members of other clusters are not listened to
-#   listen       = "127.0.0.1:7001"        # datagrams
-#   join         = ["127.0.0.1:7001", "127.0.0.1:7002"] # others; one that answers is enough
+# fleet {                                  # discovery of edges and planners; off without this block
+#   cluster      = "tidespur"              # messages of other clusters are ignored
+#   listen       = "127.0.0.1:7001"        # UDP address for gossip
+#   join         = ["127.0.0.1:7001", "127.0.0.1:7002"] # members to join; one that answers is enough
 #   members_most = 1024
 # }
 
-# What outlives edge and planner; without it all is in memory only.
+# Storage for state that survives a restart; without this block, state is in memory only.
 # durable {
 #   dir = "/var/lib/tidespur"
 # }
 
-# The fleet's memory; off without it.
+# Replicated log with leases; off without this block.
 # ledger {
 #   term   = 6
 #   drift  = 0.01
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks ranges of values, and that values fit together. Keys in errors are those of the file.
+//! Validates ranges of values and dependencies between them. Errors name the keys of the file.
 
 mod classes;
 mod fleet;
@@ -8,15 +8,15 @@
     Config, EdgeSection, JobControllerSection, NodesSection, PlannerSection, SafetyLimits,
 };
 
-/// The quota fractions of all tenants may exceed 1 by this much, for rounding.
+/// Rounding error by which the sum of all quota fractions may exceed 1.
 const QUOTA_TOLERANCE: f64 = 1e-6;
-/// Longest time in the settings: a day, in seconds.
+/// Longest duration of any setting: a day, in seconds.
 const DAY: f64 = 86_400.0;
-/// Longest time of most settings: an hour, in seconds.
+/// Longest duration of most settings: an hour, in seconds.
 const HOUR: f64 = 3_600.0;
 
 impl Config {
-    /// Checks all values, in the order of the documented settings.
+    /// Validates all values, in the order of the documented settings; returns the first violation.
     pub(crate) fn check(&self) -> Result<(), InvalidValue> {
         if self.classes.is_empty() {
             return Err(InvalidValue::new("class", "at least one class is needed"));
--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,11 +1,11 @@
-//! Checks of one class.
+//! Validates one class.
 
 use super::DAY;
 use crate::error::{InvalidValue, check_range};
 use crate::{Class, NodeType, RetrySafety};
 use indexmap::IndexMap;
 
-/// Checks the class of this name.
+/// Validates the class of this name.
 pub(super) fn check(
     name: &str,
     class: &Class,
@@ -32,7 +32,7 @@
     check_spread(class, key)
 }
 
-/// A keyed class needs a domain and a window; no other class has one.
+/// A keyed class requires a deduplication domain and window; other classes must have neither.
 fn check_deduplication(class: &Class, key: impl Fn(&str) -> String) -> Result<(), InvalidValue> {
     let is_keyed = class.retry_safety == RetrySafety::IdempotencyKeyed;
     let invalid = |name: &str, message: &str| Err(InvalidValue::new(key(name), message));
@@ -46,7 +46,7 @@
     }
 }
 
-/// A spread limit needs a domain and the reverse.
+/// The spread domain and the spread limit require each other.
 fn check_spread(class: &Class, key: impl Fn(&str) -> String) -> Result<(), InvalidValue> {
     let invalid = |message: &str| Err(InvalidValue::new(key("spread_most"), message));
     match (class.spread_domain, class.max_per_spread_domain) {
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -1,11 +1,11 @@
-//! Checks of the blocks `fleet`, `durable` and `ledger`.
+//! Validates the blocks `fleet`, `durable` and `ledger`.
 
 use crate::error::{InvalidValue, check_range};
 use crate::{CoordinationSection, MembershipSection, PersistenceSection};
 use std::net::SocketAddr;
 use tidespur_membership::is_valid_name;
 
-/// Numbers of voters that tolerate the most failures for their size.
+/// Allowed numbers of voters: an even number tolerates no more failures than the odd number below it.
 const VOTER_COUNTS: [usize; 3] = [1, 3, 5];
 
 pub(super) fn check_membership(section: &MembershipSection) -> Result<(), InvalidValue> {
@@ -55,7 +55,7 @@
     check_range("ledger.drift", section.max_clock_drift, 0.0, 0.2)
 }
 
-/// Whether this is an address that others can reach.
+/// Whether this is an address with a port that other hosts can connect to, not the wildcard address.
 fn is_reachable(address: &str) -> bool {
     let address = address.parse::<SocketAddr>();
     address.is_ok_and(|address| !address.ip().is_unspecified())
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a settings file, and where.
+//! Errors in settings files and range checks.
 
-/// An error in a settings file, with the place that has to be changed.
+/// An error in a settings file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Name of the file.
+    /// File name as given by the caller; `built-in` for the built-in settings.
     pub file: String,
-    /// Line of the file, from 1; 0 if it is not known.
+    /// Line number, from 1; 0 if it is not known.
     pub line_number: usize,
-    /// The key, with the blocks that it is in; empty if the file as a whole is wrong.
+    /// The key and the blocks that contain it, separated by dots; empty if the error concerns the whole file.
     pub key: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong and which values are allowed.
     pub message: String,
 }
 
@@ -28,12 +28,12 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A value that is not allowed; the place in the file is looked up later.
+/// A value that is not allowed. Its line in the file is looked up by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct InvalidValue {
-    /// The key, with the blocks that it is in, separated by dots.
+    /// The key and the blocks that contain it, separated by dots.
     pub(crate) key: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong and which values are allowed.
     pub(crate) message: String,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Checks that a value is in its range, both ends included.
+/// Checks that a value is finite and from `min` to `max`, both included.
 pub(crate) fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), InvalidValue> {
     if value.is_finite() && value >= min && value <= max {
         return Ok(());
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
 //! Settings in HCL, for edge and planner.
 //!
-//! One file serves both, so that both mean the same by a class or a node type. [`load`] reads and checks it;
-//! [`Config::scheduler_settings`] makes of it what a planner starts its policy with. Owns no state; reads files only in
-//! [`load`]. Keys of the file are published and stay as they are; the fields have the terms of the field.
+//! Both programs read the same file, so that they agree on classes and node types. [`load`] reads and validates it;
+//! [`Config::scheduler_settings`] converts it to the settings that a planner starts its policy with. Owns no state;
+//! reads files only in [`load`]. The keys of the file are a published interface; the names of the fields in Rust may
+//! differ.
 
 mod check;
 mod error;
@@ -20,13 +21,13 @@
 
 use std::path::{Path, PathBuf};
 
-/// The settings that `tidespur up` uses without a file; also the documented example.
+/// The built-in settings, which `tidespur up` uses without a file; also the documented example.
 pub const DEFAULT_CONFIG: &str = include_str!("../default.hcl");
 
-/// Reads and checks a file; without one, the built-in settings.
+/// Reads and validates a file, or the built-in settings if `path` is `None`.
 ///
 /// # Errors
-/// What is wrong with the file, with line and key.
+/// As [`load`].
 pub fn load_or_default(path: Option<&Path>) -> Result<Config, ConfigError> {
     match path {
         Some(path) => load(path),
@@ -34,10 +35,10 @@
     }
 }
 
-/// Reads and checks a file.
+/// Reads and validates a file.
 ///
 /// # Errors
-/// What is wrong with the file, with line and key.
+/// The file can't be read, or its text is invalid, with line and key.
 pub fn load(path: &Path) -> Result<Config, ConfigError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
@@ -49,10 +50,10 @@
     parse(&file, &text)
 }
 
-/// Parses and checks settings; `file` is named in errors.
+/// Parses and validates settings; `file` is the file name for errors.
 ///
 /// # Errors
-/// What is wrong with the text, with line and key.
+/// The first syntax error, unknown key or value that is not allowed, with line and key.
 pub fn parse(file: &str, text: &str) -> Result<Config, ConfigError> {
     let config = deserialize(file, text)?;
     config.check().map_err(|invalid| {
@@ -92,7 +93,8 @@
     })
 }
 
-/// The key that an error is about, with the blocks that it is in. An unknown key is named in the message alone.
+/// The key that an error is about, with the blocks that contain it. The path lacks an unknown key, which is taken from
+/// the message.
 fn keys_of(path: &serde_path_to_error::Path, message: &str) -> Vec<String> {
     let mut keys: Vec<String> = path.iter().map(ToString::to_string).collect();
     let unknown = message
@@ -106,7 +108,8 @@
     keys
 }
 
-/// The folder beneath which processes have their stores: as the command line names it, otherwise the settings.
+/// The parent directory of the processes' data directories: that of the command line, otherwise that of the settings.
+/// `None` if neither has one: state is then in memory only.
 pub fn data_directory(config: &Config, command_line: Option<&Path>) -> Option<PathBuf> {
     if let Some(directory) = command_line {
         return Some(directory.to_owned());
@@ -116,7 +119,7 @@
 }
 
 impl Config {
-    /// The cluster that a process belongs to.
+    /// Name of the cluster that a process belongs to.
     pub fn cluster(&self) -> &str {
         match &self.membership {
             Some(section) => &section.cluster,
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,9 +1,9 @@
-//! Finds the line of a key in a settings file, for errors.
+//! Finds the line of a key in a settings file, for error messages.
 
 use hcl_edit::Span;
 use hcl_edit::structure::{Body, Structure};
 
-/// The line, from 1, of the deepest part of the path that is in the text; 0 if none is.
+/// The line, from 1, of the innermost block or key of the path that the text contains; 0 if it contains none.
 pub(crate) fn line_of_key(text: &str, path: &[String]) -> usize {
     let Ok(body) = text.parse::<Body>() else {
         return 0;
@@ -15,7 +15,7 @@
     before.lines().count().max(1) + usize::from(before.ends_with('\n'))
 }
 
-/// The position of the deepest part of the path in the text.
+/// The byte offset of the innermost block or key of the path that the text contains.
 fn find(body: &Body, path: &[String]) -> Option<usize> {
     let (first, rest) = path.split_first()?;
     for structure in body.iter() {
--- a/crates/config/src/scheduler_settings.rs
+++ b/crates/config/src/scheduler_settings.rs
@@ -1,17 +1,17 @@
-//! The policy's settings, made of the settings in HCL.
+//! Conversion to the settings of the policy.
 
 use crate::{Class, Config, CostModel, FailureDomain, RetrySafety, SafetyLimits, Tenant};
 use tidespur_policy::interface as policy;
 
 impl Config {
-    /// The class of that name; the first class for an unknown name and for Pods that name none.
+    /// The class of this name; the first class if the name is unknown or empty.
     pub fn class_or_default(&self, name: &str) -> Option<&Class> {
         self.classes
             .get(name)
             .or_else(|| self.classes.values().next())
     }
 
-    /// The settings of the scheduler of a planner with this ordinal and zone.
+    /// Policy settings of the planner with this ordinal and zone.
     pub fn scheduler_settings(&self, ordinal: usize, zone: usize) -> policy::Settings {
         let classes = self.classes.values();
         let node_types = self.node_types.values();
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,5 +1,5 @@
-//! Blocks of the settings that may be left out. Their defaults are what holds without the block, and are documented in
-//! `default.hcl`. Keys in the file keep their published names; the fields have the terms of the field.
+//! Optional blocks of the settings. A missing block or key has its default value, which `default.hcl` documents. The
+//! keys of the file are a published interface; the names of the fields in Rust may differ.
 
 mod decisions;
 mod fleet;
--- a/crates/config/src/sections/decisions.rs
+++ b/crates/config/src/sections/decisions.rs
@@ -1,30 +1,30 @@
-//! Blocks that the policy is started with: nodes, safety limits, costs.
+//! Blocks that become settings of the policy: nodes, safety limits, costs.
 
 use serde::Deserialize;
 
-/// Block `nodes`: what nodes and their list report, and what nodes accept.
+/// Block `nodes`: load reports and admission limits of nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodesSection {
-    /// Nodes accept Pods until these request this multiple of the CPU.
+    /// Multiple of its CPU that the Pods accepted by a node may request.
     #[serde(rename = "admit_cores")]
     pub cpu_overcommit: f64,
-    /// Nodes accept Pods until these request this multiple of the memory.
+    /// Multiple of its memory that the Pods accepted by a node may request.
     #[serde(rename = "admit_memory")]
     pub memory_overcommit: f64,
-    /// The node list carries unclaimed CPU and memory.
+    /// Whether the node list contains unclaimed CPU and memory.
     #[serde(rename = "lists_free")]
     pub lists_unclaimed: bool,
-    /// Answers of nodes carry their load.
+    /// Whether responses of nodes contain a load report.
     #[serde(rename = "reports")]
     pub load_reports: bool,
-    /// Load reports say what is not in use; otherwise what is not requested.
+    /// Whether load reports state the resources that are not in use; otherwise those that are not requested.
     #[serde(rename = "reports_use")]
     pub reports_measured_usage: bool,
-    /// Planners may poll nodes for their load.
+    /// Whether planners may poll nodes for their load.
     #[serde(rename = "probes")]
     pub allows_load_polls: bool,
-    /// Attempts that one task may have.
+    /// Most attempts per task.
     pub max_attempts: u32,
 }
 
@@ -42,30 +42,31 @@
     }
 }
 
-/// Block `safety`: bounds of the safety rules. Times are seconds.
+/// Block `safety`: limits of the safety rules. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SafetyLimits {
-    /// A final answer counts until this long after the deadline.
+    /// Time after the deadline within which a final answer still counts.
     pub answer_slack: f64,
-    /// The node list is polled at least this often while its watch is down.
+    /// Longest interval between polls of the node list while its watch is down.
     #[serde(rename = "ask_within")]
     pub max_poll_interval: f64,
-    /// A node that has just started runs Pods at this fraction of its speed, or above.
+    /// Least speed of a node that has just started, as a fraction of its full speed.
     #[serde(rename = "cold_from")]
     pub slow_start_speed: f64,
-    /// Its slow start is over after this time at the latest.
+    /// Longest duration of the slow start of a node.
     #[serde(rename = "cold")]
     pub slow_start_duration: f64,
-    /// Offers within the overload window, of all planners together, that a node in slow start always bears.
+    /// Offers that a node in slow start can always take within the overload window, from all planners together.
     #[serde(rename = "cold_bears")]
     pub slow_start_offers: f64,
-    /// Offers to a draining node stop within this time of the notification.
+    /// Time after the notification of a drain within which offers to the node must stop.
     pub drain_grace: f64,
-    /// More work than this multiple of the present capacity ...
+    /// Multiple of its present capacity above which work overloads a node in slow start, if it lasts for the overload
+    /// window.
     #[serde(rename = "fall_multiple")]
     pub overload_ratio: f64,
-    /// ... for this long overloads a node in slow start.
+    /// How long work has to be above the overload ratio to overload a node in slow start.
     #[serde(rename = "overload_for")]
     pub overload_window: f64,
 }
@@ -85,26 +86,26 @@
     }
 }
 
-/// Block `prices`: what the policy is charged for, in points of the result per unit.
+/// Block `prices`: costs that the policy takes into account, in points of the result per unit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CostModel {
-    /// All nodes in use beyond those needed.
+    /// Cost of having all nodes in use, beyond those needed.
     #[serde(rename = "machines")]
     pub idle_machines: f64,
-    /// One rejected offer for each task.
+    /// Cost of one rejected offer per task.
     #[serde(rename = "refused")]
     pub rejected_offer: f64,
-    /// One migration for each task.
+    /// Cost of one migration per task.
     #[serde(rename = "moves")]
     pub migration: f64,
-    /// Migrations that one eviction counts as.
+    /// Cost of an eviction, in migrations.
     #[serde(rename = "eviction_as_moves")]
     pub eviction_in_migrations: f64,
-    /// One load poll for each task.
+    /// Cost of one load poll per task.
     #[serde(rename = "probe")]
     pub load_poll: f64,
-    /// One full gossip message for each task.
+    /// Cost of one full gossip message per task.
     #[serde(rename = "message")]
     pub gossip_message: f64,
 }
--- a/crates/config/src/sections/fleet.rs
+++ b/crates/config/src/sections/fleet.rs
@@ -1,19 +1,19 @@
-//! Blocks of what processes share and store: membership, coordination, persistence.
+//! Blocks for membership, coordination and persistence.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
 
-/// Block `fleet`: how edges and planners find each other.
+/// Block `fleet`: discovery of edges and planners by gossip.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSection {
-    /// Members of other clusters are ignored.
+    /// Cluster name; messages of other clusters are ignored.
     pub cluster: String,
-    /// Address for gossip datagrams.
+    /// UDP address for gossip, as `IP:port`; other members must be able to reach it.
     pub listen: String,
-    /// Addresses of other members; one that answers is enough.
+    /// Addresses of members to join; one that answers is enough.
     pub join: Vec<String>,
-    /// Members at one time.
+    /// Most members at one time.
     #[serde(rename = "members_most")]
     pub max_members: u32,
 }
@@ -30,23 +30,23 @@
 }
 
 impl MembershipSection {
-    /// The cluster's name where the settings give none.
+    /// Default cluster name.
     pub const CLUSTER: &str = "tidespur";
 }
 
-/// Voters by name, with the addresses at which they reach each other, in the order of the settings.
+/// Addresses at which the voters reach each other, by name, in the order of the settings.
 pub type Voters = IndexMap<String, String>;
 
-/// Block `ledger`: the replicated log of the fleet and its leases.
+/// Block `ledger`: the replicated log and its leases.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoordinationSection {
-    /// Edges that vote, by name: 1, 3 or 5, the same at all, with the addresses at which they reach each other.
+    /// The edges that are voters: 1, 3 or 5. All processes must have the same list.
     pub voters: Voters,
-    /// How long a lease lasts without being renewed, in seconds.
+    /// Time after which a lease expires unless it is renewed, in seconds.
     #[serde(rename = "term")]
     pub lease_term: f64,
-    /// How far two clocks may drift apart, as a fraction.
+    /// Largest relative difference in rate between two clocks, as a fraction.
     #[serde(rename = "drift")]
     pub max_clock_drift: f64,
 }
@@ -61,11 +61,11 @@
     }
 }
 
-/// Block `durable`: where processes store what outlives them.
+/// Block `durable`: where processes store state that survives a restart.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PersistenceSection {
-    /// Each process has a folder of its name beneath this one.
+    /// Parent directory; each process has a subdirectory with its name.
     #[serde(rename = "dir")]
     pub directory: String,
 }
--- a/crates/config/src/sections/programs.rs
+++ b/crates/config/src/sections/programs.rs
@@ -1,40 +1,40 @@
-//! Blocks of the programs: edge, planner, Job controller.
+//! Blocks for edge, planner and Job controller.
 
 use serde::Deserialize;
 
-/// Block `edge`. Times are seconds.
+/// Block `edge`: limits and timeouts. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EdgeSection {
-    /// Tasks without an answer; beyond that, creates get 429.
+    /// Most tasks without an outcome; further creates are rejected with 429.
     #[serde(rename = "open_most")]
     pub max_open_tasks: u32,
-    /// Open tasks that one planner may have; beyond that, tasks queue at the edge.
+    /// Most open tasks at one planner; further tasks are queued at the edge.
     #[serde(rename = "planner_most")]
     pub max_tasks_per_planner: u32,
-    /// Connections to the API.
+    /// Most connections to the API.
     #[serde(rename = "connections_most")]
     pub max_connections: u32,
-    /// Bytes of one request body.
+    /// Longest request body, in bytes.
     #[serde(rename = "body_most")]
     pub max_body_bytes: u32,
     /// Time within which the head of a request has to arrive.
     pub head_timeout: f64,
     /// Time within which the body of a request has to arrive.
     pub body_timeout: f64,
-    /// Changes in the history of one resource.
+    /// Most changes in the history of a resource, which watches can start from.
     #[serde(rename = "history")]
     pub max_history: u32,
-    /// Objects of one resource.
+    /// Most objects of a resource.
     #[serde(rename = "objects_most")]
     pub max_objects: u32,
-    /// How often watches that ask for bookmarks get one.
+    /// Interval of the bookmarks in watches that ask for them.
     #[serde(rename = "bookmark_every")]
     pub bookmark_interval: f64,
-    /// A planner that sends nothing for this long is lost.
+    /// Time without a message after which a planner is lost.
     #[serde(rename = "planner_patience")]
     pub planner_timeout: f64,
-    /// Tasks of one service go to one planner while it is connected.
+    /// Whether all tasks of a service go to one planner while it is connected.
     #[serde(rename = "one_home")]
     pub single_planner_per_service: bool,
 }
@@ -57,23 +57,23 @@
     }
 }
 
-/// Block `planner`. Times are seconds.
+/// Block `planner`: limits and timeouts. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlannerSection {
-    /// Connections to one node.
+    /// Most connections to one node.
     #[serde(rename = "node_connections")]
     pub max_connections_per_node: u32,
-    /// Inputs taken into one step.
+    /// Most events that are processed in one step.
     #[serde(rename = "step_most")]
     pub max_events_per_step: u32,
-    /// An edge that sends nothing for this long is lost.
+    /// Time without a message after which an edge is lost.
     #[serde(rename = "edge_patience")]
     pub edge_timeout: f64,
-    /// How many planners share the nodes.
+    /// Number of planners that share the nodes.
     #[serde(rename = "planners")]
     pub planner_count: u32,
-    /// Whether edges are sent the reasons why their tasks are pending.
+    /// Whether planners tell edges why their tasks are pending.
     #[serde(rename = "reasons")]
     pub publishes_pending_reasons: bool,
 }
@@ -90,11 +90,12 @@
     }
 }
 
-/// Block `owner`: how the Job controller retries. Times are seconds.
+/// Block `owner`: retries of the Job controller. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct JobControllerSection {
-    /// First backoff after a rejection, failure or eviction; drawn from half of it to the whole, then doubling.
+    /// First backoff after a rejection, failure or eviction; it doubles with each further one. The delay is drawn at
+    /// random from half of the backoff to the whole.
     #[serde(rename = "again_first")]
     pub initial_backoff: f64,
     /// Longest backoff.
@@ -103,7 +104,7 @@
     /// Backoff after a migration or a lost node.
     #[serde(rename = "again_lost")]
     pub lost_task_backoff: f64,
-    /// Tasks that may have run and are not idempotent: the planners are asked after this time.
+    /// Delay after which the planners are queried for the outcome of a task that may have run and is not idempotent.
     #[serde(rename = "settle")]
     pub outcome_query_delay: f64,
 }
--- a/crates/config/tests/compatibility.rs
+++ b/crates/config/tests/compatibility.rs
@@ -1,4 +1,5 @@
-//! Keys of the settings file stay as they are: `fixtures/full.hcl` sets every key to a value that is not its default.
+//! Compatibility of the settings file: keys, defaults, ranges and errors are compared with fixtures.
+//! `fixtures/full.hcl` sets every key to a value other than its default.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -10,23 +11,23 @@
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const FULL: &str = include_str!("fixtures/full.hcl");
 
-/// Adds `KEY = VALUE` for each field, under the key that the file has, however the field is called in Rust.
+/// Adds a line `BLOCK.KEY = VALUE` for each field, with the key of the file instead of the field's name in Rust.
 macro_rules! values {
-    ($lines:ident, $block:expr, $of:expr, { $($key:literal: $field:ident),* $(,)? }) => {
-        $($lines.push(format!("{}.{} = {:?}", $block, $key, $of.$field));)*
+    ($lines:ident, $block:expr, $section:expr, { $($key:literal: $field:ident),* $(,)? }) => {
+        $($lines.push(format!("{}.{} = {:?}", $block, $key, $section.$field));)*
     };
 }
 
-fn effect(effect: RetrySafety) -> &'static str {
-    match effect {
+fn effect_key(retry_safety: RetrySafety) -> &'static str {
+    match retry_safety {
         RetrySafety::Idempotent => "safe",
         RetrySafety::IdempotencyKeyed => "keyed",
         RetrySafety::NonIdempotent => "unsafe",
     }
 }
 
-fn place(place: Option<FailureDomain>) -> &'static str {
-    match place {
+fn domain_key(domain: Option<FailureDomain>) -> &'static str {
+    match domain {
         None => "none",
         Some(FailureDomain::All) => "all",
         Some(FailureDomain::Zone) => "zone",
@@ -37,9 +38,9 @@
 
 fn values_of_class(block: &str, class: &Class) -> Vec<String> {
     let mut lines = vec![
-        format!("{block}.effect = {}", effect(class.retry_safety)),
-        format!("{block}.group = {}", place(class.deduplication_domain)),
-        format!("{block}.spread = {}", place(class.spread_domain)),
+        format!("{block}.effect = {}", effect_key(class.retry_safety)),
+        format!("{block}.group = {}", domain_key(class.deduplication_domain)),
+        format!("{block}.spread = {}", domain_key(class.spread_domain)),
     ];
     values!(lines, block, class, {
         "aim": latency_objective, "deadline": deadline, "window": deduplication_window, "worth": priority_weight, "start_worth": start_weight, "calm": full_service_utilization,
@@ -106,9 +107,9 @@
 
 /// One attribute of a settings file.
 struct Attribute {
-    /// Its line, from 0.
+    /// Line number, from 0.
     line: usize,
-    /// The line that opens its block, from 0.
+    /// Number of the line that opens its block, from 0.
     opening: usize,
     key: String,
     value: String,
@@ -133,7 +134,7 @@
     attributes
 }
 
-/// The name of the block that a line opens: `class "safe" {` is `class`.
+/// The block type of an opening line: `class` for `class "safe" {`.
 fn block_of(opening: &str) -> &str {
     opening.split(' ').next().unwrap_or_default()
 }
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn every_key_goes_to_its_field() {
+fn every_key_sets_its_field() {
     let config = parse("full.hcl", FULL).unwrap();
     fixture::check(
         PACKAGE,
@@ -156,22 +157,22 @@
 }
 
 #[test]
-fn defaults_stay_as_they_are() {
+fn defaults_are_unchanged() {
     let required = "class \"a\" {\n  aim = 1\n  deadline = 2\n  effect = \"safe\"\n}\nkind \"k\" {\n  cores = 1\n  memory = 1\n}\n";
-    let bare = parse("bare.hcl", required).unwrap();
+    let minimal = parse("bare.hcl", required).unwrap();
     assert!(
-        bare.membership.is_none()
-            && bare.coordination.is_none()
-            && bare.persistence.is_none()
-            && bare.tenants.is_empty()
+        minimal.membership.is_none()
+            && minimal.coordination.is_none()
+            && minimal.persistence.is_none()
+            && minimal.tenants.is_empty()
     );
-    let named =
+    let with_blocks =
         format!("{required}fleet {{\n}}\nledger {{\n  voters = {{ e = \"127.0.0.1:1\" }}\n}}\n");
-    let named = parse("named.hcl", &named).unwrap();
+    let with_blocks = parse("named.hcl", &with_blocks).unwrap();
     fixture::check(
         PACKAGE,
         "defaults.txt",
-        values_of(&named),
+        values_of(&with_blocks),
         Additions::Rejected,
     );
 }
@@ -183,9 +184,9 @@
     assert!(!attributes.is_empty());
     for attribute in attributes {
         let without = parse("full.hcl", &with_line(FULL, attribute.line, ""));
-        let is_read = without.is_err() || without.is_ok_and(|config| format!("{config:?}") != full);
+        let is_used = without.is_err() || without.is_ok_and(|config| format!("{config:?}") != full);
         assert!(
-            is_read,
+            is_used,
             "line {}: {} changes nothing",
             attribute.line + 1,
             attribute.key
@@ -193,8 +194,8 @@
     }
 }
 
-/// The keys that the message about an unknown one offers.
-fn offered(message: &str) -> BTreeSet<String> {
+/// The keys that the message about an unknown key lists as expected.
+fn expected_keys(message: &str) -> BTreeSet<String> {
     let (_, list) = message.split_once("expected ").expect("what is expected");
     list.split('`')
         .skip(1)
@@ -204,23 +205,23 @@
 }
 
 #[test]
-fn an_unknown_key_is_named_with_its_place_and_all_known_ones_are_in_the_full_file() {
+fn unknown_keys_are_reported_with_their_location_and_all_known_keys_are_in_the_full_file() {
     let attributes = attributes(FULL);
     let openings: BTreeSet<usize> = attributes
         .iter()
         .map(|attribute| attribute.opening)
         .collect();
-    let (mut places, mut known, mut used) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
+    let (mut locations, mut known, mut used) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
     for opening in openings {
         let head = FULL.lines().nth(opening).unwrap();
         let text = with_line(FULL, opening, &format!("{head}\n  no_such_key = 1"));
-        let problem = parse("full.hcl", &text).unwrap_err().to_string();
-        let (place, message) = problem
+        let error = parse("full.hcl", &text).unwrap_err().to_string();
+        let (location, message) = error
             .split_once(": unknown field `no_such_key`")
-            .expect(&problem);
-        places.push(place.to_owned());
+            .expect(&error);
+        locations.push(location.to_owned());
         known.extend(
-            offered(message)
+            expected_keys(message)
                 .into_iter()
                 .map(|key| format!("{}.{key}", block_of(head))),
         );
@@ -229,44 +230,44 @@
         let head = FULL.lines().nth(attribute.opening).unwrap();
         used.insert(format!("{}.{}", block_of(head), attribute.key));
     }
-    let problem = parse("full.hcl", &format!("{FULL}\nno_such_block {{\n}}\n"))
+    let error = parse("full.hcl", &format!("{FULL}\nno_such_block {{\n}}\n"))
         .unwrap_err()
         .to_string();
-    let (place, message) = problem
+    let (location, message) = error
         .split_once(": unknown field `no_such_block`")
-        .expect(&problem);
-    places.push(place.to_owned());
+        .expect(&error);
+    locations.push(location.to_owned());
     let blocks: BTreeSet<String> = FULL
         .lines()
         .filter(|l| l.ends_with('{'))
         .map(|l| block_of(l).to_owned())
         .collect();
     assert_eq!(
-        offered(message),
+        expected_keys(message),
         blocks,
         "a block of the settings is not in full.hcl"
     );
     assert_eq!(known, used, "a key of the settings is not in full.hcl");
-    fixture::check(PACKAGE, "unknown_keys.txt", places, Additions::Rejected);
+    fixture::check(PACKAGE, "unknown_keys.txt", locations, Additions::Rejected);
 }
 
 #[test]
-fn wrong_values_are_told_with_the_same_place_and_range() {
-    let mut problems = Vec::new();
+fn errors_for_wrong_values_have_the_same_location_and_range() {
+    let mut outcomes = Vec::new();
     for attribute in attributes(FULL) {
         let is_number = attribute.value.parse::<f64>().is_ok();
-        // A flag or a word has no range: another type is given there.
-        let wrong: &[&str] = if is_number { &["-1", "1e18"] } else { &["7"] };
-        for value in wrong {
+        // Flags and names have no range; they get a value of another type.
+        let wrong_values: &[&str] = if is_number { &["-1", "1e18"] } else { &["7"] };
+        for value in wrong_values {
             let text = with_line(
                 FULL,
                 attribute.line,
                 &format!("  {} = {value}", attribute.key),
             );
-            let told = parse("full.hcl", &text)
-                .map_or_else(|problem| problem.to_string(), |_| "accepted".into());
-            problems.push(format!("{} = {value} -> {told}", attribute.line + 1));
+            let outcome = parse("full.hcl", &text)
+                .map_or_else(|error| error.to_string(), |_| "accepted".into());
+            outcomes.push(format!("{} = {value} -> {outcome}", attribute.line + 1));
         }
     }
-    fixture::check(PACKAGE, "wrong_values.txt", problems, Additions::Rejected);
+    fixture::check(PACKAGE, "wrong_values.txt", outcomes, Additions::Rejected);
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,45 +1,45 @@
-//! Good settings, and bad ones with the place named.
+//! Valid settings are accepted, and errors in invalid ones have file, line, key and range.
 
 use tidespur_config::{DEFAULT_CONFIG, parse};
 
 #[test]
-fn the_example_is_taken_and_says_what_holds_anyway() {
+fn the_example_is_valid_and_has_the_default_values() {
     let config = parse("default.hcl", DEFAULT_CONFIG).unwrap();
     assert_eq!(
         config.classes.keys().collect::<Vec<_>>(),
         ["termin-web", "slot-abgleich"]
     );
     config.scheduler_settings(0, 0).check().unwrap();
-    let short: String = DEFAULT_CONFIG.split("\nnodes {").next().unwrap().to_owned();
-    let bare = parse("short.hcl", &short).unwrap();
+    let without_sections: String = DEFAULT_CONFIG.split("\nnodes {").next().unwrap().to_owned();
+    let defaults = parse("short.hcl", &without_sections).unwrap();
     assert_eq!(
-        format!("{bare:?}"),
+        format!("{defaults:?}"),
         format!("{config:?}"),
         "the example's values are the defaults"
     );
 }
 
 #[test]
-fn where_the_ledger_counts_planners_one_that_was_not_told_takes_the_smallest_part() {
-    let of = |text: &str| parse("settings", text).unwrap().scheduler_settings(0, 0);
-    let counted = of(&format!(
+fn with_coordination_a_planner_without_a_planner_count_takes_the_smallest_slow_start_quota() {
+    let settings = |text: &str| parse("settings", text).unwrap().scheduler_settings(0, 0);
+    let coordinated = settings(&format!(
         "{DEFAULT_CONFIG}\nledger {{\n  voters = {{ edge-0 = \"127.0.0.1:7301\" }}\n}}\n"
     ));
     assert_eq!(
         (
-            of(DEFAULT_CONFIG).scheduler_count,
-            counted.scheduler_count,
-            counted.safety_limits.slow_start_offers
+            settings(DEFAULT_CONFIG).scheduler_count,
+            coordinated.scheduler_count,
+            coordinated.safety_limits.slow_start_offers
         ),
         (1, 8, 8.0)
     );
     let many = DEFAULT_CONFIG.replace("planners         = 1 ", "planners         = 30 ");
-    assert_eq!(of(&many).scheduler_count, 30);
+    assert_eq!(settings(&many).scheduler_count, 30);
 }
 
 #[test]
-fn bad_settings_name_file_line_key_and_range() {
-    for (from, to, key, says) in [
+fn errors_name_file_line_key_and_range() {
+    for (from, to, key, message) in [
         (
             "deadline    = 6 ",
             "deadline    = -1 ",
@@ -80,46 +80,46 @@
         assert!(DEFAULT_CONFIG.contains(from), "{from}");
         let text = DEFAULT_CONFIG.replace(from, to);
         let line = text.lines().position(|l| l.contains(to.trim())).unwrap() + 1;
-        let problem = parse("site.hcl", &text).unwrap_err();
+        let error = parse("site.hcl", &text).unwrap_err();
         assert_eq!(
-            (problem.line_number, problem.key.as_str()),
+            (error.line_number, error.key.as_str()),
             (line, key),
-            "{problem}"
+            "{error}"
         );
-        let shown = problem.to_string();
+        let shown = error.to_string();
         assert!(
-            shown.starts_with(&format!("site.hcl:{line}: ")) && shown.contains(says),
+            shown.starts_with(&format!("site.hcl:{line}: ")) && shown.contains(message),
             "{shown}"
         );
     }
 }
 
 #[test]
-fn bad_syntax_names_its_line() {
-    let problem = parse("site.hcl", "a = 1\nb = = 2\n").unwrap_err();
-    assert_eq!(problem.line_number, 2, "{problem}");
+fn syntax_errors_name_their_line() {
+    let error = parse("site.hcl", "a = 1\nb = = 2\n").unwrap_err();
+    assert_eq!(error.line_number, 2, "{error}");
 }
 
 #[test]
-fn a_fleet_is_off_unless_it_is_named_and_bad_ones_name_their_key() {
+fn membership_is_off_without_its_block_and_invalid_values_are_named_by_key() {
     assert!(
         parse("built-in", DEFAULT_CONFIG)
             .unwrap()
             .membership
             .is_none()
     );
-    let with = |block: &str| {
+    let parse_fleet = |block: &str| {
         parse(
             "site.hcl",
             &format!("{DEFAULT_CONFIG}\nfleet {{\n  {block}\n}}\n"),
         )
     };
-    let good = with("join = [\"127.0.0.1:7001\"]")
+    let section = parse_fleet("join = [\"127.0.0.1:7001\"]")
         .unwrap()
         .membership
         .expect("it is named");
     assert_eq!(
-        (good.cluster.as_str(), good.max_members),
+        (section.cluster.as_str(), section.max_members),
         ("tidespur", 1_024)
     );
     for (block, key) in [
@@ -130,12 +130,12 @@
         ("members_most = 1", "fleet.members_most"),
         ("seeds = []", "fleet.seeds"),
     ] {
-        let problem = with(block).unwrap_err();
+        let error = parse_fleet(block).unwrap_err();
         let line = DEFAULT_CONFIG.lines().count() + 3;
         assert_eq!(
-            (problem.key.as_str(), problem.line_number),
+            (error.key.as_str(), error.line_number),
             (key, line),
-            "{problem}"
+            "{error}"
         );
     }
 }
