--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -2,25 +2,25 @@
 
 use std::ops::{Add, AddAssign, Div, Mul, Neg, Sub, SubAssign};
 
-/// Seconds: a point on the caller's clock, or a length of time.
+/// Seconds: a time on the caller's clock, or a duration.
 pub type Seconds = f64;
 
-/// An amount of each resource that a machine has and a task asks for.
+/// An amount of each resource that a machine has or a task requests.
 ///
 /// Also used for ratios of two such amounts, one for each resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// CPU, in cores.
     pub cpu: f64,
-    /// Memory, in the caller's units.
+    /// Memory, in the memory unit of the caller.
     pub memory: f64,
 }
 
 impl Resources {
-    /// Nothing of either.
+    /// No CPU and no memory.
     pub const ZERO: Self = Self::new(0.0, 0.0);
 
-    /// An amount of `cpu` cores and `memory` units.
+    /// `cpu` cores and `memory` memory units.
     #[must_use]
     #[inline]
     pub const fn new(cpu: f64, memory: f64) -> Self {
@@ -58,14 +58,14 @@
         self.zip_with(other, f64::min)
     }
 
-    /// Whether `predicate` holds for CPU, for memory, or for both.
+    /// Whether `predicate` holds for CPU or for memory.
     #[must_use]
     #[inline]
     pub fn any(self, predicate: impl Fn(f64) -> bool) -> bool {
         predicate(self.cpu) || predicate(self.memory)
     }
 
-    /// Whether neither amount is above that of `available`.
+    /// Whether each amount is at most that of `available`.
     #[must_use]
     #[inline]
     pub fn fits_in(self, available: Self) -> bool {
