--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,71 +1,72 @@
-//! What can be made to go wrong.
+//! Faults that an emulated node can be told to show.
 
 use serde::{Deserialize, Serialize};
 
-/// A trouble, given to a stand-in as JSON at `/standin/fault`.
+/// A fault, posted to a node as JSON at `/standin/fault`. A fault that lasts starts when it arrives; a second one of the
+/// same type replaces the first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "fault", deny_unknown_fields)]
 pub enum Fault {
-    /// All work takes so many times as long.
+    /// Offers and starts are processed more slowly.
     Slow {
-        /// Times as long.
+        /// Multiple of the usual time; values below 1 count as 1.
         factor: f64,
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Offers are taken in and nothing is answered.
+    /// Offers are received and never answered.
     Hang {
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Of offers that were taken, this share of the answers never gets back.
+    /// Offers are accepted, but a share of the responses never reaches the planner.
     #[serde(rename = "lose-answers")]
     DropResponses {
-        /// From 0 to 1.
+        /// Share of the responses, from 0 to 1.
         share: f64,
-        /// The connection is cut (else silence).
+        /// Closes the connection instead of sending nothing.
         reset: bool,
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// This share of offers is answered by an error, quickly.
+    /// A share of the offers is answered with an error at once.
     #[serde(rename = "errors")]
     ReturnErrors {
-        /// From 0 to 1.
+        /// Share of the offers, from 0 to 1.
         share: f64,
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Nothing passes between this node and these zones.
+    /// Requests from these zones are not answered, and all open watches are closed once.
     #[serde(rename = "cut-zones")]
     PartitionZones {
-        /// Names of zones.
+        /// Names of the zones.
         zones: Vec<String>,
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Tasks use all the cores that they asked for.
+    /// Running tasks use all the cores that they requested, instead of a part of them.
     #[serde(rename = "use-all")]
     UseAllRequestedCores {
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Nobody can see what the node holds: its watches break, and no new one is answered.
+    /// Closes all open watches and answers no GET request, so that nobody can see which tasks the node runs.
     #[serde(rename = "mute")]
     BlockReads {
-        /// For this long.
+        /// Duration in seconds.
         seconds: f64,
     },
-    /// Programs kept on the node are lost.
+    /// Drops all cached programs, so that the next task of each service needs its set-up again.
     #[serde(rename = "flush")]
     ClearProgramCache,
-    /// All open watches break.
+    /// Closes all open watches once.
     #[serde(rename = "break-watches")]
     CloseWatches,
-    /// Tasks are sent away, all at once or bit by bit.
+    /// Terminates all tasks and refuses new ones until none is left.
     #[serde(rename = "send-away")]
     TerminateTasks {
-        /// Between two of them; 0: all at once.
+        /// Seconds between two terminations; 0 terminates all at once.
         every: f64,
     },
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins: a node that takes Pods, and the register that lists nodes. They are written from published
-//! descriptions for demos and tests, and can fail in many ways on demand.
+//! Emulators of a node that runs Pods and of the registry that lists nodes. They are written from published API
+//! descriptions, for demos and tests, and can be told to fail in many ways.
 
 mod faults;
 pub mod model;
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -1,52 +1,52 @@
-//! How a node behaves, without I/O: it looks at one offer at a time, admits by its own limits, starts a few tasks
-//! at a time, crowds, evicts and drains.
+//! Model of a node, without I/O: it processes one offer at a time, admits tasks up to its overcommit limits, starts a
+//! few tasks at a time, shares its cores between running tasks, evicts and drains.
 
 use crate::Fault;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A node's nature.
+/// Size and behaviour of a node. Times are in seconds, memory is in memory units.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Name.
+    /// Name of the node object, unique in the cluster.
     pub name: String,
-    /// Zone.
+    /// Name of the zone that the node is in.
     pub zone: String,
-    /// Rack.
+    /// Name of the rack, unique within its zone.
     pub rack: String,
-    /// Kind.
+    /// Machine type; tasks can require one.
     pub kind: String,
-    /// Cores.
+    /// Number of cores that tasks share.
     pub cores: f64,
-    /// Memory units.
+    /// Memory units; beyond this, tasks are evicted.
     pub memory: f64,
-    /// Accepts until tasks ask for this multiple of its cores,
+    /// Tasks are admitted until their requests reach this multiple of `cores`.
     pub cpu_overcommit: f64,
-    /// or this of its memory.
+    /// Tasks are admitted until their requests reach this multiple of `memory`.
     pub memory_overcommit: f64,
-    /// Time to look at one offer.
+    /// Time to process one offer at full speed.
     pub offer_processing_time: f64,
-    /// Offers that may wait.
+    /// Offers that may wait; further ones are refused.
     pub max_queued_offers: usize,
-    /// Starts at a time.
+    /// Tasks that start at the same time; further ones wait.
     pub max_concurrent_starts: usize,
-    /// Time of a start where the program is at hand.
+    /// Time to start a task whose program is cached.
     pub start_time: f64,
-    /// Times as long where it is not.
+    /// Multiple of `start_time` for a task whose program is not cached.
     pub set_up_factor: f64,
-    /// Programs kept after their last task.
+    /// Programs that stay cached after their last task.
     pub max_cached_programs: usize,
-    /// A node that came up just now is at full pace after this long, 0 for one that is warm,
+    /// Time after its start until a node runs at full speed; 0 for a node that is already warm.
     pub warm_up_time: f64,
-    /// and begins at this share of it.
+    /// Speed right after the start, as a share of the full speed.
     pub slow_start_speed: f64,
-    /// Offers within `overload_window` that it bears however cold,
+    /// A node that warms up fails only after more offers than this within `overload_window`.
     pub slow_start_offers: f64,
-    /// else this multiple of what it can start.
+    /// It fails once the offered start work exceeds this multiple of what it can do within `overload_window`.
     pub overload_ratio: f64,
-    /// See `slow_start_offers`.
+    /// Window over which offers to a node that warms up are counted.
     pub overload_window: f64,
-    /// All the chance it has.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -77,341 +77,354 @@
     }
 }
 
-/// A task as it is offered.
+/// A task as it is offered to the node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Offer {
-    /// Namespace and name, under which it stands here.
+    /// Namespace and name of the Pod on the node.
     pub name: (String, String),
-    /// Uid of its request.
+    /// Uid of the request.
     pub uid: String,
-    /// The same for repeats.
-    pub key: String,
-    /// Its program.
+    /// Equal for all attempts of the same request.
+    pub idempotency_key: String,
+    /// Service whose program the task runs.
     pub service: String,
-    /// Cores asked.
+    /// Requested cores.
     pub cores: f64,
-    /// Memory units asked.
+    /// Requested memory units.
     pub memory: f64,
-    /// Higher stays longer.
+    /// Tasks of low priority are evicted first.
     pub priority: i64,
-    /// How long it will run.
-    pub runs: f64,
-    /// The kind of node that it needs.
-    pub kind: Option<String>,
-    /// After this nobody waits for an answer.
-    pub until: f64,
+    /// Run time in seconds on a node whose cores are not overloaded.
+    pub run_time: f64,
+    /// Required machine type; `None` accepts any.
+    pub required_kind: Option<String>,
+    /// Unix time in seconds after which the planner no longer waits for the answer.
+    pub deadline: f64,
 }
 
-/// Why an offer is turned away.
+/// Why an offer is refused. Recordings contain the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Not enough cores.
+    /// The requested cores exceed the overcommit limit.
     OutOfCpu,
-    /// Not enough memory.
+    /// The requested memory exceeds the overcommit limit.
     OutOfMemory,
-    /// Too many offers wait.
+    /// The queue of offers is full.
     Queue,
-    /// Another kind is wanted.
+    /// The task requires another machine type.
     Kind,
-    /// It drains.
+    /// The node drains.
     Draining,
-    /// The offer's time is over.
+    /// The deadline of the offer has passed.
     TooLate,
-    /// A copy stands here.
+    /// The node already holds a task of this name or idempotency key.
     Copy,
-    /// An error.
+    /// Caused by an injected fault.
     Error,
 }
 
 /// How a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    /// It finished.
+pub enum TaskEnd {
+    /// It ran for its whole run time.
     Succeeded,
-    /// Evicted for memory.
+    /// Evicted because the node ran out of memory.
     Evicted,
-    /// Sent away.
-    SentAway,
-    /// Deleted.
+    /// Terminated by [`Fault::TerminateTasks`].
+    Terminated,
+    /// Deleted through the API.
     Deleted,
 }
 
-/// What the node is told.
+/// Input of the model.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An offer; its number comes back with the answer.
+    /// An offer; [`Action::Respond`] returns its number.
     Offer(u64, Offer),
-    /// A task is not wanted any more.
+    /// The task of this namespace and name was deleted through the API.
     Delete(String, String),
-    /// It drains, or takes tasks again.
+    /// Whether the node is marked as unschedulable.
     Draining(bool),
-    /// A trouble begins.
+    /// A fault starts.
     Fault(Fault),
 }
 
-/// How an answer goes back.
+/// How a response is delivered. Recordings contain the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// As it should.
+pub enum Delivery {
+    /// Sent to the caller.
     Sent,
-    /// Never.
+    /// Never sent; the connection stays open.
     Silent,
-    /// The connection is cut.
+    /// The connection is closed without a response.
     Reset,
 }
 
-/// What the node does.
+/// Output of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answers an offer.
-    Answer(u64, Result<(), Refusal>, Way),
-    /// A task runs now.
-    Runs(String, String),
-    /// A task has ended.
-    Ended(String, String, Over),
-    /// All open watches break.
-    BreakWatches,
-    /// More was sent to the cold node than it bears: it stays down.
-    Fell,
+    /// Answers the offer of this number.
+    Respond(u64, Result<(), Refusal>, Delivery),
+    /// The task of this namespace and name has started.
+    TaskStarted(String, String),
+    /// The task of this namespace and name has ended.
+    TaskEnded(String, String, TaskEnd),
+    /// Closes all open watches.
+    CloseWatches,
+    /// The node was overloaded while it warmed up. It stays down until its process is restarted.
+    Overloaded,
 }
 
 #[derive(Debug)]
 struct Task {
     offer: Offer,
-    /// Work of the start that is left; 0 once it runs.
+    /// Seconds of start work that are left at full speed; 0 once the task runs.
     start_left: f64,
     starting: bool,
-    left: f64,
-    use_cores: f64,
-    use_memory: f64,
+    /// Seconds of run time that are left.
+    run_left: f64,
+    used_cores: f64,
+    used_memory: f64,
 }
 
+/// Injected faults; each ends at the time in its last field.
 #[derive(Debug, Default)]
-struct Troubles {
+struct ActiveFaults {
+    /// Factor and end.
     slow: (f64, f64),
-    hang: f64,
-    lose: (f64, bool, f64),
+    hang_until: f64,
+    /// Share, whether the connection is closed, and end.
+    drop_responses: (f64, bool, f64),
+    /// Share and end.
     errors: (f64, f64),
-    cut: (Vec<String>, f64),
-    use_all: f64,
-    mute: f64,
+    /// Zones and end.
+    partition: (Vec<String>, f64),
+    use_all_until: f64,
+    reads_blocked_until: f64,
 }
 
-/// The node.
+/// An emulated node. Times are Unix times in seconds.
 #[derive(Debug)]
 pub struct Node {
-    set: NodeSettings,
+    settings: NodeSettings,
     rng: rand_pcg::Pcg32,
-    born: f64,
+    started_at: f64,
     now: f64,
-    line: VecDeque<(u64, Offer)>,
-    looking_until: Option<f64>,
+    queue: VecDeque<(u64, Offer)>,
+    /// When the offer at the head of the queue is processed; `None` while the queue is empty.
+    processed_at: Option<f64>,
     tasks: BTreeMap<(String, String), Task>,
-    kept: VecDeque<String>,
+    /// Programs of services without a task, least recently used first.
+    cached_programs: VecDeque<String>,
     draining: bool,
-    send_away: Option<(f64, f64)>,
-    troubles: Troubles,
-    recent: VecDeque<(f64, f64)>,
-    fell: bool,
+    /// Time of the next termination and the interval.
+    terminating: Option<(f64, f64)>,
+    faults: ActiveFaults,
+    /// Time and start work of each offer within the overload window.
+    recent_offers: VecDeque<(f64, f64)>,
+    overloaded: bool,
 }
 
 impl Node {
-    /// A node that came up at `now`.
-    pub fn new(set: NodeSettings, now: f64) -> Self {
-        let rng = rand_pcg::Pcg32::seed_from_u64(set.seed);
+    /// A node that starts at `now`, without tasks.
+    pub fn new(settings: NodeSettings, now: f64) -> Self {
+        let rng = rand_pcg::Pcg32::seed_from_u64(settings.seed);
         Self {
-            set,
+            settings,
             rng,
-            born: now,
+            started_at: now,
             now,
-            line: VecDeque::new(),
-            looking_until: None,
+            queue: VecDeque::new(),
+            processed_at: None,
             tasks: BTreeMap::new(),
-            kept: VecDeque::new(),
+            cached_programs: VecDeque::new(),
             draining: false,
-            send_away: None,
-            troubles: Troubles::default(),
-            recent: VecDeque::new(),
-            fell: false,
+            terminating: None,
+            faults: ActiveFaults::default(),
+            recent_offers: VecDeque::new(),
+            overloaded: false,
         }
     }
 
-    /// Its nature.
+    /// The settings that it was started with.
     pub fn settings(&self) -> &NodeSettings {
-        &self.set
+        &self.settings
     }
 
-    /// Zones that it is cut from now.
-    pub fn cut_from(&self, now: f64) -> &[String] {
-        if now < self.troubles.cut.1 {
-            &self.troubles.cut.0
+    /// Zones whose requests are not answered at `now`; empty without such a fault.
+    pub fn partitioned_zones(&self, now: f64) -> &[String] {
+        if now < self.faults.partition.1 {
+            &self.faults.partition.0
         } else {
             &[]
         }
     }
 
-    /// Whether nobody can see what it holds.
-    pub fn mute(&self, now: f64) -> bool {
-        now < self.troubles.mute
+    /// Whether GET requests are not answered at `now`.
+    pub fn reads_blocked(&self, now: f64) -> bool {
+        now < self.faults.reads_blocked_until
     }
 
-    /// Whether it was pushed over.
-    pub fn fallen(&self) -> bool {
-        self.fell
+    /// Whether it failed because of overload while it warmed up. Then it answers nothing.
+    pub fn is_overloaded(&self) -> bool {
+        self.overloaded
     }
 
-    /// Cores and memory that nobody has asked for.
+    /// Cores and memory units that no task has requested; negative where the node is overcommitted.
     pub fn unclaimed(&self) -> (f64, f64) {
         let sum = |of: fn(&Offer) -> f64| self.tasks.values().map(|t| of(&t.offer)).sum::<f64>();
         (
-            self.set.cores - sum(|o| o.cores),
-            self.set.memory - sum(|o| o.memory),
+            self.settings.cores - sum(|o| o.cores),
+            self.settings.memory - sum(|o| o.memory),
         )
     }
 
-    /// Cores and memory not in use, and offers and starts that wait.
+    /// Cores and memory units not in use, and the number of queued offers and unfinished starts.
     pub fn load(&self) -> (f64, f64, usize) {
         let (cores, memory) = self.used();
-        let waiting = self.line.len() + self.tasks.values().filter(|t| t.start_left > 0.0).count();
+        let waiting = self.queue.len() + self.tasks.values().filter(|t| t.start_left > 0.0).count();
         (
-            (self.set.cores - cores).max(0.0),
-            (self.set.memory - memory).max(0.0),
+            (self.settings.cores - cores).max(0.0),
+            (self.settings.memory - memory).max(0.0),
             waiting,
         )
     }
 
     fn used(&self) -> (f64, f64) {
-        let all = self.now < self.troubles.use_all;
+        let use_all = self.now < self.faults.use_all_until;
         let running = || self.tasks.values().filter(|t| t.start_left <= 0.0);
         let cores = running()
-            .map(|t| if all { t.offer.cores } else { t.use_cores })
+            .map(|t| if use_all { t.offer.cores } else { t.used_cores })
             .sum();
-        (cores, running().map(|t| t.use_memory).sum())
+        (cores, running().map(|t| t.used_memory).sum())
     }
 
-    fn warmth(&self) -> f64 {
-        if self.set.warm_up_time <= 0.0 {
+    fn warm_up_speed(&self) -> f64 {
+        if self.settings.warm_up_time <= 0.0 {
             return 1.0;
         }
-        let share = ((self.now - self.born) / self.set.warm_up_time).clamp(0.0, 1.0);
-        self.set.slow_start_speed + (1.0 - self.set.slow_start_speed) * share
+        let share = ((self.now - self.started_at) / self.settings.warm_up_time).clamp(0.0, 1.0);
+        self.settings.slow_start_speed + (1.0 - self.settings.slow_start_speed) * share
     }
 
-    fn pace(&self) -> f64 {
-        let slow = if self.now < self.troubles.slow.1 {
-            self.troubles.slow.0.max(1.0)
+    fn speed(&self) -> f64 {
+        let slow = if self.now < self.faults.slow.1 {
+            self.faults.slow.0.max(1.0)
         } else {
             1.0
         };
-        self.warmth() / slow
+        self.warm_up_speed() / slow
     }
 
-    /// Share of their pace at which tasks run, where cores are crowded.
-    fn served(&self) -> f64 {
-        (self.set.cores / self.used().0.max(1e-9)).min(1.0)
+    /// Speed of running tasks, from 0 to 1: below 1 where they use more cores than there are.
+    fn cpu_share(&self) -> f64 {
+        (self.settings.cores / self.used().0.max(1e-9)).min(1.0)
     }
 
-    /// Takes in `events`, all of time `now`.
+    /// Advances to `now` and then handles `events`.
     pub fn step(&mut self, now: f64, events: Vec<Event>, out: &mut Vec<Action>) {
-        self.pass(now, out);
-        if self.fell {
+        self.advance(now, out);
+        if self.overloaded {
             return;
         }
         for event in events {
-            self.take(event, out);
+            self.handle_event(event, out);
         }
-        self.begin();
+        self.begin_work();
     }
 
-    /// When to step next.
+    /// Time of the next step, at the latest.
     pub fn next_wake(&self) -> f64 {
-        let (pace, served) = (self.pace().max(1e-3), self.served().max(1e-3));
+        let (speed, cpu_share) = (self.speed().max(1e-3), self.cpu_share().max(1e-3));
         let starts = self
             .tasks
             .values()
             .filter(|t| t.starting)
-            .map(|t| t.start_left / pace);
+            .map(|t| t.start_left / speed);
         let ends = self
             .tasks
             .values()
             .filter(|t| t.start_left <= 0.0)
-            .map(|t| t.left / served);
-        let first = starts.chain(ends).fold(f64::INFINITY, f64::min);
-        // Paces change while it warms up.
-        let step = if pace < 1.0 && !self.tasks.is_empty() {
+            .map(|t| t.run_left / cpu_share);
+        let next_change = starts.chain(ends).fold(f64::INFINITY, f64::min);
+        // Below full speed the speed changes with time, so that estimates of completion times are short-lived.
+        let step = if speed < 1.0 && !self.tasks.is_empty() {
             0.1
         } else {
             5.0
         };
-        let away = self.send_away.map_or(f64::INFINITY, |(next, _)| next);
-        let looked = self.looking_until.unwrap_or(f64::INFINITY);
-        (self.now + first.min(step) + 1e-4).min(looked).min(away)
+        let terminated = self.terminating.map_or(f64::INFINITY, |(next, _)| next);
+        let processed = self.processed_at.unwrap_or(f64::INFINITY);
+        (self.now + next_change.min(step) + 1e-4)
+            .min(processed)
+            .min(terminated)
     }
 
-    /// Lets time pass.
-    fn pass(&mut self, now: f64, out: &mut Vec<Action>) {
+    /// Processes everything that happens up to `now`.
+    fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
         let dt = (now - self.now).max(0.0);
-        let (pace, served) = (self.pace(), self.served());
+        let (speed, cpu_share) = (self.speed(), self.cpu_share());
         self.now = self.now.max(now);
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (name, task) in &mut self.tasks {
             if task.starting {
-                task.start_left -= dt * pace;
+                task.start_left -= dt * speed;
                 if task.start_left <= 0.0 {
                     (task.starting, task.start_left) = (false, 0.0);
-                    out.push(Action::Runs(name.0.clone(), name.1.clone()));
+                    out.push(Action::TaskStarted(name.0.clone(), name.1.clone()));
                 }
             } else if task.start_left <= 0.0 {
-                task.left -= dt * served;
-                if task.left <= 0.0 {
-                    over.push(name.clone());
+                task.run_left -= dt * cpu_share;
+                if task.run_left <= 0.0 {
+                    finished.push(name.clone());
                 }
             }
         }
-        for name in over {
-            self.remove(&name, Over::Succeeded, out);
+        for name in finished {
+            self.end_task(&name, TaskEnd::Succeeded, out);
         }
-        while self.looking_until.is_some_and(|until| until <= now) {
-            self.looking_until = None;
-            if let Some((id, offer)) = self.line.pop_front() {
-                self.look(id, offer, out);
+        while self.processed_at.is_some_and(|until| until <= now) {
+            self.processed_at = None;
+            if let Some((id, offer)) = self.queue.pop_front() {
+                self.process_offer(id, offer, out);
             }
-            self.begin();
+            self.begin_work();
         }
-        while self.used().1 > self.set.memory {
-            let least = |t: &Task| (t.offer.priority, -t.use_memory);
+        while self.used().1 > self.settings.memory {
+            let eviction_order = |t: &Task| (t.offer.priority, -t.used_memory);
             let victim = self
                 .tasks
                 .iter()
                 .filter(|(_, t)| t.start_left <= 0.0)
                 .min_by(|a, b| {
-                    let (a, b) = (least(a.1), least(b.1));
+                    let (a, b) = (eviction_order(a.1), eviction_order(b.1));
                     a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
                 });
             let Some(name) = victim.map(|(name, _)| name.clone()) else {
                 break;
             };
-            self.remove(&name, Over::Evicted, out);
+            self.end_task(&name, TaskEnd::Evicted, out);
         }
-        while let Some((next, every)) = self.send_away.filter(|(next, _)| *next <= now) {
+        while let Some((next, every)) = self.terminating.filter(|(next, _)| *next <= now) {
             let Some(name) = self.tasks.keys().next().cloned() else {
-                self.send_away = None;
+                self.terminating = None;
                 break;
             };
-            self.remove(&name, Over::SentAway, out);
-            self.send_away = Some((next + every, every));
+            self.end_task(&name, TaskEnd::Terminated, out);
+            self.terminating = Some((next + every, every));
         }
-        self.begin();
+        self.begin_work();
     }
 
-    /// Takes up the next offer and the next starts.
-    fn begin(&mut self) {
-        if self.looking_until.is_none() && !self.line.is_empty() {
-            self.looking_until =
-                Some(self.now + self.set.offer_processing_time / self.pace().clamp(1e-3, 1.0));
+    /// Begins to process the next offer and starts tasks that wait.
+    fn begin_work(&mut self) {
+        if self.processed_at.is_none() && !self.queue.is_empty() {
+            self.processed_at = Some(
+                self.now + self.settings.offer_processing_time / self.speed().clamp(1e-3, 1.0),
+            );
         }
-        let mut free = self
-            .set
+        let mut free_starts = self
+            .settings
             .max_concurrent_starts
             .saturating_sub(self.tasks.values().filter(|t| t.starting).count());
         for task in self
@@ -419,154 +432,178 @@
             .values_mut()
             .filter(|t| t.start_left > 0.0 && !t.starting)
         {
-            if free == 0 {
+            if free_starts == 0 {
                 break;
             }
             task.starting = true;
-            free -= 1;
+            free_starts -= 1;
         }
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Offer(id, offer) => {
-                self.press(&offer, out);
-                if self.fell {
-                } else if self.now < self.troubles.hang {
-                    out.push(Action::Answer(id, Err(Refusal::Error), Way::Silent));
-                } else if self.now < self.troubles.errors.1
-                    && self.rng.random_bool(self.troubles.errors.0)
+                self.count_offer(&offer, out);
+                if self.overloaded {
+                } else if self.now < self.faults.hang_until {
+                    out.push(Action::Respond(id, Err(Refusal::Error), Delivery::Silent));
+                } else if self.now < self.faults.errors.1
+                    && self.rng.random_bool(self.faults.errors.0)
                 {
-                    out.push(Action::Answer(id, Err(Refusal::Error), Way::Sent));
-                } else if self.line.len() >= self.set.max_queued_offers {
-                    out.push(Action::Answer(id, Err(Refusal::Queue), Way::Sent));
+                    out.push(Action::Respond(id, Err(Refusal::Error), Delivery::Sent));
+                } else if self.queue.len() >= self.settings.max_queued_offers {
+                    out.push(Action::Respond(id, Err(Refusal::Queue), Delivery::Sent));
                 } else {
-                    self.line.push_back((id, offer));
+                    self.queue.push_back((id, offer));
                 }
             }
-            Event::Delete(space, name) => self.remove(&(space, name), Over::Deleted, out),
+            Event::Delete(namespace, name) => {
+                self.end_task(&(namespace, name), TaskEnd::Deleted, out)
+            }
             Event::Draining(draining) => self.draining = draining,
-            Event::Fault(fault) => self.trouble(fault, out),
+            Event::Fault(fault) => self.apply_fault(fault, out),
         }
     }
 
-    fn trouble(&mut self, fault: Fault, out: &mut Vec<Action>) {
+    fn apply_fault(&mut self, fault: Fault, out: &mut Vec<Action>) {
         let now = self.now;
         match fault {
-            Fault::Slow { factor, seconds } => self.troubles.slow = (factor, now + seconds),
-            Fault::Hang { seconds } => self.troubles.hang = now + seconds,
+            Fault::Slow { factor, seconds } => self.faults.slow = (factor, now + seconds),
+            Fault::Hang { seconds } => self.faults.hang_until = now + seconds,
             Fault::DropResponses {
                 share,
                 reset,
                 seconds,
             } => {
-                self.troubles.lose = (share.clamp(0.0, 1.0), reset, now + seconds);
+                self.faults.drop_responses = (share.clamp(0.0, 1.0), reset, now + seconds);
             }
             Fault::ReturnErrors { share, seconds } => {
-                self.troubles.errors = (share.clamp(0.0, 1.0), now + seconds)
+                self.faults.errors = (share.clamp(0.0, 1.0), now + seconds)
             }
             Fault::PartitionZones { zones, seconds } => {
-                self.troubles.cut = (zones, now + seconds);
-                out.push(Action::BreakWatches);
+                self.faults.partition = (zones, now + seconds);
+                out.push(Action::CloseWatches);
             }
-            Fault::UseAllRequestedCores { seconds } => self.troubles.use_all = now + seconds,
+            Fault::UseAllRequestedCores { seconds } => self.faults.use_all_until = now + seconds,
             Fault::BlockReads { seconds } => {
-                self.troubles.mute = now + seconds;
-                out.push(Action::BreakWatches);
+                self.faults.reads_blocked_until = now + seconds;
+                out.push(Action::CloseWatches);
             }
-            Fault::ClearProgramCache => self.kept.clear(),
-            Fault::CloseWatches => out.push(Action::BreakWatches),
-            Fault::TerminateTasks { every } => self.send_away = Some((now, every)),
+            Fault::ClearProgramCache => self.cached_programs.clear(),
+            Fault::CloseWatches => out.push(Action::CloseWatches),
+            Fault::TerminateTasks { every } => self.terminating = Some((now, every)),
         }
     }
 
-    /// Counts what is sent while it is cold; beyond what it bears it falls over.
-    fn press(&mut self, offer: &Offer, out: &mut Vec<Action>) {
-        if self.warmth() >= 1.0 {
+    /// Counts an offer that arrives during warm-up, and lets the node fail where the offers exceed its limits.
+    fn count_offer(&mut self, offer: &Offer, out: &mut Vec<Action>) {
+        if self.warm_up_speed() >= 1.0 {
             return;
         }
-        let set = &self.set;
-        let work = set.start_time
-            * if self.holds(&offer.service) {
+        let settings = &self.settings;
+        let work = settings.start_time
+            * if self.has_program(&offer.service) {
                 1.0
             } else {
-                set.set_up_factor
+                settings.set_up_factor
             };
-        self.recent.push_back((self.now, work));
+        self.recent_offers.push_back((self.now, work));
         while self
-            .recent
+            .recent_offers
             .front()
-            .is_some_and(|(at, _)| *at <= self.now - set.overload_window)
+            .is_some_and(|(at, _)| *at <= self.now - settings.overload_window)
         {
-            self.recent.pop_front();
+            self.recent_offers.pop_front();
         }
-        let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        let can = self.warmth() * set.max_concurrent_starts as f64 * set.overload_window;
-        if self.recent.len() as f64 > set.slow_start_offers && sent > set.overload_ratio * can {
-            self.fell = true;
-            out.push(Action::Fell);
+        let offered: f64 = self.recent_offers.iter().map(|(_, work)| work).sum();
+        let capacity =
+            self.warm_up_speed() * settings.max_concurrent_starts as f64 * settings.overload_window;
+        if self.recent_offers.len() as f64 > settings.slow_start_offers
+            && offered > settings.overload_ratio * capacity
+        {
+            self.overloaded = true;
+            out.push(Action::Overloaded);
         }
     }
 
-    fn holds(&self, service: &str) -> bool {
+    fn has_program(&self, service: &str) -> bool {
         self.tasks.values().any(|t| t.offer.service == service)
-            || self.kept.iter().any(|kept| kept == service)
+            || self
+                .cached_programs
+                .iter()
+                .any(|program| program == service)
     }
 
-    fn look(&mut self, id: u64, offer: Offer, out: &mut Vec<Action>) {
-        let answer = self.judge(&offer);
-        let mut way = Way::Sent;
+    fn process_offer(&mut self, id: u64, offer: Offer, out: &mut Vec<Action>) {
+        let answer = self.check_admission(&offer);
+        let mut delivery = Delivery::Sent;
         if answer.is_ok() {
-            let (share, reset, until) = self.troubles.lose;
+            let (share, reset, until) = self.faults.drop_responses;
             if self.now < until && self.rng.random_bool(share) {
-                way = if reset { Way::Reset } else { Way::Silent };
+                delivery = if reset {
+                    Delivery::Reset
+                } else {
+                    Delivery::Silent
+                };
             }
-            let start_left = self.set.start_time
-                * if self.holds(&offer.service) {
+            let start_left = self.settings.start_time
+                * if self.has_program(&offer.service) {
                     1.0
                 } else {
-                    self.set.set_up_factor
+                    self.settings.set_up_factor
                 };
-            let use_cores = offer.cores * self.rng.random_range(0.40..0.66);
-            let use_memory = offer.memory * self.rng.random_range(0.52..0.80);
-            let left = offer.runs;
+            let used_cores = offer.cores * self.rng.random_range(0.40..0.66);
+            let used_memory = offer.memory * self.rng.random_range(0.52..0.80);
+            let run_left = offer.run_time;
             let task = Task {
                 start_left,
                 starting: false,
-                left,
-                use_cores,
-                use_memory,
+                run_left,
+                used_cores,
+                used_memory,
                 offer,
             };
             self.tasks.insert(task.offer.name.clone(), task);
         }
-        out.push(Action::Answer(id, answer, way));
+        out.push(Action::Respond(id, answer, delivery));
     }
 
-    fn judge(&self, offer: &Offer) -> Result<(), Refusal> {
+    fn check_admission(&self, offer: &Offer) -> Result<(), Refusal> {
         let (cores, memory) = self.unclaimed();
-        let over = |free: f64, size: f64, admit: f64, asked: f64| {
-            size - free + asked > size * admit + 1e-9
+        let exceeds = |free: f64, size: f64, overcommit: f64, requested: f64| {
+            size - free + requested > size * overcommit + 1e-9
         };
         match () {
-            () if self.now > offer.until => Err(Refusal::TooLate),
-            () if self.draining || self.send_away.is_some() => Err(Refusal::Draining),
+            () if self.now > offer.deadline => Err(Refusal::TooLate),
+            () if self.draining || self.terminating.is_some() => Err(Refusal::Draining),
             () if offer
-                .kind
+                .required_kind
                 .as_ref()
-                .is_some_and(|kind| *kind != self.set.kind) =>
+                .is_some_and(|kind| *kind != self.settings.kind) =>
             {
                 Err(Refusal::Kind)
             }
             () if self.tasks.contains_key(&offer.name) => Err(Refusal::Copy),
-            () if self.tasks.values().any(|t| t.offer.key == offer.key) => Err(Refusal::Copy),
-            () if over(cores, self.set.cores, self.set.cpu_overcommit, offer.cores) => {
+            () if self
+                .tasks
+                .values()
+                .any(|t| t.offer.idempotency_key == offer.idempotency_key) =>
+            {
+                Err(Refusal::Copy)
+            }
+            () if exceeds(
+                cores,
+                self.settings.cores,
+                self.settings.cpu_overcommit,
+                offer.cores,
+            ) =>
+            {
                 Err(Refusal::OutOfCpu)
             }
-            () if over(
+            () if exceeds(
                 memory,
-                self.set.memory,
-                self.set.memory_overcommit,
+                self.settings.memory,
+                self.settings.memory_overcommit,
                 offer.memory,
             ) =>
             {
@@ -576,7 +613,7 @@
         }
     }
 
-    fn remove(&mut self, name: &(String, String), over: Over, out: &mut Vec<Action>) {
+    fn end_task(&mut self, name: &(String, String), end: TaskEnd, out: &mut Vec<Action>) {
         let Some(task) = self.tasks.remove(name) else {
             return;
         };
@@ -585,12 +622,13 @@
             .values()
             .any(|t| t.offer.service == task.offer.service)
         {
-            self.kept.retain(|kept| *kept != task.offer.service);
-            self.kept.push_back(task.offer.service);
-            while self.kept.len() > self.set.max_cached_programs {
-                self.kept.pop_front();
+            self.cached_programs
+                .retain(|program| *program != task.offer.service);
+            self.cached_programs.push_back(task.offer.service);
+            while self.cached_programs.len() > self.settings.max_cached_programs {
+                self.cached_programs.pop_front();
             }
         }
-        out.push(Action::Ended(name.0.clone(), name.1.clone(), over));
+        out.push(Action::TaskEnded(name.0.clone(), name.1.clone(), end));
     }
 }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,7 +1,8 @@
-//! The node as a program: the published create call for Pods, a watch on them, its load in every answer.
+//! Emulated node as a server: it accepts Pods through the Kubernetes create call, offers watches on them and reports
+//! its load in a header of every response.
 
 use crate::Fault;
-use crate::model::{Action, Event, Node, NodeSettings, Offer, Over, Refusal, Way};
+use crate::model::{Action, Delivery, Event, Node, NodeSettings, Offer, Refusal, TaskEnd};
 use hyper::HeaderMap;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,46 +14,46 @@
 use tidespur_rest::{ABORT_CONNECTION, Api, ApiHandler, DeleteOptions, Hooks, Limits, Verb};
 use tidespur_store::{Precondition, Store};
 
-/// Header of an offer: after this (Unix seconds) nobody waits for the answer.
-pub const UNTIL_HEADER: &str = "x-tidespur-until";
-/// Ended Pods stay visible for this long.
-const ENDED_KEPT: f64 = 15.0;
-/// A node that starts warm counts as up for this long.
-const LONG_UP: f64 = 3600.0;
-/// Watches hear at least this often that the node lives.
-const HEARTBEAT: f64 = 0.4;
+/// Header of an offer: Unix time in seconds after which the planner no longer waits for the answer.
+pub const DEADLINE_HEADER: &str = "x-tidespur-until";
+/// Seconds for which an ended Pod stays visible.
+const ENDED_POD_RETENTION: f64 = 15.0;
+/// Age in seconds that a node reports if it starts warm.
+const WARM_NODE_AGE: f64 = 3600.0;
+/// Seconds between bookmarks on an idle watch; they show that the node is alive.
+const BOOKMARK_INTERVAL: f64 = 0.4;
 
-/// What the program is started with.
+/// Command-line options of the node program.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its nature.
+    /// Size and behaviour of the node.
     pub settings: NodeSettings,
-    /// Where it listens; port 0 for any.
+    /// Address to listen on; port 0 takes any free port.
     pub listen: String,
-    /// The register's address.
+    /// Address of the registry.
     pub registry: String,
-    /// What crosses its sockets is recorded here.
+    /// File to which requests and state changes are appended; `None` records nothing.
     pub record: Option<PathBuf>,
-    /// Priority of each class.
+    /// Priority of each class; a class that is missing here has priority 0.
     pub priorities: BTreeMap<String, i64>,
 }
 
-/// The model's answer, and how it goes back.
-type Answered = (Result<(), Refusal>, Way);
+/// Answer of the model to an offer, and how it is delivered.
+type Response = (Result<(), Refusal>, Delivery);
 
-struct Inner {
+struct State {
     model: Node,
-    waiting: BTreeMap<u64, async_channel::Sender<Answered>>,
-    next: u64,
-    /// Objects of offers, until they are answered.
+    waiting: BTreeMap<u64, async_channel::Sender<Response>>,
+    last_offer_id: u64,
+    /// Pods of offers that are not answered yet, by offer number.
     offered: BTreeMap<u64, Object>,
     ended: Vec<(f64, String, String)>,
 }
 
 struct NodeHooks {
-    /// Locked before the store, never after.
-    inner: Mutex<Inner>,
-    /// Deletions that the model is yet to hear of; written under the store's lock.
+    /// Lock order: this before the store.
+    state: Mutex<State>,
+    /// Deletions that the model has not handled yet; written while the store is locked.
     deletions: Mutex<Vec<Event>>,
     api: OnceLock<Arc<Api<NodeHooks>>>,
     changed: event_listener::Event,
@@ -61,8 +62,8 @@
 }
 
 impl NodeHooks {
-    fn inner(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner
+    fn state(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -75,78 +76,78 @@
             .to_owned()
     }
 
-    /// Tells the model, and carries out what it says.
+    /// Passes events to the model and executes its actions.
     fn step(&self, events: Vec<Event>) {
         let Some(api) = self.api.get() else { return };
         let now = clock::now();
         let mut actions = Vec::new();
-        let mut inner = self.inner();
-        inner.model.step(now, events, &mut actions);
-        let node = inner.model.settings().name.clone();
+        let mut state = self.state();
+        state.model.step(now, events, &mut actions);
+        let node = state.model.settings().name.clone();
         let changed = !actions.is_empty();
         for action in actions {
             match action {
-                Action::Answer(id, answer, way) => {
-                    let object = inner.offered.remove(&id);
+                Action::Respond(id, answer, delivery) => {
+                    let object = state.offered.remove(&id);
                     if let (Ok(()), Some(mut object)) = (answer, object) {
                         object["spec"]["nodeName"] = node.as_str().into();
                         object["status"] =
                             json!({"phase": "Pending", "startTime": meta::timestamp(now)});
-                        let made = api.store().create(PODS, object, now);
-                        if let Err(problem) = made {
-                            tracing::warn!(%problem, "an accepted Pod can't be shown");
+                        let stored = api.store().create(PODS, object, now);
+                        if let Err(error) = stored {
+                            tracing::warn!(%error, "accepted Pod could not be stored");
                         }
                     }
-                    if let Some(waiting) = inner.waiting.remove(&id) {
-                        // The caller may be gone; its connection then takes the answer with it.
-                        let _ = waiting.try_send((answer, way));
+                    if let Some(waiting) = state.waiting.remove(&id) {
+                        // The send fails where the caller has closed its connection.
+                        let _ = waiting.try_send((answer, delivery));
                     }
                 }
-                Action::Runs(space, name) => self.show(api, &space, &name, |pod| {
+                Action::TaskStarted(namespace, name) => self.update_pod(api, &namespace, &name, |pod| {
                     pod["status"] = json!({"phase": "Running", "startTime": meta::timestamp(now),
                         "conditions": [{"type": "Ready", "status": "True"}]});
                 }),
-                Action::Ended(space, name, over) => {
-                    let (phase, reason) = match over {
-                        Over::Succeeded => ("Succeeded", ""),
-                        Over::Evicted => ("Failed", "Evicted"),
-                        Over::SentAway => ("Failed", "Terminated"),
-                        Over::Deleted => ("Failed", "Deleted"),
+                Action::TaskEnded(namespace, name, end) => {
+                    let (phase, reason) = match end {
+                        TaskEnd::Succeeded => ("Succeeded", ""),
+                        TaskEnd::Evicted => ("Failed", "Evicted"),
+                        TaskEnd::Terminated => ("Failed", "Terminated"),
+                        TaskEnd::Deleted => ("Failed", "Deleted"),
                     };
-                    self.show(api, &space, &name, |pod| {
+                    self.update_pod(api, &namespace, &name, |pod| {
                         pod["status"]["phase"] = phase.into();
                         pod["status"]["reason"] = reason.into();
                         meta::map_mut(pod, "status").remove("conditions");
                     });
-                    inner.ended.push((now + ENDED_KEPT, space, name));
+                    state.ended.push((now + ENDED_POD_RETENTION, namespace, name));
                 }
-                Action::BreakWatches => api.close_watches(),
-                Action::Fell => self.recorder.record("fell", || json!({"node": node})),
+                Action::CloseWatches => api.close_watches(),
+                Action::Overloaded => self.recorder.record("fell", || json!({"node": node})),
             }
         }
-        let due = inner.ended.iter().filter(|(at, ..)| *at <= now).count();
-        for (_, space, name) in inner.ended.drain(..due) {
+        let expired = state.ended.iter().filter(|(at, ..)| *at <= now).count();
+        for (_, namespace, name) in state.ended.drain(..expired) {
             drop(
                 api.store()
-                    .delete(PODS, &space, &name, &Precondition::default()),
+                    .delete(PODS, &namespace, &name, &Precondition::default()),
             );
         }
-        drop(inner);
+        drop(state);
         if changed {
             api.notify_watchers();
         }
         self.changed.notify(usize::MAX);
     }
 
-    fn show(
+    fn update_pod(
         &self,
         api: &Api<NodeHooks>,
-        space: &str,
+        namespace: &str,
         name: &str,
         change: impl FnOnce(&mut Object),
     ) {
         let mut store = api.store();
-        let Some(mut pod) = store.get(PODS, space, name).map(|pod| (**pod).clone()) else {
+        let Some(mut pod) = store.get(PODS, namespace, name).map(|pod| (**pod).clone()) else {
             return;
         };
         change(&mut pod);
@@ -157,26 +158,26 @@
         drop(store.update(PODS, pod, &Precondition::default()));
     }
 
-    fn read_offer(&self, pod: &Object, until: f64) -> Offer {
-        let ask = task::placement_request(pod);
-        let runs =
+    fn read_offer(&self, pod: &Object, deadline: f64) -> Offer {
+        let request = task::placement_request(pod);
+        let run_time =
             meta::annotation(pod, "standin.tidespur.dev/run-seconds").and_then(|t| t.parse().ok());
         let kind = meta::value_at(pod, &["spec", "nodeSelector"])
             .get(names::INSTANCE_TYPE)
             .and_then(Value::as_str);
         Offer {
-            name: (ask.tenant, meta::name(pod).to_owned()),
+            name: (request.tenant, meta::name(pod).to_owned()),
             uid: meta::annotation(pod, names::EDGE_POD_UID)
-                .unwrap_or(&ask.uid)
+                .unwrap_or(&request.uid)
                 .to_owned(),
-            key: ask.idempotency_key,
-            service: ask.service,
-            cores: ask.cores,
-            memory: ask.memory,
-            priority: self.priorities.get(&ask.class).copied().unwrap_or(0),
-            runs: runs.or(ask.expected_duration).unwrap_or(10.0),
-            kind: kind.map(str::to_owned),
-            until,
+            idempotency_key: request.idempotency_key,
+            service: request.service,
+            cores: request.cores,
+            memory: request.memory,
+            priority: self.priorities.get(&request.class).copied().unwrap_or(0),
+            run_time: run_time.or(request.expected_duration).unwrap_or(10.0),
+            required_kind: kind.map(str::to_owned),
+            deadline,
         }
     }
 
@@ -188,27 +189,31 @@
                 .unwrap_or("")
                 .to_owned()
         };
-        let until = text(UNTIL_HEADER).parse().unwrap_or(f64::INFINITY);
-        let offer = self.read_offer(object, until);
-        let (uid, key, service) = (offer.uid.clone(), offer.key.clone(), offer.service.clone());
+        let deadline = text(DEADLINE_HEADER).parse().unwrap_or(f64::INFINITY);
+        let offer = self.read_offer(object, deadline);
+        let (uid, key, service) = (
+            offer.uid.clone(),
+            offer.idempotency_key.clone(),
+            offer.service.clone(),
+        );
         let class = meta::text_at(object, &["spec", "priorityClassName"]).to_owned();
         self.recorder.record("offer", || {
             json!({"uid": uid, "key": key, "service": service, "class": class, "from": text(names::PEER_HEADER)})
         });
         let (send, receive) = async_channel::bounded(1);
         let id = {
-            let mut inner = self.inner();
-            inner.next += 1;
-            let id = inner.next;
-            inner.waiting.insert(id, send);
-            inner.offered.insert(id, object.clone());
+            let mut state = self.state();
+            state.last_offer_id += 1;
+            let id = state.last_offer_id;
+            state.waiting.insert(id, send);
+            state.offered.insert(id, object.clone());
             id
         };
         self.step(vec![Event::Offer(id, offer)]);
-        // Without an answer the model hangs or fell; then nothing is answered for as long as the caller waits.
-        let answered = receive.recv().await;
-        let (answer, way) = match answered {
-            Ok(answered) => answered,
+        // An overloaded node gives no answer: this waits until the caller gives up, as for a hang (`Delivery::Silent`).
+        let response = receive.recv().await;
+        let (answer, delivery) = match response {
+            Ok(response) => response,
             Err(_) => return std::future::pending().await,
         };
         let said = match answer {
@@ -216,31 +221,31 @@
             Err(refusal) => format!("{refusal:?}"),
         };
         self.recorder.record("answer", || {
-            json!({"uid": uid, "key": key, "class": class, "said": said, "way": format!("{way:?}"),
+            json!({"uid": uid, "key": key, "class": class, "said": said, "way": format!("{delivery:?}"),
                 "from": text(names::PEER_HEADER)})
         });
-        match way {
-            Way::Silent => std::future::pending().await,
-            Way::Reset => Err(ApiError::new(ABORT_CONNECTION, "Cut", "cut")),
-            Way::Sent => {
+        match delivery {
+            Delivery::Silent => std::future::pending().await,
+            Delivery::Reset => Err(ApiError::new(ABORT_CONNECTION, "Cut", "cut")),
+            Delivery::Sent => {
                 let api = self
                     .api
                     .get()
                     .ok_or_else(|| ApiError::unavailable("starting", 1))?;
-                answer.map_err(|refusal| refused(refusal, meta::name(object)))?;
-                let (space, name) = (meta::namespace(object), meta::name(object));
-                let made = api
+                answer.map_err(|refusal| refusal_error(refusal, meta::name(object)))?;
+                let (namespace, name) = (meta::namespace(object), meta::name(object));
+                let stored = api
                     .store()
-                    .get(PODS, space, name)
+                    .get(PODS, namespace, name)
                     .map(|pod| (**pod).clone());
-                Ok(made.unwrap_or_else(|| object.clone()))
+                Ok(stored.unwrap_or_else(|| object.clone()))
             }
         }
     }
 }
 
-/// A refusal as a published Status; kubelet's words for why stand in the cause.
-fn refused(refusal: Refusal, name: &str) -> ApiError {
+/// Status object of a refusal; its cause has the reason and message that a kubelet would give.
+fn refusal_error(refusal: Refusal, name: &str) -> ApiError {
     let (reason, message) = match refusal {
         Refusal::OutOfCpu => ("OutOfcpu", "Node didn't have enough resource: cpu"),
         Refusal::OutOfMemory => ("OutOfmemory", "Node didn't have enough resource: memory"),
@@ -277,7 +282,7 @@
         _resource: &Resource,
         object: &mut Object,
     ) -> Result<(), ApiError> {
-        // Classes are the edge's matter; a node takes any.
+        // The edge checks the class; a node accepts any.
         let spec = meta::map_mut(object, "spec");
         spec.entry("containers")
             .or_insert_with(|| json!([{"name": "main"}]));
@@ -291,12 +296,14 @@
 
     async fn wait_until_reachable(&self, method: &hyper::Method, headers: &HeaderMap) {
         let zone = Self::zone_of(headers);
-        let cut = {
-            let inner = self.inner();
-            let mute = method == hyper::Method::GET && inner.model.mute(clock::now());
-            mute || inner.model.fallen() || inner.model.cut_from(clock::now()).contains(&zone)
+        let unreachable = {
+            let state = self.state();
+            let blocked = method == hyper::Method::GET && state.model.reads_blocked(clock::now());
+            blocked
+                || state.model.is_overloaded()
+                || state.model.partitioned_zones(clock::now()).contains(&zone)
         };
-        if cut {
+        if unreachable {
             std::future::pending::<()>().await;
         }
     }
@@ -333,31 +340,31 @@
                 "the uid in the precondition does not match",
             ));
         }
-        // The store is locked here, so the model hears of it right after, in `written`.
+        // The store is locked here, and the lock order forbids a step of the model: `on_write` does it right after.
         let _ = store;
-        let (space, name) = (
+        let (namespace, name) = (
             meta::namespace(object).to_owned(),
             meta::name(object).to_owned(),
         );
         if let Ok(mut deletions) = self.deletions.lock() {
-            deletions.push(Event::Delete(space, name));
+            deletions.push(Event::Delete(namespace, name));
         }
         Ok(object.clone())
     }
 
     fn on_write(&self) {
-        let due = self
+        let deletions = self
             .deletions
             .lock()
             .map(|mut deletions| std::mem::take(&mut *deletions))
             .unwrap_or_default();
-        if !due.is_empty() {
-            self.step(due);
+        if !deletions.is_empty() {
+            self.step(deletions);
         }
     }
 
     fn headers(&self) -> Vec<(&'static str, String)> {
-        let (cores, memory, queue) = self.inner().model.load();
+        let (cores, memory, queue) = self.state().model.load();
         vec![(
             names::LOAD_HEADER,
             format!("cores={cores:.2};memory={memory:.2};queue={queue}"),
@@ -379,14 +386,14 @@
                 self.step(vec![Event::Fault(fault)]);
                 Ok(json!({}))
             }
-            Err(problem) => Err(ApiError::bad_request(format!(
-                "no fault that is known: {problem}"
+            Err(error) => Err(ApiError::bad_request(format!(
+                "no fault that is known: {error}"
             ))),
         })
     }
 }
 
-/// Runs the node until the process ends. `ready` is called with its address once it listens.
+/// Runs the node until the process ends. Calls `ready` with the address once it listens.
 pub async fn run(options: Options, ready: impl FnOnce(&str)) -> std::io::Result<()> {
     let listener = smol::net::TcpListener::bind(&options.listen).await?;
     let address = listener.local_addr()?.to_string();
@@ -400,15 +407,15 @@
         json!({"cold": options.settings.warm_up_time, "cores": options.settings.cores,
         "rack": options.settings.rack, "zone": options.settings.zone})
     });
-    let inner = Inner {
+    let state = State {
         model: Node::new(options.settings.clone(), up_since),
         waiting: BTreeMap::new(),
-        next: 0,
+        last_offer_id: 0,
         offered: BTreeMap::new(),
         ended: Vec::new(),
     };
     let hooks = NodeHooks {
-        inner: Mutex::new(inner),
+        state: Mutex::new(state),
         deletions: Mutex::default(),
         api: OnceLock::new(),
         changed: event_listener::Event::new(),
@@ -416,10 +423,10 @@
         priorities: options.priorities.clone(),
     };
     let limits = Limits {
-        bookmark_interval: HEARTBEAT,
+        bookmark_interval: BOOKMARK_INTERVAL,
         ..Limits::default()
     };
-    // Versions of a node that comes back must be above those that it handed out before.
+    // After a restart, resource versions must be higher than all that were handed out before; time ensures that.
     let store = Store::new(
         tidespur_store::Limits::default(),
         options.settings.seed,
@@ -431,7 +438,7 @@
     smol::spawn(async move {
         loop {
             let listener = driver.hooks.changed.listen();
-            let wake = driver.hooks.inner().model.next_wake();
+            let wake = driver.hooks.state().model.next_wake();
             clock::timeout(wake - clock::now(), listener).await;
             if clock::now() >= wake {
                 driver.hooks.step(vec![]);
@@ -439,14 +446,16 @@
         }
     })
     .detach();
-    let teller = api.clone();
-    let (register, at, set) = (
+    let reporter = api.clone();
+    let (registry, own_address, settings) = (
         options.registry.clone(),
         address.clone(),
         options.settings.clone(),
     );
-    smol::spawn(async move { tell_register(teller, &register, &at, &set, up_since).await })
-        .detach();
+    smol::spawn(async move {
+        report_to_registry(reporter, &registry, &own_address, &settings, up_since).await
+    })
+    .detach();
     ready(&address);
     let limits = server::ServerLimits {
         connections: 1024,
@@ -456,27 +465,27 @@
     Ok(())
 }
 
-/// Tells the register how the node stands, and learns there whether it is to drain.
-async fn tell_register(
+/// Sends heartbeats to the registry; each response says whether the node is to drain.
+async fn report_to_registry(
     api: Arc<Api<NodeHooks>>,
-    register: &str,
+    registry: &str,
     address: &str,
-    set: &NodeSettings,
+    settings: &NodeSettings,
     up_since: f64,
 ) {
-    let client = Client::new(register, 1, vec![]);
-    // One that is not cold has been up for long, whenever its process was started.
-    let up_since = if set.warm_up_time > 0.0 {
+    let client = Client::new(registry, 1, vec![]);
+    // A node without warm-up counts as running for long, whenever its process was started.
+    let up_since = if settings.warm_up_time > 0.0 {
         up_since
     } else {
-        up_since - LONG_UP
+        up_since - WARM_NODE_AGE
     };
     loop {
-        let (cores, memory) = api.hooks.inner().model.unclaimed();
-        let fallen = api.hooks.inner().model.fallen();
-        let body = json!({"name": set.name, "zone": set.zone, "rack": set.rack, "kind": set.kind, "cores": set.cores,
-            "memory": set.memory, "address": address, "up_since": up_since, "free_cores": cores, "free_memory": memory});
-        if !fallen {
+        let (cores, memory) = api.hooks.state().model.unclaimed();
+        let overloaded = api.hooks.state().model.is_overloaded();
+        let body = json!({"name": settings.name, "zone": settings.zone, "rack": settings.rack, "kind": settings.kind, "cores": settings.cores,
+            "memory": settings.memory, "address": address, "up_since": up_since, "free_cores": cores, "free_memory": memory});
+        if !overloaded {
             let bytes = body.to_string().into_bytes().into();
             let sent = client
                 .send(
@@ -493,9 +502,9 @@
                     api.hooks.step(vec![Event::Draining(draining)]);
                 }
                 Ok(reply) => {
-                    tracing::warn!(status = %reply.status, "the register refuses the node")
+                    tracing::warn!(status = %reply.status, "registry rejected the heartbeat")
                 }
-                Err(problem) => tracing::debug!(%problem, "the register can't be reached"),
+                Err(error) => tracing::debug!(%error, "registry is unreachable; retrying"),
             }
         }
         clock::sleep(0.25).await;
--- a/crates/emulator/src/registry.rs
+++ b/crates/emulator/src/registry.rs
@@ -1,5 +1,5 @@
-//! The register as a program: it lists nodes, late by a set delay, and knows only of processes that run, drain or
-//! are gone.
+//! Emulated node registry as a server. It publishes changes after a configured delay, and knows of a node only whether
+//! it runs, drains or is gone.
 
 use hyper::HeaderMap;
 use serde::Deserialize;
@@ -13,20 +13,20 @@
 use tidespur_rest::{Api, ApiHandler, Hooks, Limits, Verb};
 use tidespur_store::{Precondition, Store};
 
-/// What the program is started with.
+/// Command-line options of the registry program.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it listens.
+    /// Address to listen on; port 0 takes any free port.
     pub listen: String,
-    /// Changes are shown so late.
+    /// Seconds after which a change becomes visible.
     pub delay: f64,
-    /// A node that told nothing for this long is gone.
+    /// Seconds without a heartbeat after which a node is removed.
     pub gone_after: f64,
-    /// What crosses its sockets is recorded here.
+    /// File to which changes by clients are appended; `None` records nothing.
     pub record: Option<PathBuf>,
 }
 
-/// What a node tells.
+/// Heartbeat of a node. The field names are keys of its JSON.
 #[derive(Clone, Debug, Deserialize)]
 struct Heartbeat {
     name: String,
@@ -42,102 +42,109 @@
 }
 
 #[derive(Default)]
-struct Truth {
+struct State {
+    /// Last heartbeat of each node and the time of its arrival.
     nodes: BTreeMap<String, (Heartbeat, f64)>,
     unschedulable: BTreeMap<String, bool>,
-    /// What will be shown, and when.
-    coming: VecDeque<(f64, String, Option<Object>)>,
+    /// Changes that are not visible yet, oldest first: due time, node name, and the new object or `None` for a removal.
+    pending_updates: VecDeque<(f64, String, Option<Object>)>,
 }
 
-struct RegisterHooks {
-    truth: Mutex<Truth>,
-    api: OnceLock<Arc<Api<RegisterHooks>>>,
+struct RegistryHooks {
+    state: Mutex<State>,
+    api: OnceLock<Arc<Api<RegistryHooks>>>,
     delay: f64,
     recorder: Recorder,
 }
 
-fn show(beat: &Heartbeat, unschedulable: bool) -> Object {
+fn node_object(heartbeat: &Heartbeat, unschedulable: bool) -> Object {
     let capacity =
-        json!({"cpu": format!("{}", beat.cores), "memory": format!("{}Gi", beat.memory)});
+        json!({"cpu": format!("{}", heartbeat.cores), "memory": format!("{}Gi", heartbeat.memory)});
     json!({"kind": "Node", "apiVersion": "v1",
-        "metadata": {"name": beat.name,
-            "labels": {names::ZONE: beat.zone, names::RACK: beat.rack, names::INSTANCE_TYPE: beat.kind},
-            "annotations": {names::ADDRESS: beat.address, names::STARTED_AT: format!("{:.3}", beat.up_since),
-                names::UNCLAIMED_CPU: format!("{:.2}", beat.free_cores),
-                names::UNCLAIMED_MEMORY: format!("{:.2}", beat.free_memory)}},
+        "metadata": {"name": heartbeat.name,
+            "labels": {names::ZONE: heartbeat.zone, names::RACK: heartbeat.rack, names::INSTANCE_TYPE: heartbeat.kind},
+            "annotations": {names::ADDRESS: heartbeat.address, names::STARTED_AT: format!("{:.3}", heartbeat.up_since),
+                names::UNCLAIMED_CPU: format!("{:.2}", heartbeat.free_cores),
+                names::UNCLAIMED_MEMORY: format!("{:.2}", heartbeat.free_memory)}},
         "spec": {"unschedulable": unschedulable},
         "status": {"capacity": capacity, "allocatable": capacity,
             "conditions": [{"type": "Ready", "status": "True"}]}})
 }
 
-impl RegisterHooks {
-    fn truth(&self) -> std::sync::MutexGuard<'_, Truth> {
-        self.truth
+impl RegistryHooks {
+    fn state(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn beat(&self, beat: Heartbeat) -> Object {
+    fn handle_heartbeat(&self, heartbeat: Heartbeat) -> Object {
         let now = clock::now();
-        let mut truth = self.truth();
-        let unschedulable = truth
+        let mut state = self.state();
+        let unschedulable = state
             .unschedulable
-            .get(&beat.name)
+            .get(&heartbeat.name)
             .copied()
             .unwrap_or(false);
-        let object = show(&beat, unschedulable);
-        truth
-            .coming
-            .push_back((now + self.delay, beat.name.clone(), Some(object)));
-        truth.nodes.insert(beat.name.clone(), (beat, now));
+        let object = node_object(&heartbeat, unschedulable);
+        state
+            .pending_updates
+            .push_back((now + self.delay, heartbeat.name.clone(), Some(object)));
+        state.nodes.insert(heartbeat.name.clone(), (heartbeat, now));
         json!({"unschedulable": unschedulable})
     }
 
-    /// Shows what is due and notices nodes that fell silent.
-    fn turn(&self, gone_after: f64) {
+    /// Publishes the changes that are due and removes nodes without a heartbeat.
+    fn apply_updates(&self, node_timeout: f64) {
         let Some(api) = self.api.get() else { return };
         let now = clock::now();
-        let mut truth = self.truth();
-        let silent: Vec<String> = truth
+        let mut state = self.state();
+        let expired: Vec<String> = state
             .nodes
             .iter()
-            .filter(|(_, (_, at))| *at + gone_after < now)
+            .filter(|(_, (_, at))| *at + node_timeout < now)
             .map(|(n, _)| n.clone())
             .collect();
-        for name in silent {
-            truth.nodes.remove(&name);
-            truth.coming.push_back((now + self.delay, name, None));
+        for name in expired {
+            state.nodes.remove(&name);
+            state
+                .pending_updates
+                .push_back((now + self.delay, name, None));
         }
         let mut changed = false;
-        while truth.coming.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, name, object)) = truth.coming.pop_front() else {
+        while state
+            .pending_updates
+            .front()
+            .is_some_and(|(at, ..)| *at <= now)
+        {
+            let Some((_, name, object)) = state.pending_updates.pop_front() else {
                 break;
             };
             let mut store = api.store();
-            let stood = store.get(NODES, "", &name).cloned();
-            let shown = match (object, &stood) {
-                (Some(object), Some(_)) => store
+            let exists = store.get(NODES, "", &name).is_some();
+            let stored = match (object, exists) {
+                (Some(object), true) => store
                     .update(NODES, object, &Precondition::default())
                     .map(drop),
-                (Some(object), None) => store.create(NODES, object, now).map(drop),
-                (None, Some(_)) => store
+                (Some(object), false) => store.create(NODES, object, now).map(drop),
+                (None, true) => store
                     .delete(NODES, "", &name, &Precondition::default())
                     .map(drop),
-                (None, None) => Ok(()),
+                (None, false) => Ok(()),
             };
-            if let Err(problem) = shown {
-                tracing::warn!(%problem, node = name, "can't be shown");
+            if let Err(error) = stored {
+                tracing::warn!(%error, node = name, "node object could not be stored");
             }
             changed = true;
         }
-        drop(truth);
+        drop(state);
         if changed {
             api.notify_watchers();
         }
     }
 }
 
-impl Hooks for RegisterHooks {
+impl Hooks for RegistryHooks {
     fn serves(&self, resource: &Resource) -> bool {
         resource.kind == "Node"
     }
@@ -160,13 +167,13 @@
             "mark",
             || json!({"node": name, "unschedulable": unschedulable}),
         );
-        let mut truth = self.truth();
-        truth.unschedulable.insert(name.clone(), unschedulable);
-        if let Some((beat, _)) = truth.nodes.get(&name) {
-            let shown = show(beat, unschedulable);
-            truth
-                .coming
-                .push_back((clock::now() + self.delay, name, Some(shown)));
+        let mut state = self.state();
+        state.unschedulable.insert(name.clone(), unschedulable);
+        if let Some((heartbeat, _)) = state.nodes.get(&name) {
+            let object = node_object(heartbeat, unschedulable);
+            state
+                .pending_updates
+                .push_back((clock::now() + self.delay, name, Some(object)));
         }
         Some(Ok(object.clone()))
     }
@@ -181,13 +188,13 @@
             return None;
         }
         Some(match serde_json::from_slice(body) {
-            Ok(beat) => Ok(self.beat(beat)),
-            Err(problem) => Err(ApiError::bad_request(format!("no heartbeat: {problem}"))),
+            Ok(heartbeat) => Ok(self.handle_heartbeat(heartbeat)),
+            Err(error) => Err(ApiError::bad_request(format!("no heartbeat: {error}"))),
         })
     }
 }
 
-/// Runs the register until the process ends. `ready` is called with its address once it listens.
+/// Runs the registry until the process ends. Calls `ready` with the address once it listens.
 pub async fn run(options: Options, ready: impl FnOnce(&str)) -> std::io::Result<()> {
     let listener = smol::net::TcpListener::bind(&options.listen).await?;
     let address = listener.local_addr()?.to_string();
@@ -195,8 +202,8 @@
         Some(path) => Recorder::append_to(path, "register")?,
         None => Recorder::default(),
     };
-    let hooks = RegisterHooks {
-        truth: Mutex::default(),
+    let hooks = RegistryHooks {
+        state: Mutex::default(),
         api: OnceLock::new(),
         delay: options.delay,
         recorder,
@@ -209,11 +216,11 @@
     };
     let api = Arc::new(Api::new(store, limits, hooks));
     let _ = api.hooks.api.set(api.clone());
-    let turning = api.clone();
+    let updater = api.clone();
     smol::spawn(async move {
         loop {
             clock::sleep(0.02).await;
-            turning.hooks.turn(options.gone_after);
+            updater.hooks.apply_updates(options.gone_after);
         }
     })
     .detach();
