--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole cluster of processes on loopback.
+//! A cluster of processes on loopback: the node registry, nodes, edges and planners.
 
 use crate::layout::{Layout, NodeLocation, node_location, zone};
 use crate::process::Process;
@@ -8,27 +8,28 @@
 use tidespur_emulator::Fault;
 use tidespur_net::{Client, clock};
 
-/// Seconds in which a node that came up cold is warm.
-const COLD: f64 = 18.0;
+/// Warm-up time of a node that starts cold, in seconds.
+const WARM_UP_TIME: f64 = 18.0;
 
-/// A running cluster; all of it ends with this value.
+/// A running cluster. Dropping it kills all its processes.
 #[derive(Debug)]
 pub struct Cluster {
     layout: Layout,
-    /// The register.
+    /// The emulated node registry.
     pub registry: Process,
     /// Nodes, in the order of `node_locations`.
     pub nodes: Vec<Process>,
-    /// Edges.
+    /// Edges, by number; their addresses are those of the API, of the planner links and, where `fleet` is set, of the
+    /// membership protocol.
     pub edges: Vec<Process>,
-    /// Planners.
+    /// Planners, by number.
     pub planners: Vec<Process>,
-    /// Where the nodes stand.
+    /// Name, zone, rack and machine type of each node.
     pub node_locations: Vec<NodeLocation>,
 }
 
 impl Cluster {
-    /// Starts everything; the nodes may not be listed yet.
+    /// Starts all processes. Returns before the nodes are listed; see [`Self::wait_ready`].
     pub fn start(layout: Layout) -> Result<Self, String> {
         for folder in [&layout.recordings, &layout.log_dir].into_iter().flatten() {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -55,41 +56,44 @@
                 !name.starts_with("planner"),
             )
         };
-        let words = |text: &str| {
+        let split_words = |text: &str| {
             text.split_whitespace()
                 .map(str::to_owned)
                 .collect::<Vec<_>>()
         };
         let registry = launch(
             "register",
-            words(&format!(
+            split_words(&format!(
                 "standin-register --listen 127.0.0.1:0 --delay {}",
                 layout.registry_delay
             )),
         )?;
-        let at = registry.addresses[0].clone();
+        let registry_address = registry.addresses[0].clone();
         let mut config = Vec::new();
         if let Some(path) = &layout.config_file {
             config.extend(["--config".into(), path.display().to_string()]);
         }
-        let mut kept = config.clone();
+        let mut persistent = config.clone();
         if let Some(folder) = &layout.data_dir {
-            kept.extend(["--data".into(), folder.display().to_string()]);
+            persistent.extend(["--data".into(), folder.display().to_string()]);
         }
         let mut nodes = Vec::new();
-        for (i, site) in node_locations.iter().enumerate() {
+        for (i, location) in node_locations.iter().enumerate() {
             let seed = layout.seed.wrapping_mul(1_000).wrapping_add(i as u64);
-            let cold = if layout.cold_start { COLD } else { 0.0 };
+            let cold = if layout.cold_start { WARM_UP_TIME } else { 0.0 };
             let line = format!(
-                "standin-node --listen 127.0.0.1:0 --register {at} --name {} --zone {} --rack {} --kind {} \
+                "standin-node --listen 127.0.0.1:0 --register {registry_address} --name {} --zone {} --rack {} --kind {} \
                  --seed {seed} --cold {cold}",
-                site.name, site.zone, site.rack, site.kind
+                location.name, location.zone, location.rack, location.kind
             );
-            nodes.push(launch(&site.name, [words(&line), config.clone()].concat())?);
+            nodes.push(launch(
+                &location.name,
+                [split_words(&line), config.clone()].concat(),
+            )?);
         }
         let mut edges: Vec<Process> = Vec::new();
-        // The first two edges are everybody's seeds.
-        let joins = |edges: &[Process]| -> String {
+        // The first two edges are the seeds of all members.
+        let join_options = |edges: &[Process]| -> String {
             let seeds = edges
                 .iter()
                 .take(2)
@@ -106,19 +110,19 @@
             };
             let seed = layout.seed.wrapping_add(7_000 + i as u64);
             let line = format!(
-                "edge --api {api} --link 127.0.0.1:0 --register {at} --name edge-{i} --seed {seed}"
+                "edge --api {api} --link 127.0.0.1:0 --register {registry_address} --name edge-{i} --seed {seed}"
             );
             let line = match layout.fleet {
-                true => format!("{line} --fleet-listen 127.0.0.1:0{}", joins(&edges)),
+                true => format!("{line} --fleet-listen 127.0.0.1:0{}", join_options(&edges)),
                 false => line,
             };
             edges.push(launch(
                 &format!("edge-{i}"),
-                [words(&line), kept.clone()].concat(),
+                [split_words(&line), persistent.clone()].concat(),
             )?);
         }
         let links: String = match layout.fleet {
-            true => joins(&edges),
+            true => join_options(&edges),
             false => edges
                 .iter()
                 .map(|edge| format!("--edge {} ", edge.addresses[1]))
@@ -129,12 +133,12 @@
             let zone = zone(i % layout.zones.max(1));
             let seed = layout.seed.wrapping_add(9_000 + i as u64);
             let line = format!(
-                "planner {links} --register {at} --zone {zone} --ordinal {i} --seed {seed} --planners {}",
+                "planner {links} --register {registry_address} --zone {zone} --ordinal {i} --seed {seed} --planners {}",
                 layout.planners
             );
             planners.push(launch(
                 &format!("planner-{i}"),
-                [words(&line), kept.clone()].concat(),
+                [split_words(&line), persistent.clone()].concat(),
             )?);
         }
         Ok(Self {
@@ -147,12 +151,15 @@
         })
     }
 
-    /// The API's address at an edge.
+    /// Address of the API of this edge.
     pub fn api(&self, edge: usize) -> &str {
         &self.edges[edge].addresses[0]
     }
 
-    /// Waits until all nodes are listed and all planners connected, at every edge.
+    /// Waits until every edge lists all nodes and is connected to all planners.
+    ///
+    /// # Errors
+    /// When `seconds` have passed before that.
     pub async fn wait_ready(&self, seconds: f64) -> Result<(), String> {
         let until = clock::now() + seconds;
         for edge in 0..self.edges.len() {
@@ -178,12 +185,12 @@
                 clock::sleep(0.05).await;
             }
         }
-        // Planners list on their own; a moment later than the edge at most.
+        // Planners list the nodes themselves, at most this much later than the edges.
         clock::sleep(0.2).await;
         Ok(())
     }
 
-    /// A child by name.
+    /// The process of this name; `None` if there is none.
     pub fn process(&mut self, name: &str) -> Option<&mut Process> {
         let all = self
             .nodes
@@ -194,7 +201,7 @@
             .find(|process| process.name == name)
     }
 
-    /// Starts a killed node again where it was, cold.
+    /// Restarts a killed node cold, on the same address.
     pub fn restart_node(&mut self, name: &str) -> Result<(), String> {
         let node = self
             .nodes
@@ -202,10 +209,13 @@
             .find(|node| node.name == name)
             .ok_or(format!("{name}: no such node"))?;
         let listen = node.addresses[0].clone();
-        node.restart(&[("--listen", listen), ("--cold", COLD.to_string())], true)
+        node.restart(
+            &[("--listen", listen), ("--cold", WARM_UP_TIME.to_string())],
+            true,
+        )
     }
 
-    /// Starts a killed edge again where it was.
+    /// Restarts a killed edge on the same addresses.
     pub fn restart_edge(&mut self, name: &str) -> Result<(), String> {
         let edge = self
             .edges
@@ -224,7 +234,7 @@
         edge.restart(&change, true)
     }
 
-    /// Starts a killed planner again.
+    /// Restarts a killed planner.
     pub fn restart_planner(&mut self, name: &str) -> Result<(), String> {
         let planner = self
             .planners
@@ -234,7 +244,7 @@
         planner.restart(&[], false)
     }
 
-    /// Names and addresses of all nodes.
+    /// Name and address of each node.
     pub fn node_addresses(&self) -> Vec<(String, String)> {
         self.nodes
             .iter()
@@ -242,7 +252,7 @@
             .collect()
     }
 
-    /// How many times its cores and memory a node admits, as the settings of this cluster say.
+    /// CPU and memory overcommit of the nodes, from the configuration file or the defaults.
     pub fn overcommit(&self) -> [f64; 2] {
         let text = self
             .layout
@@ -252,11 +262,11 @@
         let settings: serde_json::Value = text
             .and_then(|text| hcl::from_str(&text).ok())
             .unwrap_or(serde_json::Value::Null);
-        let of = |key: &str, otherwise: f64| settings["nodes"][key].as_f64().unwrap_or(otherwise);
-        [of("admit_cores", 2.5), of("admit_memory", 1.2)]
+        let value = |key: &str, default: f64| settings["nodes"][key].as_f64().unwrap_or(default);
+        [value("admit_cores", 2.5), value("admit_memory", 1.2)]
     }
 
-    /// Children that have ended by themselves, and how.
+    /// Names of the processes that do not run, with the exit status or another reason.
     pub fn exited(&mut self) -> Vec<(String, String)> {
         let all = self
             .nodes
@@ -268,7 +278,7 @@
             .collect()
     }
 
-    /// Names and process ids of all children that run.
+    /// Name and process id of each running process.
     pub fn process_ids(&self) -> Vec<(String, u32)> {
         let all = self
             .nodes
@@ -280,7 +290,7 @@
             .collect()
     }
 
-    /// Starts a child again where it was, whatever it is.
+    /// Restarts a process of any role on the same addresses.
     pub fn restart(&mut self, name: &str) -> Result<(), String> {
         match name.split_once('-').map_or(name, |(kind, _)| kind) {
             "edge" => self.restart_edge(name),
@@ -293,7 +303,7 @@
         }
     }
 
-    /// Makes something go wrong at a node.
+    /// Injects a fault into the node of this name.
     pub async fn inject_fault(&self, node: &str, fault: &Fault) -> Result<(), String> {
         let process = self
             .nodes
@@ -302,16 +312,16 @@
             .ok_or(format!("{node}: no such node"))?;
         inject_fault_at(&process.addresses[0], fault)
             .await
-            .map_err(|problem| format!("{node}: {problem}"))
+            .map_err(|error| format!("{node}: {error}"))
     }
 
-    /// The folder of recordings.
-    pub fn records(&self) -> Option<&Path> {
+    /// Directory of the recordings; `None` if nothing is recorded.
+    pub fn recordings(&self) -> Option<&Path> {
         self.layout.recordings.as_deref()
     }
 }
 
-/// Makes something go wrong at the node of that address.
+/// Injects a fault into the node at this address.
 pub(crate) async fn inject_fault_at(address: &str, fault: &Fault) -> Result<(), String> {
     let client = Client::new(address, 1, vec![]);
     let body = serde_json::to_vec(fault).map_err(|e| e.to_string())?.into();
@@ -327,6 +337,6 @@
     {
         Ok(reply) if reply.status.is_success() => Ok(()),
         Ok(reply) => Err(reply.status.to_string()),
-        Err(problem) => Err(problem.to_string()),
+        Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/testbed/src/layout.rs
+++ b/crates/testbed/src/layout.rs
@@ -1,42 +1,43 @@
-//! What a cluster is made of, and where its nodes stand.
+//! Size and options of a cluster, and the zones and racks of its nodes.
 
 use std::path::PathBuf;
 
-/// What a cluster is made of.
+/// Size and options of a cluster.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// The `tidespur` program.
+    /// Path of the `tidespur` program.
     pub program: PathBuf,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Planners.
+    /// Number of planners.
     pub planners: usize,
-    /// Edges.
+    /// Number of edges.
     pub edges: usize,
-    /// What all chance is drawn from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Settings for edges and planners.
+    /// Configuration file of edges, planners and nodes; `None` uses the defaults.
     pub config_file: Option<PathBuf>,
-    /// Address of the first edge's API.
+    /// Address of the API of the first edge; the others take free ports.
     pub api_address: String,
-    /// Recordings of all sockets go here.
+    /// Directory for the recordings of all processes; `None` records nothing.
     pub recordings: Option<PathBuf>,
-    /// Logs of all processes go here; else to standard error.
+    /// Directory for the log of each process; `None` logs to standard error.
     pub log_dir: Option<PathBuf>,
-    /// The register is so late.
+    /// Seconds after which the registry publishes a change.
     pub registry_delay: f64,
-    /// Nodes are cold at first.
+    /// Starts the nodes cold, so that they warm up first.
     pub cold_start: bool,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Edges and planners find each other by the fleet; else planners are told the edges.
+    /// Edges and planners discover each other through the membership protocol; otherwise planners get the addresses of
+    /// the edges as arguments.
     pub fleet: bool,
-    /// Edges and planners keep what outlives them beneath this folder.
+    /// Directory for the persistent state of edges and planners; `None` keeps no state on disk.
     pub data_dir: Option<PathBuf>,
 }
 
 impl Layout {
-    /// A cluster of usual size.
+    /// A layout with one edge, two zones, a registry delay of 0.5 s and no recordings, logs or persistent state.
     pub fn new(program: PathBuf, nodes: usize, planners: usize, seed: u64) -> Self {
         Self {
             program,
@@ -57,16 +58,16 @@
     }
 }
 
-/// Where a node stands.
+/// Location and machine type of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeLocation {
-    /// Its name.
+    /// Name of the node, unique in the cluster.
     pub name: String,
-    /// Its zone.
+    /// Zone that the node is in.
     pub zone: String,
-    /// Its rack.
+    /// Rack, unique within its zone.
     pub rack: String,
-    /// Its kind.
+    /// Machine type.
     pub kind: &'static str,
 }
 
@@ -77,12 +78,12 @@
 /// Nodes alternate between zones; each zone has racks of about four; two of five nodes are large.
 pub(crate) fn node_location(i: usize, layout: &Layout) -> NodeLocation {
     let zones = layout.zones.max(1);
-    let place = i / zones;
+    let index_in_zone = i / zones;
     let racks = (layout.nodes / zones / 4).max(2);
     NodeLocation {
         name: format!("node-{i:02}"),
         zone: zone(i % zones),
-        rack: format!("rack-{}", place % racks + 1),
+        rack: format!("rack-{}", index_in_zone % racks + 1),
         kind: if i % 5 < 3 { "std-24" } else { "gross-48" },
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,9 @@
-//! Runs edges, planners and stand-ins as real processes on loopback; plays scripted days through them; judges the
-//! five rules from what was recorded at the sockets.
+//! Runs edges, planners and emulated nodes as processes on loopback, runs scenarios with faults against them, and
+//! checks five rules on the recorded traffic.
 
 pub mod checker;
 pub mod cluster;
 mod layout;
-
 pub mod measure;
 pub mod oracle;
 pub mod process;
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
-//! Measures the whole path through sockets: time from a Pod's acceptance at the API to its placement, placements a
-//! second, the fan-out of one change to many watchers, and what an idle watch costs.
+//! End-to-end measurements over sockets: time from the acceptance of a Pod at the API to its placement, placements per
+//! second, fan-out of one change to many watchers, and memory of an idle watch.
 
 use crate::{Cluster, Layout};
 use bytes::Bytes;
@@ -11,32 +11,32 @@
 use tidespur_api::meta;
 use tidespur_net::{Client, clock};
 
-/// What was measured. Times are milliseconds.
+/// Results. Field names are keys of the printed JSON; times are in milliseconds.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Measurements {
-    /// Nodes and planners.
+    /// Number of nodes.
     pub nodes: usize,
-    /// See `nodes`.
+    /// Number of planners.
     pub planners: usize,
-    /// One Pod at a time: from the API's answer to the watch that shows it placed.
+    /// Median time from the response of the API to the watch event of the placement, with one Pod at a time.
     pub alone_p50_ms: f64,
-    /// Likewise.
+    /// 99th percentile of the same.
     pub alone_p99_ms: f64,
-    /// Many clients at once.
+    /// Median of the same time with 16 concurrent clients.
     pub busy_p50_ms: f64,
-    /// Likewise.
+    /// 99th percentile of the same.
     pub busy_p99_ms: f64,
-    /// Placements a second under them.
+    /// Placements per second with 16 concurrent clients.
     pub placements_per_s: f64,
-    /// Syncs of the edge's memory for each Pod placed alone, and under them; 0 without a memory.
+    /// Disk syncs of the edge per Pod, with one client and with 16; 0 without persistence.
     pub syncs_each: [f64; 2],
-    /// Watchers.
+    /// Number of idle watchers in the fan-out measurement.
     pub watchers: usize,
-    /// From the write's answer until half of them have the change.
+    /// Time from the response to a write until half of the watchers have received the change.
     pub fan_out_p50_ms: f64,
-    /// And until the last has it.
+    /// Time until the last watcher has received it.
     pub fan_out_last_ms: f64,
-    /// Resident bytes of the edge for one idle watch and its connection.
+    /// Resident memory of the edge per idle watch, including its connection, in bytes.
     pub idle_watch_bytes: f64,
 }
 
@@ -50,8 +50,8 @@
     .into()
 }
 
-/// Makes Pods one after the other and returns the times until each was placed.
-async fn place(
+/// Creates Pods one after the other and sends the seconds until each was placed.
+async fn place_pods(
     address: String,
     prefix: String,
     count: usize,
@@ -79,8 +79,8 @@
                 .next()
                 .await
                 .map_err(|e| e.to_string())?
-                .ok_or("the watch ended")?;
-            // Most lines speak of others' Pods; only this one's need to be read whole.
+                .ok_or("the watch was closed")?;
+            // Most lines are about Pods of other clients; only lines with this name are parsed.
             if !line.windows(name.len()).any(|part| part == name.as_bytes()) {
                 continue;
             }
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-async fn run(
+async fn run_clients(
     address: &str,
     clients: usize,
     each: usize,
@@ -107,7 +107,7 @@
     let start = clock::now();
     let tasks: Vec<_> = (0..clients)
         .map(|i| {
-            smol::spawn(place(
+            smol::spawn(place_pods(
                 address.to_owned(),
                 format!("{prefix}-{i}"),
                 each,
@@ -126,7 +126,7 @@
     Ok((times, (clients * each) as f64 / (clock::now() - start)))
 }
 
-fn resident(id: u32) -> f64 {
+fn resident_bytes(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|line| line.trim().split(' ').next()?.parse::<f64>().ok())
@@ -134,8 +134,8 @@
         * 1024.0
 }
 
-/// How often the edge's memory was synced.
-async fn syncs(address: &str) -> f64 {
+/// Number of disk syncs of the edge so far.
+async fn sync_count(address: &str) -> f64 {
     let client = Client::new(address, 1, vec![]);
     let reply = client
         .send(Method::GET, "/metrics", "", Bytes::new(), 2.0)
@@ -150,7 +150,7 @@
         .unwrap_or(0.0)
 }
 
-/// Runs all measurements on a fresh cluster.
+/// Starts a cluster and runs all measurements, with `watchers` idle watchers and `each` Pods per client.
 pub fn measure(layout: Layout, watchers: usize, each: usize) -> Result<Measurements, String> {
     let (nodes, planners) = (layout.nodes, layout.planners);
     let cluster = Cluster::start(layout)?;
@@ -158,20 +158,20 @@
         cluster.wait_ready(60.0).await?;
         let address = cluster.api(0).to_owned();
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
-        run(&address, 1, 20, "warm").await?;
-        let before = syncs(&address).await;
-        let (alone, _) = run(&address, 1, each, "alone").await?;
-        let between = syncs(&address).await;
-        let (busy, rate) = run(&address, 16, each, "busy").await?;
-        let after = syncs(&address).await;
+        run_clients(&address, 1, 20, "warm").await?;
+        let before = sync_count(&address).await;
+        let (alone, _) = run_clients(&address, 1, each, "alone").await?;
+        let between = sync_count(&address).await;
+        let (busy, rate) = run_clients(&address, 16, each, "busy").await?;
+        let after = sync_count(&address).await;
         let syncs_each = [
             (between - before) / each as f64,
             (after - between) / (16 * each) as f64,
         ];
         clock::sleep(2.0).await;
 
-        let edge = cluster.edges[0].id().ok_or("the edge has ended")?;
-        let before = resident(edge);
+        let edge = cluster.edges[0].id().ok_or("the edge has exited")?;
+        let before = resident_bytes(edge);
         let (seen, last) = (
             Arc::new(AtomicUsize::new(0)),
             Arc::new(std::sync::Mutex::new(Vec::new())),
@@ -197,7 +197,7 @@
             }));
         }
         clock::sleep(1.0).await;
-        let idle = (resident(edge) - before) / watchers as f64;
+        let idle = (resident_bytes(edge) - before) / watchers as f64;
         let body = Bytes::from_static(br#"{"metadata":{"name":"burst"}}"#);
         let sent = client
             .send(
@@ -214,7 +214,7 @@
         while seen.load(Ordering::Relaxed) < watchers {
             if clock::now() > until {
                 return Err(format!(
-                    "{} of {watchers} watchers saw the change",
+                    "only {} of {watchers} watchers received the change",
                     seen.load(Ordering::Relaxed)
                 ));
             }
--- a/crates/testbed/src/oracle.rs
+++ b/crates/testbed/src/oracle.rs
@@ -1,38 +1,41 @@
-//! Judges the reasons that waiting tasks are given, by what nodes and register say of themselves at that moment. It
-//! knows nothing of the planner's view: it counts what stands at each node and what each node admits.
+//! Checks the reasons that pending tasks report against the state of the nodes and the registry at that time. It does
+//! not use the view of the planner: it sums up the requests of the tasks on each node and compares them with the limits.
 //!
-//! A reason may be as old as [`AGE`]. So a node's state binds only if it was the same in all samples of that time:
-//! a node that drained throughout must be counted as draining, one that did not at any of them must not be.
+//! A reason may be up to [`MAX_REASON_AGE`] old. So the state of a node counts only if it was the same in all samples
+//! of that time: a node that drained in all of them must be counted as draining, one that drained in none must not be.
 
 use crate::checker::{Line, Traffic};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is told may be this old: a planner's look, its teller's pause, the list's delay, and the way.
-pub const AGE: f64 = 2.5;
-/// A task without an answer for this long has a reason.
-pub const FIRST: f64 = 2.0;
-/// The policy leaves this part of what a node admits free, and its views lag: below this part a node has room.
-const ROOM: f64 = 0.8;
+/// Maximum age of a reported reason in seconds: interval of the planner's diagnosis, interval of its reports, delay of
+/// the node list, and transport.
+pub const MAX_REASON_AGE: f64 = 2.5;
+/// Seconds after which a pending task must have a reason.
+pub const FIRST_REASON_WITHIN: f64 = 2.0;
+/// Below this share of its limits a node has room. It is less than 1 because the policy leaves a reserve and its view
+/// of the node lags behind.
+const ROOM_SHARE: f64 = 0.8;
 
-/// What was found.
+/// Result of the check. Field names are keys of the printed JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReasonReport {
-    /// Records that were judged.
+    /// Number of records that were checked.
     pub judged: usize,
-    /// Tasks that waited without a reason.
+    /// One line for each task that waited without a reason.
     pub missing: Vec<String>,
-    /// Reasons that were false.
+    /// One line for each false reason.
     pub falsified: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Node {
     drains: bool,
-    /// Cores and memory units asked for, and the most that it admits.
-    asked: [f64; 2],
-    admits: [f64; 2],
+    /// Cores and memory units that its tasks request.
+    requested: [f64; 2],
+    /// Cores and memory units up to which it admits tasks.
+    limits: [f64; 2],
 }
 
 struct Sample {
@@ -43,12 +46,12 @@
 fn nodes(line: &Line) -> BTreeMap<String, Node> {
     let pair = |value: &Value| [0, 1].map(|i| value[i].as_f64().unwrap_or(0.0));
     let node = |node: &Value| {
-        let told = Node {
+        let state = Node {
             drains: node["drains"] == true,
-            asked: pair(&node["asked"]),
-            admits: pair(&node["admits"]),
+            requested: pair(&node["asked"]),
+            limits: pair(&node["admits"]),
         };
-        (node["name"].as_str().unwrap_or("").to_owned(), told)
+        (node["name"].as_str().unwrap_or("").to_owned(), state)
     };
     line.value["nodes"]
         .as_array()
@@ -58,29 +61,32 @@
         .collect()
 }
 
-/// Judges all samples of a recording.
+/// Checks all samples of a recording.
 pub fn check_reasons(traffic: &Traffic) -> ReasonReport {
-    let mut verdict = ReasonReport::default();
+    let mut result = ReasonReport::default();
     let mut past: Vec<Sample> = Vec::new();
     for line in traffic.of("why") {
-        past.retain(|sample| sample.t > line.t - AGE - 1.5);
+        past.retain(|sample| sample.t > line.t - MAX_REASON_AGE - 1.5);
         past.push(Sample {
             t: line.t,
             nodes: nodes(line),
         });
-        missing(line, &mut verdict);
-        // Nothing binds before the samples reach back far enough.
-        if past.first().is_some_and(|first| first.t <= line.t - AGE) {
-            reasons(line, &past, &mut verdict);
+        check_missing(line, &mut result);
+        // Reasons are checked once the samples cover the whole age that a reason may have.
+        if past
+            .first()
+            .is_some_and(|first| first.t <= line.t - MAX_REASON_AGE)
+        {
+            check_diagnoses(line, &past, &mut result);
         }
     }
-    verdict
+    result
 }
 
-/// Each task that was found waiting after its records were read, and did so long before, has a reason.
-fn missing(line: &Line, verdict: &mut ReasonReport) {
+/// Checks that each task that has been waiting for [`FIRST_REASON_WITHIN`] has a reason.
+fn check_missing(line: &Line, result: &mut ReasonReport) {
     let records = line.value["records"].as_array();
-    let told: BTreeSet<&str> = records
+    let with_reason: BTreeSet<&str> = records
         .into_iter()
         .flatten()
         .filter(|record| {
@@ -94,81 +100,83 @@
         let name = pod["name"].as_str().unwrap_or("");
         if pod["since"]
             .as_f64()
-            .is_some_and(|since| since < line.t - FIRST)
-            && !told.contains(name)
+            .is_some_and(|since| since < line.t - FIRST_REASON_WITHIN)
+            && !with_reason.contains(name)
         {
-            verdict
+            result
                 .missing
                 .push(format!("{name} waits without a reason at {:.2}", line.t));
         }
     }
 }
 
-fn reasons(line: &Line, past: &[Sample], verdict: &mut ReasonReport) {
+fn check_diagnoses(line: &Line, past: &[Sample], result: &mut ReasonReport) {
     let names: BTreeSet<&String> = past.iter().flat_map(|sample| sample.nodes.keys()).collect();
     let seen =
         |name: &String| -> Vec<Option<&Node>> { past.iter().map(|s| s.nodes.get(name)).collect() };
     for record in line.value["records"].as_array().into_iter().flatten() {
-        let word = &record["word"];
-        // Only what a planner told, and lately, speaks of nodes; an offer that is out speaks of its own.
+        let report = &record["word"];
+        // Only recent reports of planners describe the nodes; a record with an unanswered offer describes that offer.
         let fresh = record["seen"]
             .as_f64()
-            .is_some_and(|seen| line.t - seen <= AGE);
-        if !word.is_object()
-            || !word["out"].is_null()
+            .is_some_and(|seen| line.t - seen <= MAX_REASON_AGE);
+        if !report.is_object()
+            || !report["out"].is_null()
             || !fresh
-            || !word["diagnosis"]["block"].is_null()
+            || !report["diagnosis"]["block"].is_null()
         {
             continue;
         }
-        verdict.judged += 1;
-        let asks = [0, 1].map(|i| record["asks"][i].as_f64().unwrap_or(0.0));
-        let full = |node: &Node, part: f64| {
-            (0..2).any(|i| node.asked[i] + asks[i] > node.admits[i] * part)
+        result.judged += 1;
+        let request = [0, 1].map(|i| record["asks"][i].as_f64().unwrap_or(0.0));
+        let full = |node: &Node, share: f64| {
+            (0..2).any(|i| node.requested[i] + request[i] > node.limits[i] * share)
         };
-        let (mut drains, mut drained, mut short, mut shorts, mut shut) = (0, 0, 0, 0, 0);
+        // Lower and upper bounds of the number of nodes that drain, are full, or can take no task.
+        let (mut min_draining, mut max_draining) = (0, 0);
+        let (mut min_full, mut max_full, mut min_unavailable) = (0, 0, 0);
         for name in &names {
-            let told = seen(name);
+            let states = seen(name);
             let all =
-                |holds: &dyn Fn(&Node) -> bool| told.iter().all(|node| node.is_some_and(holds));
+                |holds: &dyn Fn(&Node) -> bool| states.iter().all(|node| node.is_some_and(holds));
             let any =
-                |holds: &dyn Fn(&Node) -> bool| told.iter().any(|node| node.is_none_or(holds));
-            drains += usize::from(all(&|node| node.drains));
-            drained += usize::from(any(&|node| node.drains));
-            let surely = all(&|node| !node.drains && full(node, 1.0));
-            short += usize::from(surely);
-            shut += usize::from(surely || all(&|node| node.drains));
-            shorts += usize::from(any(&|node| full(node, ROOM)));
+                |holds: &dyn Fn(&Node) -> bool| states.iter().any(|node| node.is_none_or(holds));
+            min_draining += usize::from(all(&|node| node.drains));
+            max_draining += usize::from(any(&|node| node.drains));
+            let always_full = all(&|node| !node.drains && full(node, 1.0));
+            min_full += usize::from(always_full);
+            min_unavailable += usize::from(always_full || all(&|node| node.drains));
+            max_full += usize::from(any(&|node| full(node, ROOM_SHARE)));
         }
-        let diagnosis = &word["diagnosis"];
+        let diagnosis = &report["diagnosis"];
         let count = |code: &str| diagnosis["bars"][code].as_u64().unwrap_or(0) as usize;
         let listed = diagnosis["nodes"].as_u64().unwrap_or(0) as usize;
-        let barred: usize = diagnosis["bars"]
+        let excluded: usize = diagnosis["bars"]
             .as_object()
             .into_iter()
             .flatten()
             .map(|(_, n)| n.as_u64().unwrap_or(0) as usize)
             .sum();
-        let mut wrong = |what: String| {
+        let mut report_false = |what: String| {
             let pod = record["pod"].as_str().unwrap_or("");
-            verdict
+            result
                 .falsified
                 .push(format!("{pod} at {:.2}: {what}: {}", line.t, diagnosis));
         };
-        if count("Draining") < drains || count("Draining") > drained {
-            wrong(format!("{drains} to {drained} nodes drained"));
+        if count("Draining") < min_draining || count("Draining") > max_draining {
+            report_false(format!("{min_draining} to {max_draining} nodes drained"));
         }
-        if count("Cores") + count("Memory") > shorts {
-            wrong(format!("{shorts} nodes can have been short of room"));
+        if count("Cores") + count("Memory") > max_full {
+            report_false(format!("{max_full} nodes can have been short of room"));
         }
-        if listed.saturating_sub(barred) + shut > names.len() {
-            wrong(format!(
-                "{shut} of {} nodes can't have taken it ({short} full)",
+        if listed.saturating_sub(excluded) + min_unavailable > names.len() {
+            report_false(format!(
+                "{min_unavailable} of {} nodes can't have taken it ({min_full} full)",
                 names.len()
             ));
         }
-        if barred > listed {
-            wrong(format!("{barred} of {listed} nodes are ruled out"));
+        if excluded > listed {
+            report_false(format!("{excluded} of {listed} nodes are ruled out"));
         }
     }
 }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,25 +1,28 @@
-//! One child process: started, asked for its address, stopped, paused. Only processes that this one started are
-//! ever signalled, by their id, while they are known to be ours.
+//! Child processes: starting, pausing, stopping and restarting them. Signals go only to processes that this process
+//! started and has not reaped, so that their ids cannot belong to another process.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A child.
+/// A child process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// What it is called here.
+    /// Name of the process in the cluster.
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
     log: Option<PathBuf>,
     child: Option<Child>,
-    /// What it printed behind `ready`.
+    /// Addresses that it printed in its `ready` line; empty if it was started without waiting for one.
     pub addresses: Vec<String>,
 }
 
 impl Process {
-    /// Starts a program; where `ready` is expected, waits until it has printed its addresses.
+    /// Starts a program. With `ready`, waits until it has printed its `ready` line.
+    ///
+    /// # Errors
+    /// If it cannot be started or exits before it is ready.
     pub fn start(
         name: &str,
         program: PathBuf,
@@ -40,37 +43,35 @@
     }
 
     fn spawn(&mut self, ready: bool) -> Result<(), String> {
-        let problem = |e: std::io::Error| format!("{}: can't be started: {e}", self.name);
+        let error = |e: std::io::Error| format!("{}: process could not be started: {e}", self.name);
         let errors = match &self.log {
             Some(path) => Stdio::from(
                 std::fs::File::options()
                     .create(true)
                     .append(true)
                     .open(path)
-                    .map_err(problem)?,
+                    .map_err(error)?,
             ),
             None => Stdio::inherit(),
         };
-        // The child ends itself when its standard input does, so that none outlives this process.
+        // The child exits when its standard input closes, so that no child outlives this process.
         let mut child = Command::new(&self.program)
             .args(&self.arguments)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(errors)
             .spawn()
-            .map_err(problem)?;
+            .map_err(error)?;
         if ready {
             let mut line = String::new();
             if let Some(output) = child.stdout.take() {
-                BufReader::new(output)
-                    .read_line(&mut line)
-                    .map_err(problem)?;
+                BufReader::new(output).read_line(&mut line).map_err(error)?;
             }
             let Some(rest) = line.trim().strip_prefix("ready ") else {
                 let _ = child.kill();
                 let _ = child.wait();
                 return Err(format!(
-                    "{}: ended before it was ready (see its log)",
+                    "{}: process exited before it was ready; see its log",
                     self.name
                 ));
             };
@@ -80,21 +81,21 @@
         Ok(())
     }
 
-    /// Its process id, while it runs.
+    /// Its process id; `None` once it was killed.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Kills it outright.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Both fail only where it has ended by itself.
+            // Both calls fail only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Asks it to end (SIGTERM).
+    /// Sends SIGTERM and returns at once.
     pub fn terminate(&self) {
         self.signal(rustix::process::Signal::TERM);
     }
@@ -106,18 +107,18 @@
         else {
             return;
         };
-        if let Err(problem) = rustix::process::kill_process(id, signal) {
-            tracing::warn!(name = self.name, %problem, "can't be signalled");
+        if let Err(error) = rustix::process::kill_process(id, signal) {
+            tracing::warn!(name = self.name, %error, "process could not be signalled");
         }
     }
 
-    /// Starts it again, with further arguments in place of equal ones.
+    /// Kills and restarts it. Each option in `change` replaces the one of the same name, or is added.
     pub fn restart(&mut self, change: &[(&str, String)], ready: bool) -> Result<(), String> {
         self.kill();
         for (key, value) in change {
             match self.arguments.iter().position(|a| a == key) {
-                Some(place) if place + 1 < self.arguments.len() => {
-                    self.arguments[place + 1] = value.clone()
+                Some(index) if index + 1 < self.arguments.len() => {
+                    self.arguments[index + 1] = value.clone()
                 }
                 _ => self.arguments.extend([(*key).to_owned(), value.clone()]),
             }
@@ -125,7 +126,7 @@
         self.spawn(ready)
     }
 
-    /// Stands it still, or lets it go on.
+    /// Suspends it with SIGSTOP, or resumes it with SIGCONT.
     pub fn set_paused(&self, paused: bool) {
         self.signal(if paused {
             rustix::process::Signal::STOP
@@ -134,13 +135,13 @@
         });
     }
 
-    /// How it ended, if it did so by itself.
+    /// Exit status, or why it is unknown; `None` while it runs.
     pub fn exit_reason(&mut self) -> Option<String> {
         match &mut self.child {
             Some(child) => match child.try_wait() {
                 Ok(None) => None,
                 Ok(Some(status)) => Some(status.to_string()),
-                Err(problem) => Some(problem.to_string()),
+                Err(error) => Some(error.to_string()),
             },
             None => Some("not started".to_owned()),
         }
@@ -153,7 +154,7 @@
     }
 }
 
-/// Ends this process when its standard input ends. For children of [`Process`].
+/// Exits this process when its standard input closes. Children of [`Process`] call it at their start.
 pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let mut sink = Vec::new();
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay on the way from one process to another, for streams: what crosses it can be cut, held in one direction, made
-//! late or slow. It knows nothing of what it carries.
+//! TCP relay between two processes. It can close connections, stall one direction, delay or throttle the traffic, and
+//! does not interpret the bytes.
 
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream};
@@ -7,51 +7,51 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tidespur_net::clock;
 
-/// What the relay does.
+/// How the relay treats the traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayMode {
-    /// It carries all at once.
+    /// Forwards everything without delay.
     Forward,
-    /// It ends what stands and takes nothing new.
+    /// Closes all connections and accepts no new one.
     Cut,
-    /// It carries nothing from the one who dialled.
+    /// Forwards nothing from the client to the server.
     StallFromClient,
-    /// It carries nothing to the one who dialled.
+    /// Forwards nothing from the server to the client.
     StallToClient,
-    /// Each piece comes so many seconds later.
+    /// Forwards each chunk after this many seconds.
     Delay(f64),
-    /// So many bytes a second, one after the other.
+    /// Forwards this many bytes per second in each direction.
     Throttle(f64),
 }
 
 struct Shared {
-    way: Mutex<RelayMode>,
-    /// Rises when what stands is to end.
+    mode: Mutex<RelayMode>,
+    /// Incremented to close all open connections.
     generation: AtomicU64,
 }
 
 impl Shared {
-    fn way(&self) -> MutexGuard<'_, RelayMode> {
-        self.way.lock().unwrap_or_else(PoisonError::into_inner)
+    fn mode(&self) -> MutexGuard<'_, RelayMode> {
+        self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A relay; it ends with this value.
+/// A relay in front of one server address. Dropping it stops it from accepting connections.
 pub struct Relay {
-    /// Where it is dialled.
+    /// Address that clients connect to.
     pub address: String,
     shared: Arc<Shared>,
     _task: smol::Task<()>,
 }
 
-/// A held way is looked at again this often.
-const LOOK: f64 = 0.01;
+/// Interval in seconds at which stalled connections check the mode.
+const POLL_INTERVAL: f64 = 0.01;
 
 impl Relay {
-    /// A relay to this address.
+    /// Starts a relay to this server address.
     ///
     /// # Errors
-    /// Where the system gives no port.
+    /// If no local port can be bound.
     pub async fn start(to: &str) -> Result<Self, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -61,7 +61,7 @@
             .map_err(|e| e.to_string())?
             .to_string();
         let shared = Arc::new(Shared {
-            way: Mutex::new(RelayMode::Forward),
+            mode: Mutex::new(RelayMode::Forward),
             generation: AtomicU64::new(0),
         });
         let task = smol::spawn(accept(listener, to.to_owned(), shared.clone()));
@@ -72,15 +72,15 @@
         })
     }
 
-    /// From now on it does this.
+    /// Changes the mode of all open and future connections.
     pub fn set_mode(&self, mode: RelayMode) {
-        *self.shared.way() = mode;
+        *self.shared.mode() = mode;
         if mode == RelayMode::Cut {
             self.shared.generation.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    /// Ends what stands, and takes what is dialled anew.
+    /// Closes all open connections; new ones are accepted.
     pub fn close_connections(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
@@ -88,7 +88,7 @@
 
 async fn accept(listener: TcpListener, to: String, shared: Arc<Shared>) {
     while let Ok((here, _)) = listener.accept().await {
-        if *shared.way() == RelayMode::Cut {
+        if *shared.mode() == RelayMode::Cut {
             continue;
         }
         let (to, shared) = (to.clone(), shared.clone());
@@ -96,15 +96,15 @@
             let Ok(there) = TcpStream::connect(&to).await else {
                 return;
             };
-            let born = shared.generation.load(Ordering::SeqCst);
-            let ways = smol::future::or(
-                carry(
+            let generation = shared.generation.load(Ordering::SeqCst);
+            let forwarding = smol::future::or(
+                forward(
                     here.clone(),
                     there.clone(),
                     &shared,
                     RelayMode::StallFromClient,
                 ),
-                carry(
+                forward(
                     there.clone(),
                     here.clone(),
                     &shared,
@@ -112,11 +112,11 @@
                 ),
             );
             let ended = async {
-                while shared.generation.load(Ordering::SeqCst) == born {
-                    clock::sleep(LOOK).await;
+                while shared.generation.load(Ordering::SeqCst) == generation {
+                    clock::sleep(POLL_INTERVAL).await;
                 }
             };
-            smol::future::or(ways, ended).await;
+            smol::future::or(forwarding, ended).await;
             for socket in [here, there] {
                 let _ = socket.shutdown(std::net::Shutdown::Both);
             }
@@ -125,29 +125,29 @@
     }
 }
 
-async fn carry(mut from: TcpStream, mut to: TcpStream, shared: &Shared, held_by: RelayMode) {
+async fn forward(mut from: TcpStream, mut to: TcpStream, shared: &Shared, stalled_by: RelayMode) {
     let mut buffer = [0; 16 * 1024];
     loop {
-        while *shared.way() == held_by {
-            clock::sleep(LOOK).await;
+        while *shared.mode() == stalled_by {
+            clock::sleep(POLL_INTERVAL).await;
         }
-        let way = *shared.way();
-        let most = if matches!(way, RelayMode::Throttle(_)) {
+        let mode = *shared.mode();
+        let max_chunk = if matches!(mode, RelayMode::Throttle(_)) {
             64
         } else {
             buffer.len()
         };
-        let Ok(bytes) = from.read(&mut buffer[..most]).await else {
+        let Ok(bytes) = from.read(&mut buffer[..max_chunk]).await else {
             return;
         };
-        match way {
+        match mode {
             RelayMode::Delay(seconds) => clock::sleep(seconds).await,
             RelayMode::Throttle(rate) => clock::sleep(bytes as f64 / rate.max(1.0)).await,
             _ => {}
         }
-        // What was read before the way was held is held too.
-        while *shared.way() == held_by {
-            clock::sleep(LOOK).await;
+        // A chunk that was read before the stall began is held back too.
+        while *shared.mode() == stalled_by {
+            clock::sleep(POLL_INTERVAL).await;
         }
         if bytes == 0 || to.write_all(&buffer[..bytes]).await.is_err() {
             return;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,196 +1,197 @@
-//! A scripted day, read from HCL. All that is drawn is drawn from one seed.
+//! Scenario files in HCL: the load and the faults of one run. All random choices come from one seed.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
 
-/// A day.
+/// A scenario. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Nodes.
-    #[serde(default = "sixteen")]
+    /// Number of nodes, from 1 to 200.
+    #[serde(default = "default_nodes")]
     pub nodes: usize,
-    /// Planners.
-    #[serde(default = "three")]
+    /// Number of planners, from 1 to 50.
+    #[serde(default = "default_planners")]
     pub planners: usize,
-    /// Edges.
-    #[serde(default = "one")]
+    /// Number of edges, from 1 to 10.
+    #[serde(default = "default_edges")]
     pub edges: usize,
-    /// Clients that submit side by side.
-    #[serde(default = "twenty")]
+    /// Number of clients that submit Jobs concurrently, from 1 to 500.
+    #[serde(default = "default_clients")]
     pub clients: usize,
-    /// Jobs are submitted over this many seconds.
+    /// Period over which Jobs are submitted.
     pub seconds: f64,
-    /// After that the day runs on until all Jobs are done, this long at most.
-    #[serde(default = "rest")]
+    /// Maximum time after that until all Jobs are done.
+    #[serde(default = "default_rest")]
     pub rest: f64,
-    /// The register is so late.
-    #[serde(default = "half")]
+    /// Delay after which the registry publishes a change.
+    #[serde(default = "default_delay")]
     pub delay: f64,
-    /// What is submitted.
+    /// Jobs to submit, by name.
     #[serde(rename = "work")]
     pub workloads: IndexMap<String, Workload>,
-    /// What goes wrong.
+    /// Faults to inject, by name.
     #[serde(default, rename = "trouble")]
     pub faults: IndexMap<String, FaultSpec>,
 }
 
-fn sixteen() -> usize {
+fn default_nodes() -> usize {
     16
 }
-fn three() -> usize {
+fn default_planners() -> usize {
     3
 }
-fn one() -> usize {
+fn default_edges() -> usize {
     1
 }
-fn twenty() -> usize {
+fn default_clients() -> usize {
     20
 }
-fn rest() -> f64 {
+fn default_rest() -> f64 {
     45.0
 }
-fn half() -> f64 {
+fn default_delay() -> f64 {
     0.5
 }
 
-/// Jobs of one sort.
+/// Jobs that are drawn from the same distributions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Class.
+    /// Priority class of the Pods.
     pub class: String,
-    /// Jobs in all.
+    /// Number of Jobs.
     pub jobs: usize,
-    /// Pods of each, from and to.
+    /// Smallest and largest number of Pods per Job.
     pub pods: [u32; 2],
-    /// Shapes of Pods: cores and memory units.
+    /// Possible sizes of a Pod, in cores and memory units.
     pub shapes: Vec<[f64; 2]>,
-    /// Mean life of a Pod, in seconds; drawn from an exponential distribution, hinted roughly.
+    /// Mean run time of a Pod in seconds, exponentially distributed. The Pod announces its run time times a random
+    /// factor from 0.8 to 1.25.
     pub life: f64,
-    /// How long owners wait for a placement; else the class's deadline.
+    /// Seconds that the owner waits for a placement; `None` uses the deadline of the class.
     pub give_up: Option<f64>,
-    /// Submitted within this many seconds from the start; else over the whole day.
+    /// Submits all Jobs within this many seconds from the start; `None` uses the whole period.
     pub within: Option<f64>,
 }
 
-/// What can go wrong.
+/// Types of fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nodes die at once and come back cold.
+    /// Nodes are killed together, and restarted cold at the end.
     Crash,
-    /// Nodes stand still for moments, again and again.
+    /// Nodes are suspended repeatedly for a fraction of a second.
     Pauses,
-    /// Nodes run slower.
+    /// Nodes process offers and starts more slowly.
     Slow,
-    /// Nodes take offers and answer none.
+    /// Nodes receive offers and answer none.
     Hang,
-    /// Answers get lost after the work was taken.
+    /// Responses of nodes that accepted an offer are lost.
     AnswerLost,
-    /// Nodes fail offers quickly.
+    /// Nodes answer offers with an error at once.
     FastErrors,
-    /// Tasks use all the cores that they asked for.
+    /// Tasks use all the cores that they requested.
     UseAll,
-    /// Programs that nodes kept are lost.
+    /// Nodes lose their cached programs.
     Flush,
-    /// A zone is cut off from the others.
+    /// Nodes and planners of one zone cannot reach those of the others.
     ZoneCut,
-    /// The register stands still.
+    /// The registry is suspended.
     RegisterDown,
-    /// Nodes drain: cordoned, and their tasks sent away.
+    /// Nodes are cordoned and terminate their tasks.
     Drain,
-    /// Nodes are cordoned and uncordoned in quick turns.
+    /// Nodes are cordoned and uncordoned repeatedly.
     Flap,
-    /// All watches break.
+    /// Nodes close all watches.
     BreakWatches,
-    /// Owners stop Jobs and ask for all of them again.
+    /// Owners suspend Jobs and resume them at once.
     MassRestart,
-    /// A planner is killed and started again.
+    /// A planner is killed, and restarted at the end.
     KillPlanner,
-    /// An edge is killed and started again.
+    /// An edge is killed, and restarted at the end.
     KillEdge,
-    /// A planner stands still.
+    /// A planner is suspended.
     PausePlanner,
 }
 
-/// One trouble.
+/// One fault. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// What goes wrong.
+    /// Type of fault.
     pub kind: FaultKind,
-    /// When, in seconds from the start.
+    /// Start, counted from the start of the run.
     pub at: f64,
-    /// For how long.
-    #[serde(default = "five")]
+    /// Duration.
+    #[serde(default = "default_fault_seconds")]
     pub seconds: f64,
-    /// Share of the nodes (Jobs, planners) that are struck.
-    #[serde(default = "fifth")]
+    /// Share of the nodes or Jobs that are affected, from 0 to 1.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// Those struck share a rack.
+    /// Affects only nodes of one rack.
     #[serde(default)]
     pub rack: bool,
-    /// How much: times as slow, share of answers lost or failed.
-    #[serde(default = "four")]
+    /// Slowdown factor, or share of responses that are lost or errors.
+    #[serde(default = "default_strength")]
     pub strength: f64,
 }
 
-fn five() -> f64 {
+fn default_fault_seconds() -> f64 {
     5.0
 }
-fn fifth() -> f64 {
+fn default_share() -> f64 {
     0.2
 }
-fn four() -> f64 {
+fn default_strength() -> f64 {
     4.0
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses a scenario and checks its ranges.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let day: Self = hcl::from_str(text).map_err(|e| e.to_string())?;
-        let bad = |x: f64, most: f64| !(x.is_finite() && (0.0..=most).contains(&x));
-        if day.nodes == 0
-            || day.nodes > 200
-            || day.planners == 0
-            || day.planners > 50
-            || day.edges == 0
-            || day.edges > 10
+        let scenario: Self = hcl::from_str(text).map_err(|e| e.to_string())?;
+        let out_of_range = |x: f64, max: f64| !(x.is_finite() && (0.0..=max).contains(&x));
+        if scenario.nodes == 0
+            || scenario.nodes > 200
+            || scenario.planners == 0
+            || scenario.planners > 50
+            || scenario.edges == 0
+            || scenario.edges > 10
         {
             return Err(
                 "nodes must be from 1 to 200, planners from 1 to 50, edges from 1 to 10".into(),
             );
         }
-        if bad(day.seconds, 3600.0)
-            || bad(day.rest, 3600.0)
-            || day.clients == 0
-            || day.clients > 500
+        if out_of_range(scenario.seconds, 3600.0)
+            || out_of_range(scenario.rest, 3600.0)
+            || scenario.clients == 0
+            || scenario.clients > 500
         {
             return Err("seconds and rest must be from 0 to 3600, clients from 1 to 500".into());
         }
-        for (name, work) in &day.workloads {
+        for (name, work) in &scenario.workloads {
             if work.shapes.is_empty()
                 || work.pods[0] == 0
                 || work.pods[0] > work.pods[1]
-                || bad(work.life, 3600.0)
+                || out_of_range(work.life, 3600.0)
             {
                 return Err(format!(
-                    "work {name}: it needs shapes, pods from 1 up in order, and a life up to 3600"
+                    "work {name}: shapes must not be empty, pods must be [min, max] with min >= 1, life must be from 0 to 3600"
                 ));
             }
         }
-        for (name, trouble) in &day.faults {
-            if bad(trouble.at, 3600.0)
-                || bad(trouble.seconds, 3600.0)
-                || bad(trouble.share, 1.0)
-                || bad(trouble.strength, 1000.0)
+        for (name, fault) in &scenario.faults {
+            if out_of_range(fault.at, 3600.0)
+                || out_of_range(fault.seconds, 3600.0)
+                || out_of_range(fault.share, 1.0)
+                || out_of_range(fault.strength, 1000.0)
             {
                 return Err(format!(
-                    "trouble {name}: times up to 3600, share from 0 to 1, strength up to 1000"
+                    "trouble {name}: at and seconds must be from 0 to 3600, share from 0 to 1, strength from 0 to 1000"
                 ));
             }
         }
-        Ok(day)
+        Ok(scenario)
     }
 }
--- a/crates/testbed/src/scenario_run.rs
+++ b/crates/testbed/src/scenario_run.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario through a cluster of real processes and records it.
+//! Runs a scenario against a cluster of processes and records what clients see.
 
 use crate::cluster::{Cluster, inject_fault_at};
 use crate::layout::Layout;
@@ -16,7 +16,7 @@
 use tidespur_emulator::Fault;
 use tidespur_net::{Client, Recorder, clock};
 
-/// One Job to submit.
+/// One Job to submit, `at` seconds after the start.
 #[derive(Clone, Debug)]
 struct Submission {
     at: f64,
@@ -24,16 +24,16 @@
     body: Value,
 }
 
-/// How far a day is, for those who look on.
+/// Progress of a run, for display.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Jobs in all.
+    /// Number of Jobs in the scenario.
     pub jobs: usize,
-    /// Jobs taken by the edge.
+    /// Number of Jobs that the edges have accepted.
     pub submitted: AtomicUsize,
-    /// Jobs done.
+    /// Number of Jobs that are complete or failed.
     pub done: AtomicUsize,
-    /// What goes wrong now.
+    /// Name of the latest fault and what it affects; empty before the first.
     pub active_fault: Mutex<String>,
 }
 
@@ -56,12 +56,12 @@
                         {"cpu": format!("{cores}"), "memory": format!("{:.0}", memory * names::MEMORY_UNIT)}}}]}}}})
 }
 
-fn draw(day: &Scenario, seed: u64) -> Vec<Submission> {
+fn draw_submissions(scenario: &Scenario, seed: u64) -> Vec<Submission> {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut all = Vec::new();
-    for (sort, work) in &day.workloads {
+    for (sort, work) in &scenario.workloads {
         for i in 0..work.jobs {
-            let at = rng.random_range(0.0..=work.within.unwrap_or(day.seconds).max(1e-6));
+            let at = rng.random_range(0.0..=work.within.unwrap_or(scenario.seconds).max(1e-6));
             let name = format!("{sort}-{i:03}");
             let body = job(&name, work, &mut rng);
             all.push(Submission { at, name, body });
@@ -71,8 +71,8 @@
     all
 }
 
-/// What is shared by all that act in a day.
-struct Day {
+/// State that all tasks of a run share. Times are Unix times in seconds.
+struct Run {
     cluster: Mutex<Cluster>,
     apis: Vec<String>,
     recorder: Recorder,
@@ -81,35 +81,38 @@
     ends: f64,
 }
 
-impl Day {
+impl Run {
     fn with<T>(&self, act: impl FnOnce(&mut Cluster) -> T) -> Option<T> {
         self.cluster
             .lock()
             .ok()
             .map(|mut cluster| act(&mut cluster))
     }
-    fn trouble(&self, what: &str, on: &[String]) {
+    fn record_fault(&self, name: &str, targets: &[String]) {
         self.recorder
-            .record("trouble", || json!({"trouble": what, "on": on}));
-        if let Ok(mut trouble) = self.progress.active_fault.lock() {
-            *trouble = format!("{what} on {}", on.join(", "));
+            .record("trouble", || json!({"trouble": name, "on": targets}));
+        if let Ok(mut active) = self.progress.active_fault.lock() {
+            *active = format!("{name} on {}", targets.join(", "));
         }
     }
 }
 
-/// Plays a day; its recordings are in `records` afterwards.
+/// Runs a scenario. Afterwards the recordings of all processes are in `records`.
+///
+/// # Errors
+/// If the cluster does not start.
 pub fn run_scenario(
-    day: &Scenario,
+    scenario: &Scenario,
     layout: Layout,
     records: &Path,
     progress: Arc<Progress>,
 ) -> Result<(), String> {
     let seed = layout.seed;
     let cluster = Cluster::start(Layout {
-        nodes: day.nodes,
-        planners: day.planners,
-        edges: day.edges,
-        registry_delay: day.delay,
+        nodes: scenario.nodes,
+        planners: scenario.planners,
+        edges: scenario.edges,
+        registry_delay: scenario.delay,
         recordings: Some(records.to_owned()),
         ..layout
     })?;
@@ -117,12 +120,12 @@
         Recorder::append_to(&records.join("rig.jsonl"), "rig").map_err(|e| e.to_string())?;
     smol::block_on(async {
         cluster.wait_ready(60.0).await?;
-        let apis: Vec<String> = (0..day.edges)
+        let apis: Vec<String> = (0..scenario.edges)
             .map(|edge| cluster.api(edge).to_owned())
             .collect();
         let start = clock::now();
-        let ends = start + day.seconds + day.rest;
-        let this = Arc::new(Day {
+        let ends = start + scenario.seconds + scenario.rest;
+        let run = Arc::new(Run {
             cluster: Mutex::new(cluster),
             apis,
             recorder,
@@ -130,43 +133,47 @@
             start,
             ends,
         });
-        let submissions = draw(day, seed);
+        let submissions = draw_submissions(scenario, seed);
         let mut tasks = Vec::new();
-        for edge in 0..day.edges {
-            tasks.push(smol::spawn(watch(this.clone(), edge)));
+        for edge in 0..scenario.edges {
+            tasks.push(smol::spawn(watch(run.clone(), edge)));
         }
-        tasks.push(smol::spawn(sample_reasons(this.clone(), seed)));
-        for (i, (name, trouble)) in day.faults.iter().enumerate() {
+        tasks.push(smol::spawn(sample_reasons(run.clone(), seed)));
+        for (i, (name, spec)) in scenario.faults.iter().enumerate() {
             let rng = rand_pcg::Pcg32::seed_from_u64(seed.wrapping_add(31 * (i as u64 + 1)));
-            tasks.push(smol::spawn(strike(
-                this.clone(),
+            tasks.push(smol::spawn(apply_fault(
+                run.clone(),
                 name.clone(),
-                trouble.clone(),
+                spec.clone(),
                 rng,
             )));
         }
         let mut clients = Vec::new();
-        for client in 0..day.clients {
+        for client in 0..scenario.clients {
             let part: Vec<Submission> = submissions
                 .iter()
                 .skip(client)
-                .step_by(day.clients)
+                .step_by(scenario.clients)
                 .cloned()
                 .collect();
-            clients.push(smol::spawn(submit(this.clone(), client % day.edges, part)));
+            clients.push(smol::spawn(submit(
+                run.clone(),
+                client % scenario.edges,
+                part,
+            )));
         }
         for client in clients {
             client.await;
         }
-        // The day is over when all Jobs are, and all troubles too.
-        let troubled = day
+        // The run is over when all Jobs have ended and all faults are over.
+        let faults_end = scenario
             .faults
             .values()
             .map(|t| t.at + t.seconds)
             .fold(0.0, f64::max);
         loop {
             let (mut open, mut done) = (0, 0);
-            for api in &this.apis {
+            for api in &run.apis {
                 let client = Client::new(api, 1, vec![]);
                 let path = "/apis/batch/v1/namespaces/default/jobs";
                 match client.send(Method::GET, path, "", Bytes::new(), 5.0).await {
@@ -185,54 +192,54 @@
                     _ => open += 1,
                 }
             }
-            this.progress.done.store(done, Ordering::Relaxed);
+            run.progress.done.store(done, Ordering::Relaxed);
             let now = clock::now();
-            if now > ends || (open == 0 && now > start + troubled.max(day.seconds)) {
-                this.recorder
+            if now > ends || (open == 0 && now > start + faults_end.max(scenario.seconds)) {
+                run.recorder
                     .record("end", || json!({"open": open, "done": done}));
                 break;
             }
             clock::sleep(0.25).await;
         }
-        // Word of the last ends is on its way.
+        // The last events may still be in transit.
         clock::sleep(0.5).await;
         drop(tasks);
         Ok(())
     })
 }
 
-async fn submit(day: Arc<Day>, edge: usize, part: Vec<Submission>) {
-    let client = Client::new(&day.apis[edge], 1, vec![]);
+async fn submit(run: Arc<Run>, edge: usize, part: Vec<Submission>) {
+    let client = Client::new(&run.apis[edge], 1, vec![]);
     for one in part {
-        clock::sleep(day.start + one.at - clock::now()).await;
+        clock::sleep(run.start + one.at - clock::now()).await;
         let body: Bytes = one.body.to_string().into_bytes().into();
         let path = "/apis/batch/v1/namespaces/default/jobs";
-        // A client whose edge is away, or that is told to stay away, tries again until the day is over.
-        while clock::now() < day.ends {
+        // Retries until the end of the run if the edge is down or asks to retry later.
+        while clock::now() < run.ends {
             let sent = client
                 .send(Method::POST, path, "application/json", body.clone(), 5.0)
                 .await;
             let status = sent.as_ref().map_or(0, |reply| reply.status.as_u16());
-            day.recorder
+            run.recorder
                 .record("submitted", || json!({"job": one.name, "status": status}));
             match status {
                 201 | 409 => {
-                    day.progress.submitted.fetch_add(1, Ordering::Relaxed);
+                    run.progress.submitted.fetch_add(1, Ordering::Relaxed);
                     break;
                 }
                 0 | 429 | 503 => clock::sleep(0.5).await,
-                // The edge says that this Job is wrong.
+                // The edge has rejected this Job as invalid.
                 _ => break,
             }
         }
     }
 }
 
-/// A client's watch on all Pods of an edge; each event is recorded as it comes.
-async fn watch(day: Arc<Day>, edge: usize) {
-    let client = Client::new(&day.apis[edge], 2, vec![]);
-    let note = |kind: &str, pod: &Value, gone: bool| {
-        day.recorder.record("pod", || {
+/// Watches all Pods of an edge as a client and records each event.
+async fn watch(run: Arc<Run>, edge: usize) {
+    let client = Client::new(&run.apis[edge], 2, vec![]);
+    let record = |kind: &str, pod: &Value, gone: bool| {
+        run.recorder.record("pod", || {
             json!({"edge": edge, "type": kind, "gone": gone, "uid": meta::uid(pod), "name": meta::name(pod),
                 "key": meta::annotation(pod, names::IDEMPOTENCY_KEY), "class": meta::text_at(pod, &["spec", "priorityClassName"]),
                 "node": meta::text_at(pod, &["spec", "nodeName"]), "phase": meta::text_at(pod, &["status", "phase"]),
@@ -241,7 +248,7 @@
                 "version": meta::text_at(pod, &["metadata", "resourceVersion"])})
         });
     };
-    while clock::now() < day.ends + 10.0 {
+    while clock::now() < run.ends + 10.0 {
         let listed = client
             .send(Method::GET, "/api/v1/pods", "", Bytes::new(), 5.0)
             .await;
@@ -252,12 +259,12 @@
                 continue;
             }
         };
-        day.recorder.record("listed", || json!({"edge": edge}));
+        run.recorder.record("listed", || json!({"edge": edge}));
         list["items"]
             .as_array()
             .into_iter()
             .flatten()
-            .for_each(|pod| note("LISTED", pod, false));
+            .for_each(|pod| record("LISTED", pod, false));
         let mut version = meta::text_at(&list, &["metadata", "resourceVersion"]).to_owned();
         'resume: loop {
             let path = format!(
@@ -277,7 +284,7 @@
                 match event["type"].as_str().unwrap_or("") {
                     "ERROR" => break 'resume,
                     "BOOKMARK" => {}
-                    kind => note(kind, pod, kind == "DELETED"),
+                    kind => record(kind, pod, kind == "DELETED"),
                 }
                 version = meta::text_at(pod, &["metadata", "resourceVersion"]).to_owned();
             }
@@ -286,55 +293,55 @@
     }
 }
 
-/// At random moments: what waiting tasks are told, and what nodes and register say of themselves.
-async fn sample_reasons(day: Arc<Day>, seed: u64) {
+/// Samples at random intervals the reasons of pending tasks and the state of the nodes and the registry.
+async fn sample_reasons(run: Arc<Run>, seed: u64) {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed ^ 0x0073_616d_706c_6572);
-    let found = day.with(|c| {
+    let found = run.with(|c| {
         (
             c.registry.addresses[0].clone(),
             c.node_addresses(),
             c.overcommit(),
         )
     });
-    let Some((register, nodes, admits)) = found else {
+    let Some((register, nodes, overcommit)) = found else {
         return;
     };
-    let mut sampler = crate::sample::Sampler::new(&day.apis[0], &register, nodes, admits);
-    while clock::now() < day.ends + 10.0 {
+    let mut sampler = crate::sample::Sampler::new(&run.apis[0], &register, nodes, overcommit);
+    while clock::now() < run.ends + 10.0 {
         clock::sleep(rng.random_range(0.3..0.9)).await;
         if let Some(sample) = sampler.take().await {
-            day.recorder.record("why", || sample);
+            run.recorder.record("why", || sample);
         }
     }
 }
 
-async fn strike(day: Arc<Day>, name: String, trouble: FaultSpec, mut rng: rand_pcg::Pcg32) {
-    clock::sleep(day.start + trouble.at - clock::now()).await;
-    let until = clock::now() + trouble.seconds;
-    let sites = day
+async fn apply_fault(run: Arc<Run>, name: String, spec: FaultSpec, mut rng: rand_pcg::Pcg32) {
+    clock::sleep(run.start + spec.at - clock::now()).await;
+    let until = clock::now() + spec.seconds;
+    let locations = run
         .with(|cluster| cluster.node_locations.clone())
         .unwrap_or_default();
     let count =
-        ((sites.len() as f64 * trouble.share).round() as usize).clamp(1, sites.len().max(1));
-    let mut order: Vec<usize> = (0..sites.len()).collect();
+        ((locations.len() as f64 * spec.share).round() as usize).clamp(1, locations.len().max(1));
+    let mut order: Vec<usize> = (0..locations.len()).collect();
     order.shuffle(&mut rng);
-    if trouble.rack
+    if spec.rack
         && let Some(first) = order.first().copied()
     {
-        let rack = |i: &usize| (&sites[*i].zone, &sites[*i].rack);
-        let here = (sites[first].zone.clone(), sites[first].rack.clone());
+        let rack = |i: &usize| (&locations[*i].zone, &locations[*i].rack);
+        let here = (locations[first].zone.clone(), locations[first].rack.clone());
         order.retain(|i| rack(i) == (&here.0, &here.1));
     }
-    let struck: Vec<String> = order
+    let targets: Vec<String> = order
         .into_iter()
         .take(count)
-        .map(|i| sites[i].name.clone())
+        .map(|i| locations[i].name.clone())
         .collect();
-    let seconds = trouble.seconds;
-    let share = trouble.strength.clamp(0.0, 1.0);
-    let fault = match trouble.kind {
+    let seconds = spec.seconds;
+    let share = spec.strength.clamp(0.0, 1.0);
+    let fault = match spec.kind {
         FaultKind::Slow => Some(Fault::Slow {
-            factor: trouble.strength,
+            factor: spec.strength,
             seconds,
         }),
         FaultKind::Hang => Some(Fault::Hang { seconds }),
@@ -349,41 +356,41 @@
         FaultKind::BreakWatches => Some(Fault::CloseWatches),
         _ => None,
     };
-    day.trouble(&name, &struck);
+    run.record_fault(&name, &targets);
     if let Some(fault) = fault {
-        for node in &struck {
-            tell(&day, node, &fault).await;
+        for node in &targets {
+            inject(&run, node, &fault).await;
         }
         return;
     }
-    match trouble.kind {
+    match spec.kind {
         FaultKind::Crash => {
-            for node in &struck {
-                day.with(|cluster| cluster.process(node).map(|process| process.kill()));
-                day.recorder.record("killed", || json!({"node": node}));
+            for node in &targets {
+                run.with(|cluster| cluster.process(node).map(|process| process.kill()));
+                run.recorder.record("killed", || json!({"node": node}));
             }
             clock::sleep(until - clock::now()).await;
-            for node in struck {
-                let this = day.clone();
+            for node in targets {
+                let run = run.clone();
                 let back =
-                    smol::unblock(move || this.with(|cluster| cluster.restart_node(&node))).await;
-                if let Some(Err(problem)) = back {
-                    tracing::error!(problem);
+                    smol::unblock(move || run.with(|cluster| cluster.restart_node(&node))).await;
+                if let Some(Err(error)) = back {
+                    tracing::error!(error);
                 }
             }
         }
         FaultKind::Pauses => {
             while clock::now() < until {
-                for node in &struck {
-                    day.with(|cluster| {
+                for node in &targets {
+                    run.with(|cluster| {
                         cluster
                             .process(node)
                             .map(|process| process.set_paused(true))
                     });
                 }
                 clock::sleep(rng.random_range(0.18..0.5)).await;
-                for node in &struck {
-                    day.with(|cluster| {
+                for node in &targets {
+                    run.with(|cluster| {
                         cluster
                             .process(node)
                             .map(|process| process.set_paused(false))
@@ -392,11 +399,11 @@
                 clock::sleep(rng.random_range(0.8..2.0)).await;
             }
         }
-        FaultKind::RegisterDown => hold(&day, &["register".into()], until).await,
+        FaultKind::RegisterDown => pause_until(&run, &["register".into()], until).await,
         FaultKind::PausePlanner => {
-            let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
-            hold(
-                &day,
+            let planners: usize = run.with(|cluster| cluster.planners.len()).unwrap_or(1);
+            pause_until(
+                &run,
                 &[format!("planner-{}", rng.random_range(0..planners))],
                 until,
             )
@@ -404,21 +411,24 @@
         }
         FaultKind::ZoneCut => {
             let zones: Vec<String> = {
-                let mut zones: Vec<String> = sites.iter().map(|site| site.zone.clone()).collect();
+                let mut zones: Vec<String> = locations
+                    .iter()
+                    .map(|location| location.zone.clone())
+                    .collect();
                 zones.sort();
                 zones.dedup();
                 zones
             };
             let cut = zones[rng.random_range(0..zones.len())].clone();
-            for site in &sites {
+            for location in &locations {
                 let others = zones
                     .iter()
-                    .filter(|z| (**z == cut) != (site.zone == cut))
+                    .filter(|z| (**z == cut) != (location.zone == cut))
                     .cloned()
                     .collect();
-                tell(
-                    &day,
-                    &site.name,
+                inject(
+                    &run,
+                    &location.name,
                     &Fault::PartitionZones {
                         zones: others,
                         seconds,
@@ -428,55 +438,55 @@
             }
         }
         FaultKind::Drain => {
-            for node in &struck {
-                cordon(&day, node, true).await;
-                tell(&day, node, &Fault::TerminateTasks { every: 0.3 }).await;
+            for node in &targets {
+                cordon(&run, node, true).await;
+                inject(&run, node, &Fault::TerminateTasks { every: 0.3 }).await;
             }
             clock::sleep(until - clock::now()).await;
-            for node in &struck {
-                cordon(&day, node, false).await;
+            for node in &targets {
+                cordon(&run, node, false).await;
             }
         }
         FaultKind::Flap => {
             while clock::now() < until {
                 for on in [true, false] {
-                    for node in &struck {
-                        cordon(&day, node, on).await;
+                    for node in &targets {
+                        cordon(&run, node, on).await;
                     }
                     clock::sleep(0.4).await;
                 }
             }
         }
-        FaultKind::MassRestart => mass_restart(&day, trouble.share, &mut rng).await,
+        FaultKind::MassRestart => mass_restart(&run, spec.share, &mut rng).await,
         FaultKind::KillPlanner => {
-            let planners: usize = day.with(|cluster| cluster.planners.len()).unwrap_or(1);
+            let planners: usize = run.with(|cluster| cluster.planners.len()).unwrap_or(1);
             let planner = format!("planner-{}", rng.random_range(0..planners));
-            day.with(|cluster| cluster.process(&planner).map(|process| process.kill()));
-            day.recorder
+            run.with(|cluster| cluster.process(&planner).map(|process| process.kill()));
+            run.recorder
                 .record("killed", || json!({"planner": planner}));
             clock::sleep(until - clock::now()).await;
-            day.with(|cluster| cluster.restart_planner(&planner));
+            run.with(|cluster| cluster.restart_planner(&planner));
         }
         FaultKind::KillEdge => {
-            let edge = rng.random_range(0..day.apis.len());
+            let edge = rng.random_range(0..run.apis.len());
             let name = format!("edge-{edge}");
-            day.recorder.record("killed", || json!({"edge": edge}));
-            day.with(|cluster| cluster.process(&name).map(|process| process.kill()));
+            run.recorder.record("killed", || json!({"edge": edge}));
+            run.with(|cluster| cluster.process(&name).map(|process| process.kill()));
             clock::sleep(until - clock::now()).await;
-            let this = day.clone();
-            if let Some(Err(problem)) =
-                smol::unblock(move || this.with(|c| c.restart_edge(&name))).await
+            let run = run.clone();
+            if let Some(Err(error)) =
+                smol::unblock(move || run.with(|c| c.restart_edge(&name))).await
             {
-                tracing::error!(problem);
+                tracing::error!(error);
             }
         }
         _ => {}
     }
 }
 
-async fn hold(day: &Day, who: &[String], until: f64) {
+async fn pause_until(run: &Run, who: &[String], until: f64) {
     for name in who {
-        day.with(|cluster| {
+        run.with(|cluster| {
             cluster
                 .process(name)
                 .map(|process| process.set_paused(true))
@@ -484,7 +494,7 @@
     }
     clock::sleep(until - clock::now()).await;
     for name in who {
-        day.with(|cluster| {
+        run.with(|cluster| {
             cluster
                 .process(name)
                 .map(|process| process.set_paused(false))
@@ -492,18 +502,18 @@
     }
 }
 
-async fn tell(day: &Day, node: &str, fault: &Fault) {
-    let address = day
+async fn inject(run: &Run, node: &str, fault: &Fault) {
+    let address = run
         .with(|cluster| cluster.process(node).map(|p| p.addresses[0].clone()))
         .flatten();
     let Some(address) = address else { return };
-    if let Err(problem) = inject_fault_at(&address, fault).await {
-        tracing::debug!(node, problem, "a fault did not get there");
+    if let Err(error) = inject_fault_at(&address, fault).await {
+        tracing::debug!(node, error, "fault could not be injected");
     }
 }
 
-async fn cordon(day: &Day, node: &str, on: bool) {
-    let client = Client::new(&day.apis[0], 1, vec![]);
+async fn cordon(run: &Run, node: &str, on: bool) {
+    let client = Client::new(&run.apis[0], 1, vec![]);
     let body: Bytes = json!({"spec": {"unschedulable": on}})
         .to_string()
         .into_bytes()
@@ -526,9 +536,9 @@
     }
 }
 
-/// Owners stop a share of their Jobs and ask for all their Pods again.
-async fn mass_restart(day: &Day, share: f64, rng: &mut rand_pcg::Pcg32) {
-    for api in &day.apis {
+/// Suspends and resumes a share of the Jobs, as owners that want all their Pods restarted.
+async fn mass_restart(run: &Run, share: f64, rng: &mut rand_pcg::Pcg32) {
+    for api in &run.apis {
         let client = Client::new(api, 4, vec![]);
         let path = "/apis/batch/v1/namespaces/default/jobs";
         let Ok(reply) = client.send(Method::GET, path, "", Bytes::new(), 5.0).await else {
--- a/crates/testbed/src/supervisor.rs
+++ b/crates/testbed/src/supervisor.rs
@@ -1,17 +1,17 @@
-//! What becomes of a child that ended: started again after a pause that grows, or the whole given up. No I/O.
+//! Restart policy for child processes, without I/O: exponential backoff, and giving up after too many exits in a row.
 
 use std::collections::BTreeMap;
 
-/// Pauses and bounds.
+/// Backoff and limits. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// First pause before a child is started again; it doubles with each end in a row.
+    /// Delay before the first restart; it doubles with each further exit in a row.
     pub initial_backoff: f64,
-    /// The longest pause.
+    /// Upper limit of the delay.
     pub max_backoff: f64,
-    /// A child that ran for this long begins anew with the first pause.
+    /// After this uptime, an exit counts as the first one again.
     pub stable_uptime: f64,
-    /// Ends in a row after which all is given up: what fails so often will not mend by itself.
+    /// Exits in a row after which the supervisor gives up, because a child that fails so often will not recover.
     pub max_consecutive_exits: u32,
 }
 
@@ -26,25 +26,25 @@
     }
 }
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start this child again now.
+    /// Restart this child now.
     Start(String),
-    /// This child will be started again after so many seconds.
+    /// This child will be restarted after this many seconds; nothing to do yet.
     Backoff(String, f64),
-    /// This child ends again and again: end all.
+    /// This child exits again and again: stop the whole cluster.
     GiveUp(String),
 }
 
 #[derive(Debug, Default)]
 struct Child {
-    ends: u32,
-    started: f64,
-    start_at: Option<f64>,
+    exits: u32,
+    started_at: f64,
+    restart_at: Option<f64>,
 }
 
-/// Watches over children by name.
+/// Tracks children by name and decides when to restart them.
 #[derive(Debug)]
 pub struct Supervisor {
     settings: Settings,
@@ -52,13 +52,13 @@
 }
 
 impl Supervisor {
-    /// Children that all start now.
+    /// A supervisor of children that have all just started.
     pub fn new(settings: Settings, names: impl IntoIterator<Item = String>, now: f64) -> Self {
         let child = |name| {
             (
                 name,
                 Child {
-                    started: now,
+                    started_at: now,
                     ..Child::default()
                 },
             )
@@ -69,32 +69,32 @@
         }
     }
 
-    /// Takes in which children do not run now, and says what is to be done.
-    pub fn step(&mut self, now: f64, ended: &[String]) -> Vec<Action> {
+    /// Takes the names of all children that do not run at `now`, and returns what to do.
+    pub fn step(&mut self, now: f64, exited: &[String]) -> Vec<Action> {
         let mut out = Vec::new();
-        for name in ended {
+        for name in exited {
             let Some(child) = self.children.get_mut(name) else {
                 continue;
             };
-            match child.start_at {
+            match child.restart_at {
                 Some(at) if now >= at => {
-                    (child.start_at, child.started) = (None, now);
+                    (child.restart_at, child.started_at) = (None, now);
                     out.push(Action::Start(name.clone()));
                 }
                 Some(_) => {}
                 None => {
-                    if now - child.started >= self.settings.stable_uptime {
-                        child.ends = 0;
+                    if now - child.started_at >= self.settings.stable_uptime {
+                        child.exits = 0;
                     }
-                    child.ends += 1;
-                    if child.ends >= self.settings.max_consecutive_exits {
+                    child.exits += 1;
+                    if child.exits >= self.settings.max_consecutive_exits {
                         out.push(Action::GiveUp(name.clone()));
                         continue;
                     }
-                    let pause = self.settings.initial_backoff * 2f64.powi(child.ends as i32 - 1);
-                    let pause = pause.min(self.settings.max_backoff);
-                    child.start_at = Some(now + pause);
-                    out.push(Action::Backoff(name.clone(), pause));
+                    let delay = self.settings.initial_backoff * 2f64.powi(child.exits as i32 - 1);
+                    let delay = delay.min(self.settings.max_backoff);
+                    child.restart_at = Some(now + delay);
+                    out.push(Action::Backoff(name.clone(), delay));
                 }
             }
         }
