--- a/crates/testbed/examples/fleet.rs
+++ b/crates/testbed/examples/fleet.rs
@@ -1,20 +1,20 @@
-//! How long a simulated fleet takes to settle, and what that costs, by its size. A table for `docs/measurements.md`.
+//! Prints the convergence time and the traffic of a simulated fleet by its size, as a table for `docs/measurements.md`.
 
-use tidespur_testbed::simnet::{Fault, Net, Script};
+use tidespur_testbed::simnet::{Fault, Script, SimulatedNetwork};
 
 const SEEDS: u64 = 10;
 
-/// Median and most of the seconds from the end of the last fault until all is settled.
-fn settles(members: usize, faults: &[(f64, Fault)]) -> String {
+/// Median and maximum of the seconds from the end of the last fault until all views have converged.
+fn convergence_times(members: usize, faults: &[(f64, Fault)]) -> String {
     let mut times: Vec<f64> = (0..SEEDS)
         .map(|seed| {
-            let mut net = Net::new(Script {
+            let mut net = SimulatedNetwork::new(Script {
                 seed,
                 members,
                 faults: faults.to_vec(),
             });
-            net.play(net.over_at() + 1e-3);
-            net.settles(60.0).unwrap_or(f64::INFINITY)
+            net.run_until(net.faults_end() + 1e-3);
+            net.run_until_converged(60.0).unwrap_or(f64::INFINITY)
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -46,8 +46,8 @@
                 },
             )
         };
-        let join = settles(members, &[(20.0, Fault::Join { who: members })]);
-        let crash = settles(
+        let join = convergence_times(members, &[(20.0, Fault::Join { who: members })]);
+        let crash = convergence_times(
             members,
             &[(
                 20.0,
@@ -57,27 +57,27 @@
                 },
             )],
         );
-        let heal = settles(members, &[cut(0), cut(1)]);
-        // Quiet, and a tenth of all datagrams lost.
+        let heal = convergence_times(members, &[cut(0), cut(1)]);
+        // Traffic without faults for 60 s, then false failures under 10 % datagram loss.
         let loss = Fault::Loss {
             share: 0.1,
             lasts: 60.0,
         };
-        let mut net = Net::new(Script {
+        let mut net = SimulatedNetwork::new(Script {
             seed: 1,
             members,
             faults: vec![(80.0, loss)],
         });
-        net.play(20.0);
-        let before = net.seen.sent;
-        net.play(80.0);
+        net.run_until(20.0);
+        let before = net.observations.sent;
+        net.run_until(80.0);
         let each = |after: u64, before: u64| (after - before) as f64 / 60.0 / members as f64;
         let (datagrams, bytes) = (
-            each(net.seen.sent.0, before.0),
-            each(net.seen.sent.1, before.1),
+            each(net.observations.sent.0, before.0),
+            each(net.observations.sent.1, before.1),
         );
-        net.play(140.0);
-        let wrong = net.seen.wrong.len();
+        net.run_until(140.0);
+        let wrong = net.observations.false_failures.len();
         println!(
             "| {members} | {join} | {crash} | {heal} | {datagrams:.1} | {bytes:.0} | {wrong} |"
         );
--- a/crates/testbed/src/checker/drains.rs
+++ b/crates/testbed/src/checker/drains.rs
@@ -1,4 +1,5 @@
-//! Third rule: nothing new goes to a node later than the grace after its planner was told that it drains or is gone.
+//! Third rule: a planner sends no offer to a node once the grace period has passed since it learned that the node
+//! drains or is gone.
 
 use super::{Report, Rules, Traffic, Violation};
 use serde_json::Value;
@@ -6,11 +7,11 @@
 
 const RULE: &str = "drains kept";
 
-pub(super) fn judge(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    // For each planner and node: since when it is known to leave.
+pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+    // By planner and node: when the planner learned that the node drains or is gone.
     let mut leaving: BTreeMap<(String, String), f64> = BTreeMap::new();
     for line in &traffic.lines {
-        let mut tell = |node: &Value, gone: bool| {
+        let mut observe = |node: &Value, gone: bool| {
             let key = (
                 line.who.clone(),
                 node["node"].as_str().unwrap_or("").to_owned(),
@@ -22,12 +23,12 @@
             }
         };
         match line.what.as_str() {
-            "told" => tell(&line.value, line.flag("deleted")),
+            "told" => observe(&line.value, line.flag("deleted")),
             "list" => line.value["nodes"]
                 .as_array()
                 .into_iter()
                 .flatten()
-                .for_each(|node| tell(node, false)),
+                .for_each(|node| observe(node, false)),
             "send" => {
                 let key = (line.who.clone(), line.text("node").to_owned());
                 if let Some(since) = leaving
--- a/crates/testbed/src/checker/effects.rs
+++ b/crates/testbed/src/checker/effects.rs
@@ -1,27 +1,28 @@
-//! Second rule: no effect happens twice. Judged by what planners sent and by what nodes held.
+//! Second rule: no effect happens twice. Checked on the offers that planners sent and on the tasks that nodes held.
 
 use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
 
 const RULE: &str = "no double effect";
 
-/// Words of an answer that prove that the attempt never ran.
-fn never_ran(said: &str) -> bool {
+/// Whether the text of an answer proves that the attempt never ran.
+fn proves_not_run(answer: &str) -> bool {
     let refused = ["forbidden", "too many offers", "already exists"];
-    said.starts_with("no connection") || refused.iter().any(|words| said.contains(words))
+    answer.starts_with("no connection") || refused.iter().any(|text| answer.contains(text))
 }
 
-pub(super) fn judge(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    sends(traffic, rules, report);
-    runs(traffic, rules, report);
+pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+    check_attempts(traffic, rules, report);
+    check_holders(traffic, rules, report);
 }
 
-/// Of one request: no two attempts are out together, and an unsafe one is not sent again once one may have run.
-fn sends(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+/// Per request: at most one attempt is open at a time, and a request of an unsafe class is not sent again once an
+/// attempt may have run.
+fn check_attempts(traffic: &Traffic, rules: &Rules, report: &mut Report) {
     #[derive(Default)]
     struct Request {
-        out: Option<f64>,
-        may_run: bool,
+        attempt_open: bool,
+        may_have_run: bool,
     }
     let mut all: BTreeMap<String, Request> = BTreeMap::new();
     for line in &traffic.lines {
@@ -29,48 +30,48 @@
         match line.what.as_str() {
             "send" => {
                 let request = all.entry(uid.to_owned()).or_default();
-                let guarded = rules
+                let is_unsafe = rules
                     .classes
                     .get(line.text("class"))
                     .is_some_and(|class| class.effect == "unsafe");
-                let mut broken = |what: String| {
+                let mut violation = |what: String| {
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
                         what,
                     })
                 };
-                if request.out.is_some() {
-                    broken(format!("two attempts of {uid} are out"));
+                if request.attempt_open {
+                    violation(format!("two attempts of {uid} are out"));
                 }
-                if guarded && request.may_run {
-                    broken(format!("{uid} may have run and was sent again"));
+                if is_unsafe && request.may_have_run {
+                    violation(format!("{uid} may have run and was sent again"));
                 }
-                request.out = Some(line.t);
+                request.attempt_open = true;
             }
             "answer" if line.value.get("attempt").is_some() => {
                 let request = all.entry(uid.to_owned()).or_default();
-                request.out = None;
-                request.may_run |= !never_ran(line.text("said"));
+                request.attempt_open = false;
+                request.may_have_run |= !proves_not_run(line.text("said"));
             }
             _ => {}
         }
     }
 }
 
-/// Of one piece of work (a key): two nodes hold it at the same time.
-fn runs(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    // Who holds a key, and since when.
+/// Per idempotency key of an unsafe class: no two nodes hold the task at the same time.
+fn check_holders(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+    // By idempotency key: the nodes that hold the task, and since when.
     let mut held: BTreeMap<String, BTreeMap<String, f64>> = BTreeMap::new();
     for line in &traffic.lines {
         match line.what.as_str() {
             "answer" if line.text("said") == "accepted" && line.value.get("way").is_some() => {
-                let guarded = rules
+                let is_unsafe = rules
                     .classes
                     .get(line.text("class"))
                     .is_some_and(|class| class.effect == "unsafe");
                 let holders = held.entry(line.text("key").to_owned()).or_default();
-                if guarded
+                if is_unsafe
                     && let Some((node, at)) = holders.iter().find(|(node, _)| **node != line.who)
                 {
                     report.duplicated += 1;
@@ -92,7 +93,7 @@
                     holders.remove(&line.who);
                 }
             }
-            // A node that dies loses all that it held.
+            // A node that is killed or restarted loses all its tasks.
             "killed" | "up" => {
                 let node = if line.what == "up" {
                     line.who.as_str()
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,10 +1,11 @@
-//! Judges a day from its recordings alone: what clients, planners and nodes saw on their sockets. It shares no code
-//! with the policy, the planner or the edge; what it needs of the settings it reads itself.
+//! Checks five rules on the recordings of a run: what clients, planners and nodes saw on their sockets. It shares no
+//! code with the policy, the planner or the edge, and parses the settings that it needs itself, so that it does
+//! not share their faults.
 
 mod drains;
 mod effects;
 mod outcomes;
-mod pushed;
+mod overload;
 mod spread;
 mod traffic;
 
@@ -13,51 +14,54 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// What became of a day.
+/// Result of a run. The serialized names are keys of the JSON report.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Requests to place that clients saw.
+    /// Number of placement requests that clients saw.
     pub submitted: usize,
-    /// Of these, placed.
+    /// Number of these that were placed.
     pub placed: usize,
-    /// Refused.
+    /// Number that were refused.
     pub refused: usize,
-    /// Failed.
+    /// Number that failed.
     pub failed: usize,
-    /// Without an answer in time.
+    /// Number without an answer before their deadline.
     pub unanswered: usize,
-    /// With more than one outcome, or run twice against their class.
+    /// Number with more than one outcome, and of tasks that ran twice although their class forbids it.
     #[serde(rename = "twice")]
     pub duplicated: usize,
-    /// Withdrawn by their owner before an answer.
+    /// Number that their owners withdrew before an answer, or that were still waiting when the recording ended.
     pub withdrawn: usize,
-    /// Open at an edge that was killed: their clients' to retry.
+    /// Number that were open at an edge when it was killed; their clients have to retry them.
     pub lost_with_edge: usize,
-    /// Rules that were broken.
+    /// Names of the broken rules, sorted, each once.
     pub broken_rules: Vec<String>,
-    /// Each break.
+    /// All violations, in order of time.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// What the day was drawn from.
+    /// Seed of the run.
     pub seed: u64,
-    /// Offers that planners sent.
+    /// Number of offers that planners sent.
     pub offers: usize,
-    /// Jobs that were still open when the day was cut off.
+    /// Number of Jobs that were still open at the end of the run.
     pub jobs_open: usize,
 }
 
-/// A broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When, in seconds of the recordings' clock.
+    /// Time of the recordings, in Unix seconds.
     pub at: f64,
-    /// What was seen.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// Judges the recordings in a folder.
+/// Checks the recordings in a directory against the rules in the settings.
+///
+/// # Errors
+/// If the recordings cannot be read or the settings cannot be parsed.
 pub fn check_recordings(records: &Path, settings: &str, seed: u64) -> Result<Report, String> {
     Ok(check_traffic(
         &Traffic::read(records)?,
@@ -66,18 +70,18 @@
     ))
 }
 
-/// Judges recordings.
+/// Checks recordings that were read before.
 pub fn check_traffic(traffic: &Traffic, rules: &Rules, seed: u64) -> Report {
     let mut report = Report {
         seed,
         offers: traffic.of("send").count(),
         ..Report::default()
     };
-    outcomes::judge(traffic, rules, &mut report);
-    effects::judge(traffic, rules, &mut report);
-    drains::judge(traffic, rules, &mut report);
-    pushed::judge(traffic, rules, &mut report);
-    spread::judge(traffic, rules, &mut report);
+    outcomes::check(traffic, rules, &mut report);
+    effects::check(traffic, rules, &mut report);
+    drains::check(traffic, rules, &mut report);
+    overload::check(traffic, rules, &mut report);
+    spread::check(traffic, rules, &mut report);
     report.jobs_open = traffic
         .of("end")
         .next()
--- a/crates/testbed/src/checker/outcomes.rs
+++ b/crates/testbed/src/checker/outcomes.rs
@@ -1,5 +1,5 @@
-//! First rule: each request gets exactly one of placed, refused, failed, while its owner waits; nothing is sent for
-//! it afterwards.
+//! First rule: each request gets exactly one outcome (placed, refused or failed) while its owner waits, and no offer is
+//! sent for it afterwards.
 
 use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
@@ -7,16 +7,16 @@
 const RULE: &str = "no task lost";
 
 #[derive(Default)]
-struct Seen {
-    at: f64,
+struct Request {
+    first_seen: f64,
     edge: i64,
     give_up: f64,
     outcomes: Vec<(&'static str, f64)>,
-    gone: bool,
+    deleted: bool,
 }
 
-pub(super) fn judge(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    let mut all: BTreeMap<String, Seen> = BTreeMap::new();
+pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+    let mut all: BTreeMap<String, Request> = BTreeMap::new();
     let mut killed: Vec<(i64, f64)> = Vec::new();
     let last = traffic.lines.last().map_or(0.0, |line| line.t);
     for line in &traffic.lines {
@@ -29,13 +29,13 @@
                     .classes
                     .get(line.text("class"))
                     .map_or(0.0, |class| class.deadline);
-                let seen = all
+                let request = all
                     .entry(line.text("uid").to_owned())
-                    .or_insert_with(|| Seen {
-                        at: line.t,
+                    .or_insert_with(|| Request {
+                        first_seen: line.t,
                         edge: line.number("edge") as i64,
                         give_up: line.text("give_up").parse().unwrap_or(deadline),
-                        ..Seen::default()
+                        ..Request::default()
                     });
                 let outcome = match (line.text("node"), line.text("reason")) {
                     (_, "PlacementRefused") => Some("refused"),
@@ -44,19 +44,19 @@
                     _ => Some("placed"),
                 };
                 if let Some(outcome) = outcome
-                    && seen
+                    && request
                         .outcomes
                         .last()
                         .is_none_or(|(last, _)| *last != outcome)
                 {
-                    seen.outcomes.push((outcome, line.t));
+                    request.outcomes.push((outcome, line.t));
                 }
-                seen.gone |= line.flag("gone");
+                request.deleted |= line.flag("gone");
             }
             _ => {}
         }
     }
-    let mut lost = |at: f64, what: String| {
+    let mut violation = |at: f64, what: String| {
         report.violations.push(Violation {
             rule: RULE,
             at,
@@ -64,19 +64,21 @@
         })
     };
     report.submitted = all.len();
-    for (uid, seen) in &all {
-        let died = killed.iter().any(|(edge, at)| {
-            *edge == seen.edge && *at >= seen.at && *at <= seen.at + seen.give_up
+    for (uid, request) in &all {
+        let edge_killed = killed.iter().any(|(edge, at)| {
+            *edge == request.edge
+                && *at >= request.first_seen
+                && *at <= request.first_seen + request.give_up
         });
-        let due = seen.at + seen.give_up + rules.slack;
-        match seen.outcomes.as_slice() {
-            [] if seen.gone => report.withdrawn += 1,
-            [] if died => report.lost_with_edge += 1,
-            // The recording ended while its owner still waited.
+        let due = request.first_seen + request.give_up + rules.slack;
+        match request.outcomes.as_slice() {
+            [] if request.deleted => report.withdrawn += 1,
+            [] if edge_killed => report.lost_with_edge += 1,
+            // The recording ended before the deadline of the request.
             [] if last < due => report.withdrawn += 1,
             [] => {
                 report.unanswered += 1;
-                lost(due, format!("{uid} had no answer"));
+                violation(due, format!("{uid} had no answer"));
             }
             [(outcome, at)] => {
                 match *outcome {
@@ -84,9 +86,9 @@
                     "refused" => report.refused += 1,
                     _ => report.failed += 1,
                 }
-                if *at > due && !died {
+                if *at > due && !edge_killed {
                     report.unanswered += 1;
-                    lost(
+                    violation(
                         *at,
                         format!("{uid} was {outcome} {:.2} s too late", at - due),
                     );
@@ -94,15 +96,15 @@
             }
             [(first, _), (second, at), ..] => {
                 report.duplicated += 1;
-                lost(*at, format!("{uid} was {first} and then {second}"));
+                violation(*at, format!("{uid} was {first} and then {second}"));
             }
         }
     }
-    after_the_end(traffic, report);
+    check_sends_after_outcome(traffic, report);
 }
 
-/// Nothing is sent for a request after its answer.
-fn after_the_end(traffic: &Traffic, report: &mut Report) {
+/// Checks that no offer is sent for a request after its outcome was reported.
+fn check_sends_after_outcome(traffic: &Traffic, report: &mut Report) {
     let mut ended: BTreeMap<(String, String), f64> = BTreeMap::new();
     for line in &traffic.lines {
         match line.what.as_str() {
@@ -117,7 +119,7 @@
             }
             "send" => {
                 let key = (line.who.clone(), line.text("uid").to_owned());
-                // Sends and messages are written by different tasks of one program, a moment apart at most.
+                // Offers and messages are recorded by different tasks of one program, at most this many seconds apart.
                 if ended.get(&key).is_some_and(|at| *at + 0.05 < line.t) {
                     let what = format!("{} sent {} after its answer", key.0, key.1);
                     report.violations.push(Violation {
--- a/crates/testbed/src/checker/pushed.rs
+++ b/crates/testbed/src/checker/overload.rs
@@ -1,11 +1,11 @@
-//! Fourth rule: a node that came up cold is not pushed over. It is broken where a node fell and at least two thirds
-//! of what pressed on it came from planners that had been told of its start.
+//! Fourth rule: planners do not overload a node that warms up. It is broken if a node failed of overload and at least
+//! two thirds of the offers within the overload window came from planners that knew of its start.
 
 use super::{Report, Rules, Traffic, Violation};
 
 const RULE: &str = "no cold machine pushed over";
 
-pub(super) fn judge(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
     for fall in traffic.of("fell") {
         let node = fall.who.as_str();
         let up = traffic
@@ -19,7 +19,7 @@
                 .iter()
                 .take_while(|line| line.t <= at)
                 .any(|line| {
-                    let tells = |v: &serde_json::Value| {
+                    let reports_start = |v: &serde_json::Value| {
                         let since = v["up_since"].as_str().and_then(|t| t.parse::<f64>().ok());
                         v["node"] == node && since.is_some_and(|since| (since - up).abs() < 1.0)
                     };
@@ -28,28 +28,28 @@
                             .as_array()
                             .into_iter()
                             .flatten()
-                            .any(&tells)
+                            .any(&reports_start)
                     };
                     line.who == planner
-                        && (line.what == "told" && tells(&line.value)
+                        && (line.what == "told" && reports_start(&line.value)
                             || line.what == "list" && listed())
                 })
         };
-        let pressing: Vec<_> = traffic
+        let recent_offers: Vec<_> = traffic
             .of("offer")
             .filter(|line| {
                 line.who == node && line.t > fall.t - rules.overload_for && line.t <= fall.t
             })
             .collect();
-        let from_informed = pressing
+        let from_informed = recent_offers
             .iter()
             .filter(|line| informed(line.text("from"), line.t))
             .count();
-        if 3 * from_informed >= 2 * pressing.len() {
+        if 3 * from_informed >= 2 * recent_offers.len() {
             let what = format!(
                 "{node} fell {:.1} s after its start, under {} offers",
                 fall.t - up,
-                pressing.len()
+                recent_offers.len()
             );
             report.violations.push(Violation {
                 rule: RULE,
--- a/crates/testbed/src/checker/spread.rs
+++ b/crates/testbed/src/checker/spread.rs
@@ -1,33 +1,34 @@
-//! Fifth rule: of one service, one planner has no more in one place than its class allows, at each send.
+//! Fifth rule: whenever a planner sends an offer, it has no more tasks of the service in one spread domain than the
+//! class allows.
 
 use super::{Report, Rules, Traffic, Violation};
 use std::collections::BTreeMap;
 
 const RULE: &str = "spread kept";
 
-struct Held {
+struct HeldTask {
     service: String,
     node: String,
-    /// Its edge was told that it is placed, by whatever the planner learned that from.
+    /// The planner has reported the placement to its edge, or took the task over already placed.
     placed: bool,
 }
 
-pub(super) fn judge(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    // Zone and rack of each node, as the nodes themselves said at their start.
-    let mut sites: BTreeMap<&str, (&str, &str)> = BTreeMap::new();
+pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
+    // Zone and rack of each node, as recorded by the node at its start.
+    let mut locations: BTreeMap<&str, (&str, &str)> = BTreeMap::new();
     for line in traffic.of("up") {
-        sites.insert(&line.who, (line.text("zone"), line.text("rack")));
+        locations.insert(&line.who, (line.text("zone"), line.text("rack")));
     }
-    let place = |how: &str, node: &str| {
-        let (zone, rack) = sites.get(node).copied().unwrap_or(("", ""));
-        match how {
+    let domain = |spread: &str, node: &str| {
+        let (zone, rack) = locations.get(node).copied().unwrap_or(("", ""));
+        match spread {
             "node" => node.to_owned(),
             "rack" => format!("{zone}/{rack}"),
             _ => zone.to_owned(),
         }
     };
-    // By planner and request: what it placed or is placing.
-    let mut held: BTreeMap<(String, String), Held> = BTreeMap::new();
+    // By planner and request uid: the placed tasks and open attempts.
+    let mut held: BTreeMap<(String, String), HeldTask> = BTreeMap::new();
     for line in &traffic.lines {
         let key = (line.who.clone(), line.text("uid").to_owned());
         match line.what.as_str() {
@@ -38,7 +39,7 @@
                 );
                 held.insert(
                     key,
-                    Held {
+                    HeldTask {
                         service: service.clone(),
                         node: node.clone(),
                         placed: false,
@@ -51,8 +52,9 @@
                 else {
                     continue;
                 };
-                let here = place(&class.spread, &node);
-                let same = |h: &Held| h.service == service && place(&class.spread, &h.node) == here;
+                let here = domain(&class.spread, &node);
+                let same =
+                    |h: &HeldTask| h.service == service && domain(&class.spread, &h.node) == here;
                 let count = held
                     .iter()
                     .filter(|((who, _), h)| *who == line.who && same(h))
@@ -93,7 +95,7 @@
                     let node = text(&message["InPlace"]["node"]);
                     held.insert(
                         (line.who.clone(), uid.to_owned()),
-                        Held {
+                        HeldTask {
                             service,
                             node,
                             placed: true,
@@ -101,7 +103,7 @@
                     );
                 }
             }
-            // A planner that starts anew holds nothing.
+            // A restarted planner holds no tasks.
             "started" => held.retain(|(who, _), _| *who != line.who),
             _ => {}
         }
--- a/crates/testbed/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -1,7 +1,7 @@
-//! Many members of a fleet in simulated time, on a network with faults, all from one seed.
+//! Simulation of the membership protocol: many members in simulated time on a network with faults.
 //!
-//! What is played is a [`Script`]: who there is, and what goes wrong when. The same script and seed give the same run,
-//! so that a failing one can be cut down to what it needs and kept.
+//! A [`Script`] lists the members and the faults of a run. The same script and seed give the same run, so that a
+//! failing script can be reduced to the faults that it needs and kept as a test.
 
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -11,117 +11,119 @@
     Input, MemberId, MemberMetadata, Membership, MembershipView, Output, Role, Settings,
 };
 
-/// One thing that goes wrong.
+/// A fault, or a change of the members. The variant and field names are part of printed scripts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
-    /// What these send to those doesn't arrive.
+    /// Datagrams from these members to those are lost.
     Cut {
-        /// Senders.
+        /// Numbers of the senders.
         from: Vec<usize>,
-        /// Receivers.
+        /// Numbers of the receivers.
         to: Vec<usize>,
-        /// In seconds.
+        /// Duration in seconds.
         lasts: f64,
     },
-    /// This share of all datagrams is lost.
+    /// A share of all datagrams is lost.
     Loss {
-        /// From 0 to 1.
+        /// Share of the datagrams, from 0 to 1.
         share: f64,
-        /// In seconds.
+        /// Duration in seconds.
         lasts: f64,
     },
-    /// All datagrams take up to so many seconds longer, each another time: they overtake each other.
+    /// Each datagram is delayed by a random time, so that datagrams can arrive out of order.
     Delay {
-        /// In seconds.
+        /// Upper limit of the extra delay, in seconds.
         most: f64,
-        /// In seconds.
+        /// Duration in seconds.
         lasts: f64,
     },
-    /// This share of all datagrams arrives twice.
+    /// A share of all datagrams is duplicated.
     Twice {
-        /// From 0 to 1.
+        /// Share of the datagrams, from 0 to 1.
         share: f64,
-        /// In seconds.
+        /// Duration in seconds.
         lasts: f64,
     },
-    /// A member stands still; what is sent to it waits in its socket.
+    /// A member is suspended; datagrams to it wait in its socket buffer.
     Stop {
-        /// Whom.
+        /// Number of the member.
         who: usize,
-        /// In seconds.
+        /// Duration in seconds.
         lasts: f64,
     },
-    /// A member is killed, and started again under its name after that.
+    /// A member is killed, and restarted under the same name afterwards.
     Kill {
-        /// Whom.
+        /// Number of the member.
         who: usize,
-        /// In seconds; never where it is infinite.
+        /// Seconds until the restart; infinite for none.
         lasts: f64,
     },
-    /// A member that was not there joins.
+    /// A new member joins.
     Join {
-        /// Whom.
+        /// Number of the member.
         who: usize,
     },
-    /// A member ends in order.
+    /// A member leaves the fleet in an orderly way.
     Leave {
-        /// Whom.
+        /// Number of the member.
         who: usize,
     },
 }
 
-/// A run.
+/// Members and faults of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Script {
-    /// What all chance is drawn from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Members that are there from the start; the first two are everybody's seeds.
+    /// Number of members at the start; the first two are the seeds of all members.
     pub members: usize,
-    /// When something goes wrong, in seconds, in order.
+    /// Faults with their start in seconds, in order of time.
     pub faults: Vec<(f64, Fault)>,
 }
 
-/// What a socket holds for a member that reads nothing.
-const SOCKET_MOST: usize = 512;
-/// A datagram takes this long, and up to twice as long.
-const ON_THE_WAY: f64 = 0.000_5;
+/// Datagrams that the socket buffer of a suspended member holds; further ones are lost.
+const SOCKET_BUFFER_DATAGRAMS: usize = 512;
+/// Minimum transit time of a datagram in seconds; the maximum is twice that.
+const MIN_TRANSIT: f64 = 0.000_5;
 
-/// What was seen of one run.
+/// Statistics of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Datagrams and bytes that were sent.
+pub struct Observations {
+    /// Number of datagrams and bytes that were sent.
     pub sent: (u64, u64),
-    /// Members that were called lost while they ran and nothing was cut or stopped: when, by whom, whom.
-    pub wrong: Vec<(f64, usize, String)>,
-    /// The same, whatever went wrong.
-    pub lost: Vec<(f64, usize, String)>,
+    /// Members that were declared failed although they ran, with no cut or suspension in effect or recently over: time,
+    /// observer, and name of the member.
+    pub false_failures: Vec<(f64, usize, String)>,
+    /// Members that were declared failed although they ran, under any fault.
+    pub failures: Vec<(f64, usize, String)>,
 }
 
 struct Member {
     fleet: Option<Membership>,
     starts: u64,
-    /// Until when it stands still.
-    still: f64,
+    /// End of its suspension; 0 if it never was suspended.
+    suspended_until: f64,
     socket: VecDeque<Vec<u8>>,
-    /// It should be there: started, not killed for good, not left.
-    wanted: bool,
+    /// Whether it should run: it was started, has not left, and was not killed for good.
+    should_run: bool,
 }
 
-/// A network with its members.
-pub struct Net {
+/// The simulated network and its members.
+pub struct SimulatedNetwork {
     script: Script,
     settings: Settings,
     rng: rand_pcg::Pcg32,
-    /// The time, in seconds.
+    /// Simulated time in seconds.
     pub now: f64,
     members: Vec<Member>,
-    flying: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
-    numbered: u64,
-    going_on: Vec<(f64, Fault)>,
-    starts: Vec<(f64, usize)>,
-    next: usize,
-    /// What was seen.
-    pub seen: Seen,
+    in_flight: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
+    datagram_count: u64,
+    active_faults: Vec<(f64, Fault)>,
+    /// Time and member of each pending restart.
+    restarts: Vec<(f64, usize)>,
+    next_fault: usize,
+    /// Statistics so far.
+    pub observations: Observations,
 }
 
 fn address(who: usize) -> SocketAddr {
@@ -132,18 +134,18 @@
     format!("m{who:03}")
 }
 
-impl Net {
-    /// A network at time 0; all members that are there from the start join at once.
+impl SimulatedNetwork {
+    /// A network at time 0, where all initial members join at once.
     pub fn new(script: Script) -> Self {
         let settings = Settings {
             seed_addresses: vec![address(0), address(1)],
             ..Settings::default()
         };
-        Self::with(script, settings)
+        Self::with_settings(script, settings)
     }
 
-    /// The same with other settings of the members.
-    pub fn with(script: Script, settings: Settings) -> Self {
+    /// Like [`Self::new`], with other settings of the members.
+    pub fn with_settings(script: Script, settings: Settings) -> Self {
         let joins = script
             .faults
             .iter()
@@ -152,21 +154,21 @@
         let member = || Member {
             fleet: None,
             starts: 0,
-            still: 0.0,
+            suspended_until: 0.0,
             socket: VecDeque::new(),
-            wanted: false,
+            should_run: false,
         };
         let mut net = Self {
             rng: rand_pcg::Pcg32::seed_from_u64(script.seed),
             settings,
             now: 0.0,
             members: (0..script.members + joins).map(|_| member()).collect(),
-            flying: BTreeMap::new(),
-            numbered: 0,
-            going_on: Vec::new(),
-            starts: Vec::new(),
-            next: 0,
-            seen: Seen::default(),
+            in_flight: BTreeMap::new(),
+            datagram_count: 0,
+            active_faults: Vec::new(),
+            restarts: Vec::new(),
+            next_fault: 0,
+            observations: Observations::default(),
             script,
         };
         for who in 0..net.script.members {
@@ -189,13 +191,13 @@
         } else {
             Role::Planner
         };
-        let facts = MemberMetadata {
+        let metadata = MemberMetadata {
             zone: format!("zone-{}", who % 3),
             ..MemberMetadata::for_role(role)
         };
         let seed = self.script.seed ^ ((who as u64) << 32) ^ member.starts;
-        member.fleet = Membership::new(self.settings.clone(), own, facts, seed, self.now).ok();
-        member.wanted = true;
+        member.fleet = Membership::new(self.settings.clone(), own, metadata, seed, self.now).ok();
+        member.should_run = true;
         member.socket.clear();
     }
 
@@ -206,28 +208,28 @@
             | Fault::Delay { lasts, .. }
             | Fault::Twice { lasts, .. } => {
                 let until = self.now + lasts;
-                self.going_on.push((until, fault));
+                self.active_faults.push((until, fault));
             }
-            &Fault::Stop { who, lasts } => self.members[who].still = self.now + lasts,
+            &Fault::Stop { who, lasts } => self.members[who].suspended_until = self.now + lasts,
             &Fault::Kill { who, lasts } => {
                 let member = &mut self.members[who];
-                (member.fleet, member.wanted) = (None, lasts.is_finite());
+                (member.fleet, member.should_run) = (None, lasts.is_finite());
                 member.socket.clear();
                 if lasts.is_finite() {
-                    self.starts.push((self.now + lasts, who));
+                    self.restarts.push((self.now + lasts, who));
                 }
             }
             &Fault::Join { who } => self.start(who),
             &Fault::Leave { who } => {
-                self.members[who].wanted = false;
+                self.members[who].should_run = false;
                 self.step(who, vec![Input::LeaveFleet]);
                 self.members[who].fleet = None;
             }
         }
     }
 
-    /// When the last fault is over.
-    pub fn over_at(&self) -> f64 {
+    /// Time at which the last fault ends.
+    pub fn faults_end(&self) -> f64 {
         let end = |(at, fault): &(f64, Fault)| match fault {
             Fault::Cut { lasts, .. }
             | Fault::Loss { lasts, .. }
@@ -244,13 +246,14 @@
         self.script.faults.iter().map(end).fold(0.0, f64::max)
     }
 
-    /// Something that may make a live member look lost goes on, or was over just now.
+    /// Whether a cut or a suspension is in effect or was until 5 s ago: live members may then be declared failed.
     fn disturbed(&self) -> bool {
         let now = self.now;
         let cut =
             |(until, fault): &(f64, Fault)| matches!(fault, Fault::Cut { .. }) && now < until + 5.0;
-        let still = |member: &Member| now < member.still + 5.0 && member.still > 0.0;
-        self.going_on.iter().any(cut) || self.members.iter().any(still)
+        let suspended =
+            |member: &Member| now < member.suspended_until + 5.0 && member.suspended_until > 0.0;
+        self.active_faults.iter().any(cut) || self.members.iter().any(suspended)
     }
 
     fn step(&mut self, who: usize, inputs: Vec<Input>) {
@@ -267,9 +270,11 @@
                         member.fleet.is_some() && name(who) == lost
                     };
                     if self.members.iter().enumerate().any(runs) {
-                        self.seen.lost.push((self.now, who, lost.clone()));
+                        self.observations
+                            .failures
+                            .push((self.now, who, lost.clone()));
                         if !self.disturbed() {
-                            self.seen.wrong.push((self.now, who, lost));
+                            self.observations.false_failures.push((self.now, who, lost));
                         }
                     }
                 }
@@ -280,13 +285,16 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        self.seen.sent = (self.seen.sent.0 + 1, self.seen.sent.1 + bytes.len() as u64);
+        self.observations.sent = (
+            self.observations.sent.0 + 1,
+            self.observations.sent.1 + bytes.len() as u64,
+        );
         let to = usize::from(to.port()).wrapping_sub(10_000);
         if to >= self.members.len() {
             return;
         }
         let (mut copies, mut slower) = (1, 0.0);
-        for (_, fault) in &self.going_on {
+        for (_, fault) in &self.active_faults {
             match fault {
                 Fault::Cut {
                     from: senders,
@@ -302,35 +310,37 @@
             }
         }
         for _ in 0..copies {
-            self.numbered += 1;
-            let at = self.now + ON_THE_WAY * self.rng.random_range(1.0..2.0) + slower;
-            self.flying
-                .insert(((at * 1e6) as u64, self.numbered), (to, bytes.clone()));
+            self.datagram_count += 1;
+            let at = self.now + MIN_TRANSIT * self.rng.random_range(1.0..2.0) + slower;
+            self.in_flight.insert(
+                ((at * 1e6) as u64, self.datagram_count),
+                (to, bytes.clone()),
+            );
         }
     }
 
-    /// Plays until this time.
-    pub fn play(&mut self, until: f64) {
+    /// Runs the simulation until this time.
+    pub fn run_until(&mut self, until: f64) {
         loop {
             let fault = self
                 .script
                 .faults
-                .get(self.next)
+                .get(self.next_fault)
                 .map_or(f64::INFINITY, |fault| fault.0);
             let start = self
-                .starts
+                .restarts
                 .iter()
                 .map(|start| start.0)
                 .fold(f64::INFINITY, f64::min);
             let lands = self
-                .flying
+                .in_flight
                 .first_key_value()
                 .map_or(f64::INFINITY, |(at, _)| at.0 as f64 / 1e6);
             let wake = |member: &Member| {
                 member
                     .fleet
                     .as_ref()
-                    .map(|fleet| fleet.next_wake().max(member.still))
+                    .map(|fleet| fleet.next_wake().max(member.suspended_until))
             };
             let wakes = self
                 .members
@@ -347,22 +357,24 @@
             }
             self.now = self.now.max(at);
             let now = self.now;
-            self.going_on.retain(|(end, _)| now < *end);
+            self.active_faults.retain(|(end, _)| now < *end);
             if at == fault {
-                let fault = self.script.faults[self.next].1.clone();
-                self.next += 1;
+                let fault = self.script.faults[self.next_fault].1.clone();
+                self.next_fault += 1;
                 self.begin(fault);
             } else if at == start {
-                if let Some(place) = self.starts.iter().position(|start| start.0 == at) {
-                    let (_, who) = self.starts.swap_remove(place);
+                if let Some(place) = self.restarts.iter().position(|start| start.0 == at) {
+                    let (_, who) = self.restarts.swap_remove(place);
                     self.start(who);
                 }
             } else if at == lands {
-                if let Some((_, (to, bytes))) = self.flying.pop_first() {
+                if let Some((_, (to, bytes))) = self.in_flight.pop_first() {
                     let member = &mut self.members[to];
-                    if member.fleet.is_some() && now >= member.still {
+                    if member.fleet.is_some() && now >= member.suspended_until {
                         self.step(to, vec![Input::DatagramReceived(bytes)]);
-                    } else if member.fleet.is_some() && member.socket.len() < SOCKET_MOST {
+                    } else if member.fleet.is_some()
+                        && member.socket.len() < SOCKET_BUFFER_DATAGRAMS
+                    {
                         member.socket.push_back(bytes);
                     }
                 }
@@ -376,17 +388,23 @@
         }
     }
 
-    /// Views of all that run.
+    /// Numbers and views of all members that run.
     pub fn views(&self) -> Vec<(usize, MembershipView)> {
         let view = |(who, member): (usize, &Member)| Some((who, member.fleet.as_ref()?.view()));
         self.members.iter().enumerate().filter_map(view).collect()
     }
 
-    /// What is not as it should be: the views of all that run must be equal, true, and say that they are settled.
-    pub fn unsettled(&self) -> Option<String> {
+    /// Describes the first member whose view has not converged; `None` if the view of each running member lists exactly
+    /// the running members, has their metadata, and is marked as settled.
+    pub fn describe_unconverged(&self) -> Option<String> {
         let all = || self.members.iter().enumerate();
-        if let Some((who, _)) = all().find(|(_, member)| member.wanted != member.fleet.is_some()) {
-            return Some(format!("{} should run, or should not", name(who)));
+        if let Some((who, _)) =
+            all().find(|(_, member)| member.should_run != member.fleet.is_some())
+        {
+            return Some(format!(
+                "{}: running state differs from the script",
+                name(who)
+            ));
         }
         let run: Vec<String> = all()
             .filter(|(_, member)| member.fleet.is_some())
@@ -399,39 +417,40 @@
                     run.iter().filter(|name| !live.contains(name)).collect();
                 let more: Vec<&&String> = live.iter().filter(|name| !run.contains(name)).collect();
                 return Some(format!(
-                    "{} misses {missing:?}, has {more:?} too",
+                    "{}: view lacks {missing:?} and has extra {more:?}",
                     name(who)
                 ));
             }
             if let Some(seen) = view.live_members().find(|seen| seen.metadata.is_none()) {
-                return Some(format!("{} knows no facts of {}", name(who), seen.id.name));
-            }
-            if !view.settled {
                 return Some(format!(
-                    "{} does not know that the view is settled",
-                    name(who)
+                    "{}: view has no metadata of {}",
+                    name(who),
+                    seen.id.name
                 ));
             }
+            if !view.settled {
+                return Some(format!("{}: view is not marked as settled", name(who)));
+            }
         }
         None
     }
 
-    /// Plays until all is settled, in seconds from now; `None` where it takes longer than `most`.
-    pub fn settles(&mut self, most: f64) -> Option<f64> {
+    /// Runs until all views have converged and returns the seconds that took; `None` if it takes longer than `timeout`.
+    pub fn run_until_converged(&mut self, timeout: f64) -> Option<f64> {
         let from = self.now;
-        while self.now < from + most {
-            if self.unsettled().is_none() {
+        while self.now < from + timeout {
+            if self.describe_unconverged().is_none() {
                 return Some(self.now - from);
             }
-            self.play(self.now + 0.05);
+            self.run_until(self.now + 0.05);
         }
         None
     }
 }
 
 impl Script {
-    /// A script drawn from a seed: so many members, and several faults one after the other and at once.
-    pub fn draw(seed: u64, members: usize) -> Self {
+    /// A random script with this number of members and several faults, some of them at the same time.
+    pub fn random(seed: u64, members: usize) -> Self {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed.wrapping_mul(0x9e37_79b9));
         let (mut faults, mut joined) = (Vec::new(), 0);
         let mut gone = std::collections::BTreeSet::new();
@@ -524,25 +543,25 @@
         }
     }
 
-    /// Plays it, and says what is not settled `within` after the last fault.
-    pub fn fails(&self, within: f64) -> Option<String> {
-        let mut net = Net::new(self.clone());
-        net.play(net.over_at() + 1e-3);
-        if net.settles(within).is_some() {
+    /// Runs the script and describes what has not converged `within` seconds after the last fault; `None` on success.
+    pub fn failure(&self, within: f64) -> Option<String> {
+        let mut net = SimulatedNetwork::new(self.clone());
+        net.run_until(net.faults_end() + 1e-3);
+        if net.run_until_converged(within).is_some() {
             None
         } else {
-            net.unsettled()
+            net.describe_unconverged()
         }
     }
 
-    /// The same with as few faults as still fail.
-    pub fn shortest(&self, within: f64) -> Self {
+    /// Reduces a failing script to as few faults as still fail.
+    pub fn reduced(&self, within: f64) -> Self {
         let mut script = self.clone();
         let mut at = 0;
         while at < script.faults.len() {
             let mut less = script.clone();
             less.faults.remove(at);
-            if less.fails(within).is_some() {
+            if less.failure(within).is_some() {
                 script = less;
             } else {
                 at += 1;
--- a/crates/testbed/tests/simnet.rs
+++ b/crates/testbed/tests/simnet.rs
@@ -1,8 +1,8 @@
-//! Many members of a fleet in simulated time. A run that fails is printed as the shortest script that still does.
+//! The membership protocol in simulated time. A failing run is printed as the shortest script that still fails.
 
-use tidespur_testbed::simnet::{Fault, Net, Script};
+use tidespur_testbed::simnet::{Fault, Script, SimulatedNetwork};
 
-/// Seconds after the last fault in which all must be settled.
+/// Seconds after the last fault within which all views must converge.
 const WITHIN: f64 = 10.0;
 
 fn script(members: usize, faults: Vec<(f64, Fault)>) -> Script {
@@ -13,48 +13,56 @@
     }
 }
 
-/// Scripts drawn from these seeds, all settled in time.
-fn settle(seeds: std::ops::Range<u64>, members: usize) {
+/// Checks that random scripts with these seeds converge in time.
+fn check_random_scripts(seeds: std::ops::Range<u64>, members: usize) {
     for seed in seeds {
-        let script = Script::draw(seed, members);
-        if script.fails(WITHIN).is_some() {
-            let shortest = script.shortest(WITHIN);
-            let why = shortest.fails(WITHIN).unwrap_or_default();
+        let script = Script::random(seed, members);
+        if script.failure(WITHIN).is_some() {
+            let reduced = script.reduced(WITHIN);
+            let why = reduced.failure(WITHIN).unwrap_or_default();
             panic!(
                 "seed {seed}: {why}: {}",
-                serde_json::to_string(&shortest).unwrap()
+                serde_json::to_string(&reduced).unwrap()
             );
         }
     }
 }
 
-/// More seeds by `FLEET_SEEDS=from-to` and `FLEET_MEMBERS=n`.
+/// `FLEET_SEEDS=from-to` and `FLEET_MEMBERS=n` select other seeds and sizes.
 #[test]
-fn drawn_scripts_settle() {
+fn random_scripts_converge() {
     let number = |text: &str| text.parse().expect("a number");
     let seeds = std::env::var("FLEET_SEEDS").ok();
     let members = std::env::var("FLEET_MEMBERS").ok();
     if let Some((from, to)) = seeds.as_deref().and_then(|seeds| seeds.split_once('-')) {
-        return settle(
+        return check_random_scripts(
             number(from)..number(to),
             members.map_or(8, |members| number(&members) as usize),
         );
     }
-    settle(0..200, 6);
-    settle(200..240, 16);
+    check_random_scripts(0..200, 6);
+    check_random_scripts(200..240, 16);
 }
 
 #[test]
-fn a_join_is_known_to_all_sixteen_within_a_second() {
-    let mut net = Net::new(script(16, vec![(5.0, Fault::Join { who: 16 })]));
-    assert!(net.settles(4.0).is_some(), "{:?}", net.unsettled());
-    net.play(5.0 + 1e-3);
-    assert!(net.settles(1.5).is_some(), "{:?}", net.unsettled());
+fn a_join_reaches_all_sixteen_members_in_time() {
+    let mut net = SimulatedNetwork::new(script(16, vec![(5.0, Fault::Join { who: 16 })]));
+    assert!(
+        net.run_until_converged(4.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
+    net.run_until(5.0 + 1e-3);
+    assert!(
+        net.run_until_converged(1.5).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
 #[test]
-fn a_crash_is_known_to_all_sixteen_within_three_seconds() {
-    let mut net = Net::new(script(
+fn a_crash_is_detected_by_all_sixteen_members_within_three_seconds() {
+    let mut net = SimulatedNetwork::new(script(
         16,
         vec![(
             5.0,
@@ -64,14 +72,18 @@
             },
         )],
     ));
-    net.play(5.0 + 1e-3);
-    assert!(net.settles(3.0).is_some(), "{:?}", net.unsettled());
+    net.run_until(5.0 + 1e-3);
+    assert!(
+        net.run_until_converged(3.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
-/// SIGSTOP for ten seconds, then SIGCONT: it must not give up all others before it has read what they sent.
+/// A member that was suspended for ten seconds must read the waiting datagrams before it declares the others failed.
 #[test]
-fn a_member_that_stood_still_doubts_itself_and_not_the_others() {
-    let mut net = Net::new(script(
+fn a_suspended_member_does_not_declare_the_others_failed() {
+    let mut net = SimulatedNetwork::new(script(
         12,
         vec![(
             5.0,
@@ -81,11 +93,15 @@
             },
         )],
     ));
-    net.play(15.0 + 1e-3);
-    assert!(net.settles(5.0).is_some(), "{:?}", net.unsettled());
+    net.run_until(15.0 + 1e-3);
+    assert!(
+        net.run_until_converged(5.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
     let by_it: Vec<_> = net
-        .seen
-        .lost
+        .observations
+        .failures
         .iter()
         .filter(|(_, who, _)| *who == 4)
         .collect();
@@ -98,9 +114,9 @@
     assert_eq!(view.stalls, 1);
 }
 
-/// Halves that have given each other up find each other again, with those that joined on both sides meanwhile.
+/// After a partition, both halves find each other again, including the members that joined on each side meanwhile.
 #[test]
-fn two_halves_meet_again_after_thirty_seconds() {
+fn two_halves_merge_after_a_partition_of_thirty_seconds() {
     let (left, right): (Vec<usize>, Vec<usize>) =
         (vec![0, 2, 4, 6, 8, 10], vec![1, 3, 5, 7, 9, 11]);
     let cut = |from: &Vec<usize>, to: &Vec<usize>| Fault::Cut {
@@ -114,21 +130,25 @@
         (15.0, Fault::Join { who: 10 }),
         (16.0, Fault::Join { who: 11 }),
     ];
-    let mut net = Net::new(script(10, faults));
-    net.play(30.0);
+    let mut net = SimulatedNetwork::new(script(10, faults));
+    net.run_until(30.0);
     let halves: Vec<usize> = net
         .views()
         .iter()
         .map(|(_, view)| view.live_members().count())
         .collect();
     assert!(halves.iter().all(|live| *live == 6), "{halves:?}");
-    net.play(35.0 + 1e-3);
-    assert!(net.settles(10.0).is_some(), "{:?}", net.unsettled());
+    net.run_until(35.0 + 1e-3);
+    assert!(
+        net.run_until_converged(10.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
-/// A hears B, B does not hear A: others answer for both, and neither is given up.
+/// With a cut in one direction between two members, the indirect probes of others keep both alive.
 #[test]
-fn a_cut_in_one_direction_between_two_makes_nobody_lost() {
+fn a_one_way_cut_between_two_members_causes_no_failures() {
     let faults = vec![(
         5.0,
         Fault::Cut {
@@ -137,15 +157,23 @@
             lasts: 60.0,
         },
     )];
-    let mut net = Net::new(script(12, faults));
-    net.play(65.0 + 1e-3);
-    assert!(net.seen.lost.is_empty(), "{:?}", net.seen.lost);
-    assert!(net.settles(5.0).is_some(), "{:?}", net.unsettled());
+    let mut net = SimulatedNetwork::new(script(12, faults));
+    net.run_until(65.0 + 1e-3);
+    assert!(
+        net.observations.failures.is_empty(),
+        "{:?}",
+        net.observations.failures
+    );
+    assert!(
+        net.run_until_converged(5.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
-/// Nobody hears one member, which hears all: it is given up, and does not come and go by turns.
+/// A member that receives but whose datagrams are all lost is declared failed and does not flap.
 #[test]
-fn a_member_that_nobody_hears_is_given_up_and_does_not_flap() {
+fn a_member_that_cannot_send_is_declared_failed_and_does_not_flap() {
     let others: Vec<usize> = (0..12).filter(|who| *who != 3).collect();
     let faults = vec![(
         5.0,
@@ -155,28 +183,35 @@
             lasts: 60.0,
         },
     )];
-    let mut net = Net::new(script(12, faults));
-    net.play(64.0);
+    let mut net = SimulatedNetwork::new(script(12, faults));
+    net.run_until(64.0);
     for (who, view) in net.views().iter().filter(|(who, _)| *who != 3) {
         assert!(
             !view.live_members().any(|seen| seen.id.name == "m003"),
-            "m{who:03} sees it"
+            "m{who:03} lists it"
         );
         assert_eq!(view.live_members().count(), 11);
     }
     let times = net
-        .seen
-        .lost
+        .observations
+        .failures
         .iter()
         .filter(|(_, who, lost)| *who != 3 && lost == "m003")
         .count();
-    assert!(times <= 22, "given up {times} times by eleven");
-    net.play(65.0 + 1e-3);
-    assert!(net.settles(10.0).is_some(), "{:?}", net.unsettled());
+    assert!(
+        times <= 22,
+        "declared failed {times} times by eleven members"
+    );
+    net.run_until(65.0 + 1e-3);
+    assert!(
+        net.run_until_converged(10.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
 #[test]
-fn a_third_that_is_killed_and_starts_under_the_same_names_is_back() {
+fn a_third_that_is_killed_and_restarted_under_the_same_names_rejoins() {
     let kill = |who| {
         (
             5.0,
@@ -186,9 +221,13 @@
             },
         )
     };
-    let mut net = Net::new(script(20, (0..6).map(kill).collect()));
-    net.play(net.over_at() + 1e-3);
-    assert!(net.settles(10.0).is_some(), "{:?}", net.unsettled());
+    let mut net = SimulatedNetwork::new(script(20, (0..6).map(kill).collect()));
+    net.run_until(net.faults_end() + 1e-3);
+    assert!(
+        net.run_until_converged(10.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
     let back = net.views().iter().all(|(_, view)| {
         view.live_members()
             .filter(|seen| seen.id.incarnation == 2)
@@ -198,9 +237,9 @@
     assert!(back);
 }
 
-/// The first seed is gone for good: whoever joins later finds the fleet by the second.
+/// With the first seed gone for good, a later member joins through the second.
 #[test]
-fn a_seed_that_is_gone_for_good_keeps_nobody_out() {
+fn a_member_joins_although_the_first_seed_is_gone() {
     let faults = vec![
         (
             5.0,
@@ -211,15 +250,19 @@
         ),
         (20.0, Fault::Join { who: 8 }),
     ];
-    let mut net = Net::new(script(8, faults));
-    net.play(20.0 + 1e-3);
-    assert!(net.settles(3.0).is_some(), "{:?}", net.unsettled());
+    let mut net = SimulatedNetwork::new(script(8, faults));
+    net.run_until(20.0 + 1e-3);
+    assert!(
+        net.run_until_converged(3.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
 
-/// A third of all datagrams lost, for a minute: nobody stays lost for five seconds.
+/// With 30 % of all datagrams lost for a minute, no member stays failed in any view for five seconds.
 #[test]
-fn loss_on_all_links_makes_nobody_lost_for_long() {
-    let mut net = Net::new(script(
+fn datagram_loss_causes_no_long_failures() {
+    let mut net = SimulatedNetwork::new(script(
         16,
         vec![(
             5.0,
@@ -231,7 +274,7 @@
     ));
     let mut since = std::collections::BTreeMap::new();
     while net.now < 65.0 {
-        net.play(net.now + 0.1);
+        net.run_until(net.now + 0.1);
         let mut gone = std::collections::BTreeSet::new();
         for (who, view) in net.views() {
             for seen in view.members.iter().filter(|seen| !seen.status.is_alive()) {
@@ -247,7 +290,11 @@
 }
 
 #[test]
-fn two_hundred_that_join_at_once_settle() {
-    let mut net = Net::new(script(200, vec![]));
-    assert!(net.settles(15.0).is_some(), "{:?}", net.unsettled());
+fn two_hundred_members_that_join_at_once_converge() {
+    let mut net = SimulatedNetwork::new(script(200, vec![]));
+    assert!(
+        net.run_until_converged(15.0).is_some(),
+        "{:?}",
+        net.describe_unconverged()
+    );
 }
