--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker catches each rule broken on purpose, and finds nothing in a clean day.
+//! The checker reports a violation of each rule, and none in the recording of a clean run.
 
 use serde_json::{Value, json};
 use tidespur_testbed::checker::{Rules, Traffic, check_traffic};
@@ -31,7 +31,7 @@
 fn answer(t: f64, uid: &str, node: &str, attempt: u32, said: &str) -> Value {
     json!({"t": t, "who": "planner-0", "what": "answer", "uid": uid, "node": node, "attempt": attempt, "said": said})
 }
-fn taken(t: f64, node: &str, key: &str, class: &str) -> Value {
+fn accepted(t: f64, node: &str, key: &str, class: &str) -> Value {
     json!({"t": t, "who": node, "what": "answer", "key": key, "class": class, "said": "accepted", "way": "Sent"})
 }
 fn told(t: f64, node: &str, unschedulable: bool, up_since: f64) -> Value {
@@ -42,15 +42,15 @@
     json!({"t": t, "who": node, "what": "up", "zone": "a", "rack": "1"})
 }
 
-/// One task, placed in time.
-fn clean() -> Vec<Value> {
+/// Recording of a run with one task that is placed in time.
+fn clean_run() -> Vec<Value> {
     vec![
         up(0.0, "n1"),
         up(0.0, "n2"),
         told(0.5, "n1", false, 0.0),
         pod(1.0, "u1", "web", "", ""),
         send(1.1, "u1", "web", "s", "n1", 0),
-        taken(1.15, "n1", "u1", "web"),
+        accepted(1.15, "n1", "u1", "web"),
         answer(1.2, "u1", "n1", 0, "accepted"),
         json!({"t": 1.21, "who": "planner-0", "what": "tell", "message": {"Placed": {"uid": "u1", "node": "n1"}}}),
         pod(1.3, "u1", "web", "n1", ""),
@@ -58,8 +58,8 @@
     ]
 }
 
-fn broken(more: Vec<Value>, without: impl Fn(&Value) -> bool) -> Vec<String> {
-    let lines = clean()
+fn broken_rules(more: Vec<Value>, without: impl Fn(&Value) -> bool) -> Vec<String> {
+    let lines = clean_run()
         .into_iter()
         .filter(|line| !without(line))
         .chain(more)
@@ -73,20 +73,20 @@
 }
 
 #[test]
-fn a_clean_day_breaks_nothing() {
-    assert_eq!(broken(vec![], none), Vec::<String>::new());
+fn a_clean_run_has_no_violations() {
+    assert_eq!(broken_rules(vec![], none), Vec::<String>::new());
 }
 
 #[test]
-fn a_task_without_an_answer_is_lost() {
+fn a_request_without_an_outcome_is_reported() {
     let unanswered = |line: &Value| line["what"] == "pod" && line["node"] == "n1";
-    assert_eq!(broken(vec![], unanswered), ["no task lost"]);
+    assert_eq!(broken_rules(vec![], unanswered), ["no task lost"]);
 }
 
 #[test]
-fn a_late_answer_is_a_lost_task() {
+fn a_late_outcome_is_reported() {
     assert_eq!(
-        broken(
+        broken_rules(
             vec![
                 pod(8.0, "u2", "web", "n1", ""),
                 pod(1.0, "u2", "web", "", "")
@@ -98,17 +98,17 @@
 }
 
 #[test]
-fn two_outcomes_are_one_too_many() {
+fn a_second_outcome_is_reported() {
     assert_eq!(
-        broken(vec![pod(1.4, "u1", "web", "", "PlacementRefused")], none),
+        broken_rules(vec![pod(1.4, "u1", "web", "", "PlacementRefused")], none),
         ["no task lost"]
     );
 }
 
 #[test]
-fn a_send_after_the_answer_is_seen() {
+fn an_offer_after_the_outcome_is_reported() {
     assert_eq!(
-        broken(
+        broken_rules(
             vec![
                 send(2.0, "u1", "web", "s", "n2", 1),
                 answer(2.1, "u1", "n2", 1, "accepted")
@@ -120,58 +120,61 @@
 }
 
 #[test]
-fn an_unsafe_task_sent_again_after_silence_is_seen() {
+fn an_unsafe_task_sent_again_after_a_timeout_is_reported() {
     let again = vec![
         send(2.0, "u9", "run", "t", "n1", 0),
         answer(3.0, "u9", "n1", 0, "no answer in time"),
         send(3.1, "u9", "run", "t", "n2", 1),
         answer(3.2, "u9", "n2", 1, "accepted"),
     ];
-    assert_eq!(broken(again.clone(), none), ["no double effect"]);
-    let mut proven = again;
-    proven[1] = answer(3.0, "u9", "n1", 0, "no connection: refused");
-    assert_eq!(broken(proven, none), Vec::<String>::new());
+    assert_eq!(broken_rules(again.clone(), none), ["no double effect"]);
+    let mut proven_not_run = again;
+    proven_not_run[1] = answer(3.0, "u9", "n1", 0, "no connection: refused");
+    assert_eq!(broken_rules(proven_not_run, none), Vec::<String>::new());
 }
 
 #[test]
-fn two_attempts_out_at_once_are_seen() {
+fn two_open_attempts_are_reported() {
     let both = vec![
         send(2.0, "u9", "web", "t", "n1", 0),
         send(2.1, "u9", "web", "t", "n2", 1),
     ];
-    assert_eq!(broken(both, none), ["no double effect"]);
+    assert_eq!(broken_rules(both, none), ["no double effect"]);
 }
 
 #[test]
-fn an_unsafe_task_held_by_two_nodes_is_seen_and_one_on_a_dead_node_is_not() {
-    let both = vec![taken(2.0, "n1", "k", "run"), taken(3.0, "n2", "k", "run")];
-    assert_eq!(broken(both.clone(), none), ["no double effect"]);
-    let mut dead = both;
-    dead.push(json!({"t": 2.5, "who": "rig", "what": "killed", "node": "n1"}));
-    assert_eq!(broken(dead, none), Vec::<String>::new());
+fn an_unsafe_task_on_two_nodes_is_reported_unless_one_was_killed() {
+    let both = vec![
+        accepted(2.0, "n1", "k", "run"),
+        accepted(3.0, "n2", "k", "run"),
+    ];
+    assert_eq!(broken_rules(both.clone(), none), ["no double effect"]);
+    let mut killed = both;
+    killed.push(json!({"t": 2.5, "who": "rig", "what": "killed", "node": "n1"}));
+    assert_eq!(broken_rules(killed, none), Vec::<String>::new());
 }
 
 #[test]
-fn a_send_to_a_draining_node_is_seen_after_the_grace_alone() {
+fn an_offer_to_a_draining_node_is_reported_only_after_the_grace_period() {
     let late = vec![
         told(2.0, "n2", true, 0.0),
         send(3.5, "u9", "web", "t", "n2", 0),
         answer(3.6, "u9", "n2", 0, "accepted"),
     ];
-    assert_eq!(broken(late.clone(), none), ["drains kept"]);
-    let mut soon = late;
-    soon[1] = send(2.9, "u9", "web", "t", "n2", 0);
-    assert_eq!(broken(soon, none), Vec::<String>::new());
+    assert_eq!(broken_rules(late.clone(), none), ["drains kept"]);
+    let mut in_time = late;
+    in_time[1] = send(2.9, "u9", "web", "t", "n2", 0);
+    assert_eq!(broken_rules(in_time, none), Vec::<String>::new());
 }
 
 #[test]
-fn a_cold_node_pushed_over_by_those_who_knew_is_seen() {
-    let fall = |known: bool| {
+fn overload_of_a_cold_node_by_informed_planners_is_reported() {
+    let overload = |informed: bool| {
         let mut lines = vec![
             up(4.0, "n2"),
             json!({"t": 4.9, "who": "n2", "what": "fell"}),
         ];
-        if known {
+        if informed {
             lines.push(told(4.2, "n2", false, 4.0));
         }
         lines.extend((0..9).map(
@@ -179,12 +182,15 @@
         ));
         lines
     };
-    assert_eq!(broken(fall(true), none), ["no cold machine pushed over"]);
-    assert_eq!(broken(fall(false), none), Vec::<String>::new());
+    assert_eq!(
+        broken_rules(overload(true), none),
+        ["no cold machine pushed over"]
+    );
+    assert_eq!(broken_rules(overload(false), none), Vec::<String>::new());
 }
 
 #[test]
-fn a_third_copy_on_one_node_is_seen() {
+fn a_task_beyond_the_spread_limit_is_reported() {
     let copy = |i: u32| {
         let uid = format!("c{i}");
         let t = 2.0 + f64::from(i);
@@ -194,17 +200,17 @@
         ]
     };
     assert_eq!(
-        broken([copy(0), copy(1)].concat(), none),
+        broken_rules([copy(0), copy(1)].concat(), none),
         Vec::<String>::new()
     );
     assert_eq!(
-        broken([copy(0), copy(1), copy(2)].concat(), none),
+        broken_rules([copy(0), copy(1), copy(2)].concat(), none),
         ["spread kept"]
     );
 }
 
 #[test]
-fn scenarios_in_the_repository_are_read_and_bad_ones_are_named() {
+fn scenario_files_parse_and_errors_name_the_block() {
     for entry in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios")).unwrap()
     {
         let path = entry.unwrap().path();
--- a/crates/testbed/tests/compatibility.rs
+++ b/crates/testbed/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Scenario files: the keys and the kinds of trouble that they are written with.
+//! The names of the scenario files, their keys and the types of fault in them stay valid.
 
 #[path = "../../cli/tests/common/fixture.rs"]
 mod fixture;
@@ -10,7 +10,7 @@
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 
-/// Every key of a day, of its work and of its troubles, each with a value that is not its default.
+/// A scenario with every key of all blocks, each with a value other than its default.
 const FULL: &str = include_str!("fixtures/full.hcl");
 
 fn scenarios() -> Vec<(String, String)> {
@@ -25,7 +25,7 @@
     files
 }
 
-/// `key = value` pairs of a scenario, with the sort of block that they stand in.
+/// Block type, key and value of each attribute of a scenario; `day` is the top level.
 fn attributes(text: &str) -> Vec<(&str, &str, &str)> {
     let mut block = "day";
     let mut attributes = Vec::new();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn scenario_files_are_there_and_parse() {
+fn scenario_files_exist_and_parse() {
     let files = scenarios();
     fixture::check(
         PACKAGE,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn keys_of_scenarios_are_still_read() {
+fn scenario_keys_are_still_read() {
     let mut used: BTreeSet<String> = BTreeSet::new();
     for (_, text) in scenarios()
         .iter()
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn no_other_key_is_known() {
+fn unknown_keys_are_rejected_and_all_known_ones_are_listed() {
     for (block, text) in [
         ("day", format!("no_such_key = 1\n{FULL}")),
         (
@@ -118,10 +118,10 @@
             ),
         ),
     ] {
-        let problem = Scenario::parse(&text).unwrap_err().to_string();
-        let (_, offered) = problem
+        let error = Scenario::parse(&text).unwrap_err().to_string();
+        let (_, offered) = error
             .split_once("unknown field `no_such_key`, expected ")
-            .expect(&problem);
+            .expect(&error);
         let offered: BTreeSet<&str> = offered.split('`').skip(1).step_by(2).collect();
         let mut known: BTreeSet<&str> = attributes(FULL)
             .into_iter()
@@ -136,16 +136,16 @@
 }
 
 #[test]
-fn kinds_of_trouble_are_accepted_by_their_names() {
-    let of_files = scenarios();
-    let used = of_files.iter().flat_map(|(_, text)| attributes(text));
+fn fault_types_are_accepted_by_their_names() {
+    let files = scenarios();
+    let used = files.iter().flat_map(|(_, text)| attributes(text));
     let kinds = used.filter(|(block, key, _)| (*block, *key) == ("trouble", "kind"));
     let kinds: BTreeSet<String> = kinds.map(|(.., kind)| kind.to_owned()).collect();
     let with = |kind: &str| {
         Scenario::parse(&FULL.replace("kind     = \"crash\"", &format!("kind = \"{kind}\"")))
     };
-    let problem = with("no-such-kind").unwrap_err().to_string();
-    let (_, offered) = problem.split_once("expected one of ").expect(&problem);
+    let error = with("no-such-kind").unwrap_err().to_string();
+    let (_, offered) = error.split_once("expected one of ").expect(&error);
     let offered: BTreeSet<String> = offered
         .split('`')
         .skip(1)
--- a/crates/testbed/tests/oracle.rs
+++ b/crates/testbed/tests/oracle.rs
@@ -1,11 +1,12 @@
-//! The oracle of reasons catches a reason that was falsified, and one that is missing.
+//! The check of pending reasons reports false and missing reasons, and accepts true ones.
 
 use serde_json::{Value, json};
 use tidespur_testbed::checker::Traffic;
 use tidespur_testbed::oracle::{ReasonReport, check_reasons};
 
-/// A day of four nodes: one drains, one is full, two have room but the service's limit holds there.
-fn day(change: impl Fn(usize, &mut Value)) -> ReasonReport {
+/// Checks a recording with four nodes, changed by `change`: one drains, one is full, and two have room but reached the
+/// spread limit of the service.
+fn check_run(change: impl Fn(usize, &mut Value)) -> ReasonReport {
     let node = |name: &str, drains: bool, memory: f64| json!({"name": name, "drains": drains, "asked": [1.0, memory], "admits": [60.0, 57.6]});
     let lines = (0..12).map(|i| {
         let t = 100.0 + i as f64 * 0.5;
@@ -22,18 +23,18 @@
 }
 
 #[test]
-fn the_truth_passes() {
-    let verdict = day(|_, _| {});
+fn true_reasons_pass() {
+    let report = check_run(|_, _| {});
     assert!(
-        verdict.judged >= 5 && verdict.falsified.is_empty() && verdict.missing.is_empty(),
-        "{verdict:?}"
+        report.judged >= 5 && report.falsified.is_empty() && report.missing.is_empty(),
+        "{report:?}"
     );
 }
 
 #[test]
-fn falsified_reasons_are_caught() {
+fn false_reasons_are_reported() {
     let bars = |bars: Value| {
-        day(move |i, line| {
+        check_run(move |i, line| {
             if i == 10 {
                 line["records"][0]["word"]["diagnosis"]["bars"] = bars.clone();
             }
@@ -41,36 +42,42 @@
     };
     let cases = [
         (
-            "a drain that is none",
+            "too many draining nodes",
             json!({"Spread": 1, "Draining": 2, "Memory": 1}),
         ),
-        ("a drain left out", json!({"Spread": 3, "Memory": 1})),
+        ("no draining node", json!({"Spread": 3, "Memory": 1})),
         (
-            "full nodes that have room",
+            "nodes with room reported as full",
             json!({"Memory": 3, "Draining": 1}),
         ),
-        ("nodes called open that are shut", json!({"Draining": 1})),
         (
-            "more nodes than there are",
+            "unavailable nodes reported as available",
+            json!({"Draining": 1}),
+        ),
+        (
+            "more excluded nodes than exist",
             json!({"Spread": 9, "Draining": 1, "Memory": 1}),
         ),
     ];
     for (what, case) in cases {
-        let verdict = bars(case);
-        assert!(!verdict.falsified.is_empty(), "{what} passed: {verdict:?}");
+        let report = bars(case);
+        assert!(
+            !report.falsified.is_empty(),
+            "{what}: not reported: {report:?}"
+        );
     }
 }
 
 #[test]
-fn a_task_without_a_reason_is_caught_and_a_change_within_the_age_is_not() {
-    let verdict = day(|i, line| {
+fn a_missing_reason_is_reported_and_a_recent_change_is_tolerated() {
+    let report = check_run(|i, line| {
         if i == 6 {
             line["records"] = json!([]);
         }
     });
-    assert_eq!(verdict.missing.len(), 1, "{verdict:?}");
-    // The drain ends between two samples; for a moment the old word still stands.
-    let verdict = day(|i, line| {
+    assert_eq!(report.missing.len(), 1, "{report:?}");
+    // The drain ends between two samples; for a short time the previous reason is still reported.
+    let report = check_run(|i, line| {
         if i >= 8 {
             line["nodes"][0]["drains"] = false.into();
         }
@@ -78,5 +85,5 @@
             line["records"][0]["word"]["diagnosis"]["bars"] = json!({"Spread": 3, "Memory": 1});
         }
     });
-    assert!(verdict.falsified.is_empty(), "{verdict:?}");
+    assert!(report.falsified.is_empty(), "{report:?}");
 }
