--- a/fuzz/fuzz_targets/parsers.rs
+++ b/fuzz/fuzz_targets/parsers.rs
@@ -1,5 +1,5 @@
-//! All parsers that read what comes from outside. The first byte chooses one; whatever follows may be refused, but
-//! must not panic, and what was read must be written and read again as the same.
+//! Fuzz target of all parsers of input from peers and clients. The first byte selects the parser. The rest may be
+//! rejected but must not cause a panic, and a parsed message must survive encoding and parsing again.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -9,43 +9,45 @@
 use tidespur_api::{quantity, validate};
 use tidespur_planner_protocol::{Decoder, ToEdge, ToPlanner, encode};
 
-fn frames<T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(
+fn planner_messages<
+    T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug,
+>(
     data: &[u8],
 ) {
     let mut decoder = Decoder::default();
-    // In two parts, as a socket may bring it.
-    let (a, b) = data.split_at(data.len() / 2);
-    decoder.feed(a);
+    // Fed in two parts, as it may arrive from a socket.
+    let (head, tail) = data.split_at(data.len() / 2);
+    decoder.feed(head);
     let _ = decoder.next_message::<T>();
-    decoder.feed(b);
+    decoder.feed(tail);
     while let Ok(Some(message)) = decoder.next_message::<T>() {
         let Ok(bytes) = encode(&message) else {
             continue;
         };
-        let mut again = Decoder::default();
-        again.feed(&bytes);
-        assert!(matches!(again.next_message::<T>(), Ok(Some(_))));
+        let mut second_decoder = Decoder::default();
+        second_decoder.feed(&bytes);
+        assert!(matches!(second_decoder.next_message::<T>(), Ok(Some(_))));
     }
 }
 
-fn platform(data: &[u8]) {
+fn gateway_messages(data: &[u8]) {
     let mut decoder = tidespur_gateway::message::Decoder::default();
-    let (a, b) = data.split_at(data.len() / 2);
-    decoder.feed(a);
+    let (head, tail) = data.split_at(data.len() / 2);
+    decoder.feed(head);
     let first = decoder.next_message();
-    decoder.feed(b);
+    decoder.feed(tail);
     if first.is_err() {
         return;
     }
-    let mut read: Vec<u8> = first
+    let mut encoded: Vec<u8> = first
         .into_iter()
         .flatten()
         .flat_map(|message| message.encode())
         .collect();
     while let Ok(Some(message)) = decoder.next_message() {
-        read.extend(message.encode());
+        encoded.extend(message.encode());
     }
-    assert!(data.starts_with(&read));
+    assert!(data.starts_with(&encoded));
 }
 
 fuzz_target!(|data: &[u8]| {
@@ -54,14 +56,14 @@
     };
     let text = std::str::from_utf8(data).unwrap_or("");
     match first % 7 {
-        0 => frames::<ToEdge>(data),
-        1 => frames::<ToPlanner>(data),
+        0 => planner_messages::<ToEdge>(data),
+        1 => planner_messages::<ToPlanner>(data),
         2 => {
             if let Ok(amount) = quantity::parse(text) {
                 assert!(amount.is_finite() && amount >= 0.0);
             }
         }
-        4 => platform(data),
+        4 => gateway_messages(data),
         5 => {
             let mut events = tidespur_gateway::discovery::EventStreamDecoder::default();
             for line in data.split(|&byte| byte == b'\n') {
