--- a/scenarios/all-troubles.hcl
+++ b/scenarios/all-troubles.hcl
@@ -1,4 +1,4 @@
-# Every kind of trouble that the rig knows, each alone for a while, then several at once.
+# Every type of fault that the testbed supports, each alone first, then several at once.
 nodes    = 16
 planners = 3
 edges    = 2
--- a/scenarios/bad-day.hcl
+++ b/scenarios/bad-day.hcl
@@ -1,5 +1,5 @@
-# A bad day: a rush of short front-end copies and some large runs that must not start twice, while a rack dies and
-# comes back cold, nodes stand still, answers get lost, a node drains, a planner is killed and the register stalls.
+# Many short tasks of a web service and some large tasks that must not run twice, while a rack is killed and restarted
+# cold, nodes are suspended, responses are lost, a node drains, a planner is killed and the registry is suspended.
 nodes    = 16
 planners = 3
 clients  = 20
--- a/scenarios/morning.hcl
+++ b/scenarios/morning.hcl
@@ -1,4 +1,4 @@
-# The demo: a morning on which appointments are released, and a rack dies halfway.
+# Scenario of the demo: load when new appointments are released, while a rack is killed and restarted cold.
 clients = 10
 seconds = 12
 rest    = 30
--- a/scenarios/waiting.hcl
+++ b/scenarios/waiting.hcl
@@ -1,5 +1,5 @@
-# A day on which much work waits: too few nodes for what is asked, some of them taken out of service, a rack that dies,
-# a planner that is killed, one that stands still. Its point are the reasons that waiting tasks are given.
+# Many pending tasks: too few nodes for the load, some of them drained, a rack that is killed, a planner that is killed
+# and one that is suspended. It tests the reasons that pending tasks report.
 nodes    = 8
 planners = 2
 clients  = 10
