--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -1,4 +1,4 @@
-//! `badday`: plays a scenario through real processes and judges the traffic.
+//! `badday`: runs a fault scenario against real processes and checks the recorded traffic.
 
 use crate::up::layout;
 use clap::{Args, ValueEnum};
@@ -9,11 +9,11 @@
 use tidespur_testbed::play::{Progress, play};
 use tidespur_testbed::scenario::Scenario;
 
-/// The day that is played where no file is named.
-pub const BAD_DAY: &str = include_str!("../../../scenarios/bad-day.hcl");
+/// The scenario that runs when no file is given.
+const DEFAULT_SCENARIO: &str = include_str!("../../../scenarios/bad-day.hcl");
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+pub enum ReportFormat {
     Text,
     Json,
 }
@@ -27,8 +27,8 @@
     #[arg(long)]
     scenario: Option<PathBuf>,
     /// Form of the report
-    #[arg(long, value_enum, default_value_t = Form::Text)]
-    report: Form,
+    #[arg(long, value_enum, default_value_t = ReportFormat::Text)]
+    report: ReportFormat,
     /// Keep recordings and logs in this (new or empty) folder
     #[arg(long)]
     keep: Option<PathBuf>,
@@ -37,18 +37,18 @@
     config: Option<PathBuf>,
 }
 
-/// Reads a scenario file, or takes the built-in one.
-pub fn scenario(path: Option<&PathBuf>) -> Result<Scenario, String> {
+/// Reads a scenario file, or returns the built-in scenario.
+fn load_scenario(path: Option<&PathBuf>) -> Result<Scenario, String> {
     let Some(path) = path else {
-        return Scenario::parse(BAD_DAY);
+        return Scenario::parse(DEFAULT_SCENARIO);
     };
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Plays a day and judges it; true where no rule broke.
+/// Runs a scenario and checks its traffic; true if no rule was broken and no task was left without an outcome or got two.
 pub fn bad_day(options: BadDayOptions) -> Result<bool, String> {
-    let day = scenario(options.scenario.as_ref())?;
+    let scenario = load_scenario(options.scenario.as_ref())?;
     let settings = match &options.config {
         Some(path) => {
             std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?
@@ -56,21 +56,21 @@
         None => tidespur_config::DEFAULT_CONFIG.to_owned(),
     };
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let folder = options.keep.unwrap_or_else(|| scratch.path().to_owned());
-    let mut layout = layout(day.nodes, day.planners, options.seed)?;
+    let directory = options.keep.unwrap_or_else(|| scratch.path().to_owned());
+    let mut layout = layout(scenario.nodes, scenario.planners, options.seed)?;
     layout.config = options.config;
-    layout.logs = Some(folder.join("logs"));
-    let records = folder.join("records");
+    layout.logs = Some(directory.join("logs"));
+    let records = directory.join("records");
     if records.is_dir() && std::fs::read_dir(&records).is_ok_and(|mut files| files.next().is_some())
     {
         return Err(format!(
-            "{}: holds recordings of another day; name a new folder",
+            "{}: already contains recordings; choose an empty directory",
             records.display()
         ));
     }
-    let jobs = day.work.values().map(|work| work.jobs).sum();
+    let jobs = scenario.work.values().map(|work| work.jobs).sum();
     play(
-        &day,
+        &scenario,
         layout,
         &records,
         Arc::new(Progress {
@@ -79,14 +79,14 @@
         }),
     )?;
     let report = checker::judge(&records, &settings, options.seed)?;
-    let told = oracle::judge(&Traffic::read(&records)?);
+    let reasons = oracle::judge(&Traffic::read(&records)?);
     match options.report {
-        Form::Json => {
+        ReportFormat::Json => {
             let mut object = serde_json::to_value(&report).map_err(|e| e.to_string())?;
-            object["reasons"] = serde_json::to_value(&told).map_err(|e| e.to_string())?;
+            object["reasons"] = serde_json::to_value(&reasons).map_err(|e| e.to_string())?;
             println!("{object}");
         }
-        Form::Text => {
+        ReportFormat::Text => {
             println!(
                 "seed {}: {} requests, {} offers",
                 report.seed, report.submitted, report.offers
@@ -104,11 +104,11 @@
             println!("jobs still open at the end: {}", report.jobs_open);
             println!(
                 "reasons of waiting tasks: {} judged, {} missing, {} false",
-                told.judged,
-                told.missing.len(),
-                told.falsified.len()
+                reasons.judged,
+                reasons.missing.len(),
+                reasons.falsified.len()
             );
-            for one in told.missing.iter().chain(&told.falsified).take(20) {
+            for one in reasons.missing.iter().chain(&reasons.falsified).take(20) {
                 println!("UNTRUE {one}");
             }
             for one in &report.breaks {
--- a/crates/cli/src/children.rs
+++ b/crates/cli/src/children.rs
@@ -1,19 +1,19 @@
-//! The programs that `up` starts, as hidden sub-commands. They end with their parent.
+//! Hidden subcommands that run the programs of a cluster. Each process ends when its parent does.
 
 use std::path::PathBuf;
 use tidespur_config::Config;
 use tidespur_emulator::{NodeSettings, node, register};
 use tidespur_testbed::process::end_with_parent;
 
-/// Settings from a file, or the built-in ones.
-pub fn config(path: Option<&PathBuf>) -> Result<Config, String> {
+/// Loads a settings file, or the built-in settings when no file is given.
+pub fn load_config(path: Option<&PathBuf>) -> Result<Config, String> {
     tidespur_config::load_or_default(path.map(PathBuf::as_path)).map_err(|e| e.to_string())
 }
 
 pub fn edge(options: tidespur_edge::Options) -> Result<(), String> {
     end_with_parent();
-    let config = config(options.shared.config.as_ref())?;
-    let ready = |at: &[String]| println!("ready {}", at.join(" "));
+    let config = load_config(options.shared.config.as_ref())?;
+    let ready = |addresses: &[String]| println!("ready {}", addresses.join(" "));
     smol::block_on(tidespur_edge::run(config, options, ready))
         .map_err(|error| tidespur_edge::error_chain(&error))
 }
@@ -30,7 +30,7 @@
 
 pub fn planner(options: PlannerOptions) -> Result<(), String> {
     end_with_parent();
-    let mut config = config(options.options.shared.config.as_ref())?;
+    let mut config = load_config(options.options.shared.config.as_ref())?;
     if let Some(planners) = options.planners {
         config.planner.planner_count = planners.max(1);
     }
@@ -65,19 +65,19 @@
 
 pub fn node(options: NodeOptions) -> Result<(), String> {
     end_with_parent();
-    let config = config(options.config.as_ref())?;
-    let kind = config
-        .node_types
-        .get(&options.kind)
-        .ok_or(format!("kind {:?} is not in the settings", options.kind))?;
+    let config = load_config(options.config.as_ref())?;
+    let node_type = config.node_types.get(&options.kind).ok_or(format!(
+        "node type {:?} is not defined in the settings",
+        options.kind
+    ))?;
     let safety = &config.safety_limits;
     let settings = NodeSettings {
         name: options.name,
         zone: options.zone,
         rack: options.rack,
         kind: options.kind,
-        cores: kind.cores,
-        memory: kind.memory,
+        cores: node_type.cores,
+        memory: node_type.memory,
         admit_cores: config.nodes.cpu_overcommit,
         admit_memory: config.nodes.memory_overcommit,
         cold: options.cold,
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an edge's API.
+//! HTTP client for an edge's API.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -6,13 +6,13 @@
 use tidespur_api::{Resource, meta};
 use tidespur_net::{Client, client::Lines};
 
-/// An edge and a namespace.
+/// The edge that a command calls and the namespace that it works in.
 pub struct Target {
     client: Client,
     pub namespace: String,
 }
 
-const WITHIN: f64 = 10.0;
+const REQUEST_TIMEOUT_SECONDS: f64 = 10.0;
 
 impl Target {
     pub fn new(server: &str, namespace: &str) -> Self {
@@ -23,19 +23,22 @@
         }
     }
 
-    /// One call; errors of the API come as its own words.
+    /// Sends one request and returns the JSON body; an error carries the reason and message of the API's answer.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
-        media: &str,
+        content_type: &str,
         body: Option<&Value>,
-    ) -> Result<Value, Problem> {
+    ) -> Result<Value, RequestError> {
         let bytes = body.map_or(Bytes::new(), |body| body.to_string().into_bytes().into());
-        let sent = self.client.send(method, path, media, bytes, WITHIN).await;
-        let reply = sent.map_err(|e| Problem {
-            code: 0,
-            text: format!(
+        let sent = self
+            .client
+            .send(method, path, content_type, bytes, REQUEST_TIMEOUT_SECONDS)
+            .await;
+        let reply = sent.map_err(|e| RequestError {
+            status: 0,
+            message: format!(
                 "{}: {e}; is an edge running there? (--server, TIDESPUR_API)",
                 self.client.address()
             ),
@@ -44,13 +47,13 @@
         if reply.status.is_success() {
             return Ok(object);
         }
-        let code = reply.status.as_u16();
-        let text = format!(
-            "{code} {}: {}",
+        let status = reply.status.as_u16();
+        let message = format!(
+            "{status} {}: {}",
             meta::text_at(&object, &["reason"]),
             meta::text_at(&object, &["message"])
         );
-        Err(Problem { code, text })
+        Err(RequestError { status, message })
     }
 
     pub async fn get(
@@ -58,21 +61,25 @@
         resource: &Resource,
         name: &str,
         query: &str,
-    ) -> Result<Value, Problem> {
-        let path = resource.path(self.space(resource), name);
+    ) -> Result<Value, RequestError> {
+        let path = resource.path(self.namespace_of(resource), name);
         self.call(Method::GET, &format!("{path}{query}"), "", None)
             .await
     }
 
-    pub async fn watch(&self, path: &str) -> Result<Lines, Problem> {
-        let lines = self.client.stream_lines(path, WITHIN).await;
-        lines.map_err(|e| Problem {
-            code: 0,
-            text: format!("{}: {e}", self.client.address()),
+    pub async fn watch(&self, path: &str) -> Result<Lines, RequestError> {
+        let lines = self
+            .client
+            .stream_lines(path, REQUEST_TIMEOUT_SECONDS)
+            .await;
+        lines.map_err(|e| RequestError {
+            status: 0,
+            message: format!("{}: {e}", self.client.address()),
         })
     }
 
-    pub fn space(&self, resource: &Resource) -> &str {
+    /// The namespace of `resource` in request paths; empty for a cluster-scoped resource and for `--namespace '*'`.
+    pub fn namespace_of(&self, resource: &Resource) -> &str {
         if resource.namespaced && self.namespace != "*" {
             &self.namespace
         } else {
@@ -81,14 +88,15 @@
     }
 }
 
-/// What went wrong, and the API's code (0 where there was no answer).
-pub struct Problem {
-    pub code: u16,
-    pub text: String,
+/// A failed request.
+pub struct RequestError {
+    /// HTTP status of the answer; 0 when there was none.
+    pub status: u16,
+    pub message: String,
 }
 
-impl From<Problem> for String {
-    fn from(problem: Problem) -> String {
-        problem.text
+impl From<RequestError> for String {
+    fn from(error: RequestError) -> String {
+        error.message
     }
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,7 +1,7 @@
-//! Operators' commands against an edge's API.
+//! Commands that read and change objects through an edge's API, and `check-config`.
 
 use crate::client::Target;
-use crate::show::say;
+use crate::show::print_line;
 use crate::{children, show};
 use clap::{Args, ValueEnum};
 use hyper::Method;
@@ -93,25 +93,26 @@
     file: PathBuf,
 }
 
-fn resource(word: &str) -> Result<&'static Resource, String> {
-    Resource::find_by_alias(word).ok_or(format!(
-        "{word:?} is not known: use jobs, pods, nodes, events or namespaces"
+fn find_resource(alias: &str) -> Result<&'static Resource, String> {
+    Resource::find_by_alias(alias).ok_or(format!(
+        "unknown resource {alias:?}: use jobs, pods, nodes, events or namespaces"
     ))
 }
 
-fn read(file: &PathBuf) -> Result<Vec<Value>, String> {
-    let problem = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+/// Reads the objects of a YAML or JSON file, which may hold several documents and lists; `-` is standard input.
+fn read_objects(file: &PathBuf) -> Result<Vec<Value>, String> {
+    let error = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut text = String::new();
     if file.as_os_str() == "-" {
         std::io::stdin()
             .read_to_string(&mut text)
-            .map_err(|e| problem(&e))?;
+            .map_err(|e| error(&e))?;
     } else {
-        text = std::fs::read_to_string(file).map_err(|e| problem(&e))?;
+        text = std::fs::read_to_string(file).map_err(|e| error(&e))?;
     }
     let mut objects = Vec::new();
-    for part in serde_yaml_ng::Deserializer::from_str(&text) {
-        let value: Value = serde::Deserialize::deserialize(part).map_err(|e| problem(&e))?;
+    for document in serde_yaml_ng::Deserializer::from_str(&text) {
+        let value: Value = serde::Deserialize::deserialize(document).map_err(|e| error(&e))?;
         match value {
             Value::Null => {}
             Value::Object(ref map) if map.contains_key("items") => {
@@ -121,19 +122,20 @@
         }
     }
     if objects.is_empty() {
-        Err(problem(&"no object in it"))
+        Err(error(&"contains no objects"))
     } else {
         Ok(objects)
     }
 }
 
 pub fn apply(target: &Target, options: ApplyOptions) -> Result<(), String> {
-    let objects = read(&options.file)?;
+    let objects = read_objects(&options.file)?;
     smol::block_on(async {
         for object in objects {
             let kind = meta::text_at(&object, &["kind"]).to_owned();
-            let r = Resource::find_by_alias(&kind).ok_or(format!("kind {kind:?} is not served"))?;
-            let space = match (r.namespaced, meta::namespace(&object)) {
+            let r =
+                Resource::find_by_alias(&kind).ok_or(format!("kind {kind:?} is not supported"))?;
+            let namespace = match (r.namespaced, meta::namespace(&object)) {
                 (false, _) => "",
                 (true, "") => &target.namespace,
                 (true, named) => named,
@@ -143,8 +145,8 @@
             } else {
                 "?fieldValidation=Strict"
             };
-            let path = r.path(space, "");
-            let made = target
+            let path = r.path(namespace, "");
+            let created = target
                 .call(
                     Method::POST,
                     &format!("{path}{query}"),
@@ -152,98 +154,101 @@
                     Some(&object),
                 )
                 .await;
-            let (done, verb) = match made {
-                Ok(done) => (done, "created"),
-                Err(e) if e.code == 409 && !meta::name(&object).is_empty() => {
-                    let path = r.path(space, meta::name(&object));
-                    let media = "application/merge-patch+json";
-                    let done = target
+            let (applied, verb) = match created {
+                Ok(applied) => (applied, "created"),
+                Err(e) if e.status == 409 && !meta::name(&object).is_empty() => {
+                    let path = r.path(namespace, meta::name(&object));
+                    let content_type = "application/merge-patch+json";
+                    let patched = target
                         .call(
                             Method::PATCH,
                             &format!("{path}{query}"),
-                            media,
+                            content_type,
                             Some(&object),
                         )
                         .await?;
-                    (done, "configured")
+                    (patched, "configured")
                 }
                 Err(e) => {
                     return Err(format!(
                         "{}/{}: {}",
                         r.singular,
                         meta::name(&object),
-                        e.text
+                        e.message
                     ));
                 }
             };
             let dry = if options.dry_run { " (dry run)" } else { "" };
-            say!("{}/{} {verb}{dry}", r.singular, meta::name(&done));
+            print_line!("{}/{} {verb}{dry}", r.singular, meta::name(&applied));
         }
         Ok(())
     })
 }
 
 pub fn get(target: &Target, options: GetOptions) -> Result<(), String> {
-    let r = resource(&options.resource)?;
-    let space = if options.all_namespaces {
+    let r = find_resource(&options.resource)?;
+    let namespace = if options.all_namespaces {
         ""
     } else {
-        target.space(r)
+        target.namespace_of(r)
     };
     let name = options.name.as_deref().unwrap_or("");
     if options.all_namespaces && !name.is_empty() {
-        return Err("a name needs a namespace: leave out -A".into());
+        return Err("a name can't be combined with --all-namespaces".into());
     }
-    let label = options
+    let label_query = options
         .selector
         .as_ref()
-        .map(|s| format!("labelSelector={}", encode(s)))
+        .map(|s| format!("labelSelector={}", percent_encode(s)))
         .unwrap_or_default();
     smol::block_on(async {
-        let found = target
+        let response = target
             .call(
                 Method::GET,
-                &format!("{}?{label}", r.path(space, name)),
+                &format!("{}?{label_query}", r.path(namespace, name)),
                 "",
                 None,
             )
             .await?;
-        let mut items = match found.get("items").and_then(Value::as_array) {
+        let mut items = match response.get("items").and_then(Value::as_array) {
             Some(items) => items.clone(),
-            None => vec![found.clone()],
+            None => vec![response.clone()],
         };
         if options.waiting {
             if r.kind != "Pod" {
-                return Err("--waiting is for pods".into());
+                return Err("--waiting applies to pods only".into());
             }
             items.retain(task::is_unscheduled);
-            // Versions grow with time, so they order those of one second too.
-            let made =
+            // Creation times are whole seconds; the growing resource version orders Pods of the same second.
+            let created =
                 |pod: &Value| meta::text_at(pod, &["metadata", "creationTimestamp"]).to_owned();
-            items.sort_by_key(|pod| (made(pod), meta::version(pod)));
+            items.sort_by_key(|pod| (created(pod), meta::version(pod)));
         }
         let wide = options.output == Output::Wide;
         match options.output {
-            Output::Json => say!(
+            Output::Json => print_line!(
                 "{}",
-                serde_json::to_string_pretty(&found).unwrap_or_default()
+                serde_json::to_string_pretty(&response).unwrap_or_default()
             ),
-            Output::Yaml => say!("{}", serde_yaml_ng::to_string(&found).unwrap_or_default()),
-            _ if items.is_empty() && !options.watch => say!("none found"),
-            _ => say!("{}", show::table(r, &items, wide)),
+            Output::Yaml => print_line!(
+                "{}",
+                serde_yaml_ng::to_string(&response).unwrap_or_default()
+            ),
+            _ if items.is_empty() && !options.watch => print_line!("none found"),
+            _ => print_line!("{}", show::table(r, &items, wide)),
         }
         if !options.watch {
             return Ok(());
         }
-        let version = meta::text_at(&found, &["metadata", "resourceVersion"]);
-        let field = if name.is_empty() {
+        let version = meta::text_at(&response, &["metadata", "resourceVersion"]);
+        let field_query = if name.is_empty() {
             String::new()
         } else {
             format!("&fieldSelector=metadata.name%3D{name}")
         };
         let path = format!(
-            "{}?watch=true&resourceVersion={version}&{label}{field}",
-            r.path(space, "")
+            "{}?watch=true&resourceVersion={version}&{label_query}{field_query}",
+            r.path(namespace, "")
         );
         let mut lines = target.watch(&path).await?;
         while let Some(line) = lines.next().await.map_err(|e| e.to_string())? {
@@ -251,24 +256,24 @@
             let object = &event["object"];
             match (event["type"].as_str().unwrap_or(""), options.output) {
                 ("ERROR", _) => return Err(meta::text_at(object, &["message"]).to_owned()),
-                (_, Output::Json) => say!("{event}"),
-                (_, Output::Yaml) => say!(
+                (_, Output::Json) => print_line!("{event}"),
+                (_, Output::Yaml) => print_line!(
                     "---\n{}",
                     serde_yaml_ng::to_string(&event).unwrap_or_default()
                 ),
-                (kind, _) => say!("{kind:<9}{}", show::row(r, object, wide).join("  ")),
+                (kind, _) => print_line!("{kind:<9}{}", show::row(r, object, wide).join("  ")),
             }
         }
         Ok(())
     })
 }
 
-/// Percent-encodes what may stand in a selector.
-fn encode(text: &str) -> String {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+/// Percent-encodes a selector for a query string.
+fn percent_encode(text: &str) -> String {
+    let is_unreserved = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     text.bytes()
         .map(|b| {
-            if plain(b as char) {
+            if is_unreserved(b as char) {
                 (b as char).to_string()
             } else {
                 format!("%{b:02X}")
@@ -278,24 +283,24 @@
 }
 
 pub fn describe(target: &Target, options: DescribeOptions) -> Result<(), String> {
-    let r = resource(&options.resource)?;
+    let r = find_resource(&options.resource)?;
     smol::block_on(async {
         let mut object = target.get(r, &options.name, "").await?;
         if let Some(metadata) = object["metadata"].as_object_mut() {
             metadata.remove("managedFields");
         }
-        say!("{}", serde_yaml_ng::to_string(&object).unwrap_or_default());
+        print_line!("{}", serde_yaml_ng::to_string(&object).unwrap_or_default());
         if r.kind == "Job" {
             let query = format!(
                 "?labelSelector={}",
-                encode(&format!(
+                percent_encode(&format!(
                     "{}={}",
                     tidespur_api::names::JOB_NAME,
                     options.name
                 ))
             );
             let pods = target.get(PODS, "", &query).await?;
-            say!(
+            print_line!(
                 "\n{}",
                 show::table(
                     PODS,
@@ -307,7 +312,7 @@
         if r.kind == "Node" {
             let query = format!(
                 "?fieldSelector={}",
-                encode(&format!("spec.nodeName={}", options.name))
+                percent_encode(&format!("spec.nodeName={}", options.name))
             );
             let pods = target
                 .call(
@@ -317,7 +322,7 @@
                     None,
                 )
                 .await?;
-            say!(
+            print_line!(
                 "\n{}",
                 show::table(
                     PODS,
@@ -328,37 +333,38 @@
         }
         let query = format!(
             "?fieldSelector={}",
-            encode(&format!("involvedObject.uid={}", meta::uid(&object)))
+            percent_encode(&format!("involvedObject.uid={}", meta::uid(&object)))
         );
         let events = target.get(EVENTS, "", &query).await?;
         let events = events["items"].as_array().cloned().unwrap_or_default();
         if !events.is_empty() {
-            say!("\n{}", show::table(EVENTS, &events, false));
+            print_line!("\n{}", show::table(EVENTS, &events, false));
         }
         Ok(())
     })
 }
 
 pub fn delete(target: &Target, options: DeleteOptions) -> Result<(), String> {
-    let r = resource(&options.resource)?;
-    let mut how = options.cascade.to_ascii_lowercase();
-    if let Some(first) = how.get_mut(0..1) {
+    let r = find_resource(&options.resource)?;
+    let mut policy = options.cascade.to_ascii_lowercase();
+    if let Some(first) = policy.get_mut(0..1) {
         first.make_ascii_uppercase();
     }
     smol::block_on(async {
-        let path = r.path(target.space(r), &options.name);
-        let body = json!({"kind": "DeleteOptions", "apiVersion": "v1", "propagationPolicy": how});
+        let path = r.path(target.namespace_of(r), &options.name);
+        let body =
+            json!({"kind": "DeleteOptions", "apiVersion": "v1", "propagationPolicy": policy});
         target
             .call(Method::DELETE, &path, "application/json", Some(&body))
             .await?;
-        say!("{}/{} deleted", r.singular, options.name);
+        print_line!("{}/{} deleted", r.singular, options.name);
         Ok(())
     })
 }
 
-pub fn cordon(target: &Target, node: &str, on: bool) -> Result<(), String> {
+pub fn cordon(target: &Target, node: &str, is_cordoned: bool) -> Result<(), String> {
     smol::block_on(async {
-        let body = json!({"spec": {"unschedulable": on}});
+        let body = json!({"spec": {"unschedulable": is_cordoned}});
         let path = NODES.path("", node);
         target
             .call(
@@ -368,7 +374,14 @@
                 Some(&body),
             )
             .await?;
-        say!("node/{node} {}", if on { "cordoned" } else { "uncordoned" });
+        print_line!(
+            "node/{node} {}",
+            if is_cordoned {
+                "cordoned"
+            } else {
+                "uncordoned"
+            }
+        );
         Ok(())
     })
 }
@@ -376,40 +389,41 @@
 pub fn drain(target: &Target, options: DrainOptions) -> Result<(), String> {
     cordon(target, &options.node, true)?;
     smol::block_on(async {
-        let until = clock::now() + options.timeout;
-        let query = encode(&format!("spec.nodeName={}", options.node));
+        let deadline = clock::now() + options.timeout;
+        let query = percent_encode(&format!("spec.nodeName={}", options.node));
         let path = format!("{}?fieldSelector={query}", PODS.path("", ""));
         loop {
             let pods = target.call(Method::GET, &path, "", None).await?;
             let items = pods["items"].as_array().cloned().unwrap_or_default();
-            let over = |pod: &Value| {
+            let is_finished = |pod: &Value| {
                 matches!(
                     meta::text_at(pod, &["status", "phase"]),
                     "Succeeded" | "Failed"
                 )
             };
-            let left: Vec<&Value> = items.iter().filter(|pod| !over(pod)).collect();
-            if left.is_empty() {
-                say!("node/{} drained", options.node);
+            let remaining: Vec<&Value> = items.iter().filter(|pod| !is_finished(pod)).collect();
+            if remaining.is_empty() {
+                print_line!("node/{} drained", options.node);
                 return Ok(());
             }
-            if clock::now() > until {
+            if clock::now() > deadline {
                 return Err(format!(
                     "{} Pods are still on {}; it stays cordoned",
-                    left.len(),
+                    remaining.len(),
                     options.node
                 ));
             }
-            for pod in left {
+            for pod in remaining {
                 let path = PODS.path(meta::namespace(pod), meta::name(pod));
                 let body = json!({"preconditions": {"uid": meta::uid(pod)}});
                 match target
                     .call(Method::DELETE, &path, "application/json", Some(&body))
                     .await
                 {
-                    Ok(_) => say!("pod/{} evicted", meta::name(pod)),
-                    Err(e) if e.code == 404 || e.code == 409 => {}
-                    Err(e) => return Err(e.text),
+                    Ok(_) => print_line!("pod/{} evicted", meta::name(pod)),
+                    // Already deleted, or replaced by a Pod of the same name.
+                    Err(e) if e.status == 404 || e.status == 409 => {}
+                    Err(e) => return Err(e.message),
                 }
             }
             clock::sleep(0.5).await;
@@ -418,12 +432,12 @@
 }
 
 pub fn check_config(options: CheckOptions) -> Result<(), String> {
-    let config = children::config(Some(&options.file))?;
+    let config = children::load_config(Some(&options.file))?;
     config
         .scheduler_settings(0, 0)
         .check()
         .map_err(|e| e.to_string())?;
-    say!(
+    print_line!(
         "{}: good ({} classes, {} kinds)",
         options.file.display(),
         config.classes.len(),
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a morning with a lost rack, told and judged.
+//! `demo`: runs a scenario that loses a rack, then prints the outcome of every task and checks the traffic.
 
 use crate::up::layout;
 use clap::Args;
@@ -22,28 +22,28 @@
     seed: u64,
 }
 
-/// The demo's day.
-const MORNING: &str = include_str!("../../../scenarios/morning.hcl");
+const SCENARIO: &str = include_str!("../../../scenarios/morning.hcl");
 
 pub fn demo(options: DemoOptions) -> ExitCode {
-    match morning(options) {
+    match run(options) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("tidespur: {problem}");
+        Err(error) => {
+            eprintln!("tidespur: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn morning(options: DemoOptions) -> Result<bool, String> {
-    let mut day = Scenario::parse(MORNING)?;
-    (day.nodes, day.planners) = (options.nodes, options.planners);
+/// True if tasks were submitted, no rule was broken, and no task was left without an outcome or got two.
+fn run(options: DemoOptions) -> Result<bool, String> {
+    let mut scenario = Scenario::parse(SCENARIO)?;
+    (scenario.nodes, scenario.planners) = (options.nodes, options.planners);
     let scratch = tempfile::tempdir().map_err(|e| e.to_string())?;
     let records = scratch.path().join("records");
     let mut layout = layout(options.nodes, options.planners, options.seed)?;
     layout.logs = Some(scratch.path().join("logs"));
-    let jobs = day.work.values().map(|work| work.jobs).sum();
+    let jobs = scenario.work.values().map(|work| work.jobs).sum();
     println!(
         "a morning on {} nodes in two halls, with {} planners: {jobs} Jobs",
         options.nodes, options.planners
@@ -52,15 +52,15 @@
         jobs,
         ..Progress::default()
     });
-    let over = Arc::new(AtomicBool::new(false));
-    let shown = std::thread::spawn({
-        let (progress, over) = (progress.clone(), over.clone());
-        move || show(&progress, &over)
+    let finished = Arc::new(AtomicBool::new(false));
+    let progress_thread = std::thread::spawn({
+        let (progress, finished) = (progress.clone(), finished.clone());
+        move || draw_progress(&progress, &finished)
     });
-    let played = play(&day, layout, &records, progress);
-    over.store(true, Ordering::Relaxed);
-    // It only draws; if it failed there is nothing to tell.
-    let _ = shown.join();
+    let played = play(&scenario, layout, &records, progress);
+    finished.store(true, Ordering::Relaxed);
+    // The thread only draws, so its failure doesn't change the result.
+    let _ = progress_thread.join();
     played?;
     let report = checker::judge(&records, tidespur_config::DEFAULT_CONFIG, options.seed)?;
     println!("what became of {} tasks:", report.submitted);
@@ -88,8 +88,11 @@
         ),
         broken => println!("BROKEN: {}", broken.join(", ")),
     }
-    for one in &report.breaks {
-        println!("  {:.3} {}: {}", one.at, one.rule, one.what);
+    for violation in &report.breaks {
+        println!(
+            "  {:.3} {}: {}",
+            violation.at, violation.rule, violation.what
+        );
     }
     Ok(report.broken_rules.is_empty()
         && report.unanswered == 0
@@ -97,29 +100,29 @@
         && report.submitted > 0)
 }
 
-/// Draws how far the day is, until it is over.
-fn show(progress: &Progress, over: &AtomicBool) {
+/// Draws a progress bar until `finished` is set.
+fn draw_progress(progress: &Progress, finished: &AtomicBool) {
     let bar = indicatif::ProgressBar::new(progress.jobs as u64);
     if let Ok(style) = indicatif::ProgressStyle::with_template(
         "{elapsed:>4} {wide_bar} {pos}/{len} Jobs done; {msg}",
     ) {
         bar.set_style(style);
     }
-    let mut told = String::new();
-    while !over.load(Ordering::Relaxed) {
+    let mut printed = String::new();
+    while !finished.load(Ordering::Relaxed) {
         bar.set_position(progress.done.load(Ordering::Relaxed) as u64);
         let trouble = progress
             .trouble
             .lock()
             .map(|t| t.clone())
             .unwrap_or_default();
-        if trouble != told {
+        if trouble != printed {
             bar.println(format!("now: {trouble}"));
-            // Without a terminal nothing is drawn, and the line is printed plainly.
+            // Without a terminal the bar is hidden and discards its lines.
             if bar.is_hidden() {
                 println!("now: {trouble}");
             }
-            told = trouble;
+            printed = trouble;
         }
         bar.set_message(format!(
             "{} submitted",
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,7 +1,7 @@
-//! `tidespur explain`: why work waits, for its owner and for the fleet.
+//! `explain`: why a Pod or Job is waiting, and the reasons across the whole fleet.
 
 use crate::client::Target;
-use crate::show::say;
+use crate::show::print_line;
 use clap::Args;
 use hyper::Method;
 use serde_json::Value;
@@ -27,14 +27,14 @@
 pub fn explain(target: &Target, options: ExplainOptions) -> Result<(), String> {
     smol::block_on(async {
         if options.all {
-            return fleet(target, options.json).await;
+            return explain_fleet(target, options.json).await;
         }
         let (Some(resource), Some(name)) = (&options.resource, &options.name) else {
             return Err("name a job or a pod, or use --all".into());
         };
         match tidespur_api::Resource::find_by_alias(resource).map(|r| r.kind) {
-            Some("Pod") => pod(target, name, options.json).await,
-            Some("Job") => job(target, name, options.json).await,
+            Some("Pod") => explain_pod(target, name, options.json).await,
+            Some("Job") => explain_job(target, name, options.json).await,
             _ => Err(format!(
                 "{resource}: only jobs and pods wait; use job or pod"
             )),
@@ -42,20 +42,21 @@
     })
 }
 
-async fn record(target: &Target, pod: &str) -> Result<Option<Value>, String> {
+/// Fetches the record of a Pod's waiting time; `None` when the edge keeps none.
+async fn fetch_record(target: &Target, pod: &str) -> Result<Option<Value>, String> {
     let path = format!("/debug/waits/{}/{pod}", target.namespace);
     match target.call(Method::GET, &path, "", None).await {
         Ok(record) => Ok(Some(record)),
-        Err(problem) if problem.code == 404 => Ok(None),
-        Err(problem) => Err(problem.text),
+        Err(error) if error.status == 404 => Ok(None),
+        Err(error) => Err(error.message),
     }
 }
 
-async fn pod(target: &Target, name: &str, json: bool) -> Result<(), String> {
+async fn explain_pod(target: &Target, name: &str, json: bool) -> Result<(), String> {
     let object = target.get(PODS, name, "").await?;
-    let record = record(target, name).await?;
+    let record = fetch_record(target, name).await?;
     if json {
-        say!(
+        print_line!(
             "{}",
             serde_json::to_string_pretty(&record).unwrap_or_default()
         );
@@ -63,50 +64,52 @@
     }
     let node = meta::text_at(&object, &["spec", "nodeName"]);
     let phase = meta::text_at(&object, &["status", "phase"]);
-    let waits = task::is_unscheduled(&object);
-    match (waits, node) {
-        (true, _) => say!("pod/{name} waits"),
-        (false, "") => say!(
+    let is_waiting = task::is_unscheduled(&object);
+    match (is_waiting, node) {
+        (true, _) => print_line!("pod/{name} waits"),
+        (false, "") => print_line!(
             "pod/{name} is {phase}: {}",
             meta::text_at(&object, &["status", "message"])
         ),
-        (false, node) => say!("pod/{name} was placed on {node} and is {phase}"),
+        (false, node) => print_line!("pod/{name} was placed on {node} and is {phase}"),
     }
     match record {
-        Some(record) => timeline(&record, waits),
-        None if waits => say!("  no reason has been told yet; ask again in a second"),
+        Some(record) => print_record(&record, is_waiting),
+        None if is_waiting => print_line!("  no reason has been told yet; ask again in a second"),
         None => {
-            say!("  it did not wait long enough for a record, or that record is no longer kept")
+            print_line!(
+                "  it did not wait long enough for a record, or that record is no longer kept"
+            )
         }
     }
     Ok(())
 }
 
-fn seconds(now: f64, at: f64) -> String {
+fn seconds_ago(now: f64, at: f64) -> String {
     format!("{:.1} s ago", (now - at).max(0.0))
 }
 
-fn timeline(record: &Value, waits: bool) {
+fn print_record(record: &Value, is_waiting: bool) {
     let now = clock::now();
     let number = |value: &Value, key: &str| value[key].as_f64().unwrap_or(0.0);
-    if waits {
-        say!("  now      {}", meta::text_at(record, &["message"]));
+    if is_waiting {
+        print_line!("  now      {}", meta::text_at(record, &["message"]));
         if let Some(hint) = record["hint"].as_str() {
-            say!("  it needs {hint}");
+            print_line!("  it needs {hint}");
         }
-        say!(
+        print_line!(
             "  told {}; it waits since {}",
-            seconds(now, number(record, "seen")),
-            seconds(now, number(record, "since"))
+            seconds_ago(now, number(record, "seen")),
+            seconds_ago(now, number(record, "since"))
         );
         if let Some(word) = record["word"].as_object() {
-            let left = |key: &str| {
+            let remaining_seconds = |key: &str| {
                 word.get(key).and_then(Value::as_f64).unwrap_or(0.0)
                     - (now - number(record, "seen"))
             };
-            say!(
+            print_line!(
                 "  it can be sent for {:.1} s more",
-                left("sendable_for").max(0.0)
+                remaining_seconds("sendable_for").max(0.0)
             );
             for answer in word
                 .get("answers")
@@ -114,7 +117,7 @@
                 .into_iter()
                 .flatten()
             {
-                say!(
+                print_line!(
                     "  {} answered: {}",
                     answer[0].as_str().unwrap_or(""),
                     answer[1].as_str().unwrap_or("")
@@ -124,7 +127,7 @@
     }
     for span in record["spans"].as_array().into_iter().flatten() {
         let until = if span["over"] == true {
-            seconds(now, number(span, "last"))
+            seconds_ago(now, number(span, "last"))
         } else {
             "now".into()
         };
@@ -140,14 +143,14 @@
             meta::text_at(span, &["code"]),
             meta::text_at(span, &["source"]),
         );
-        say!(
+        print_line!(
             "  {source:<9}{code}{nodes}: from {} to {until}{times}",
-            seconds(now, number(span, "first"))
+            seconds_ago(now, number(span, "first"))
         );
     }
 }
 
-async fn job(target: &Target, name: &str, json: bool) -> Result<(), String> {
+async fn explain_job(target: &Target, name: &str, json: bool) -> Result<(), String> {
     let job = target.get(JOBS, name, "").await?;
     let query = format!(
         "?labelSelector={}%3D{name}",
@@ -155,14 +158,14 @@
     );
     let pods = target.get(PODS, "", &query).await?;
     let pods = pods["items"].as_array().cloned().unwrap_or_default();
-    let waits: Vec<&Value> = pods
+    let waiting: Vec<&Value> = pods
         .iter()
         .filter(|pod| task::is_unscheduled(pod))
         .collect();
     if !json {
-        say!("job/{name}: {} of {} Pods wait", waits.len(), pods.len());
+        print_line!("job/{name}: {} of {} Pods wait", waiting.len(), pods.len());
         if meta::value_at(&job, &["spec", "suspend"]) == true {
-            say!("  owner    it is suspended: nothing of it may run");
+            print_line!("  owner    it is suspended: nothing of it may run");
         }
         for condition in meta::value_at(&job, &["status", "conditions"])
             .as_array()
@@ -170,26 +173,26 @@
             .flatten()
         {
             if condition["type"] == names::PENDING_CONDITION && condition["status"] == "True" {
-                say!("  owner    {}", meta::text_at(condition, &["message"]));
+                print_line!("  owner    {}", meta::text_at(condition, &["message"]));
             }
         }
     }
-    for one in waits {
-        pod(target, meta::name(one), json).await?;
+    for pod in waiting {
+        explain_pod(target, meta::name(pod), json).await?;
     }
     Ok(())
 }
 
-async fn fleet(target: &Target, json: bool) -> Result<(), String> {
+async fn explain_fleet(target: &Target, json: bool) -> Result<(), String> {
     let fleet = target.call(Method::GET, "/debug/waits", "", None).await?;
     if json {
-        say!(
+        print_line!(
             "{}",
             serde_json::to_string_pretty(&fleet).unwrap_or_default()
         );
         return Ok(());
     }
-    say!(
+    print_line!(
         "{} tasks have a record; a task counts under each of its reasons, in each zone",
         fleet["waiting"]
     );
@@ -215,7 +218,7 @@
             format!("{}", number("tasks")),
             format!("{:.1}", number("cores")),
             format!("{:.1}", number("memory")),
-            seconds(clock::now(), number("oldest")),
+            seconds_ago(clock::now(), number("oldest")),
             text("class"),
             text("namespace"),
             text("zone"),
@@ -223,6 +226,6 @@
             text("words"),
         ]);
     }
-    say!("{table}");
+    print_line!("{table}");
     Ok(())
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,13 +1,13 @@
-//! `fleet`: edges and planners as an edge sees them.
+//! `fleet`: the members of the fleet, as one edge sees them.
 
 use crate::client::Target;
-use crate::show::say;
+use crate::show::print_line;
 use hyper::Method;
 use serde_json::Value;
 use tidespur_net::clock;
 
-/// Pause between two looks of `--watch`.
-const AGAIN: f64 = 1.0;
+/// Pause between two requests of `--watch`.
+const POLL_INTERVAL_SECONDS: f64 = 1.0;
 
 #[derive(clap::Args)]
 pub struct FleetOptions {
@@ -23,42 +23,46 @@
     let json = match options.output.as_deref() {
         None => false,
         Some("json") => true,
-        Some(other) => return Err(format!("-o {other}: only json is known")),
+        Some(other) => {
+            return Err(format!(
+                "unknown output format {other:?}: only json is supported"
+            ));
+        }
     };
     smol::block_on(async {
         let mut shown = None;
         loop {
-            let told = target
+            let view = target
                 .call(Method::GET, "/debug/fleet", "", None)
                 .await
-                .map_err(|problem| problem.text)?;
-            let now = standings(&told);
-            if shown.as_ref() != Some(&now) {
-                show(&told, json);
-                shown = Some(now);
+                .map_err(|error| error.message)?;
+            let states = member_states(&view);
+            if shown.as_ref() != Some(&states) {
+                print_view(&view, json);
+                shown = Some(states);
             }
             if !options.watch {
                 return Ok(());
             }
-            clock::sleep(AGAIN).await;
+            clock::sleep(POLL_INTERVAL_SECONDS).await;
         }
     })
 }
 
-/// What a change of makes `--watch` show it again.
-fn standings(told: &Value) -> Vec<Value> {
-    let members = told["members"].as_array().map_or(&[][..], Vec::as_slice);
-    let mut all: Vec<Value> = members
+/// Names and states of the members: `--watch` prints the view again when they change.
+fn member_states(view: &Value) -> Vec<Value> {
+    let members = view["members"].as_array().map_or(&[][..], Vec::as_slice);
+    let mut states: Vec<Value> = members
         .iter()
         .flat_map(|m| [m["name"].clone(), m["state"].clone()])
         .collect();
-    all.push(told["settled"].clone());
-    all
+    states.push(view["settled"].clone());
+    states
 }
 
-fn show(told: &Value, json: bool) {
+fn print_view(view: &Value, json: bool) {
     if json {
-        say!("{}", serde_json::to_string_pretty(told).unwrap_or_default());
+        print_line!("{}", serde_json::to_string_pretty(view).unwrap_or_default());
         return;
     }
     let text = |value: &Value| {
@@ -68,7 +72,7 @@
             .unwrap_or("-")
             .to_owned()
     };
-    say!(
+    print_line!(
         "{:<20} {:<8} {:<12} {:<8} {:>17} {:>7} {:>6} {:>6}",
         "NAME",
         "ROLE",
@@ -79,13 +83,13 @@
         "OPEN",
         "FOR"
     );
-    for member in told["members"].as_array().into_iter().flatten() {
+    for member in view["members"].as_array().into_iter().flatten() {
         let seconds = |key: &str| {
             member[key]
                 .as_f64()
                 .map_or("-".into(), |age| format!("{age:.0}s"))
         };
-        say!(
+        print_line!(
             "{:<20} {:<8} {:<12} {:<8} {:>17} {:>7} {:>6} {:>6}",
             text(&member["name"]),
             text(&member["role"]),
@@ -99,14 +103,14 @@
             seconds("for"),
         );
     }
-    let settled = if told["settled"] == true {
+    let settled = if view["settled"] == true {
         "all live members see the same"
     } else {
         "not settled"
     };
-    say!(
+    print_line!(
         "{} live, as {} sees them; {settled}",
-        told["live"],
-        text(&told["asked"])
+        view["live"],
+        text(&view["asked"])
     );
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidespur`: operators' commands, and the programs behind them.
+//! The `tidespur` command: the operators' subcommands, and the hidden subcommands that run each program of a cluster.
 
 mod badday;
 mod children;
@@ -92,13 +92,13 @@
     let arguments = Arguments::parse();
     tidespur_net::init_logging(arguments.log_json);
     let target = client::Target::new(&arguments.server, &arguments.namespace);
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Up(options) => up::up(options),
         Command::Demo(options) => return demo::demo(options),
         Command::Badday(options) => match badday::bad_day(options) {
             Ok(true) => Ok(()),
             Ok(false) => return ExitCode::FAILURE,
-            Err(problem) => Err(problem),
+            Err(error) => Err(error),
         },
         Command::Measure(options) => up::measure(options),
         Command::Apply(options) => commands::apply(&target, options),
@@ -121,10 +121,10 @@
         Command::StandinNode(options) => children::node(options),
         Command::StandinRegister(options) => children::register(options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("tidespur: {problem}");
+        Err(error) => {
+            eprintln!("tidespur: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,12 +1,12 @@
-//! Objects as tables.
+//! Tables of objects for the terminal.
 
 use comfy_table::{ContentArrangement, Table, presets};
 use serde_json::Value;
 use tidespur_api::{Resource, meta, names};
 use tidespur_net::clock;
 
-/// Prints a line; a reader that has seen enough, as `head` has, ends the program without complaint.
-macro_rules! say {
+/// Prints a line to standard output; exits with status 0 when that fails, as after `head` has closed a pipe.
+macro_rules! print_line {
     ($($part:tt)*) => {{
         use std::io::Write;
         if writeln!(std::io::stdout(), $($part)*).is_err() {
@@ -14,13 +14,14 @@
         }
     }};
 }
-pub(crate) use say;
+pub(crate) use print_line;
 
 fn age(object: &Value) -> String {
-    let Some(made) = meta::unix(meta::text_at(object, &["metadata", "creationTimestamp"])) else {
+    let Some(created) = meta::unix(meta::text_at(object, &["metadata", "creationTimestamp"]))
+    else {
         return "?".into();
     };
-    let seconds = (clock::now() - made).max(0.0) as u64;
+    let seconds = (clock::now() - created).max(0.0) as u64;
     match seconds {
         0..120 => format!("{seconds}s"),
         120..7200 => format!("{}m", seconds / 60),
@@ -29,16 +30,16 @@
     }
 }
 
-fn number(object: &Value, path: &[&str]) -> String {
+fn integer_at(object: &Value, path: &[&str]) -> String {
     meta::value_at(object, path)
         .as_i64()
         .unwrap_or(0)
         .to_string()
 }
 
-/// Column heads of a resource.
-pub fn heads(resource: &Resource, wide: bool) -> Vec<&'static str> {
-    let (narrow, more): (&[&'static str], &[&'static str]) = match resource.kind {
+/// Column names of a resource's table.
+pub fn column_names(resource: &Resource, wide: bool) -> Vec<&'static str> {
+    let (narrow, extra): (&[&'static str], &[&'static str]) = match resource.kind {
         "Job" => (
             &["NAME", "STATUS", "COMPLETIONS", "ACTIVE", "FAILED", "AGE"],
             &["CLASS", "READY"],
@@ -62,14 +63,14 @@
         "Event" => (&["LAST", "TYPE", "REASON", "OBJECT", "MESSAGE"], &[]),
         _ => (&["NAME", "STATUS", "AGE"], &[]),
     };
-    let more = if wide { more } else { &[] };
-    narrow.iter().chain(more).copied().collect()
+    let extra = if wide { extra } else { &[] };
+    narrow.iter().chain(extra).copied().collect()
 }
 
 /// One object's row.
 pub fn row(resource: &Resource, object: &Value, wide: bool) -> Vec<String> {
     let text = |path: &[&str]| meta::text_at(object, path).to_owned();
-    let note = |key: &str| meta::annotation(object, key).unwrap_or("").to_owned();
+    let annotation = |key: &str| meta::annotation(object, key).unwrap_or("").to_owned();
     let label = |key: &str| meta::label(object, key).unwrap_or("").to_owned();
     let name = meta::name(object).to_owned();
     let mut row = match resource.kind {
@@ -83,12 +84,19 @@
             let wanted = meta::value_at(object, &["spec", "completions"])
                 .as_i64()
                 .map_or("1+".into(), |n| n.to_string());
-            let done = format!("{}/{wanted}", number(object, &["status", "succeeded"]));
+            let completions = format!("{}/{wanted}", integer_at(object, &["status", "succeeded"]));
             let (active, failed) = (
-                number(object, &["status", "active"]),
-                number(object, &["status", "failed"]),
+                integer_at(object, &["status", "active"]),
+                integer_at(object, &["status", "failed"]),
             );
-            vec![name, status.into(), done, active, failed, age(object)]
+            vec![
+                name,
+                status.into(),
+                completions,
+                active,
+                failed,
+                age(object),
+            ]
         }
         "Pod" => {
             let reason = text(&["status", "reason"]);
@@ -100,13 +108,13 @@
             vec![name, status, text(&["spec", "nodeName"]), age(object)]
         }
         "Node" => {
-            let off = meta::value_at(object, &["spec", "unschedulable"]) == true;
-            let status = if off {
+            let is_cordoned = meta::value_at(object, &["spec", "unschedulable"]) == true;
+            let status = if is_cordoned {
                 "Ready,SchedulingDisabled"
             } else {
                 "Ready"
             };
-            let place = vec![
+            let columns = vec![
                 name,
                 status.into(),
                 label(names::ZONE),
@@ -114,13 +122,16 @@
                 label(names::INSTANCE_TYPE),
             ];
             [
-                place,
-                vec![note(names::UNCLAIMED_CPU), note(names::UNCLAIMED_MEMORY)],
+                columns,
+                vec![
+                    annotation(names::UNCLAIMED_CPU),
+                    annotation(names::UNCLAIMED_MEMORY),
+                ],
             ]
             .concat()
         }
         "Event" => {
-            let about = format!(
+            let involved_object = format!(
                 "{}/{}",
                 text(&["involvedObject", "kind"]),
                 text(&["involvedObject", "name"])
@@ -129,7 +140,7 @@
                 text(&["lastTimestamp"]),
                 text(&["type"]),
                 text(&["reason"]),
-                about,
+                involved_object,
                 text(&["message"]),
             ]
         }
@@ -140,21 +151,21 @@
         row.extend(match resource.kind {
             "Job" => vec![
                 text(&["spec", "template", "spec", "priorityClassName"]),
-                number(object, &["status", "ready"]),
+                integer_at(object, &["status", "ready"]),
             ],
             "Pod" => {
                 let class = text(&["spec", "priorityClassName"]);
                 let conditions = meta::value_at(object, &["status", "conditions"]).as_array();
-                let waits = conditions
+                let unschedulable = conditions
                     .into_iter()
                     .flatten()
                     .find(|c| c["reason"] == "Unschedulable");
-                let message = waits.map_or(text(&["status", "message"]), |c| {
+                let message = unschedulable.map_or(text(&["status", "message"]), |c| {
                     meta::text_at(c, &["message"]).to_owned()
                 });
                 vec![class, format!("{cores}"), format!("{memory}Gi"), message]
             }
-            "Node" => vec![note(names::ADDRESS), note(names::STARTED_AT)],
+            "Node" => vec![annotation(names::ADDRESS), annotation(names::STARTED_AT)],
             _ => vec![],
         });
     }
@@ -167,7 +178,7 @@
     table
         .load_preset(presets::NOTHING)
         .set_content_arrangement(ContentArrangement::Disabled);
-    table.set_header(heads(resource, wide));
+    table.set_header(column_names(resource, wide));
     for object in objects {
         table.add_row(row(resource, object, wide));
     }
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -1,4 +1,4 @@
-//! `up`: a whole cluster on loopback.
+//! `up` and `measure`: run a whole cluster on the loopback interface.
 
 use clap::Args;
 use futures_lite::StreamExt;
@@ -41,7 +41,7 @@
 
 pub fn layout(nodes: usize, planners: usize, seed: u64) -> Result<Layout, String> {
     let program = std::env::current_exe()
-        .map_err(|e| format!("the path of this program is not known: {e}"))?;
+        .map_err(|e| format!("cannot determine the path of this program: {e}"))?;
     if nodes == 0 || planners == 0 || nodes > 500 || planners > 100 {
         return Err("--nodes must be from 1 to 500 and --planners from 1 to 100".into());
     }
@@ -56,12 +56,12 @@
     layout.config = options.config;
     layout.records = options.record;
     layout.data = options.data;
-    let keeps = layout.data.is_some();
+    let has_data_directory = layout.data.is_some();
     smol::block_on(async {
-        // Before anything is started, so that no signal is missed.
+        // Registered before any process starts, so that no signal is missed.
         let signals = [async_signal::Signal::Int, async_signal::Signal::Term];
-        let mut signals =
-            async_signal::Signals::new(signals).map_err(|e| format!("signals: {e}"))?;
+        let mut signals = async_signal::Signals::new(signals)
+            .map_err(|e| format!("cannot register signal handlers: {e}"))?;
         let starting = async {
             let cluster = smol::unblock(move || Cluster::start(layout)).await?;
             cluster.wait_ready(60.0).await?;
@@ -75,7 +75,7 @@
             return Ok(());
         };
         if let Some(path) = &options.ready_file {
-            // Written whole and then named, so that nobody reads half an address.
+            // Written under another name and then renamed, so that a reader never sees half an address.
             let part = path.with_extension("part");
             let written =
                 std::fs::write(&part, cluster.api(0)).and_then(|()| std::fs::rename(&part, path));
@@ -89,45 +89,46 @@
             signals.next().await;
             Ok(())
         };
-        let ended = futures_lite::future::or(stopped, supervise(cluster, keeps)).await;
+        let result =
+            futures_lite::future::or(stopped, supervise(cluster, has_data_directory)).await;
         println!("stopping");
-        ended
+        result
     })
 }
 
-/// Starts children again that end, until one ends again and again.
-async fn supervise(mut cluster: Cluster, keeps: bool) -> Result<(), String> {
+/// Restarts child processes that exit; returns an error once one keeps exiting.
+async fn supervise(mut cluster: Cluster, has_data_directory: bool) -> Result<(), String> {
     let names = cluster.children().into_iter().map(|(name, _)| name);
-    let mut watch = Supervisor::new(supervisor::Settings::default(), names, clock::now());
+    let mut supervisor = Supervisor::new(supervisor::Settings::default(), names, clock::now());
     loop {
         clock::sleep(0.25).await;
         let ended: BTreeMap<String, String> = cluster.ended().into_iter().collect();
         let names: Vec<String> = ended.keys().cloned().collect();
-        for action in watch.step(clock::now(), &names) {
+        for action in supervisor.step(clock::now(), &names) {
             match action {
                 Action::Wait(name, pause) => {
-                    let gone = name.starts_with("edge") && !keeps;
-                    let lost = if gone {
+                    let loses_objects = name.starts_with("edge") && !has_data_directory;
+                    let loss = if loses_objects {
                         "; the objects that it held are gone"
                     } else {
                         ""
                     };
-                    let how = ended.get(&name).map_or("", String::as_str);
+                    let status = ended.get(&name).map_or("", String::as_str);
                     eprintln!(
-                        "tidespur: {name} has ended ({how}){lost}; it is started again in {pause} s"
+                        "tidespur: {name} has ended ({status}){loss}; it is started again in {pause} s"
                     );
                 }
                 Action::Start(name) => {
-                    let done;
-                    (cluster, done) = smol::unblock({
+                    let restarted;
+                    (cluster, restarted) = smol::unblock({
                         let name = name.clone();
                         move || {
-                            let done = cluster.restart(&name);
-                            (cluster, done)
+                            let restarted = cluster.restart(&name);
+                            (cluster, restarted)
                         }
                     })
                     .await;
-                    match done {
+                    match restarted {
                         Ok(()) => {
                             let id = cluster
                                 .children()
@@ -135,11 +136,11 @@
                                 .find(|(child, _)| *child == name);
                             println!("{name} runs as process {}", id.map_or(0, |(_, id)| id));
                         }
-                        Err(problem) => eprintln!("tidespur: {problem}"),
+                        Err(error) => eprintln!("tidespur: {error}"),
                     }
                 }
                 Action::GiveUp(name) => {
-                    return Err(format!("{name} ends again and again; see its log"));
+                    return Err(format!("{name} keeps exiting; see its log"));
                 }
             }
         }
@@ -170,16 +171,16 @@
     let mut layout = layout(options.nodes, options.planners, 1)?;
     layout.logs = Some(scratch.path().join("logs"));
     let (watchers, each) = (options.watchers.max(1), options.each.max(1));
-    let mut all = vec![tidespur_testbed::measure::measure(
+    let mut results = vec![tidespur_testbed::measure::measure(
         layout.clone(),
         watchers,
         each,
     )?];
-    if let Some(folder) = options.data {
-        layout.data = Some(folder);
-        all.push(tidespur_testbed::measure::measure(layout, watchers, each)?);
+    if let Some(directory) = options.data {
+        layout.data = Some(directory);
+        results.push(tidespur_testbed::measure::measure(layout, watchers, each)?);
     }
-    for figures in all {
+    for figures in results {
         println!(
             "{}",
             serde_json::to_string_pretty(&figures).map_err(|e| e.to_string())?
