--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -46,7 +46,8 @@
     Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Runs a scenario and checks its traffic; true if no rule was broken and no task was left without an outcome or got two.
+/// Runs a scenario and checks its traffic; true if no rule was broken and no task was left without an outcome or got
+/// two.
 pub fn bad_day(options: BadDayOptions) -> Result<bool, String> {
     let scenario = load_scenario(options.scenario.as_ref())?;
     let settings = match &options.config {
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API as published: verbs, errors with their reasons, and bad input that disturbs nobody.
+//! The published API: verbs, errors with their reasons, and invalid input, which must not affect other clients.
 
 mod common;
 
@@ -11,15 +11,15 @@
 const JOBS: &str = "/apis/batch/v1/namespaces/default/jobs";
 
 fn check(
-    running: &Running,
+    running: &RunningCluster,
     method: &str,
     path: &str,
-    media: &str,
+    content_type: &str,
     body: &str,
     code: u16,
     reason: &str,
 ) -> Value {
-    let (status, object) = running.send(method, path, media, body);
+    let (status, object) = running.send(method, path, content_type, body);
     assert_eq!(
         (status, object["reason"].as_str().unwrap_or("")),
         (code, reason),
@@ -37,7 +37,7 @@
 
 #[test]
 fn verbs_and_errors_are_the_published_ones() {
-    let running = start(1, 1, |_, _| {});
+    let running = start_cluster(1, 1, |_, _| {});
     let r = &running;
     for path in [
         "/version",
@@ -85,7 +85,7 @@
         "NotFound",
     );
 
-    let quiet = job_value("quiet", "termin-web", 1, 1.0)
+    let quiet = job_json("quiet", "termin-web", 1, 1.0)
         .to_string()
         .replace("\"spec\":{\"comp", "\"spec\":{\"suspend\":true,\"comp");
     let made = check(r, "POST", JOBS, JSON, &quiet, 201, "");
@@ -267,8 +267,8 @@
 }
 
 #[test]
-fn bad_input_gets_a_clear_error_and_disturbs_nobody() {
-    let running = start(1, 1, |layout, folder| {
+fn invalid_input_gets_a_clear_error_and_affects_no_other_client() {
+    let running = start_cluster(1, 1, |layout, folder| {
         let file = folder.join("quick.hcl");
         let text = tidespur_config::DEFAULT_CONFIG
             .replace("head_timeout     = 10", "head_timeout     = 0.5")
@@ -353,7 +353,7 @@
         "POST {PODS}?dryRun=All HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{twice}",
         twice.len()
     );
-    let warned = r.raw(request.as_bytes());
+    let warned = r.send_raw(request.as_bytes());
     assert!(
         warned.starts_with("HTTP/1.1 201")
             && warned.contains("299 - \"unknown field 'spec.colour'\""),
@@ -366,27 +366,27 @@
     );
     check(r, "POST", PODS, JSON, &huge, 413, "RequestEntityTooLarge");
     let request = |rest: &str| format!("POST {PODS} HTTP/1.1\r\nhost: x\r\n{rest}");
-    // A body that never comes whole, and a head that never does.
+    // A body that is never completed, and a header that is never completed.
     assert!(
-        r.raw(request("content-length: 100\r\n\r\n{").as_bytes())
+        r.send_raw(request("content-length: 100\r\n\r\n{").as_bytes())
             .starts_with("HTTP/1.1 408")
     );
-    let trickled = r.raw(b"GET /api HTTP/1.1\r\nhost:");
+    let trickled = r.send_raw(b"GET /api HTTP/1.1\r\nhost:");
     assert!(
         trickled.is_empty() || trickled.starts_with("HTTP/1.1 4"),
         "{trickled}"
     );
     let flood: String = (0..500).map(|i| format!("x-{i}: y\r\n")).collect();
     assert!(
-        r.raw(request(&format!("{flood}\r\n")).as_bytes())
+        r.send_raw(request(&format!("{flood}\r\n")).as_bytes())
             .starts_with("HTTP/1.1 431")
     );
     assert!(
-        r.raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")
+        r.send_raw(b"\x16\x03\x01\x02\x00garbage\r\n\r\n")
             .starts_with("HTTP/1.1 400")
     );
 
-    // A frame of another version, and garbage, on the link: the planner that is there keeps its place.
+    // A frame of another version, and garbage, on the planners' port: the connected planner is not affected.
     use std::io::{Read, Write};
     for bytes in [&[0, 0, 0, 1, 0, 9, 0][..], &[0xff; 64][..]] {
         let mut link =
@@ -394,7 +394,7 @@
         link.set_read_timeout(Some(std::time::Duration::from_secs(30)))
             .unwrap();
         link.write_all(bytes).unwrap();
-        // Closed, by end or reset, without a word.
+        // The edge closes or resets the connection without an answer.
         assert!(matches!(link.read(&mut [0; 16]), Ok(0) | Err(_)));
     }
     check(
@@ -402,21 +402,21 @@
         "POST",
         JOBS,
         JSON,
-        &job_value("good", "termin-web", 1, 0.2).to_string(),
+        &job_json("good", "termin-web", 1, 0.2).to_string(),
         201,
         "",
     );
-    running.until("the Job is complete", async || {
+    running.wait_for("the Job is complete", async || {
         let (_, job) = r.send("GET", &format!("{JOBS}/good"), "", "");
         (job["status"]["succeeded"] == 1).then_some(())
     });
-    let log = std::fs::read_to_string(running.folder.path().join("logs/edge-0.log")).unwrap();
+    let log = std::fs::read_to_string(running.directory.path().join("logs/edge-0.log")).unwrap();
     assert!(!log.contains("panicked"), "{log}");
 }
 
 #[test]
-fn a_full_desk_says_when_to_come_again() {
-    let mut running = start(1, 1, |layout, folder| {
+fn a_full_edge_answers_when_to_retry() {
+    let mut running = start_cluster(1, 1, |layout, folder| {
         let file = folder.join("small.hcl");
         std::fs::write(
             &file,
@@ -444,7 +444,7 @@
             }
             other => panic!("{other}: {object}"),
         }
-        // The edge counts a moment after it has answered.
+        // The edge updates its count shortly after it has answered.
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     assert_eq!((made, refused), (2, 4));
@@ -452,7 +452,7 @@
 
 #[test]
 fn a_typed_client_reads_the_version_and_a_node_is_given_the_whole_spec() {
-    let running = start(1, 1, |_, _| {});
+    let running = start_cluster(1, 1, |_, _| {});
     let (_, version) = running.send("GET", "/version", "", "");
     let info: k8s_openapi::apimachinery::pkg::version::Info =
         serde_json::from_value(version.clone()).unwrap();
@@ -482,7 +482,7 @@
     one["spec"]["containers"][0]["args"] = json!(["--port", "80"]);
     check(&running, "POST", PODS, JSON, &one.to_string(), 201, "");
     let node = tidespur_net::Client::new(&running.cluster.nodes[0].addresses[0], 1, vec![]);
-    running.until("the node has it", async || {
+    running.wait_for("the node has it", async || {
         let held = smol::block_on(node.send(
             hyper::Method::GET,
             "/api/v1/pods",
@@ -497,8 +497,8 @@
 }
 
 #[test]
-fn a_field_that_is_not_honoured_is_refused_by_its_name() {
-    let running = start(1, 1, |_, _| {});
+fn an_unsupported_field_is_rejected_by_name() {
+    let running = start_cluster(1, 1, |_, _| {});
     let refused = |path: &str, body: Value, field: &str| {
         let status = check(
             &running,
@@ -520,7 +520,7 @@
         way.iter().fold(&mut object, |at, key| &mut at[*key])[*last] = value;
         object
     };
-    let job = || job_value("j", "termin-web", 1, 1.0);
+    let job = || job_json("j", "termin-web", 1, 1.0);
     refused(
         JOBS,
         with(job(), &["spec", "completionMode"], "Indexed".into()),
@@ -565,7 +565,7 @@
         large,
         "spec.containers[0].resources.requests.example.com/gpu",
     );
-    // What is honoured passes: the one value that is served, and nothing left behind by a refusal.
+    // The one supported value is accepted, and a rejected request has created nothing.
     check(
         &running,
         "POST",
--- a/crates/cli/tests/api_compatibility.rs
+++ b/crates/cli/tests/api_compatibility.rs
@@ -18,8 +18,8 @@
 const PODS: &str = "/api/v1/namespaces/default/pods";
 const JOBS: &str = "/apis/batch/v1/namespaces/default/jobs";
 
-/// Keys whose values are words of a fixed list, and listed with them.
-const KEYS_OF_WORDS: [&str; 9] = [
+/// Keys with a fixed set of values, which the fixtures list too.
+const ENUM_KEYS: [&str; 9] = [
     "apiVersion",
     "code",
     "kind",
@@ -31,8 +31,8 @@
     "type",
 ];
 
-/// An address of loopback for the voter that no other test binds.
-fn own_address() -> String {
+/// A loopback address for the voter that no other test binds.
+fn reserve_address() -> String {
     let process = std::process::id();
     let ip = [
         127,
@@ -47,12 +47,12 @@
         .to_string()
 }
 
-fn start_with_all_parts() -> Running {
-    start(2, 1, |layout, folder| {
+fn start_with_all_parts() -> RunningCluster {
+    start_cluster(2, 1, |layout, folder| {
         let file = folder.join("all-parts.hcl");
         let ledger = format!(
             "ledger {{\n  voters = {{ edge-0 = \"{}\" }}\n}}\n",
-            own_address()
+            reserve_address()
         );
         std::fs::write(
             &file,
@@ -65,14 +65,14 @@
     })
 }
 
-/// Adds `PATH: TYPE` of each value beneath `value`, and `PATH = WORD` for the keys of fixed words.
+/// Adds `PATH: TYPE` of each value beneath `value`, and `PATH = WORD` for keys with a fixed set of values.
 fn add_paths(path: &str, value: &Value, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
                 let at = format!("{path}.{key}");
                 match inner.as_str() {
-                    Some(word) if KEYS_OF_WORDS.contains(&key.as_str()) => {
+                    Some(word) if ENUM_KEYS.contains(&key.as_str()) => {
                         paths.insert(format!("{at} = {word}"));
                     }
                     _ => add_paths(&at, inner, paths),
@@ -95,13 +95,13 @@
     paths
 }
 
-fn get(running: &Running, path: &str) -> Value {
+fn get(running: &RunningCluster, path: &str) -> Value {
     let (status, value) = running.send("GET", path, "", "");
     assert_eq!(status, 200, "{path}: {value}");
     value
 }
 
-/// Asks until the answer has every path of the fixture: reports fill up while a cluster settles.
+/// Repeats the request until the answer has every path of the fixture: reports are incomplete while a cluster starts.
 fn check_answer(fixture: &str, ask: impl Fn() -> Value) {
     let name = fixture.trim_end_matches(".txt");
     if fixture::is_update() {
@@ -123,26 +123,26 @@
     fixture::check(PACKAGE, fixture, paths, Additions::Accepted);
 }
 
-fn create(running: &Running, path: &str, object: &Value) {
+fn create(running: &RunningCluster, path: &str, object: &Value) {
     let (status, answer) = running.send("POST", path, JSON, &object.to_string());
     assert_eq!(status, 201, "{answer}");
 }
 
 /// A Pod that no node has the cores for, a Job that is complete, and one that is suspended.
-fn create_work(running: &Running) {
+fn create_work(running: &RunningCluster) {
     let large = json!({"metadata": {"name": "large", "annotations": {"placement.tidespur.dev/give-up-seconds": "600"}},
         "spec": {"priorityClassName": "slot-abgleich", "containers": [{"name": "m",
             "resources": {"requests": {"cpu": "400", "memory": "1Gi"}}}]}});
     create(running, PODS, &large);
-    create(running, JOBS, &job_value("done", "termin-web", 1, 0.2));
-    let mut suspended = job_value("suspended", "termin-web", 1, 0.2);
+    create(running, JOBS, &job_json("done", "termin-web", 1, 0.2));
+    let mut suspended = job_json("suspended", "termin-web", 1, 0.2);
     suspended["spec"]["suspend"] = true.into();
     create(running, JOBS, &suspended);
-    running.until("the Job is complete", async || {
+    running.wait_for("the Job is complete", async || {
         let job = get(running, &format!("{JOBS}/done"));
         (job["status"]["succeeded"] == 1).then_some(())
     });
-    running.until("the Pod's reason is told", async || {
+    running.wait_for("the reason of the waiting Pod is reported", async || {
         let (status, record) = running.send("GET", "/debug/waits/default/large", "", "");
         (status == 200 && record["codes"] == json!(["Cores"]) && record["hint"].is_string())
             .then_some(())
@@ -172,7 +172,7 @@
     metrics
 }
 
-fn status_of(running: &Running, method: &str, path: &str) -> u16 {
+fn status_of(running: &RunningCluster, method: &str, path: &str) -> u16 {
     running.send(method, path, JSON, "").0
 }
 
@@ -220,8 +220,8 @@
 POST /debug/ledger/readmit/edge-0
 POST /debug/waits";
 
-fn check_metrics_and_parts(running: &Running) {
-    let text = running.raw(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+fn check_metrics_and_parts(running: &RunningCluster) {
+    let text = running.send_raw(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     fixture::check(
         PACKAGE,
         "metrics.txt",
@@ -229,7 +229,7 @@
         Additions::Accepted,
     );
     let verbose =
-        running.raw(b"GET /readyz?verbose HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+        running.send_raw(b"GET /readyz?verbose HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     // `[+]planners ok: 1` is `[+]planners ok`.
     let parts = verbose
         .lines()
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn what_an_edge_serves_keeps_its_paths_keys_and_names() {
+fn paths_keys_and_metrics_of_an_edge_match_the_fixtures() {
     let running = start_with_all_parts();
     create_work(&running);
     let lines = REQUESTS.lines().map(|request| {
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -1,8 +1,8 @@
-//! A short bad day through real processes, judged from the traffic.
+//! A short fault scenario against real processes, checked from the recorded traffic.
 
 use std::process::Command;
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 nodes    = 8
 planners = 3
 edges    = 2
@@ -56,19 +56,19 @@
 "#;
 
 #[test]
-fn a_bad_day_keeps_the_rules() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("day.hcl");
-    std::fs::write(&file, DAY).unwrap();
-    let out = Command::new(env!("CARGO_BIN_EXE_tidespur"))
+fn a_scenario_with_faults_breaks_no_rule() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("day.hcl");
+    std::fs::write(&file, SCENARIO).unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_tidespur"))
         .args(["badday", "--seed", "4", "--report", "json", "--scenario"])
         .arg(&file)
         .output()
         .unwrap();
-    let text = String::from_utf8_lossy(&out.stdout);
+    let text = String::from_utf8_lossy(&output.stdout);
     println!("seed 4: {text}");
     let report: serde_json::Value = serde_json::from_str(&text).unwrap();
-    assert!(out.status.success(), "{text}");
+    assert!(output.status.success(), "{text}");
     assert_eq!(report["broken_rules"], serde_json::json!([]));
     let count = |key: &str| report[key].as_u64().unwrap();
     assert!(count("placed") >= 40, "{text}");
--- a/crates/cli/tests/common/fixture.rs
+++ b/crates/cli/tests/common/fixture.rs
@@ -1,16 +1,16 @@
-//! Fixtures: lists of what people and scripts rely on, one item a line. Other packages include this file by its path.
-//! A test reads its fixtures; only a run with `UPDATE_FIXTURES=1` writes them.
+//! Fixtures list the names that users and scripts rely on, one item per line. Tests compare a program with them; only a
+//! run with `UPDATE_FIXTURES=1` writes them. Other packages include this file by its path.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What a program may have beside the items of its fixture.
+/// Whether a program may have items that its fixture doesn't list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Additions {
-    /// Nothing: the list is complete.
+    /// No: the fixture is complete.
     Rejected,
-    /// More, for example aliases.
+    /// Yes, for example aliases.
     Accepted,
 }
 
@@ -43,7 +43,7 @@
     std::fs::write(path, text).unwrap();
 }
 
-/// Adds items to a fixture, which may be new, and takes none away.
+/// Adds items to a fixture without removing any; creates the file if there is none.
 pub fn add(package: &str, name: &str, items: impl IntoIterator<Item = String>) {
     let mut all: BTreeSet<String> = items.into_iter().collect();
     if path(package, name).exists() {
@@ -52,7 +52,7 @@
     write(package, name, &all);
 }
 
-/// Compares what the program has now with a fixture of `package` (its `CARGO_MANIFEST_DIR`).
+/// Compares the items of a program with a fixture of `package` (its `CARGO_MANIFEST_DIR`).
 pub fn check(
     package: &str,
     name: &str,
@@ -68,12 +68,12 @@
     let missing: Vec<&String> = listed.difference(&found).collect();
     assert!(
         missing.is_empty(),
-        "{name}: items that were there and are gone: {missing:#?}"
+        "{name}: items of the fixture that are missing now: {missing:#?}"
     );
     let added: Vec<&String> = found.difference(&listed).collect();
     let is_complete = added.is_empty() || additions == Additions::Accepted;
     assert!(
         is_complete,
-        "{name}: items without a line in the fixture: {added:#?}"
+        "{name}: items that the fixture doesn't list: {added:#?}"
     );
 }
--- a/crates/cli/tests/common/flags.rs
+++ b/crates/cli/tests/common/flags.rs
@@ -1,14 +1,14 @@
-//! Subcommands and flags of a program, as its help lists them and as its parser accepts them. The packages of the other
-//! programs include this file by its path.
+//! Subcommands and flags of a program, as its help lists them and its parser accepts them. Packages of other programs
+//! include this file by its path.
 //!
-//! A fixture has one line an item: `PROGRAM [SUBCOMMAND]`, then nothing, or a flag, or a flag and what holds for it
-//! (`takes a value`, `default X`, `value X`), or `argument N required|optional`.
+//! Each line of a fixture is an item: `PROGRAM [SUBCOMMAND]`, followed by nothing, by a flag, by a flag and one of its
+//! properties (`takes a value`, `default X`, `value X`), or by `argument N required|optional`.
 
 use crate::fixture;
 use std::process::Command;
 
-/// An argument that no program has. It ends a command line that would else start something.
-const BOGUS: &str = "--no-such-argument";
+/// A flag that no program has: the parser rejects the command line instead of starting the program.
+const UNKNOWN_FLAG: &str = "--no-such-argument";
 
 /// A program under test.
 pub struct Program {
@@ -35,43 +35,44 @@
         )
     }
 
-    /// Checks that each line of the fixture still holds and that the fixture has a line for all that the help lists.
+    /// Checks that the parser accepts each item of the fixture and that the fixture has each item that the help lists.
     pub fn check(&self) {
         let fixture = format!("{}.flags.txt", self.name);
-        let listed = self.listed();
+        let listed = self.items_listed();
         if fixture::is_update() {
             return fixture::add(self.package, &fixture, listed);
         }
-        let frozen = fixture::read(self.package, &fixture);
-        let unaccepted: Vec<&String> = frozen.iter().filter(|item| !self.accepts(item)).collect();
+        let expected = fixture::read(self.package, &fixture);
+        let unaccepted: Vec<&String> = expected.iter().filter(|item| !self.accepts(item)).collect();
         assert!(unaccepted.is_empty(), "no longer accepted: {unaccepted:#?}");
         let added: Vec<&String> = listed
             .iter()
-            .filter(|item| !frozen.contains(item))
+            .filter(|item| !expected.contains(item))
             .collect();
         assert!(
             added.is_empty(),
-            "without a line in {fixture}, which UPDATE_FIXTURES=1 adds: {added:#?}"
+            "missing from {fixture}; UPDATE_FIXTURES=1 adds them: {added:#?}"
         );
     }
 
-    /// Whether a line of the fixture holds. An alias holds too, whether the help lists it or not.
+    /// Whether the program has an item of the fixture. Aliases are accepted even if the help doesn't list them.
     fn accepts(&self, item: &str) -> bool {
         let words: Vec<&str> = item.split(' ').skip(1).collect();
         let at = words
             .iter()
             .position(|word| word.starts_with('-') || *word == "argument");
         let (subcommand, rest) = words.split_at(at.unwrap_or(words.len()));
-        let unexpected = format!("unexpected argument '{BOGUS}'");
-        let parse = |arguments: &[&str]| self.run(&[subcommand, arguments, &[BOGUS]].concat());
+        let unexpected = format!("unexpected argument '{UNKNOWN_FLAG}'");
+        let parse =
+            |arguments: &[&str]| self.run(&[subcommand, arguments, &[UNKNOWN_FLAG]].concat());
         match rest {
             [] => parse(&[]).contains(&unexpected),
             ["-h" | "--help" | "-V" | "--version"] => !parse(rest).contains("error:"),
             [flag] => parse(&[flag]).contains(&unexpected),
             [flag, "takes", "a", "value"] => {
-                // A value of the wrong type is one too; a flag without a value says `unexpected value`.
-                let said = parse(&[&format!("{flag}=1")]);
-                said.contains(&unexpected) || said.contains("invalid value")
+                // A value of the wrong type still shows that the flag takes one; else the error is `unexpected value`.
+                let output = parse(&[&format!("{flag}=1")]);
+                output.contains(&unexpected) || output.contains("invalid value")
             }
             [flag, "value", value] => parse(&[flag, value]).contains(&unexpected),
             _ => {
@@ -85,7 +86,7 @@
     }
 
     /// All items that the help lists.
-    fn listed(&self) -> Vec<String> {
+    fn items_listed(&self) -> Vec<String> {
         let top = self.run(&["-h"]);
         let shown = section(&top, "Commands:");
         let mut subcommands: Vec<&str> = shown
--- a/crates/cli/tests/common/fleet.rs
+++ b/crates/cli/tests/common/fleet.rs
@@ -1,8 +1,8 @@
-//! Three edges that keep the ledger as processes, with a relay on each stream between them, and planners of theirs with a
-//! relay on each link.
+//! Three edges that vote on the ledger and the planners that connect to them, as processes. Each connection between two
+//! of them goes through a relay that can disturb it.
 #![allow(dead_code, reason = "each test file uses a part")]
 
-use super::Running;
+use super::RunningCluster;
 use hyper::Method;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -12,30 +12,30 @@
 use tidespur_testbed::process::Process;
 use tidespur_testbed::relay::Relay;
 
-/// The fleet; it ends with this value.
+/// The processes and relays of a fleet, which end when this value is dropped.
 pub struct Fleet {
     pub edges: Vec<Process>,
-    /// By the pair that dials and is dialled.
-    pub relays: BTreeMap<(usize, usize), Relay>,
+    /// Between edges, by the indices of the connecting and the accepting edge.
+    pub edge_relays: BTreeMap<(usize, usize), Relay>,
     pub planners: Vec<Process>,
-    /// By planner and edge.
-    pub links: BTreeMap<(usize, usize), Relay>,
-    /// Where the edges listen for planners.
-    at: Vec<String>,
+    /// Between planners and edges, by the indices of the planner and the edge.
+    pub planner_relays: BTreeMap<(usize, usize), Relay>,
+    /// The addresses on which the edges accept planners.
+    link_addresses: Vec<String>,
     register: String,
-    pub folder: tempfile::TempDir,
+    pub directory: tempfile::TempDir,
 }
 
-/// An address that no other test gets, in this process or beside it: a port of 127.0.0.1 that was let go may be given to
-/// anybody before it is bound again.
-fn own_address() -> String {
+/// An address that no other test uses, in this process or another one: a released port of 127.0.0.1 may be assigned to
+/// any other process before it is bound again, so each call takes an IP address of its own.
+fn reserve_address() -> String {
     static NEXT: AtomicU8 = AtomicU8::new(1);
-    let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
+    let (n, process_id) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
     let ip = [
         127,
-        177 + (process / 250 % 70) as u8,
+        177 + (process_id / 250 % 70) as u8,
         n,
-        1 + (process % 250) as u8,
+        1 + (process_id % 250) as u8,
     ];
     TcpListener::bind(SocketAddr::from((ip, 0)))
         .unwrap()
@@ -44,31 +44,35 @@
         .to_string()
 }
 
-pub fn fleet(running: &Running) -> Fleet {
-    let folder = tempfile::tempdir().unwrap();
-    let at: Vec<String> = (0..3).map(|_| own_address()).collect();
-    let links: Vec<String> = (0..3).map(|_| own_address()).collect();
-    let voters: String = at
+/// Starts the three edges, without planners.
+pub fn start_fleet(running: &RunningCluster) -> Fleet {
+    let directory = tempfile::tempdir().unwrap();
+    let voter_addresses: Vec<String> = (0..3).map(|_| reserve_address()).collect();
+    let links: Vec<String> = (0..3).map(|_| reserve_address()).collect();
+    let voters: String = voter_addresses
         .iter()
         .enumerate()
-        .map(|(i, at)| format!("    edge-{i} = \"{at}\"\n"))
+        .map(|(i, address)| format!("    edge-{i} = \"{address}\"\n"))
         .collect();
-    let config = folder.path().join("config.hcl");
+    let config = directory.path().join("config.hcl");
     let block = format!("ledger {{\n  term = 2\n  voters = {{\n{voters}  }}\n}}\n");
     std::fs::write(
         &config,
-        format!("{}\n{block}", patient(tidespur_config::DEFAULT_CONFIG)),
+        format!(
+            "{}\n{block}",
+            with_long_link_timeouts(tidespur_config::DEFAULT_CONFIG)
+        ),
     )
     .unwrap();
     let mut relays = BTreeMap::new();
     for i in 0..3 {
         let mut routes = String::new();
-        for (j, at) in at.iter().enumerate().skip(i + 1) {
-            let relay = smol::block_on(Relay::start(at)).unwrap();
-            routes.push_str(&format!("{at} {}\n", relay.address));
+        for (j, address) in voter_addresses.iter().enumerate().skip(i + 1) {
+            let relay = smol::block_on(Relay::start(address)).unwrap();
+            routes.push_str(&format!("{address} {}\n", relay.address));
             relays.insert((i, j), relay);
         }
-        std::fs::write(folder.path().join(format!("routes-{i}")), routes).unwrap();
+        std::fs::write(directory.path().join(format!("routes-{i}")), routes).unwrap();
     }
     let register = running.cluster.register.addresses[0].clone();
     let edge = |i: usize| {
@@ -76,8 +80,8 @@
             "edge --api 127.0.0.1:0 --link {} --register {register}",
             links[i]
         );
-        process(
-            folder.path(),
+        start_process(
+            directory.path(),
             &format!("edge-{i}"),
             &line,
             &format!("routes-{i}"),
@@ -85,72 +89,78 @@
         )
     };
     let edges = (0..3).map(edge).collect();
-    let (planners, of_planners) = (Vec::new(), BTreeMap::new());
     Fleet {
         edges,
-        relays,
-        planners,
-        links: of_planners,
-        at: links,
+        edge_relays: relays,
+        planners: Vec::new(),
+        planner_relays: BTreeMap::new(),
+        link_addresses: links,
         register,
-        folder,
+        directory,
     }
 }
 
-/// Links bear silence for half a minute: a word that a relay holds comes late and not never.
-fn patient(settings: &str) -> String {
-    let patience = |line: &str| match line.trim_start().split_once(' ') {
+/// Raises the timeouts of links to 30 s, so that a message that a relay delays arrives instead of the link being
+/// closed.
+fn with_long_link_timeouts(settings: &str) -> String {
+    let set_timeout = |line: &str| match line.trim_start().split_once(' ') {
         Some((key @ ("planner_patience" | "edge_patience"), _)) => format!("  {key} = 30"),
         _ => line.to_owned(),
     };
     settings
         .lines()
-        .map(patience)
+        .map(set_timeout)
         .collect::<Vec<_>>()
         .join("\n")
 }
 
-fn process(folder: &Path, name: &str, line: &str, routes: &str, ready: bool) -> Process {
-    let at = |name: &str| folder.join(name).display().to_string();
-    let rest = format!(
+fn start_process(
+    directory: &Path,
+    name: &str,
+    command: &str,
+    routes: &str,
+    wait_ready: bool,
+) -> Process {
+    let path = |name: &str| directory.join(name).display().to_string();
+    let options = format!(
         "--name {name} --config {} --data {} --routes {}",
-        at("config.hcl"),
-        at("data"),
-        at(routes)
+        path("config.hcl"),
+        path("data"),
+        path(routes)
     );
-    let words = format!("{line} {rest}")
+    let arguments = format!("{command} {options}")
         .split_whitespace()
         .map(str::to_owned)
         .collect();
-    let log = Some(folder.join(format!("{name}.log")));
+    let log = Some(directory.join(format!("{name}.log")));
     Process::start(
         name,
         env!("CARGO_BIN_EXE_tidespur").into(),
-        words,
+        arguments,
         log,
-        ready,
+        wait_ready,
     )
     .unwrap()
 }
 
 impl Fleet {
     /// Starts one more planner, with a relay on its link to each edge.
-    pub fn planner(&mut self) {
+    pub fn start_planner(&mut self) {
         let n = self.planners.len();
         let (mut routes, mut line) = (
             String::new(),
             format!("planner --register {} --ordinal {n}", self.register),
         );
-        for (j, at) in self.at.iter().enumerate() {
-            let relay = smol::block_on(Relay::start(at)).unwrap();
-            routes.push_str(&format!("{at} {}\n", relay.address));
-            line.push_str(&format!(" --edge {at}"));
-            self.links.insert((n, j), relay);
+        for (j, address) in self.link_addresses.iter().enumerate() {
+            let relay = smol::block_on(Relay::start(address)).unwrap();
+            routes.push_str(&format!("{address} {}\n", relay.address));
+            line.push_str(&format!(" --edge {address}"));
+            self.planner_relays.insert((n, j), relay);
         }
         let file = format!("planner-routes-{n}");
-        std::fs::write(self.folder.path().join(&file), routes).unwrap();
-        self.planners.push(process(
-            self.folder.path(),
+        std::fs::write(self.directory.path().join(&file), routes).unwrap();
+        self.planners.push(start_process(
+            self.directory.path(),
             &format!("planner-{n}"),
             &line,
             &file,
@@ -158,13 +168,15 @@
         ));
     }
 
-    /// What a process has logged.
+    /// The log of a process so far; empty if it has none.
     pub fn log(&self, name: &str) -> String {
-        std::fs::read_to_string(self.folder.path().join(format!("{name}.log"))).unwrap_or_default()
+        std::fs::read_to_string(self.directory.path().join(format!("{name}.log")))
+            .unwrap_or_default()
     }
 }
 
-pub fn ask(edge: &Process, method: Method, path: &str) -> Option<(u16, String)> {
+/// Sends a request to an edge's API; `None` if there is no answer within 2 s.
+pub fn request(edge: &Process, method: Method, path: &str) -> Option<(u16, String)> {
     let client = tidespur_net::Client::new(edge.addresses.first()?, 1, vec![]);
     let reply = smol::block_on(client.send(method, path, "", Default::default(), 2.0)).ok()?;
     Some((
@@ -173,23 +185,26 @@
     ))
 }
 
-pub fn ledger(edge: &Process) -> Value {
-    let told = ask(edge, Method::GET, "/debug/ledger")
+/// The edge's view of the ledger; null if it doesn't answer.
+pub fn ledger_status(edge: &Process) -> Value {
+    let body = request(edge, Method::GET, "/debug/ledger")
         .map(|(_, text)| text)
         .unwrap_or_default();
-    serde_json::from_str(&told).unwrap_or(Value::Null)
+    serde_json::from_str(&body).unwrap_or(Value::Null)
 }
 
-pub fn acts(edge: &Process) -> Option<u64> {
-    ledger(edge)["leases"][0]["mayActHere"].as_u64()
+/// The fencing token under which the edge may act; `None` if it holds no lease.
+pub fn acting_token(edge: &Process) -> Option<u64> {
+    ledger_status(edge)["leases"][0]["mayActHere"].as_u64()
 }
 
-pub fn all_vote_and_one_acts(running: &Running, fleet: &Fleet, what: &str) {
-    running.until(what, async || {
+/// Waits until all three edges vote and exactly one of them may act.
+pub fn wait_for_one_lease_holder(running: &RunningCluster, fleet: &Fleet, what: &str) {
+    running.wait_for(what, async || {
         let votes = fleet
             .edges
             .iter()
-            .all(|edge| ledger(edge)["standing"] == "voting");
-        (votes && fleet.edges.iter().filter_map(acts).count() == 1).then_some(())
+            .all(|edge| ledger_status(edge)["standing"] == "voting");
+        (votes && fleet.edges.iter().filter_map(acting_token).count() == 1).then_some(())
     });
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster on loopback for whole-path tests, and the public client `kube` against it.
+//! Starts a cluster on the loopback interface for end-to-end tests, and calls its API with the public `kube` client.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use k8s_openapi::api::batch::v1::Job;
@@ -10,33 +10,34 @@
 use std::time::{Duration, Instant};
 use tidespur_testbed::{Cluster, Layout};
 
-/// Clusters run one after the other, so that a small machine gives the same verdict.
-static ONE: Mutex<()> = Mutex::new(());
+/// Held while a cluster runs: one at a time, so that results don't depend on the size of the machine.
+static CLUSTER_LOCK: Mutex<()> = Mutex::new(());
 
-pub struct Running {
+pub struct RunningCluster {
     pub cluster: Cluster,
-    pub folder: tempfile::TempDir,
+    pub directory: tempfile::TempDir,
     pub runtime: tokio::runtime::Runtime,
-    _one: MutexGuard<'static, ()>,
+    _lock: MutexGuard<'static, ()>,
 }
 
-pub fn start(
+/// Starts a cluster and waits until it is ready; `configure` may change its layout and is given a directory for files.
+pub fn start_cluster(
     nodes: usize,
     planners: usize,
-    change: impl FnOnce(&mut Layout, &std::path::Path),
-) -> Running {
-    let one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let folder = tempfile::tempdir().unwrap();
+    configure: impl FnOnce(&mut Layout, &std::path::Path),
+) -> RunningCluster {
+    let lock = CLUSTER_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let directory = tempfile::tempdir().unwrap();
     let mut layout = Layout::new(
         PathBuf::from(env!("CARGO_BIN_EXE_tidespur")),
         nodes,
         planners,
         5,
     );
-    layout.records = Some(folder.path().join("records"));
-    layout.logs = Some(folder.path().join("logs"));
+    layout.records = Some(directory.path().join("records"));
+    layout.logs = Some(directory.path().join("logs"));
     layout.delay = 0.1;
-    change(&mut layout, folder.path());
+    configure(&mut layout, directory.path());
     let cluster = Cluster::start(layout).unwrap();
     smol::block_on(cluster.wait_ready(60.0)).unwrap();
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -44,15 +45,15 @@
         .enable_all()
         .build()
         .unwrap();
-    Running {
+    RunningCluster {
         cluster,
-        folder,
+        directory,
         runtime,
-        _one: one,
+        _lock: lock,
     }
 }
 
-impl Running {
+impl RunningCluster {
     pub fn client(&self) -> Client {
         let uri = format!("http://{}", self.cluster.api(0)).parse().unwrap();
         let _inside = self.runtime.enter();
@@ -67,10 +68,10 @@
         Api::namespaced(self.client(), "default")
     }
 
-    /// One line a recorded thing.
+    /// All recorded events of all processes, ordered by time.
     pub fn records(&self) -> Vec<Value> {
         let mut lines = Vec::new();
-        for entry in std::fs::read_dir(self.folder.path().join("records")).unwrap() {
+        for entry in std::fs::read_dir(self.directory.path().join("records")).unwrap() {
             let text = std::fs::read_to_string(entry.unwrap().path()).unwrap();
             lines.extend(
                 text.lines()
@@ -86,36 +87,36 @@
         lines
     }
 
-    /// Asks again until it holds; a minute is far beyond what any of it takes.
-    pub fn until<T>(&self, what: &str, mut holds: impl AsyncFnMut() -> Option<T>) -> T {
+    /// Polls until `condition` returns a value; panics after a minute, which is far longer than any of the tests needs.
+    pub fn wait_for<T>(&self, what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
         let start = Instant::now();
         loop {
-            if let Some(found) = self.runtime.block_on(holds()) {
+            if let Some(found) = self.runtime.block_on(condition()) {
                 return found;
             }
             assert!(
                 start.elapsed() < Duration::from_secs(60),
-                "still not so: {what}"
+                "timed out: {what}"
             );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// A plain request over a socket of its own; the whole answer.
-    pub fn raw(&self, bytes: &[u8]) -> String {
+    /// Sends bytes over a new connection and returns the whole answer, or what came of it before the connection closed.
+    pub fn send_raw(&self, bytes: &[u8]) -> String {
         use std::io::{Read, Write};
         let mut socket = std::net::TcpStream::connect(self.cluster.api(0)).unwrap();
         socket
             .set_read_timeout(Some(Duration::from_secs(30)))
             .unwrap();
-        // The edge may close before it has read all of a bad request.
+        // The edge may close the connection before it has read all of an invalid request.
         let _ = socket.write_all(bytes);
         let mut answer = Vec::new();
-        let mut part = [0; 4096];
+        let mut buffer = [0; 4096];
         loop {
-            match socket.read(&mut part) {
+            match socket.read(&mut buffer) {
                 Ok(0) | Err(_) => break,
-                Ok(n) => answer.extend_from_slice(&part[..n]),
+                Ok(n) => answer.extend_from_slice(&buffer[..n]),
             }
             let text = String::from_utf8_lossy(&answer);
             if let Some((head, body)) = text.split_once("\r\n\r\n") {
@@ -132,10 +133,10 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    pub fn send(&self, method: &str, path: &str, media: &str, body: &str) -> (u16, Value) {
-        let text = self.raw(
+    pub fn send(&self, method: &str, path: &str, content_type: &str, body: &str) -> (u16, Value) {
+        let text = self.send_raw(
             format!(
-                "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-type: {media}\r\ncontent-length: {}\r\n\r\n{body}",
+                "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-type: {content_type}\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             )
             .as_bytes(),
@@ -151,10 +152,10 @@
 }
 
 pub fn job(name: &str, class: &str, pods: i32, seconds: f64) -> Job {
-    serde_json::from_value(job_value(name, class, pods, seconds)).unwrap()
+    serde_json::from_value(job_json(name, class, pods, seconds)).unwrap()
 }
 
-pub fn job_value(name: &str, class: &str, pods: i32, seconds: f64) -> Value {
+pub fn job_json(name: &str, class: &str, pods: i32, seconds: f64) -> Value {
     json!({"apiVersion": "batch/v1", "kind": "Job", "metadata": {"name": name},
         "spec": {"parallelism": pods, "completions": pods, "template": {
             "metadata": {"annotations": {"placement.tidespur.dev/expected-seconds": format!("{seconds}")}},
@@ -162,7 +163,7 @@
                 "resources": {"requests": {"cpu": "500m", "memory": "1Gi"}}}]}}}})
 }
 
-pub fn complete(job: &Job) -> bool {
+pub fn is_complete(job: &Job) -> bool {
     let conditions = job.status.as_ref().and_then(|s| s.conditions.as_ref());
     conditions.is_some_and(|list| {
         list.iter()
@@ -170,7 +171,7 @@
     })
 }
 
-/// How a Pod was answered: `None` where it was not yet.
+/// The outcome of a Pod's placement: `None` while it has none.
 pub fn outcome(pod: &Pod) -> Option<&'static str> {
     let reason = pod
         .status
--- a/crates/cli/tests/compatibility.rs
+++ b/crates/cli/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Subcommands, flags and environment variables of `tidespur` stay as scripts use them.
+//! Subcommands, flags and environment variables of `tidespur` stay compatible with the scripts that use them.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -24,8 +24,8 @@
     .check();
 }
 
-/// The head of the request that `tidespur` sends, which is answered by 404.
-fn request_of(arguments: &[&str], api: impl FnOnce(&mut Command, String)) -> String {
+/// The request line that `tidespur` sends; the request is answered with 404.
+fn request_of(arguments: &[&str], set_api: impl FnOnce(&mut Command, String)) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut command = Command::new(TIDESPUR);
     command
@@ -33,7 +33,7 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .stdin(Stdio::null());
-    api(&mut command, listener.local_addr().unwrap().to_string());
+    set_api(&mut command, listener.local_addr().unwrap().to_string());
     let mut child = command.spawn().unwrap();
     let (mut socket, _) = listener.accept().unwrap();
     let mut line = String::new();
@@ -50,27 +50,27 @@
 }
 
 #[test]
-fn the_environment_names_the_api() {
-    let named = request_of(&["fleet"], |command, at| {
+fn the_environment_sets_the_api_address() {
+    let request_line = request_of(&["fleet"], |command, at| {
         command.env("TIDESPUR_API", at);
     });
-    assert_eq!(named, "GET /debug/fleet HTTP/1.1");
+    assert_eq!(request_line, "GET /debug/fleet HTTP/1.1");
 }
 
 #[test]
-fn the_flag_goes_before_the_environment() {
-    let named = request_of(&["-n", "other", "get", "po", "-l", "a=b"], |command, at| {
+fn the_flag_overrides_the_environment() {
+    let request_line = request_of(&["-n", "other", "get", "po", "-l", "a=b"], |command, at| {
         command
             .env("TIDESPUR_API", "127.0.0.1:1")
             .args(["--server", &at]);
     });
     assert_eq!(
-        named,
+        request_line,
         "GET /api/v1/namespaces/other/pods?labelSelector=a%3Db HTTP/1.1"
     );
 }
 
-/// What an edge without anybody around it logs until its API answers a client, and on until the process ends.
+/// The log of an edge that has no planners or registry, from its start past its first answer to its end.
 fn log_of_edge(environment: &[(&str, &str)], arguments: &[&str]) -> String {
     let line = "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register 127.0.0.1:1";
     let mut edge = Command::new(TIDESPUR)
@@ -90,7 +90,7 @@
     let client = tidespur_net::Client::new(ready.split(' ').nth(1).unwrap(), 1, vec![]);
     smol::block_on(client.send(hyper::Method::GET, "/healthz", "", Default::default(), 10.0))
         .unwrap();
-    // The edge ends with its standard input.
+    // The edge exits when its standard input is closed.
     drop(edge.stdin.take());
     let mut log = String::new();
     edge.stderr
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Files and packages that `docs/architecture.md` names are there.
+//! `docs/architecture.md` names every package, and every source file that it names exists.
 
 use std::path::{Path, PathBuf};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_package_is_on_the_page_of_the_architecture() {
+fn the_architecture_page_names_every_package() {
     for package in packages() {
         let quoted = format!("`{package}`");
         assert!(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_file_that_the_page_names_is_there() {
+fn every_file_that_the_page_names_exists() {
     let mut files = 0;
     for word in PAGE.split(|c: char| !(c.is_ascii_alphanumeric() || "/._-".contains(c))) {
         if !word.ends_with(".rs") {
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes that find each other: two edges and four planners, killed and stopped by turns.
+//! Membership of a fleet of real processes, two edges and four planners, that are killed and paused in turn.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -8,8 +8,8 @@
 use tidespur_net::{Client, clock};
 use tidespur_testbed::process::Process;
 
-/// How long a view may take to settle. Waited for, not measured: small machines are slow.
-const WITHIN: f64 = 40.0;
+/// Limit for each wait, long enough for slow machines.
+const TIMEOUT_SECONDS: f64 = 40.0;
 
 struct Fleet {
     _register: Process,
@@ -48,7 +48,7 @@
         fleet
     }
 
-    /// Starts a member. Nobody is told an address but for the first two edges' in the fleet.
+    /// Starts a member. Its only seeds are the fleet addresses of the first two edges.
     fn launch(&mut self, name: &str) {
         let edge = name.starts_with("edge");
         let number = name.rsplit('-').next().unwrap();
@@ -74,18 +74,18 @@
         self.all.insert(name.into(), process);
     }
 
-    fn ask(&self, edge: &str, path: &str) -> Option<tidespur_net::Reply> {
+    fn request(&self, edge: &str, path: &str) -> Option<tidespur_net::Reply> {
         let client = Client::new(&self.apis[edge], 1, vec![]);
         smol::block_on(client.send(Method::GET, path, "", Bytes::new(), 2.0)).ok()
     }
 
-    /// Waits until each of these edges sees just these members live, and all see the same; tells the last view else.
-    fn settle(&self, edges: &[&str], live: &[&str]) {
-        let until = clock::now() + WITHIN;
+    /// Waits until each of `edges` lists exactly `live` and reports that all members agree; panics with the last views.
+    fn wait_settled(&self, edges: &[&str], live: &[&str]) {
+        let until = clock::now() + TIMEOUT_SECONDS;
         loop {
             let views: Vec<Value> = edges
                 .iter()
-                .filter_map(|edge| Some(self.ask(edge, "/debug/fleet")?.json()))
+                .filter_map(|edge| Some(self.request(edge, "/debug/fleet")?.json()))
                 .collect();
             let names = |view: &Value| -> Vec<String> {
                 let members = view["members"].as_array().cloned().unwrap_or_default();
@@ -104,11 +104,14 @@
         }
     }
 
-    /// Waits until so many planners are linked to this edge.
-    fn linked(&self, edge: &str, planners: usize) {
-        let (until, wanted) = (clock::now() + WITHIN, format!("ok, planners: {planners}"));
+    /// Waits until `planners` planners are connected to `edge`.
+    fn wait_connected(&self, edge: &str, planners: usize) {
+        let (until, wanted) = (
+            clock::now() + TIMEOUT_SECONDS,
+            format!("ok, planners: {planners}"),
+        );
         while self
-            .ask(edge, "/readyz")
+            .request(edge, "/readyz")
             .is_none_or(|reply| reply.body != wanted.as_bytes())
         {
             assert!(clock::now() < until, "{edge} has not {planners} planners");
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn edges_and_planners_find_each_other_and_settle_after_kills_and_stops() {
+fn edges_and_planners_find_each_other_and_agree_after_kills_and_pauses() {
     let mut fleet = Fleet::start(2, 4);
     let both = ["edge-0", "edge-1"];
     let whole = [
@@ -129,21 +132,21 @@
         "planner-2",
         "planner-3",
     ];
-    fleet.settle(&both, &whole);
-    // Planners were told no edge: the links come from the view.
-    both.iter().for_each(|edge| fleet.linked(edge, 4));
+    fleet.wait_settled(&both, &whole);
+    // Planners were given no edge addresses: they connect to the edges that they find in the fleet.
+    both.iter().for_each(|edge| fleet.wait_connected(edge, 4));
 
-    // A planner dies.
+    // A planner is killed.
     fleet.all.get_mut("planner-2").unwrap().kill();
     let rest: Vec<&str> = whole
         .iter()
         .copied()
         .filter(|name| *name != "planner-2")
         .collect();
-    fleet.settle(&both, &rest);
-    both.iter().for_each(|edge| fleet.linked(edge, 3));
+    fleet.wait_settled(&both, &rest);
+    both.iter().for_each(|edge| fleet.wait_connected(edge, 3));
 
-    // Another stands still for ten seconds, and the dead one comes back under its name meanwhile.
+    // Another planner is paused, and the killed one restarts under its name meanwhile.
     fleet.all["planner-1"].pause(true);
     fleet.launch("planner-2");
     let rest: Vec<&str> = whole
@@ -151,13 +154,13 @@
         .copied()
         .filter(|name| *name != "planner-1")
         .collect();
-    fleet.settle(&both, &rest);
+    fleet.wait_settled(&both, &rest);
     smol::block_on(clock::sleep(5.0));
     fleet.all["planner-1"].pause(false);
-    fleet.settle(&both, &whole);
-    both.iter().for_each(|edge| fleet.linked(edge, 4));
+    fleet.wait_settled(&both, &whole);
+    both.iter().for_each(|edge| fleet.wait_connected(edge, 4));
 
-    // One is told to end: it says so, and is not called lost.
+    // A planner that is terminated leaves the fleet and is not reported as lost.
     let mut leaves = fleet.all.remove("planner-0").unwrap();
     leaves.terminate();
     let rest: Vec<&str> = whole
@@ -165,9 +168,9 @@
         .copied()
         .filter(|name| *name != "planner-0")
         .collect();
-    fleet.settle(&both, &rest);
+    fleet.wait_settled(&both, &rest);
     for edge in both {
-        let view = fleet.ask(edge, "/debug/fleet").unwrap().json();
+        let view = fleet.request(edge, "/debug/fleet").unwrap().json();
         let members = view["members"].as_array().cloned().unwrap_or_default();
         let state = members
             .iter()
@@ -175,7 +178,7 @@
             .map(|m| m["state"].clone());
         assert_eq!(state, Some("left".into()), "{view:#?}");
     }
-    let until = clock::now() + WITHIN;
+    let until = clock::now() + TIMEOUT_SECONDS;
     let ended = loop {
         assert!(clock::now() < until, "planner-0 goes on");
         match leaves.ended() {
@@ -185,9 +188,9 @@
     };
     assert_eq!(ended, "exit status: 0");
     fleet.launch("planner-0");
-    fleet.settle(&both, &whole);
+    fleet.wait_settled(&both, &whole);
 
-    // The first seed dies for good; an edge that joins after that is linked to by all.
+    // The first seed is killed for good; all planners connect to an edge that joins after that.
     fleet.all.remove("edge-0");
     fleet.launch("edge-2");
     let after = [
@@ -198,32 +201,31 @@
         "planner-2",
         "planner-3",
     ];
-    fleet.settle(&["edge-1", "edge-2"], &after);
+    fleet.wait_settled(&["edge-1", "edge-2"], &after);
     ["edge-1", "edge-2"]
         .iter()
-        .for_each(|edge| fleet.linked(edge, 4));
+        .for_each(|edge| fleet.wait_connected(edge, 4));
 }
 
-/// Two processes of one name: the older ends by itself.
 #[test]
 fn of_two_processes_with_one_name_the_older_ends() {
     let mut fleet = Fleet::start(1, 1);
-    fleet.settle(&["edge-0"], &["edge-0", "planner-0"]);
-    // Past the time in which a start may take a higher incarnation.
+    fleet.wait_settled(&["edge-0"], &["edge-0", "planner-0"]);
+    // Longer than the period after a start in which a member may raise its incarnation.
     smol::block_on(clock::sleep(4.0));
     let mut older = fleet.all.remove("planner-0").unwrap();
     fleet.launch("planner-0");
-    let until = clock::now() + WITHIN;
+    let until = clock::now() + TIMEOUT_SECONDS;
     while older.ended().is_none() {
         assert!(clock::now() < until, "the older one goes on");
         smol::block_on(clock::sleep(0.1));
     }
-    fleet.settle(&["edge-0"], &["edge-0", "planner-0"]);
-    fleet.linked("edge-0", 1);
+    fleet.wait_settled(&["edge-0"], &["edge-0", "planner-0"]);
+    fleet.wait_connected("edge-0", 1);
     assert!(fleet.all.get_mut("planner-0").unwrap().ended().is_none());
 }
 
-/// Without the block `fleet` and its flags, no fleet: the edge says so, and a planner wants to be told its edges.
+/// Without the `fleet` block and its flags the edge answers 404, and a planner exits if it is given no edge.
 #[test]
 fn without_settings_there_is_no_fleet() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_tidespur"));
@@ -243,7 +245,7 @@
         false,
     )
     .unwrap();
-    let until = clock::now() + WITHIN;
+    let until = clock::now() + TIMEOUT_SECONDS;
     while planner.ended().is_none() {
         assert!(clock::now() < until, "it goes on without an edge");
         smol::block_on(clock::sleep(0.05));
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The script of CI that passes over tests known to fail, with a `cargo` that only tells how it was called.
+//! The CI script that skips tests known to fail, run with a `cargo` that only prints its arguments.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -11,8 +11,8 @@
 esac
 "#;
 
-/// Runs it with this list: whether it passes, and all that it prints.
-fn ci(name: &str, list: Option<&str>) -> (bool, String) {
+/// Runs the script with a list of tests; returns whether it passes, and its output.
+fn run_script(name: &str, list: Option<&str>) -> (bool, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("known-red")
         .join(name);
@@ -26,54 +26,57 @@
     }
     let path = format!("{}:{}", folder.display(), std::env::var("PATH").unwrap());
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test");
-    let ran = Command::new("bash")
+    let output = Command::new("bash")
         .arg(script)
         .arg(&red)
         .env("PATH", path)
         .output()
         .unwrap();
-    let said = [ran.stdout, ran.stderr].concat();
-    (ran.status.success(), String::from_utf8(said).unwrap())
+    let text = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8(text).unwrap())
 }
 
 #[test]
-fn without_a_list_or_with_an_empty_one_it_is_the_plain_command() {
+fn without_listed_tests_all_tests_run() {
     for (name, list) in [
         ("none", None),
         ("empty", Some("")),
         ("comment", Some("# nothing is red\n\n")),
     ] {
-        assert_eq!(ci(name, list), (true, "called: test --locked\n".into()));
+        assert_eq!(
+            run_script(name, list),
+            (true, "called: test --locked\n".into())
+        );
     }
 }
 
 #[test]
-fn just_the_listed_tests_are_passed_over_and_printed() {
-    let (passes, said) = ci("listed", Some("other::two, a fault, not mended, #39\n"));
-    assert!(passes, "{said}");
+fn only_the_listed_tests_are_skipped_and_printed() {
+    let (passes, output) = run_script("listed", Some("other::two, a fault, not mended, #39\n"));
+    assert!(passes, "{output}");
     assert!(
-        said.contains("called: test --locked -- --exact --skip other::two\n"),
-        "{said}"
+        output.contains("called: test --locked -- --exact --skip other::two\n"),
+        "{output}"
     );
     assert!(
-        said.contains("known to fail: other::two, a fault, not mended, #39"),
-        "{said}"
+        output.contains("known to fail: other::two, a fault, not mended, #39"),
+        "{output}"
     );
 }
 
 #[test]
-fn a_list_that_is_too_long_names_no_test_or_tells_no_cause_is_refused() {
+fn a_list_that_is_too_long_or_names_an_unknown_test_or_no_cause_is_rejected() {
     let four = "one, a, 1\none, a, 1\none, a, 1\none, a, 1\n";
-    for (name, list, why) in [
+    for (name, list, reason) in [
         ("four", four, "three at most"),
         ("unknown", "two, a fault, 39\n", "there is no test two"),
         ("bare", "one\n", "not of the form"),
         ("no-issue", "one, a fault\n", "not of the form"),
     ] {
-        let (passes, said) = ci(name, Some(list));
+        let (passes, output) = run_script(name, Some(list));
         assert!(
-            !passes && said.contains(why) && !said.contains("called"),
-            "{name}: {said}"
+            !passes && output.contains(reason) && !output.contains("called"),
+            "{name}: {output}"
         );
     }
 }
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! Three edges keep the ledger as processes, with a relay on each stream between them; kills, stops, cuts, one-way holds,
-//! slowness and a cut of the power by seed.
+//! Three edge processes that vote on the ledger, under random faults: killed and paused processes, cut, one-way and
+//! slow connections, and a power loss of all three.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -14,11 +14,11 @@
 use tidespur_testbed::process::Process;
 use tidespur_testbed::relay::{Relay, Way};
 
-/// Drawn from this; LEDGER_ROUNDS plays more, outside CI.
+/// Random seed; outside CI, LEDGER_ROUNDS sets the number of rounds.
 const SEED: u64 = 1_202;
 
-/// Which start of which edge was given which token, by the logs of all. One whose term ran out before its renewal was
-/// heard may hold the same token again.
+/// Each fencing token in the edges' logs with the edge that acquired it and how often that edge had been started. An
+/// edge whose lease expired before its renewal was confirmed may acquire the same token again.
 fn tokens(folder: &Path) -> Vec<(u64, String)> {
     let mut all = Vec::new();
     for i in 0..3 {
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn whatever_breaks_between_the_voters_one_acts_at_a_time_and_tokens_rise_over_a_power_cut() {
-    let running = start(1, 1, |_, _| {});
-    let mut fleet = fleet(&running);
-    all_vote_and_one_acts(&running, &fleet, "all vote at first");
+fn under_random_faults_one_edge_acts_at_a_time_and_tokens_increase() {
+    let running = start_cluster(1, 1, |_, _| {});
+    let mut fleet = start_fleet(&running);
+    wait_for_one_lease_holder(&running, &fleet, "all vote at first");
     let mut rng = rand_pcg::Pcg32::seed_from_u64(SEED);
-    let pairs: Vec<(usize, usize)> = fleet.relays.keys().copied().collect();
+    let pairs: Vec<(usize, usize)> = fleet.edge_relays.keys().copied().collect();
     let mut highest = 0;
     let rounds = std::env::var("LEDGER_ROUNDS")
         .ok()
@@ -54,8 +54,11 @@
         .unwrap_or(4);
     println!("seed {SEED}");
     for round in 0..rounds {
-        // Whoever acts now meets it, where one does.
-        let holder = fleet.edges.iter().position(|edge| acts(edge).is_some());
+        // The process fault hits the current lease holder, or a random edge if there is none.
+        let holder = fleet
+            .edges
+            .iter()
+            .position(|edge| acting_token(edge).is_some());
         let i = holder.unwrap_or_else(|| rng.random_range(0..3));
         let ways = [
             Way::Cut,
@@ -65,21 +68,21 @@
             Way::Trickle(400.0),
         ];
         let pair = pairs[rng.random_range(0..pairs.len())];
-        fleet.relays[&pair].set(ways[rng.random_range(0..ways.len())]);
+        fleet.edge_relays[&pair].set(ways[rng.random_range(0..ways.len())]);
         match round % 4 {
             0 => fleet.edges[i].kill(),
             1 => fleet.edges[i].pause(true),
             2 => fleet.edges.iter_mut().for_each(Process::kill),
-            _ => fleet.relays.values().for_each(Relay::reset),
+            _ => fleet.edge_relays.values().for_each(Relay::reset),
         }
-        // Seen from outside, at any time: no two of them, whichever is asked first.
+        // The newest token that the edges report never decreases.
         for _ in 0..15 {
             let asked: Vec<Option<u64>> = fleet
                 .edges
                 .iter()
                 .map(|edge| {
                     if edge.id().is_some() {
-                        acts(edge)
+                        acting_token(edge)
                     } else {
                         None
                     }
@@ -99,51 +102,54 @@
                 edge.restart(&[], true).unwrap();
             }
         }
-        fleet.relays.values().for_each(|relay| relay.set(Way::Open));
-        all_vote_and_one_acts(
+        fleet
+            .edge_relays
+            .values()
+            .for_each(|relay| relay.set(Way::Open));
+        wait_for_one_lease_holder(
             &running,
             &fleet,
             &format!("seed {SEED}, round {round} is over"),
         );
     }
-    let tokens = tokens(fleet.folder.path());
-    // All were killed at once in one round, so nobody holds what was held before it.
+    let tokens = tokens(fleet.directory.path());
+    // One round kills all edges at once, so no edge still holds its first token and a second one was issued.
     assert!(tokens.len() >= 2, "{tokens:?}");
     for two in tokens.windows(2) {
         assert!(
             two[0].0 < two[1].0,
-            "seed {SEED}: a token was given twice: {tokens:?}"
+            "seed {SEED}: a token was acquired twice: {tokens:?}"
         );
     }
 }
 
 #[test]
-fn an_edge_with_a_restored_disk_says_that_it_does_not_vote_until_an_operator_takes_it_in_again() {
-    let running = start(1, 1, |_, _| {});
-    let mut fleet = fleet(&running);
-    all_vote_and_one_acts(&running, &fleet, "all vote at first");
-    let file = fleet.folder.path().join("data/edge-2/memory.redb");
+fn an_edge_with_a_restored_disk_does_not_vote_until_an_operator_readmits_it() {
+    let running = start_cluster(1, 1, |_, _| {});
+    let mut fleet = start_fleet(&running);
+    wait_for_one_lease_holder(&running, &fleet, "all vote at first");
+    let file = fleet.directory.path().join("data/edge-2/memory.redb");
     fleet.edges[2].kill();
     let older = std::fs::read(&file).unwrap();
     fleet.edges[2].restart(&[], true).unwrap();
-    all_vote_and_one_acts(&running, &fleet, "it is back");
+    wait_for_one_lease_holder(&running, &fleet, "it is back");
     fleet.edges[2].kill();
     std::fs::write(&file, older).unwrap();
     fleet.edges[2].restart(&[], true).unwrap();
-    running.until("it is barred", async || {
-        (ledger(&fleet.edges[2])["standing"] == "barred").then_some(())
+    running.wait_for("it is barred", async || {
+        (ledger_status(&fleet.edges[2])["standing"] == "barred").then_some(())
     });
-    let (status, told) = ask(&fleet.edges[2], Method::GET, "/readyz?verbose").unwrap();
+    let (status, told) = request(&fleet.edges[2], Method::GET, "/readyz?verbose").unwrap();
     assert!(
         status == 200 && told.contains("[-]ledger") && told.contains("taken in again"),
         "{told}"
     );
-    // The others go on without it, and know of it.
-    running.until("the others know", async || {
-        (ledger(&fleet.edges[0])["asking"][0] == "edge-2").then_some(())
+    // The other edges continue without it and list it for readmission.
+    running.wait_for("the others know", async || {
+        (ledger_status(&fleet.edges[0])["asking"][0] == "edge-2").then_some(())
     });
     assert_eq!(
-        ask(
+        request(
             &fleet.edges[0],
             Method::POST,
             "/debug/ledger/readmit/edge-2"
@@ -152,5 +158,5 @@
         .0,
         200
     );
-    all_vote_and_one_acts(&running, &fleet, "it votes again");
+    wait_for_one_lease_holder(&running, &fleet, "it votes again");
 }
--- a/crates/cli/tests/on_call.rs
+++ b/crates/cli/tests/on_call.rs
@@ -1,18 +1,17 @@
-//! What `docs/on-call.md` quotes is what the programs write: an engineer who searches a log, an answer or a metric for a
-//! quoted text finds it.
+//! Texts and names that `docs/on-call.md` quotes exist in the source, so that an engineer finds them in logs, API
+//! answers and metrics.
 
 use std::path::{Path, PathBuf};
 
 const PAGE: &str = include_str!("../../../docs/on-call.md");
 
-/// Stands in a quote for a value that differs from line to line.
+/// Replaces, in a quoted text, a value that varies.
 const PLACEHOLDER: &str = "...";
 
-/// What all metrics' names begin with.
 const METRIC_PREFIX: &str = "tidespur_";
 
-/// Words in back quotes that are tools, files and messages of the system.
-const NOT_OURS: [&str; 4] = ["curl", "POST", "proc", "RUST_LOG"];
+/// Words in back quotes that are not names of the source: tools, files and methods.
+const EXTERNAL_WORDS: [&str; 4] = ["curl", "POST", "proc", "RUST_LOG"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -29,7 +28,7 @@
     }
 }
 
-/// The sources of all packages and the documented settings, with string literals that go over several lines joined.
+/// The sources of all packages and the documented settings, with multi-line string literals joined.
 fn sources() -> String {
     let mut text = String::new();
     for package in std::fs::read_dir(root().join("crates")).unwrap() {
@@ -44,7 +43,7 @@
     joined.concat().replace("\\\"", "\"")
 }
 
-/// Texts between a pair of `mark` on one line of the page.
+/// Texts between two `mark` characters on one line of the page.
 fn quoted(mark: char) -> Vec<String> {
     let mut found = Vec::new();
     for line in PAGE.lines() {
@@ -85,11 +84,11 @@
     let mut missing = Vec::new();
     for name in &names {
         let words = name.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_'));
-        // Words in capitals are placeholders of the reader's own values.
+        // Words in capitals are placeholders for values that the reader fills in.
         let words = words.filter(|word| word.len() > 3 && word.chars().any(char::is_lowercase));
-        // Metrics are registered without the prefix that all of them have.
+        // The source registers metrics without the common prefix of their names.
         let words = words.map(|word| word.strip_prefix(METRIC_PREFIX).unwrap_or(word));
-        let words = words.filter(|word| !NOT_OURS.contains(word));
+        let words = words.filter(|word| !EXTERNAL_WORDS.contains(word));
         missing.extend(words.filter(|word| !has_word(&sources, word)));
     }
     assert!(missing.is_empty(), "in no source: {missing:?}");
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -1,4 +1,4 @@
-//! Edges and planners that remember, killed in one instant at drawn moments and started again.
+//! Power loss: all edges and planners, which have data directories, are killed at once at random times and restarted.
 
 mod common;
 
@@ -9,54 +9,54 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Drawn from this; POWER_SEED and POWER_CUTS draw other and more cuts, outside CI.
+/// Random seed; outside CI, POWER_SEED sets another seed and POWER_CUTS the number of power losses.
 const SEED: u64 = 20_261_202;
 
-fn told(name: &str, otherwise: u64) -> u64 {
+fn env_or(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 const JOBS: &str = "/apis/batch/v1/namespaces/default/jobs";
 
-fn remembering(layout: &mut tidespur_testbed::Layout, folder: &Path) {
+fn set_data_directory(layout: &mut tidespur_testbed::Layout, folder: &Path) {
     layout.data = Some(folder.join("data"));
 }
 
-/// Kills all edges and planners at once, and starts them again.
-fn cut(running: &mut Running) {
+/// Kills all edges and planners at once, and restarts them.
+fn cut_power(running: &mut RunningCluster) {
     let names: Vec<String> = running
         .cluster
         .children()
         .into_iter()
         .map(|(name, _)| name)
         .collect();
-    let ours: Vec<String> = names
+    let killed: Vec<String> = names
         .into_iter()
         .filter(|n| n.starts_with("edge") || n.starts_with("pl"))
         .collect();
-    // First all are killed, then any is waited for: they go in one instant.
+    // Kill all processes before waiting for any of them, so that they end at the same time.
     let pid = |id: u32| rustix::process::Pid::from_raw(id as i32).unwrap();
     for (name, id) in running.cluster.children() {
-        if ours.contains(&name) {
+        if killed.contains(&name) {
             rustix::process::kill_process(pid(id), rustix::process::Signal::KILL).unwrap();
         }
     }
-    for name in &ours {
+    for name in &killed {
         running.cluster.process(name).unwrap().kill();
         running.cluster.restart(name).unwrap();
     }
 }
 
-fn name(answer: &Value) -> String {
+fn name_of(answer: &Value) -> String {
     answer["metadata"]["name"].as_str().unwrap_or("").to_owned()
 }
 
-/// Pods of guarded work that nodes accepted, by the key of the work, as the nodes themselves recorded them; work that
-/// came to a bad end at its node may be started again.
-fn starts(running: &Running) -> BTreeMap<String, i32> {
+/// Starts of non-idempotent tasks by task key, as the nodes recorded them. A failed Pod cancels its start, since the
+/// task may then be started again.
+fn starts(running: &RunningCluster) -> BTreeMap<String, i32> {
     let mut starts: BTreeMap<String, i32> = BTreeMap::new();
     for line in running.records() {
         let key = line["key"].as_str().unwrap_or("").to_owned();
@@ -78,14 +78,15 @@
     starts
 }
 
-/// Writes without a pause until the edge is gone: names that were acknowledged, the last ones just before the cut.
-fn write_on(at: String, round: usize) -> std::thread::JoinHandle<Vec<String>> {
+/// Creates Jobs without a pause until the edge stops answering, so that the last acknowledged writes come just before
+/// the power loss; returns the acknowledged names.
+fn create_until_failure(at: String, round: usize) -> std::thread::JoinHandle<Vec<String>> {
     std::thread::spawn(move || {
         let client = tidespur_net::Client::new(&at, 2, vec![]);
         let mut acknowledged = Vec::new();
         for i in 0..100_000 {
             let name = format!("s{round}-{i}");
-            let mut body = job_value(&name, "termin-web", 1, 1.0);
+            let mut body = job_json(&name, "termin-web", 1, 1.0);
             body["spec"]["suspend"] = true.into();
             let body = body.to_string().into_bytes().into();
             let sent = smol::block_on(client.send(
@@ -105,31 +106,31 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_power_cuts_and_guarded_work_runs_once() {
-    let mut running = start(6, 2, remembering);
-    let seed = told("POWER_SEED", SEED);
+fn acknowledged_jobs_survive_power_loss_and_non_idempotent_tasks_run_once() {
+    let mut running = start_cluster(6, 2, set_data_directory);
+    let seed = env_or("POWER_SEED", SEED);
     println!("seed {seed}");
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut acknowledged = BTreeSet::new();
-    for round in 0..told("POWER_CUTS", 5) as usize {
+    for round in 0..env_or("POWER_CUTS", 5) as usize {
         for i in 0..rng.random_range(3..8) {
             let class = if rng.random_bool(0.5) {
                 "slot-abgleich"
             } else {
                 "termin-web"
             };
-            let body = job_value(&format!("w{round}-{i}"), class, 2, 2.0);
+            let body = job_json(&format!("w{round}-{i}"), class, 2, 2.0);
             let (status, made) = running.send("POST", JOBS, "application/json", &body.to_string());
             if status == 201 {
-                acknowledged.insert(name(&made));
+                acknowledged.insert(name_of(&made));
             }
             std::thread::sleep(std::time::Duration::from_millis(rng.random_range(0..120)));
         }
         let writing: Vec<_> = (0..4)
-            .map(|i| write_on(running.cluster.api(0).to_owned(), round * 10 + i))
+            .map(|i| create_until_failure(running.cluster.api(0).to_owned(), round * 10 + i))
             .collect();
         std::thread::sleep(std::time::Duration::from_millis(rng.random_range(50..200)));
-        cut(&mut running);
+        cut_power(&mut running);
         acknowledged.extend(
             writing
                 .into_iter()
@@ -137,16 +138,21 @@
         );
         let (status, list) = running.send("GET", JOBS, "application/json", "");
         assert_eq!(status, 200, "seed {seed}, cut {round}");
-        let stand: BTreeSet<String> = list["items"].as_array().unwrap().iter().map(name).collect();
-        let lost: Vec<_> = acknowledged.difference(&stand).collect();
+        let listed: BTreeSet<String> = list["items"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(name_of)
+            .collect();
+        let lost: Vec<_> = acknowledged.difference(&listed).collect();
         assert!(
             lost.is_empty(),
-            "seed {seed}, cut {round}: {lost:?} were acknowledged and are gone"
+            "seed {seed}, cut {round}: {lost:?} were acknowledged and then lost"
         );
     }
     assert!(acknowledged.len() >= 30);
     let jobs = running.jobs();
-    running.until("all Jobs are complete", async || {
+    running.wait_for("all Jobs are complete", async || {
         let list = jobs.list(&Default::default()).await.ok()?;
         let open = |job: &&Job| {
             job.metadata
@@ -154,7 +160,11 @@
                 .as_deref()
                 .is_some_and(|name| name.starts_with('w'))
         };
-        list.items.iter().filter(open).all(complete).then_some(())
+        list.items
+            .iter()
+            .filter(open)
+            .all(is_complete)
+            .then_some(())
     });
     let starts = starts(&running);
     assert!(!starts.is_empty());
@@ -164,9 +174,9 @@
 }
 
 #[test]
-fn a_watch_that_comes_back_after_a_cut_is_told_to_list_anew() {
-    let mut running = start(2, 1, remembering);
-    let body = job_value("web", "termin-web", 1, 60.0).to_string();
+fn a_watch_resumed_after_a_power_loss_must_list_again() {
+    let mut running = start_cluster(2, 1, set_data_directory);
+    let body = job_json("web", "termin-web", 1, 60.0).to_string();
     let path = "/apis/batch/v1/namespaces/default/jobs";
     assert_eq!(running.send("POST", path, "application/json", &body).0, 201);
     let (_, list) = running.send("GET", path, "application/json", "");
@@ -174,7 +184,7 @@
         .as_str()
         .unwrap()
         .to_owned();
-    cut(&mut running);
+    cut_power(&mut running);
     let (status, told) = running.send(
         "GET",
         &format!("{path}?watch=true&resourceVersion={version}"),
@@ -189,16 +199,16 @@
     let (_, again) = running.send("GET", path, "application/json", "");
     let later = again["metadata"]["resourceVersion"].as_str().unwrap();
     assert!(later.parse::<u64>().unwrap() > version.parse::<u64>().unwrap());
-    assert_eq!(name(&again["items"][0]), "web");
+    assert_eq!(name_of(&again["items"][0]), "web");
 }
 
 #[test]
-fn an_edge_whose_folder_is_in_use_or_another_s_does_not_start_and_says_why() {
-    let running = start(1, 1, remembering);
-    let folder = running.folder.path().join("data");
+fn an_edge_does_not_start_with_a_data_directory_of_another_process() {
+    let running = start_cluster(1, 1, set_data_directory);
+    let folder = running.directory.path().join("data");
     let register = running.cluster.register.addresses[0].clone();
     let try_one = |name: &str| {
-        let log = running.folder.path().join("refused.log");
+        let log = running.directory.path().join("refused.log");
         let line = format!(
             "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register {register} --name {name} --data {}",
             folder.display()
--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -1,6 +1,6 @@
-//! The first act under the lease of the fleet, with several processes: whoever acts counts the planners in the ledger and
-//! tells each how many share what cold nodes bear. A word that comes late is refused by name; nobody is forgotten for
-//! being silent; all of it stands again after a cut of the power.
+//! The lease holder counts the planners in the ledger and tells each how many of them share the slow-start budget.
+//! Planners reject a delayed message with an older fencing token, silent planners stay counted, and all of it survives
+//! a power loss.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -11,7 +11,7 @@
 use tidespur_testbed::process::Process;
 use tidespur_testbed::relay::Way;
 
-/// What a planner goes by now: how many share, and the token under which that was said.
+/// The number of planners that a planner shares the budget with, and the fencing token of the message that set it.
 fn shares(fleet: &Fleet, planner: usize) -> Option<(u32, u64)> {
     let log = fleet.log(&format!("planner-{planner}"));
     let line = log
@@ -34,59 +34,63 @@
         .edges
         .iter()
         .enumerate()
-        .find_map(|(i, edge)| Some((i, acts(edge)?)))
+        .find_map(|(i, edge)| Some((i, acting_token(edge)?)))
 }
 
 #[test]
-fn planners_are_counted_under_the_lease_and_refuse_the_word_of_who_held_it_before() {
-    let running = start(1, 1, |_, _| {});
-    let mut fleet = fleet(&running);
-    all_vote_and_one_acts(&running, &fleet, "all vote at first");
-    fleet.planner();
-    fleet.planner();
+fn planners_are_counted_under_the_lease_and_reject_messages_of_a_former_holder() {
+    let running = start_cluster(1, 1, |_, _| {});
+    let mut fleet = start_fleet(&running);
+    wait_for_one_lease_holder(&running, &fleet, "all vote at first");
+    fleet.start_planner();
+    fleet.start_planner();
     let both = |fleet: &Fleet, planners| {
         let told = [shares(fleet, 0)?, shares(fleet, 1)?];
         (told[0].0 == planners && told[1].0 == planners).then_some(())
     };
-    running.until("both know of two", async || both(&fleet, 2));
-    let (old, token) = running.until("one acts", async || holder(&fleet));
-    // What the holder says to the first planner from now on is on its way for long.
-    fleet.links[&(0, old)].set(Way::HoldBack);
-    fleet.planner();
-    running.until("the second knows of the third", async || {
+    running.wait_for("both know of two", async || both(&fleet, 2));
+    let (old, token) = running.wait_for("one acts", async || holder(&fleet));
+    // Delays all further messages of the holder to the first planner.
+    fleet.planner_relays[&(0, old)].set(Way::HoldBack);
+    fleet.start_planner();
+    running.wait_for("the second knows of the third", async || {
         (shares(&fleet, 1)? == (3, token) && shares(&fleet, 2)? == (3, token)).then_some(())
     });
     assert_eq!(
         shares(&fleet, 0),
         Some((2, token)),
-        "that word is on its way"
+        "the message is still delayed"
     );
     for (_, relay) in fleet
-        .relays
+        .edge_relays
         .iter()
         .filter(|((i, j), _)| *i == old || *j == old)
     {
         relay.set(Way::Cut);
     }
-    let newer = running.until("another acts, and has told the first", async || {
+    let newer = running.wait_for("another acts, and has told the first", async || {
         let (who, newer) = holder(&fleet)?;
         (who != old && shares(&fleet, 0)? == (3, newer)).then_some(newer)
     });
     assert!(newer > token);
-    fleet.links[&(0, old)].set(Way::Open);
+    fleet.planner_relays[&(0, old)].set(Way::Open);
     let refused = format!("has gone on to token {newer}, this act carries {token}");
-    running.until("the late word is refused by name", async || {
+    running.wait_for("the delayed message is rejected", async || {
         fleet.log("planner-0").contains(&refused).then_some(())
     });
     assert_eq!(shares(&fleet, 0), Some((3, newer)), "and changes nothing");
-    running.until("its sender is told", async || {
+    running.wait_for("its sender is told", async || {
         fleet
             .log(&format!("edge-{old}"))
             .contains("a planner rejected a message with a stale fencing token")
             .then_some(())
     });
-    // A planner is killed and power is lost everywhere else: who is away goes on counting, and tokens go on rising.
-    fleet.relays.values().for_each(|relay| relay.set(Way::Open));
+    // One planner is killed for good and all other processes lose power: the absent planner stays counted, and tokens
+    // still increase.
+    fleet
+        .edge_relays
+        .values()
+        .for_each(|relay| relay.set(Way::Open));
     fleet.planners[2].kill();
     fleet
         .edges
@@ -99,7 +103,7 @@
     for planner in &mut fleet.planners[..2] {
         planner.restart(&[], false).unwrap();
     }
-    running.until("both are told anew", async || {
+    running.wait_for("both are told anew", async || {
         let told = [shares(&fleet, 0)?, shares(&fleet, 1)?];
         told.iter()
             .all(|(planners, token)| *planners == 3 && *token > newer)
--- a/crates/cli/tests/up.rs
+++ b/crates/cli/tests/up.rs
@@ -1,10 +1,11 @@
-//! `tidespur up` as operators start it.
+//! `tidespur up` restarts a killed edge on the same address.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-fn process_of(line: &str, name: &str) -> Option<i32> {
+/// The process id that a line of output gives for `name`.
+fn process_id_in(line: &str, name: &str) -> Option<i32> {
     line.strip_prefix(&format!("{name} runs as process "))?
         .trim()
         .parse()
@@ -12,9 +13,9 @@
 }
 
 #[test]
-fn an_edge_that_is_killed_is_told_of_and_started_again_where_it_was() {
-    let folder = tempfile::tempdir().unwrap();
-    let ready = folder.path().join("ready");
+fn a_killed_edge_is_reported_and_restarted_on_the_same_address() {
+    let directory = tempfile::tempdir().unwrap();
+    let ready = directory.path().join("ready");
     let mut up = Command::new(env!("CARGO_BIN_EXE_tidespur"))
         .args([
             "up",
@@ -28,22 +29,24 @@
         ])
         .arg(&ready)
         .stdout(Stdio::piped())
-        .stderr(std::fs::File::create(folder.path().join("errors")).unwrap())
+        .stderr(std::fs::File::create(directory.path().join("errors")).unwrap())
         .stdin(Stdio::null())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(up.stdout.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let edge = lines.find_map(|line| process_of(&line, "edge-0")).unwrap();
+    let edge = lines
+        .find_map(|line| process_id_in(&line, "edge-0"))
+        .unwrap();
     let edge = rustix::process::Pid::from_raw(edge).unwrap();
     rustix::process::kill_process(edge, rustix::process::Signal::KILL).unwrap();
-    let again = lines.find_map(|line| process_of(&line, "edge-0"));
+    let restarted = lines.find_map(|line| process_id_in(&line, "edge-0"));
     assert!(
-        again.is_some_and(|id| id != edge.as_raw_nonzero().get()),
-        "{again:?}"
+        restarted.is_some_and(|id| id != edge.as_raw_nonzero().get()),
+        "{restarted:?}"
     );
-    // The API answers where it was, with its planner and its node.
+    // The API answers on the same address, with its planner connected.
     let client = tidespur_net::Client::new(&std::fs::read_to_string(&ready).unwrap(), 1, vec![]);
     let start = Instant::now();
     while !smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 2.0))
@@ -51,11 +54,11 @@
     {
         assert!(
             start.elapsed() < Duration::from_secs(60),
-            "the edge does not come back"
+            "the restarted edge did not become ready"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
-    let errors = std::fs::read_to_string(folder.path().join("errors")).unwrap();
+    let errors = std::fs::read_to_string(directory.path().join("errors")).unwrap();
     assert!(errors.contains("edge-0 has ended"), "{errors}");
     let up_id = rustix::process::Pid::from_raw(up.id() as i32).unwrap();
     rustix::process::kill_process(up_id, rustix::process::Signal::TERM).unwrap();
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! From a public client through edge, planner and node, and back to the client's watch.
+//! End-to-end tests: from a public client through edge, planner and node, and back to the client's watch.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use tidespur_emulator::Fault;
 
 #[test]
-fn a_job_is_placed_runs_and_completes_before_the_eyes_of_a_watch() {
-    let running = start(8, 2, |_, _| {});
+fn a_watch_sees_a_job_placed_running_and_complete() {
+    let running = start_cluster(8, 2, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
     running.runtime.block_on(async {
         let seen = watcher(pods.clone(), watcher::Config::default()).applied_objects();
@@ -43,14 +43,14 @@
             "{outcomes:?}"
         );
     });
-    running.until("the Job is complete", async || {
-        complete(&jobs.get("web").await.unwrap()).then_some(())
+    running.wait_for("the Job is complete", async || {
+        is_complete(&jobs.get("web").await.unwrap()).then_some(())
     });
 }
 
 #[test]
 fn a_watch_broken_mid_burst_resumes_without_loss_or_repeat() {
-    let running = start(4, 1, |_, _| {});
+    let running = start_cluster(4, 1, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
     running.runtime.block_on(async {
         let from = pods
@@ -68,17 +68,17 @@
             .await
             .unwrap();
         }
-        // One watcher that never breaks, and one that is cut after every third event.
-        let read = async |breaks: usize| {
+        // One watcher that stays connected, and one that reconnects after every third event.
+        let read = async |events_per_watch: usize| {
             let (mut version, mut all) = (from.clone(), Vec::new());
             let mut ended = std::collections::BTreeSet::new();
-            'whole: loop {
+            'watches: loop {
                 let stream = pods
                     .watch(&WatchParams::default().timeout(20), &version)
                     .await
                     .unwrap();
                 let mut stream = std::pin::pin!(stream);
-                for _ in 0..breaks {
+                for _ in 0..events_per_watch {
                     let Some(event) = stream.try_next().await.unwrap() else {
                         break;
                     };
@@ -94,21 +94,21 @@
                         ended.insert(pod.name_any());
                     }
                     if ended.len() == 24 {
-                        break 'whole;
+                        break 'watches;
                     }
                 }
             }
             all
         };
-        let (whole, broken) = futures::join!(read(usize::MAX), read(3));
-        assert!(whole.len() >= 72, "{}", whole.len());
-        assert_eq!(whole, broken);
+        let (unbroken, resumed) = futures::join!(read(usize::MAX), read(3));
+        assert!(unbroken.len() >= 72, "{}", unbroken.len());
+        assert_eq!(unbroken, resumed);
     });
 }
 
 #[test]
 fn a_compacted_version_is_gone_and_a_relist_converges() {
-    let running = start(2, 1, |layout, folder| {
+    let running = start_cluster(2, 1, |layout, folder| {
         let file = folder.join("small.hcl");
         let text = tidespur_config::DEFAULT_CONFIG
             .replace("history          = 16384", "history          = 16");
@@ -138,7 +138,7 @@
         }
         loop {
             let list = jobs.list(&ListParams::default()).await.unwrap();
-            if list.items.iter().all(complete) {
+            if list.items.iter().all(is_complete) {
                 break;
             }
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
@@ -171,10 +171,10 @@
     });
 }
 
-/// All answers of all nodes get lost after the work was taken, for one class; where they are mute, what they hold
-/// can't be seen either.
-fn answers_lost(class: &str, reset: bool, mute: bool) -> (Running, Vec<serde_json::Value>) {
-    let running = start(3, 1, |layout, folder| {
+/// Runs one Job of a class while every node loses its answers after it has accepted the work. With `mute` the nodes
+/// don't report the Pods that they hold either.
+fn answers_lost(class: &str, reset: bool, mute: bool) -> (RunningCluster, Vec<serde_json::Value>) {
+    let running = start_cluster(3, 1, |layout, folder| {
         let file = folder.join("keyed.hcl");
         let keyed = "class \"keyed\" {\n aim = 0.5\n deadline = 2\n effect = \"keyed\"\n group = \"node\"\n window = 8\n}\n";
         std::fs::write(
@@ -198,13 +198,13 @@
         }
     }
     running.runtime.block_on(async {
-        let mut job = job_value("lost", class, 1, 9.0);
+        let mut job = job_json("lost", class, 1, 9.0);
         job["spec"]["template"]["metadata"]["annotations"]["placement.tidespur.dev/give-up-seconds"] =
             "2".into();
         jobs.create(&PostParams::default(), &serde_json::from_value(job).unwrap()).await.unwrap();
     });
-    running.until("the Job is complete", async || {
-        complete(&jobs.get("lost").await.unwrap()).then_some(())
+    running.wait_for("the Job is complete", async || {
+        is_complete(&jobs.get("lost").await.unwrap()).then_some(())
     });
     let records = running.records();
     (running, records)
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn an_unsafe_task_whose_answer_was_lost_is_found_and_taken_over_not_started_twice() {
+fn a_non_idempotent_task_whose_answer_was_lost_is_adopted_and_not_started_twice() {
     for reset in [true, false] {
         let (running, records) = answers_lost("slot-abgleich", reset, true);
         let pods = running
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_answer_that_was_lost_is_known_by_what_the_node_shows() {
+fn a_lost_answer_is_inferred_from_the_pods_that_the_node_reports() {
     let (running, records) = answers_lost("slot-abgleich", false, false);
     let pods = running
         .runtime
@@ -260,14 +260,14 @@
 }
 
 #[test]
-fn a_keyed_task_whose_answer_was_lost_stands_once_in_its_group() {
+fn a_keyed_task_whose_answer_was_lost_runs_once_in_its_group() {
     let (_running, records) = answers_lost("keyed", false, true);
-    // Its group is one node, which turns repeats away while the first copy stands.
+    // Its group is one node, which rejects duplicates while it holds the first copy.
     assert_eq!(accepted(&records), 1);
 }
 
 #[test]
-fn a_safe_task_whose_answer_was_lost_runs_again_and_its_orphan_is_stopped() {
+fn an_idempotent_task_whose_answer_was_lost_runs_again_and_its_orphan_is_stopped() {
     let (running, records) = answers_lost("termin-web", false, true);
     assert!(accepted(&records) >= 2, "it was sent again");
     let held = |phase: &str| {
@@ -276,26 +276,26 @@
             .filter(|r| r["who"] != "rig" && r["what"] == "pod" && r["phase"] == phase)
             .count()
     };
-    // Every copy but the one that counted was deleted, so that it holds no room.
+    // Every copy but the successful one was deleted, so that it occupies no resources.
     assert_eq!(held("Succeeded"), 1);
     assert_eq!(held("Failed"), accepted(&records) - 1);
     drop(running);
 }
 
 #[test]
-fn a_client_that_goes_away_leaves_its_job_to_run() {
+fn a_job_runs_after_its_client_disconnects() {
     use std::io::Write;
-    let running = start(2, 1, |_, _| {});
-    let body = job_value("orphan", "termin-web", 1, 0.3).to_string();
+    let running = start_cluster(2, 1, |_, _| {});
+    let body = job_json("orphan", "termin-web", 1, 0.3).to_string();
     let mut socket = std::net::TcpStream::connect(running.cluster.api(0)).unwrap();
     write!(socket, "POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n\
         content-length: {}\r\n\r\n{body}", body.len()).unwrap();
     drop(socket);
     let jobs = running.jobs();
-    // Gone before it was read, or run to its end: nothing between.
-    let seen = running.until("it is decided", async || {
+    // Either the request was never read, or the Job runs to completion.
+    let seen = running.wait_for("it is decided", async || {
         match jobs.get_opt("orphan").await.unwrap() {
-            Some(job) => complete(&job).then_some(true),
+            Some(job) => is_complete(&job).then_some(true),
             None => Some(false),
         }
     });
@@ -308,8 +308,8 @@
 }
 
 #[test]
-fn of_two_that_create_one_name_one_wins() {
-    let running = start(2, 1, |_, _| {});
+fn concurrent_creates_of_one_name_succeed_once() {
+    let running = start_cluster(2, 1, |_, _| {});
     let jobs = running.jobs();
     let wins = running.runtime.block_on(async {
         let tries = (0..16).map(|_| {
@@ -337,9 +337,9 @@
 
 #[test]
 fn a_pod_deleted_while_its_offer_is_out_leaves_nothing_at_the_node() {
-    let running = start(1, 1, |_, _| {});
+    let running = start_cluster(1, 1, |_, _| {});
     let pods = running.pods();
-    // The node looks at an offer for half a second.
+    // The node takes half a second to answer an offer.
     smol::block_on(running.cluster.fault(
         "node-00",
         &Fault::Slow {
@@ -357,7 +357,7 @@
         .block_on(pods.create(&PostParams::default(), &pod))
         .unwrap();
     let offered = |records: &[serde_json::Value]| records.iter().any(|r| r["what"] == "offer");
-    running.until("the offer is out", async || {
+    running.wait_for("the offer is out", async || {
         offered(&running.records()).then_some(())
     });
     running
@@ -366,7 +366,7 @@
         .unwrap();
     let node = running.cluster.nodes[0].addresses[0].clone();
     let client = tidespur_net::Client::new(&node, 1, vec![]);
-    running.until("the node holds nothing", async || {
+    running.wait_for("the node holds nothing", async || {
         let answered = running
             .records()
             .iter()
@@ -387,8 +387,8 @@
 }
 
 #[test]
-fn a_job_that_shrinks_while_it_is_being_placed_keeps_what_it_still_wants() {
-    let running = start(4, 2, |_, _| {});
+fn a_job_that_shrinks_during_placement_keeps_its_new_number_of_pods() {
+    let running = start_cluster(4, 2, |_, _| {});
     let jobs = running.jobs();
     let left = running.runtime.block_on(async {
         jobs.create(
@@ -403,7 +403,7 @@
             .unwrap();
         running.pods()
     });
-    running.until("three Pods are left and run", async || {
+    running.wait_for("three Pods are left and run", async || {
         let list = left.list(&ListParams::default()).await.unwrap();
         let live: Vec<_> = list
             .items
@@ -420,11 +420,11 @@
 
 #[test]
 fn a_cordoned_node_gets_nothing_and_a_drained_one_is_emptied() {
-    let running = start(2, 1, |_, _| {});
+    let running = start_cluster(2, 1, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
     let nodes: Api<Node> = Api::all(running.client());
     running.runtime.block_on(nodes.cordon("node-00")).unwrap();
-    running.until("the list tells", async || {
+    running.wait_for("the list shows the cordon", async || {
         nodes
             .get("node-00")
             .await
@@ -440,7 +440,7 @@
         .runtime
         .block_on(jobs.create(&PostParams::default(), &job("web", "termin-web", 2, 20.0)))
         .unwrap();
-    running.until("both run", async || {
+    running.wait_for("both run", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
         let on: Vec<_> = list
             .items
@@ -453,9 +453,9 @@
 }
 
 #[test]
-fn a_watcher_that_reads_nothing_is_cut_and_slows_nobody() {
+fn a_watcher_that_does_not_read_is_disconnected_and_delays_no_other() {
     use std::io::{Read, Write};
-    let running = start(2, 1, |layout, folder| {
+    let running = start_cluster(2, 1, |layout, folder| {
         let file = folder.join("small.hcl");
         std::fs::write(
             &file,
@@ -479,7 +479,7 @@
             .await
             .unwrap();
         let mut reading = std::pin::pin!(reading);
-        // Far more than sockets and pipe hold, and than the history keeps.
+        // Far more than the socket buffers, the edge's queue and the history hold.
         for i in 0..400 {
             let event = serde_json::from_value(
                 json!({"metadata": {"name": format!("e{i}")}, "message": filler,
@@ -487,7 +487,7 @@
             )
             .unwrap();
             api.create(&PostParams::default(), &event).await.unwrap();
-            // The other watcher gets each one at once.
+            // The other watcher receives each event immediately.
             loop {
                 match reading.try_next().await.unwrap().unwrap() {
                     WatchEvent::Added(event) if event.name_any() == format!("e{i}") => break,
@@ -497,14 +497,17 @@
             }
         }
     });
-    // Now it reads: what was on its way, and then that its place is gone.
+    // The slow watcher now reads what was in transit, and then the error that its version has expired.
     let mut all = Vec::new();
     slow.set_read_timeout(Some(std::time::Duration::from_secs(30)))
         .unwrap();
     let _ = slow.read_to_end(&mut all);
     let text = String::from_utf8_lossy(&all);
     let got = text.matches("\"type\":\"ADDED\"").count();
-    assert!(got < 400, "all of it was held for the slow one");
+    assert!(
+        got < 400,
+        "the edge buffered every event for the slow watcher"
+    );
     assert!(
         text.contains("\"type\":\"ERROR\"") && text.contains("\"code\":410"),
         "{got} events, no 410 at the end"
@@ -513,7 +516,7 @@
 
 #[test]
 fn without_planners_each_task_is_answered_in_time_and_a_new_planner_takes_over() {
-    let mut running = start(2, 1, |_, _| {});
+    let mut running = start_cluster(2, 1, |_, _| {});
     running.cluster.process("planner-0").unwrap().kill();
     let pods = running.pods();
     let pod = |name: &str| -> Pod {
@@ -524,13 +527,13 @@
         .runtime
         .block_on(pods.create(&PostParams::default(), &pod("alone")))
         .unwrap();
-    let answer = running.until("it is answered", async || {
+    let answer = running.wait_for("it is answered", async || {
         outcome(&pods.get("alone").await.unwrap()).map(str::to_owned)
     });
     assert_eq!(answer, "refused");
     running.cluster.restart_planner("planner-0").unwrap();
     let api = running.cluster.api(0).to_owned();
-    running.until("the planner is here", async || {
+    running.wait_for("the planner is connected", async || {
         let client = tidespur_net::Client::new(&api, 1, vec![]);
         let ready =
             smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
@@ -540,15 +543,15 @@
         .runtime
         .block_on(pods.create(&PostParams::default(), &pod("again")))
         .unwrap();
-    let answer = running.until("it is answered", async || {
+    let answer = running.wait_for("it is answered", async || {
         outcome(&pods.get("again").await.unwrap()).map(str::to_owned)
     });
     assert_eq!(answer, "placed");
 }
 
 #[test]
-fn what_runs_is_handed_to_another_planner_when_its_own_dies() {
-    let mut running = start(4, 2, |_, _| {});
+fn running_tasks_move_to_another_planner_when_theirs_is_killed() {
+    let mut running = start_cluster(4, 2, |_, _| {});
     let jobs = running.jobs();
     running
         .runtime
@@ -558,46 +561,46 @@
         ))
         .unwrap();
     let pods = running.pods();
-    running.until("all run", async || {
+    running.wait_for("all run", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
         let run = |p: &&Pod| p.status.as_ref().unwrap().phase.as_deref() == Some("Running");
         (list.items.iter().filter(run).count() == 4).then_some(())
     });
     running.cluster.process("planner-0").unwrap().kill();
-    running.until("the Job is complete", async || {
-        complete(&jobs.get("long").await.unwrap()).then_some(())
+    running.wait_for("the Job is complete", async || {
+        is_complete(&jobs.get("long").await.unwrap()).then_some(())
     });
     assert_eq!(accepted(&running.records()), 4, "nothing was started again");
 }
 
 #[test]
-fn a_node_that_dies_loses_its_tasks_and_they_come_again() {
-    let mut running = start(2, 1, |_, _| {});
+fn tasks_of_a_killed_node_are_placed_again() {
+    let mut running = start_cluster(2, 1, |_, _| {});
     let (jobs, pods) = (running.jobs(), running.pods());
     running
         .runtime
         .block_on(jobs.create(&PostParams::default(), &job("web", "termin-web", 4, 5.0)))
         .unwrap();
-    running.until("all run", async || {
+    running.wait_for("all run", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
         let run = |p: &&Pod| p.status.as_ref().unwrap().phase.as_deref() == Some("Running");
         (list.items.iter().filter(run).count() == 4).then_some(())
     });
     running.cluster.process("node-00").unwrap().kill();
-    running.until("two were lost", async || {
+    running.wait_for("two were lost", async || {
         let list = pods.list(&ListParams::default()).await.unwrap();
         let lost = |p: &&Pod| p.status.as_ref().unwrap().reason.as_deref() == Some("NodeLost");
         (list.items.iter().filter(lost).count() == 2).then_some(())
     });
     running.cluster.restart_node("node-00").unwrap();
-    running.until("the Job is complete", async || {
-        complete(&jobs.get("web").await.unwrap()).then_some(())
+    running.wait_for("the Job is complete", async || {
+        is_complete(&jobs.get("web").await.unwrap()).then_some(())
     });
 }
 
 #[test]
-fn a_register_that_is_gone_at_the_start_is_told_in_the_answer_and_waited_for() {
-    let mut running = start(2, 1, |_, _| {});
+fn a_registry_that_is_unreachable_at_startup_is_reported_and_waited_for() {
+    let mut running = start_cluster(2, 1, |_, _| {});
     running.cluster.register.pause(true);
     running.cluster.restart_planner("planner-0").unwrap();
     let pods = running.pods();
@@ -605,7 +608,7 @@
         {"placement.tidespur.dev/give-up-seconds": "2"}}, "spec": {"containers": [{"name": "m"}]}}))
     .unwrap();
     let api = running.cluster.api(0).to_owned();
-    running.until("the planner is here", async || {
+    running.wait_for("the planner is connected", async || {
         let client = tidespur_net::Client::new(&api, 1, vec![]);
         let ready =
             smol::block_on(client.send(hyper::Method::GET, "/readyz", "", Default::default(), 5.0));
@@ -615,7 +618,7 @@
         .runtime
         .block_on(pods.create(&PostParams::default(), &pod))
         .unwrap();
-    let message = running.until("it is refused", async || {
+    let message = running.wait_for("it is refused", async || {
         let pod = pods.get("early").await.unwrap();
         (outcome(&pod) == Some("refused")).then(|| pod.status.unwrap().message.unwrap_or_default())
     });
@@ -629,14 +632,14 @@
         .runtime
         .block_on(jobs.create(&PostParams::default(), &job("later", "termin-web", 1, 0.2)))
         .unwrap();
-    running.until("the Job is complete", async || {
-        complete(&jobs.get("later").await.unwrap()).then_some(())
+    running.wait_for("the Job is complete", async || {
+        is_complete(&jobs.get("later").await.unwrap()).then_some(())
     });
 }
 
 #[test]
-fn a_waiting_pod_tells_its_owner_why_and_follows_what_changes() {
-    let running = start(2, 1, |_, _| {});
+fn the_condition_of_a_waiting_pod_gives_the_current_reason() {
+    let running = start_cluster(2, 1, |_, _| {});
     let (pods, nodes) = (running.pods(), Api::<Node>::all(running.client()));
     let large = json!({"metadata": {"name": "large", "annotations": {"placement.tidespur.dev/give-up-seconds": "60"}},
         "spec": {"priorityClassName": "slot-abgleich", "containers": [{"name": "m",
@@ -655,14 +658,14 @@
         assert_eq!(waits.reason.as_deref(), Some("Unschedulable"));
         waits.message
     };
-    let told = running.until("the condition tells", message);
-    assert_eq!(told, "0/2 nodes are available: 2 no cores");
+    let message_text = running.wait_for("the condition gives the reason", message);
+    assert_eq!(message_text, "0/2 nodes are available: 2 no cores");
     running.runtime.block_on(nodes.cordon("node-00")).unwrap();
-    running.until("the condition follows", async || {
-        let told = message().await?;
-        (told == "0/2 nodes are available: 1 draining, 1 no cores").then_some(())
+    running.wait_for("the condition follows", async || {
+        let message_text = message().await?;
+        (message_text == "0/2 nodes are available: 1 draining, 1 no cores").then_some(())
     });
-    // One Event, whose count has grown.
+    // There is one Event, whose count has increased.
     let events: Api<k8s_openapi::api::core::v1::Event> =
         Api::namespaced(running.client(), "default");
     let about = ListParams::default().fields("reason=FailedScheduling");
@@ -673,7 +676,7 @@
         "{:?}",
         list[0]
     );
-    // The record: the reasons over time, and the nearest node.
+    // The record has the reasons over time and a hint about the node that is closest to fitting.
     let (code, record) = running.send("GET", "/debug/waits/default/large", "", "");
     assert_eq!(code, 200);
     let cores = record["spans"]
@@ -703,25 +706,26 @@
     assert_eq!(reasons, ["Draining", "Cores"]);
     assert!(
         !fleet.to_string().contains("large"),
-        "the fleet's view has no names of Pods"
+        "the fleet's report must not contain names of Pods"
     );
-    let metrics = running.raw(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+    let metrics =
+        running.send_raw(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     let line = r#"tidespur_waiting_tasks{class="slot-abgleich",namespace="default",zone="halle-b",reason="Cores",source="policy"} 1"#;
     assert!(metrics.contains(line), "{metrics}");
-    // Deleted while it is asked about: the last record still answers, as past.
+    // After the Pod is deleted, its last record is still served, without current reasons.
     running
         .runtime
         .block_on(pods.delete("large", &DeleteParams::default()))
         .unwrap();
-    running.until("it waits no longer", async || {
+    running.wait_for("it waits no longer", async || {
         let (code, record) = running.send("GET", "/debug/waits/default/large", "", "");
         (code == 200 && record["codes"] == json!([])).then_some(())
     });
 }
 
 #[test]
-fn a_task_that_no_planner_takes_says_so_and_the_planner_that_comes_back_takes_it() {
-    let running = start(2, 1, |_, _| {});
+fn a_task_without_a_planner_reports_it_and_is_placed_once_the_planner_resumes() {
+    let running = start_cluster(2, 1, |_, _| {});
     running.cluster.planners[0].pause(true);
     let pod = json!({"metadata": {"name": "early", "annotations": {"placement.tidespur.dev/give-up-seconds": "60"}},
         "spec": {"containers": [{"name": "m"}]}});
@@ -733,15 +737,15 @@
         .unwrap();
     let codes =
         async || running.send("GET", "/debug/waits/default/early", "", "").1["codes"].clone();
-    running.until("silence is told", async || {
+    running.wait_for("the silent planner is reported", async || {
         (codes().await == json!(["PlannersSilent"])).then_some(())
     });
-    running.until("loss is told", async || {
+    running.wait_for("the lost planner is reported", async || {
         (codes().await == json!(["NoPlanner"])).then_some(())
     });
     running.cluster.planners[0].pause(false);
-    // Never offered, so it was kept, and it is placed now: not answered as unknown.
-    running.until("it is placed", async || {
+    // It was never offered to a node, so it is placed now and doesn't fail with an unknown outcome.
+    running.wait_for("it is placed", async || {
         let pod = pods.get("early").await.unwrap();
         assert!(
             !matches!(outcome(&pod), Some("refused" | "failed")),
