--- a/crates/api/src/status.rs
+++ b/crates/api/src/status.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code} {reason}: {message}")]
 pub struct ApiError {
-    /// HTTP status.
+    /// HTTP status of the response, such as 404; 0 if the connection is closed without a response.
     pub code: u16,
     /// Published reason, such as `NotFound`.
     pub reason: &'static str,
--- a/crates/config/src/sections/programs.rs
+++ b/crates/config/src/sections/programs.rs
@@ -98,7 +98,7 @@
     /// random from half of the backoff to the whole.
     #[serde(rename = "again_first")]
     pub initial_backoff: f64,
-    /// Longest backoff.
+    /// Upper limit of the backoff that starts at `initial_backoff`, before the random reduction.
     #[serde(rename = "again_most")]
     pub max_backoff: f64,
     /// Backoff after a migration or a lost node.
--- a/crates/coordination-net/src/error.rs
+++ b/crates/coordination-net/src/error.rs
@@ -41,7 +41,7 @@
         /// The largest allowed size, in bytes.
         max: usize,
     },
-    /// Decompression failed.
+    /// The bytes after the length field are not LZ4 data that fits into the stated size.
     #[error("decompression failed: {0}")]
     Decompress(#[from] lz4_flex::block::DecompressError),
     /// The decompressed bytes are not a valid message.
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -88,7 +88,7 @@
     pub idempotency_key: String,
     /// Service whose program the task runs.
     pub service: String,
-    /// Requested cores.
+    /// Requested cores. Admission counts them against the node's cores.
     pub cores: f64,
     /// Requested memory units.
     pub memory: f64,
--- a/crates/job-controller/src/job.rs
+++ b/crates/job-controller/src/job.rs
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// The specification.
+    /// The specification when the Job was added or last updated.
     pub(crate) view: JobView,
     /// Open slots by number.
     pub(crate) slots: BTreeMap<u32, Slot>,
--- a/crates/job-controller/src/messages.rs
+++ b/crates/job-controller/src/messages.rs
@@ -60,38 +60,38 @@
     },
     /// Delete a Pod.
     DeletePod {
-        /// Namespace.
+        /// Namespace of the Pod.
         namespace: String,
-        /// Name.
+        /// Name of the Pod in the API, which its name at nodes may differ from.
         name: String,
-        /// Uid.
+        /// Uid of the Pod. A newer Pod of the same name is kept.
         uid: String,
     },
     /// Write the status of a Job.
     UpdateJobStatus {
         /// Uid of the Job.
         uid: String,
-        /// Namespace.
+        /// Namespace of the Job.
         namespace: String,
-        /// Name.
+        /// Name of the Job.
         name: String,
         /// The new status.
         status: JobStatus,
     },
     /// Delete a Job whose time to live has elapsed.
     DeleteJob {
-        /// Namespace.
+        /// Namespace of the Job.
         namespace: String,
-        /// Name.
+        /// Name of the Job.
         name: String,
-        /// Uid.
+        /// Uid of the Job. A newer Job of the same name is kept.
         uid: String,
     },
     /// Query all planners for the location of a Pod. The caller responds with [`Event::PodLocated`].
     LocatePod {
         /// Uid of the Pod.
         uid: String,
-        /// Namespace.
+        /// Namespace of the Pod.
         namespace: String,
         /// Name of the Pod at nodes, see [`PodView::name_at_node`].
         name: String,
--- a/crates/job-controller/src/view.rs
+++ b/crates/job-controller/src/view.rs
@@ -9,11 +9,11 @@
 /// The specification of a Job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobView {
-    /// Uid.
+    /// Uid of the Job, from `metadata.uid`. A Job that is created again under the same name has another one.
     pub uid: String,
-    /// Namespace.
+    /// Namespace of the Job and its Pods.
     pub namespace: String,
-    /// Name.
+    /// Name of the Job, unique in its namespace.
     pub name: String,
     /// Priority class of its Pods; empty for the default class.
     pub class: String,
@@ -98,11 +98,11 @@
 /// The parts of a Pod that the controller uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PodView {
-    /// Uid.
+    /// Uid of the Pod, from `metadata.uid`. No later Pod of the same name has it.
     pub uid: String,
-    /// Namespace.
+    /// Namespace of the Pod and its Job.
     pub namespace: String,
-    /// Name.
+    /// Name of the Pod in the API, unique in its namespace.
     pub name: String,
     /// Name of the Pod at nodes. Differs from `name` if the Pod adopted a running one.
     #[serde(rename = "known_as")]
--- a/crates/persistence/src/error.rs
+++ b/crates/persistence/src/error.rs
@@ -12,7 +12,7 @@
         "{folder}: the folder can't be used: {reason}; make it, give this user rights to it, or name another with --data"
     )]
     Folder {
-        /// The folder.
+        /// Path of the folder that was to hold the store.
         folder: PathBuf,
         /// The operating system's error.
         reason: std::io::Error,
@@ -22,7 +22,7 @@
         "{file}: another process has it open; end that process, or give each its own folder with --data"
     )]
     InUse {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
     },
     /// The file belongs to a process of another role or name.
@@ -30,7 +30,7 @@
         "{file}: it is the store of {found}, not of {wanted}; start that one here, or name another folder with --data"
     )]
     WrongOwner {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
         /// Role and name in the file.
         found: String,
@@ -42,7 +42,7 @@
         "{file}: it belongs to the cluster {found:?}, not to {wanted:?}; look at fleet.cluster in the settings, or name another folder with --data"
     )]
     WrongCluster {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
         /// The cluster in the file.
         found: String,
@@ -54,7 +54,7 @@
         "{file}: it was written by a newer program (format {found}, known here: {known}); start that version"
     )]
     NewerFormat {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
         /// Format version of the file.
         found: u64,
@@ -66,7 +66,7 @@
         "{file}: it is no store of tidespur, or its header is damaged; restore it from a copy, or move it away to start with an empty store"
     )]
     NotAStore {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
     },
     /// The file is shorter than its content requires.
@@ -74,7 +74,7 @@
         "{file}: it is truncated ({reason}); move it away, then restore it from a copy or start with an empty store: the other processes are asked for what it held"
     )]
     Truncated {
-        /// The file.
+        /// Path of the store file, or of the copy that an export reads.
         file: PathBuf,
         /// What the check of the file found.
         reason: String,
@@ -84,7 +84,7 @@
         "{file}: a page of it is damaged ({reason}); look at the disk, move the file away, then restore it from a copy or start with an empty store"
     )]
     Corrupted {
-        /// The file.
+        /// Path of the store file, or of the copy that an export reads.
         file: PathBuf,
         /// What the check of the file found.
         reason: String,
@@ -94,7 +94,7 @@
         "{file}: the disk is full; nothing that was acknowledged is lost, and writing goes on once there is room"
     )]
     DiskFull {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
     },
     /// Any other error of the disk, the operating system or the database library.
@@ -102,7 +102,7 @@
         "{file}: the disk does not do what it is asked: {reason}; look at the disk and at the rights of this user"
     )]
     Io {
-        /// The file.
+        /// Path of the store file.
         file: PathBuf,
         /// Text of the underlying error.
         reason: String,
--- a/crates/planner/src/core/messages.rs
+++ b/crates/planner/src/core/messages.rs
@@ -28,7 +28,7 @@
         task: TaskId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The result.
+        /// The node's answer, or how the attempt ended without one.
         answer: OfferAnswer,
     },
     /// The complete list of a node's Pods, at the start of a watch.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -7,7 +7,7 @@
 pub enum FailureDomain {
     /// All machines together.
     All,
-    /// One zone.
+    /// The machines whose endpoints name the same zone.
     Zone,
     /// One cell: a small group of related machines.
     Cell,
--- a/crates/policy/src/scheduler/circuit_breakers.rs
+++ b/crates/policy/src/scheduler/circuit_breakers.rs
@@ -15,7 +15,7 @@
 /// The traffic that a breaker blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum BreakerScope {
-    /// All tasks.
+    /// Tasks of all classes and tenants.
     AllTraffic,
     /// Tasks of one class and tenant.
     Traffic(TrafficClass),
--- a/crates/policy/src/scheduler/endpoint_subscription.rs
+++ b/crates/policy/src/scheduler/endpoint_subscription.rs
@@ -24,7 +24,7 @@
     requested_at: Option<Seconds>,
     /// The earliest time of the next request.
     retry_at: Seconds,
-    /// Consecutive failures.
+    /// Failures since the last list or update, at most [`MAX_COUNTED_FAILURES`].
     failures: i32,
 }
 
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -177,11 +177,11 @@
 /// Kind of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// POST.
+    /// A new object is added, by a POST to its collection.
     Create,
-    /// PUT or PATCH.
+    /// An existing object is changed, by a PUT or PATCH.
     Update,
-    /// DELETE.
+    /// An object is removed, by a DELETE.
     Delete,
 }
 
@@ -190,7 +190,7 @@
 pub struct RequestLog<'a> {
     /// Address of the client.
     pub peer: std::net::SocketAddr,
-    /// HTTP method.
+    /// HTTP method of the request, such as `GET`.
     pub method: &'a str,
     /// Path with query.
     pub path: &'a str,
--- a/crates/rest/src/route.rs
+++ b/crates/rest/src/route.rs
@@ -31,7 +31,7 @@
 /// Collection or object that a path denotes.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Resource type.
+    /// Resource type of the collection or object, which also tells whether it has namespaces.
     pub resource: &'static Resource,
     /// Namespace; empty for all namespaces and for resources without one.
     pub namespace: String,
--- a/crates/site-settings/src/wire.rs
+++ b/crates/site-settings/src/wire.rs
@@ -49,7 +49,7 @@
     /// By class: name of a failure domain, or `none`.
     #[serde(rename = "apartBy")]
     pub(crate) spread_domains: Vec<String>,
-    /// By class.
+    /// By class: CPU utilization of a machine up to which the class gets full service, as a fraction.
     #[serde(rename = "classCalm")]
     pub(crate) full_service_utilizations: Vec<f64>,
     #[serde(rename = "coldBears")]
@@ -59,31 +59,31 @@
     /// By class: index of the machine type, negative for any.
     #[serde(rename = "kindByClass")]
     pub(crate) required_machine_types: Vec<i64>,
-    /// By machine type.
+    /// By machine type: CPU capacity of a machine, in cores.
     #[serde(rename = "kindCores")]
     pub(crate) cpu_capacities: Vec<f64>,
     #[serde(rename = "listsFree")]
     pub(crate) lists_unclaimed: bool,
-    /// By class.
+    /// By class: further utilization over which service falls linearly to zero, as a fraction.
     #[serde(rename = "lostAfter")]
     pub(crate) degradation_ranges: Vec<f64>,
     /// `used` if load reports hold measured usage.
     #[serde(rename = "measuredBy")]
     pub(crate) usage_source: String,
-    /// By machine type.
+    /// By machine type: memory capacity of a machine.
     #[serde(rename = "memOfKind")]
     pub(crate) memory_capacities: Vec<f64>,
     #[serde(rename = "oneHome")]
     pub(crate) single_scheduler_per_service: bool,
-    /// By class.
+    /// By class: a task of higher priority takes precedence over one of lower priority.
     #[serde(rename = "priorityByClass")]
     pub(crate) priorities: Vec<u32>,
     #[serde(rename = "refusedPrice")]
     pub(crate) rejected_offer_cost: f64,
-    /// By class.
+    /// By class: value of a timely start, in seconds of full service.
     #[serde(rename = "startSeconds")]
     pub(crate) start_weights: Vec<f64>,
-    /// By class.
+    /// By class: maximum number of tasks of one service in one domain of `spread_domains`.
     #[serde(rename = "togetherMax")]
     pub(crate) max_per_spread_domain: Vec<u32>,
 }
