--- a/crates/rest/src/options.rs
+++ b/crates/rest/src/options.rs
@@ -24,7 +24,7 @@
     pub bookmarks: bool,
     /// Whether the watch begins with the present objects; if not given, `version` decides.
     pub send_initial_events: Option<bool>,
-    /// Seconds after which the watch ends, [`MAX_WATCH_SECONDS`] at most.
+    /// Seconds after which the watch ends, `MAX_WATCH_SECONDS` (an hour) at most.
     pub timeout: Option<f64>,
     /// Whether the request is only checked and changes nothing.
     pub dry_run: bool,
