--- a/crates/cli/src/badday.rs
+++ b/crates/cli/src/badday.rs
@@ -109,11 +109,14 @@
                 reasons.missing.len(),
                 reasons.falsified.len()
             );
-            for one in reasons.missing.iter().chain(&reasons.falsified).take(20) {
-                println!("UNTRUE {one}");
+            for finding in reasons.missing.iter().chain(&reasons.falsified).take(20) {
+                println!("UNTRUE {finding}");
             }
-            for one in &report.violations {
-                println!("BROKEN {}: at {:.3}: {}", one.rule, one.at, one.what);
+            for violation in &report.violations {
+                println!(
+                    "BROKEN {}: at {:.3}: {}",
+                    violation.rule, violation.at, violation.what
+                );
             }
         }
     }
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -97,11 +97,11 @@
         (Some(6), Some(1))
     );
     check(r, "POST", JOBS, JSON, &quiet, 409, "AlreadyExists");
-    let one = format!("{JOBS}/quiet");
+    let job_path = format!("{JOBS}/quiet");
     let dry = check(
         r,
         "PATCH",
-        &format!("{one}?dryRun=All"),
+        &format!("{job_path}?dryRun=All"),
         MERGE,
         r#"{"metadata":{"labels":{"a":"dry"}}}"#,
         200,
@@ -111,7 +111,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         MERGE,
         r#"{"metadata":{"labels":{"a":"1","b":"2"}}}"#,
         200,
@@ -120,7 +120,7 @@
     let patched = check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         "application/json-patch+json",
         r#"[{"op":"test","path":"/metadata/labels/a","value":"1"},{"op":"remove","path":"/metadata/labels/b"}]"#,
         200,
@@ -130,7 +130,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         "application/json-patch+json",
         r#"[{"op":"test","path":"/kind","value":"x"}]"#,
         422,
@@ -139,7 +139,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         "text/plain",
         "{}",
         415,
@@ -148,7 +148,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         "application/strategic-merge-patch+json",
         r#"{"spec":{"parallelism":2}}"#,
         200,
@@ -157,7 +157,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         MERGE,
         r#"{"spec":{"template":{"spec":{"containers":null}}}}"#,
         422,
@@ -166,7 +166,7 @@
     check(
         r,
         "PATCH",
-        &one,
+        &job_path,
         MERGE,
         r#"{"metadata":{"resourceVersion":"1"}}"#,
         409,
@@ -174,13 +174,21 @@
     );
     let mut stale = patched.clone();
     stale["spec"]["parallelism"] = json!(3);
-    check(r, "PUT", &one, JSON, &stale.to_string(), 409, "Conflict");
+    check(
+        r,
+        "PUT",
+        &job_path,
+        JSON,
+        &stale.to_string(),
+        409,
+        "Conflict",
+    );
     let body = r#"{"preconditions":{"uid":"other"}}"#;
-    check(r, "DELETE", &one, JSON, body, 409, "Conflict");
+    check(r, "DELETE", &job_path, JSON, body, 409, "Conflict");
     check(
         r,
         "DELETE",
-        &one,
+        &job_path,
         JSON,
         r#"{"propagationPolicy":"Sideways"}"#,
         400,
@@ -228,8 +236,8 @@
         504,
         "Timeout",
     );
-    check(r, "DELETE", &one, JSON, "", 200, "");
-    check(r, "DELETE", &one, JSON, "", 404, "NotFound");
+    check(r, "DELETE", &job_path, JSON, "", 200, "");
+    check(r, "DELETE", &job_path, JSON, "", 404, "NotFound");
 
     let generated =
         json!({"metadata": {"generateName": "g-"}, "spec": {"containers": [{"name": "m"}]}})
@@ -248,7 +256,7 @@
         .as_str()
         .unwrap()
         .replace('/', "%2F");
-    let rest = check(
+    let second_page = check(
         r,
         "GET",
         &format!("{PODS}?limit=2&continue={token}"),
@@ -257,7 +265,7 @@
         200,
         "",
     );
-    assert_eq!(rest["items"].as_array().unwrap().len(), 1);
+    assert_eq!(second_page["items"].as_array().unwrap().len(), 1);
     check(r, "DELETE", PODS, JSON, "", 200, "");
     assert_eq!(check(r, "GET", PODS, "", "", 200, "")["items"], json!([]));
 }
@@ -477,20 +485,29 @@
             "{field} in {version}"
         );
     }
-    let mut one = pod("whole");
-    one["spec"]["containers"][0]["image"] = "registry.example/web:7".into();
-    one["spec"]["containers"][0]["args"] = json!(["--port", "80"]);
-    check(&running, "POST", PODS, JSON, &one.to_string(), 201, "");
+    let mut pod_with_image = pod("whole");
+    pod_with_image["spec"]["containers"][0]["image"] = "registry.example/web:7".into();
+    pod_with_image["spec"]["containers"][0]["args"] = json!(["--port", "80"]);
+    check(
+        &running,
+        "POST",
+        PODS,
+        JSON,
+        &pod_with_image.to_string(),
+        201,
+        "",
+    );
     let node = tidespur_net::Client::new(&running.cluster.nodes[0].addresses[0], 1, vec![]);
     running.wait_for("the node has it", async || {
-        let held = smol::block_on(node.send(
+        let reply = smol::block_on(node.send(
             hyper::Method::GET,
             "/api/v1/pods",
             "",
             Default::default(),
             5.0,
         ));
-        let spec = held.ok()?.json()["items"].as_array()?.first()?["spec"]["containers"][0].clone();
+        let spec =
+            reply.ok()?.json()["items"].as_array()?.first()?["spec"]["containers"][0].clone();
         assert_eq!(spec["image"], "registry.example/web:7");
         (spec["args"] == json!(["--port", "80"])).then_some(())
     });
@@ -575,11 +592,11 @@
         201,
         "",
     );
-    let one = format!("{PODS}/p");
+    let pod_path = format!("{PODS}/p");
     check(
         &running,
         "DELETE",
-        &format!("{one}?gracePeriodSeconds=30"),
+        &format!("{pod_path}?gracePeriodSeconds=30"),
         "",
         "",
         422,
@@ -588,7 +605,7 @@
     check(
         &running,
         "DELETE",
-        &one,
+        &pod_path,
         JSON,
         r#"{"gracePeriodSeconds":5}"#,
         422,
@@ -597,7 +614,7 @@
     check(
         &running,
         "DELETE",
-        &one,
+        &pod_path,
         JSON,
         r#"{"gracePeriodSeconds":0}"#,
         200,
--- a/crates/cli/tests/common/fixture.rs
+++ b/crates/cli/tests/common/fixture.rs
@@ -45,11 +45,11 @@
 
 /// Adds items to a fixture without removing any; creates the file if there is none.
 pub fn add(package: &str, name: &str, items: impl IntoIterator<Item = String>) {
-    let mut all: BTreeSet<String> = items.into_iter().collect();
+    let mut merged: BTreeSet<String> = items.into_iter().collect();
     if path(package, name).exists() {
-        all.extend(read(package, name));
+        merged.extend(read(package, name));
     }
-    write(package, name, &all);
+    write(package, name, &merged);
 }
 
 /// Compares the items of a program with a fixture of `package` (its `CARGO_MANIFEST_DIR`).
--- a/crates/cli/tests/common/flags.rs
+++ b/crates/cli/tests/common/flags.rs
@@ -57,11 +57,11 @@
 
     /// Whether the program has an item of the fixture. Aliases are accepted even if the help doesn't list them.
     fn accepts(&self, item: &str) -> bool {
-        let words: Vec<&str> = item.split(' ').skip(1).collect();
-        let at = words
+        let arguments: Vec<&str> = item.split(' ').skip(1).collect();
+        let at = arguments
             .iter()
             .position(|word| word.starts_with('-') || *word == "argument");
-        let (subcommand, rest) = words.split_at(at.unwrap_or(words.len()));
+        let (subcommand, rest) = arguments.split_at(at.unwrap_or(arguments.len()));
         let unexpected = format!("unexpected argument '{UNKNOWN_FLAG}'");
         let parse =
             |arguments: &[&str]| self.run(&[subcommand, arguments, &[UNKNOWN_FLAG]].concat());
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -28,17 +28,17 @@
 #[test]
 fn every_file_that_the_page_names_exists() {
     let mut files = 0;
-    for word in PAGE.split(|c: char| !(c.is_ascii_alphanumeric() || "/._-".contains(c))) {
-        if !word.ends_with(".rs") {
+    for path in PAGE.split(|c: char| !(c.is_ascii_alphanumeric() || "/._-".contains(c))) {
+        if !path.ends_with(".rs") {
             continue;
         }
         files += 1;
         assert!(
             packages().iter().any(|package| {
                 let source = root().join("crates").join(package).join("src");
-                source.join(word).is_file() || root().join("crates").join(word).is_file()
+                source.join(path).is_file() || root().join("crates").join(path).is_file()
             }),
-            "{word} is no source file"
+            "{path} is no source file"
         );
     }
     assert!(files > 10, "only {files} files are named");
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -26,9 +26,9 @@
         let logs = tempfile::tempdir().unwrap();
         let program = PathBuf::from(env!("CARGO_BIN_EXE_tidespur"));
         let line = "standin-register --listen 127.0.0.1:0 --delay 0.1";
-        let words = line.split(' ').map(str::to_owned).collect();
+        let arguments = line.split(' ').map(str::to_owned).collect();
         let log = Some(logs.path().join("register.log"));
-        let register = Process::start("register", program, words, log, true).unwrap();
+        let register = Process::start("register", program, arguments, log, true).unwrap();
         let at = register.addresses[0].clone();
         let (all, apis) = (BTreeMap::new(), BTreeMap::new());
         let mut fleet = Self {
@@ -61,10 +61,10 @@
             "{line} --name {name} --register {}{}",
             self.register, self.seeds
         );
-        let words = line.split(' ').map(str::to_owned).collect();
+        let arguments = line.split(' ').map(str::to_owned).collect();
         let log = Some(self.logs.path().join(format!("{name}.log")));
         let program = PathBuf::from(env!("CARGO_BIN_EXE_tidespur"));
-        let process = Process::start(name, program, words, log, edge).unwrap();
+        let process = Process::start(name, program, arguments, log, edge).unwrap();
         if edge {
             self.apis.insert(name.into(), process.addresses[0].clone());
             if self.apis.len() <= 2 {
@@ -124,7 +124,7 @@
 fn edges_and_planners_find_each_other_and_agree_after_kills_and_pauses() {
     let mut fleet = Fleet::start(2, 4);
     let both = ["edge-0", "edge-1"];
-    let whole = [
+    let every_member = [
         "edge-0",
         "edge-1",
         "planner-0",
@@ -132,43 +132,43 @@
         "planner-2",
         "planner-3",
     ];
-    fleet.wait_settled(&both, &whole);
+    fleet.wait_settled(&both, &every_member);
     // Planners were given no edge addresses: they connect to the edges that they find in the fleet.
     both.iter().for_each(|edge| fleet.wait_connected(edge, 4));
 
     // A planner is killed.
     fleet.all.get_mut("planner-2").unwrap().kill();
-    let rest: Vec<&str> = whole
+    let without_killed: Vec<&str> = every_member
         .iter()
         .copied()
         .filter(|name| *name != "planner-2")
         .collect();
-    fleet.wait_settled(&both, &rest);
+    fleet.wait_settled(&both, &without_killed);
     both.iter().for_each(|edge| fleet.wait_connected(edge, 3));
 
     // Another planner is paused, and the killed one restarts under its name meanwhile.
     fleet.all["planner-1"].set_paused(true);
     fleet.launch("planner-2");
-    let rest: Vec<&str> = whole
+    let without_paused: Vec<&str> = every_member
         .iter()
         .copied()
         .filter(|name| *name != "planner-1")
         .collect();
-    fleet.wait_settled(&both, &rest);
+    fleet.wait_settled(&both, &without_paused);
     smol::block_on(clock::sleep(5.0));
     fleet.all["planner-1"].set_paused(false);
-    fleet.wait_settled(&both, &whole);
+    fleet.wait_settled(&both, &every_member);
     both.iter().for_each(|edge| fleet.wait_connected(edge, 4));
 
     // A planner that is terminated leaves the fleet and is not reported as lost.
     let mut leaves = fleet.all.remove("planner-0").unwrap();
     leaves.terminate();
-    let rest: Vec<&str> = whole
+    let without_terminated: Vec<&str> = every_member
         .iter()
         .copied()
         .filter(|name| *name != "planner-0")
         .collect();
-    fleet.wait_settled(&both, &rest);
+    fleet.wait_settled(&both, &without_terminated);
     for edge in both {
         let view = fleet.request(edge, "/debug/fleet").unwrap().json();
         let members = view["members"].as_array().cloned().unwrap_or_default();
@@ -188,7 +188,7 @@
     };
     assert_eq!(ended, "exit status: 0");
     fleet.launch("planner-0");
-    fleet.wait_settled(&both, &whole);
+    fleet.wait_settled(&both, &every_member);
 
     // The first seed is killed for good; all planners connect to an edge that joins after that.
     fleet.all.remove("edge-0");
@@ -236,9 +236,9 @@
 #[test]
 fn without_settings_there_is_no_fleet() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_tidespur"));
-    let words = |line: &str| line.split(' ').map(str::to_owned).collect();
+    let arguments = |line: &str| line.split(' ').map(str::to_owned).collect();
     let line = "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register 127.0.0.1:1";
-    let edge = Process::start("edge", program.clone(), words(line), None, true).unwrap();
+    let edge = Process::start("edge", program.clone(), arguments(line), None, true).unwrap();
     assert_eq!(edge.addresses.len(), 2, "no datagram socket");
     let client = Client::new(&edge.addresses[0], 1, vec![]);
     let reply =
@@ -247,7 +247,7 @@
     let mut planner = Process::start(
         "planner",
         program,
-        words("planner --register 127.0.0.1:1"),
+        arguments("planner --register 127.0.0.1:1"),
         None,
         false,
     )
--- a/crates/cli/tests/full.rs
+++ b/crates/cli/tests/full.rs
@@ -43,15 +43,21 @@
         "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register {register} --name edge-9 --data {}",
         directory.display()
     );
-    let mut words = vec![
+    let mut arguments = vec![
         "-c".to_owned(),
         "trap '' XFSZ; exec \"$0\" \"$@\"".to_owned(),
     ];
-    words.push(env!("CARGO_BIN_EXE_tidespur").to_owned());
-    words.extend(line.split(' ').map(str::to_owned));
+    arguments.push(env!("CARGO_BIN_EXE_tidespur").to_owned());
+    arguments.extend(line.split(' ').map(str::to_owned));
     let log = running.directory.path().join("edge-9.log");
-    let mut edge =
-        Process::start("edge-9", "/bin/sh".into(), words, Some(log.clone()), true).unwrap();
+    let mut edge = Process::start(
+        "edge-9",
+        "/bin/sh".into(),
+        arguments,
+        Some(log.clone()),
+        true,
+    )
+    .unwrap();
     let at = edge.addresses[0].clone();
     assert_eq!(create(&at, "first").0, 201);
     let pid = Pid::from_raw(edge.id().unwrap() as i32);
--- a/crates/cli/tests/ledger.rs
+++ b/crates/cli/tests/ledger.rs
@@ -20,7 +20,7 @@
 /// Each fencing token in the edges' logs with the edge that acquired it and how often that edge had been started. An
 /// edge whose lease expired before its renewal was confirmed may acquire the same token again.
 fn tokens(folder: &Path) -> Vec<(u64, String)> {
-    let mut all = Vec::new();
+    let mut acquired = Vec::new();
     for i in 0..3 {
         let log = std::fs::read_to_string(folder.join(format!("edge-{i}.log"))).unwrap();
         let mut start = 0;
@@ -31,13 +31,14 @@
                     .split("token=")
                     .nth(1)
                     .and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-                all.extend(token.map(|token: u64| (token, format!("edge-{i}, start {start}"))));
+                acquired
+                    .extend(token.map(|token: u64| (token, format!("edge-{i}, start {start}"))));
             }
         }
     }
-    all.sort_unstable();
-    all.dedup();
-    all
+    acquired.sort_unstable();
+    acquired.dedup();
+    acquired
 }
 
 #[test]
@@ -80,7 +81,7 @@
         }
         // The newest token that the edges report never decreases.
         for _ in 0..15 {
-            let asked: Vec<Option<u64>> = fleet
+            let reported: Vec<Option<u64>> = fleet
                 .edges
                 .iter()
                 .map(|edge| {
@@ -91,7 +92,7 @@
                     }
                 })
                 .collect();
-            let newest = asked.iter().flatten().max().copied().unwrap_or(0);
+            let newest = reported.iter().flatten().max().copied().unwrap_or(0);
             assert!(
                 newest >= highest || newest == 0,
                 "seed {SEED}, round {round}: {newest} after {highest}"
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -213,12 +213,12 @@
             "edge --api 127.0.0.1:0 --link 127.0.0.1:0 --register {register} --name {name} --data {}",
             folder.display()
         );
-        let words = line.split(' ').map(str::to_owned).collect();
+        let arguments = line.split(' ').map(str::to_owned).collect();
         let program = env!("CARGO_BIN_EXE_tidespur").into();
         let started = tidespur_testbed::process::Process::start(
             name,
             program,
-            words,
+            arguments,
             Some(log.clone()),
             true,
         );
@@ -226,9 +226,9 @@
         std::fs::read_to_string(log).unwrap()
     };
     assert!(try_one("edge-0").contains("another process has it open"));
-    let told = try_one("planner-0");
+    let log = try_one("planner-0");
     assert!(
-        told.contains("another process has it open") || told.contains("is the store of"),
-        "{told}"
+        log.contains("another process has it open") || log.contains("is the store of"),
+        "{log}"
     );
 }
--- a/crates/cli/tests/sharers.rs
+++ b/crates/cli/tests/sharers.rs
@@ -45,8 +45,8 @@
     fleet.start_planner();
     fleet.start_planner();
     let both = |fleet: &Fleet, planners| {
-        let told = [shares(fleet, 0)?, shares(fleet, 1)?];
-        (told[0].0 == planners && told[1].0 == planners).then_some(())
+        let reports = [shares(fleet, 0)?, shares(fleet, 1)?];
+        (reports[0].0 == planners && reports[1].0 == planners).then_some(())
     };
     running.wait_for("both know of two", async || both(&fleet, 2));
     let (old, token) = running.wait_for("one acts", async || holder(&fleet));
@@ -104,8 +104,9 @@
         planner.restart(&[], false).unwrap();
     }
     running.wait_for("both are told anew", async || {
-        let told = [shares(&fleet, 0)?, shares(&fleet, 1)?];
-        told.iter()
+        let reports = [shares(&fleet, 0)?, shares(&fleet, 1)?];
+        reports
+            .iter()
             .all(|(planners, token)| *planners == 3 && *token > newer)
             .then_some(())
     });
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -157,12 +157,12 @@
             .map(|p| (p.name_any(), p.resource_version()))
             .collect();
         loop {
-            let held: BTreeMap<String, Option<String>> = reader
+            let cached: BTreeMap<String, Option<String>> = reader
                 .state()
                 .iter()
                 .map(|p| (p.name_any(), p.resource_version()))
                 .collect();
-            if held == truth {
+            if cached == truth {
                 break;
             }
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
@@ -216,10 +216,10 @@
 }
 
 fn accepted(records: &[serde_json::Value]) -> usize {
-    let taken = |r: &&serde_json::Value| {
+    let is_acceptance = |r: &&serde_json::Value| {
         r["what"] == "answer" && r["said"] == "accepted" && !r["way"].is_null()
     };
-    records.iter().filter(taken).count()
+    records.iter().filter(is_acceptance).count()
 }
 
 #[test]
@@ -275,15 +275,15 @@
 fn an_idempotent_task_whose_answer_was_lost_runs_again_and_its_orphan_is_stopped() {
     let (running, records) = answers_lost("termin-web", false, true);
     assert!(accepted(&records) >= 2, "it was sent again");
-    let held = |phase: &str| {
+    let pods_in_phase = |phase: &str| {
         records
             .iter()
             .filter(|r| r["who"] != "rig" && r["what"] == "pod" && r["phase"] == phase)
             .count()
     };
     // Every copy but the successful one was deleted, so that it occupies no resources.
-    assert_eq!(held("Succeeded"), 1);
-    assert_eq!(held("Failed"), accepted(&records) - 1);
+    assert_eq!(pods_in_phase("Succeeded"), 1);
+    assert_eq!(pods_in_phase("Failed"), accepted(&records) - 1);
     drop(running);
 }
 
@@ -376,14 +376,14 @@
             .records()
             .iter()
             .any(|r| r["what"] == "answer" && r["who"] == "planner-0");
-        let held = smol::block_on(client.send(
+        let reply = smol::block_on(client.send(
             hyper::Method::GET,
             "/api/v1/pods",
             "",
             Default::default(),
             5.0,
         ));
-        let pods = held.ok()?.json();
+        let pods = reply.ok()?.json();
         let live = pods["items"].as_array()?.iter().any(|p| {
             !["Failed", "Succeeded"].contains(&p["status"]["phase"].as_str().unwrap_or(""))
         });
@@ -395,7 +395,7 @@
 fn a_job_that_shrinks_during_placement_keeps_its_new_number_of_pods() {
     let running = start_cluster(4, 2, |_, _| {});
     let jobs = running.jobs();
-    let left = running.runtime.block_on(async {
+    let pods = running.runtime.block_on(async {
         jobs.create(
             &PostParams::default(),
             &job("shrinks", "termin-web", 12, 30.0),
@@ -409,7 +409,7 @@
         running.pods()
     });
     running.wait_for("three Pods are left and run", async || {
-        let list = left.list(&ListParams::default()).await.unwrap();
+        let list = pods.list(&ListParams::default()).await.unwrap();
         let live: Vec<_> = list
             .items
             .iter()
@@ -503,11 +503,11 @@
         }
     });
     // The slow watcher now reads what was in transit, and then the error that its version has expired.
-    let mut all = Vec::new();
+    let mut received = Vec::new();
     slow.set_read_timeout(Some(std::time::Duration::from_secs(30)))
         .unwrap();
-    let _ = slow.read_to_end(&mut all);
-    let text = String::from_utf8_lossy(&all);
+    let _ = slow.read_to_end(&mut received);
+    let text = String::from_utf8_lossy(&received);
     let got = text.matches("\"type\":\"ADDED\"").count();
     assert!(
         got < 400,
--- a/crates/testbed/src/checker/drains.rs
+++ b/crates/testbed/src/checker/drains.rs
@@ -36,14 +36,14 @@
                     .filter(|since| line.t > **since + rules.drain_grace)
                 {
                     let late = line.t - since;
-                    let what = format!(
+                    let description = format!(
                         "{} sent to {} {late:.2} s after it was told that it leaves",
                         key.0, key.1
                     );
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
-                        what,
+                        what: description,
                     });
                 }
             }
--- a/crates/testbed/src/checker/effects.rs
+++ b/crates/testbed/src/checker/effects.rs
@@ -24,21 +24,21 @@
         attempt_open: bool,
         may_have_run: bool,
     }
-    let mut all: BTreeMap<String, Request> = BTreeMap::new();
+    let mut requests: BTreeMap<String, Request> = BTreeMap::new();
     for line in &traffic.lines {
         let uid = line.text("uid");
         match line.what.as_str() {
             "send" => {
-                let request = all.entry(uid.to_owned()).or_default();
+                let request = requests.entry(uid.to_owned()).or_default();
                 let is_unsafe = rules
                     .classes
                     .get(line.text("class"))
                     .is_some_and(|class| class.effect == "unsafe");
-                let mut violation = |what: String| {
+                let mut violation = |description: String| {
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
-                        what,
+                        what: description,
                     })
                 };
                 if request.attempt_open {
@@ -50,7 +50,7 @@
                 request.attempt_open = true;
             }
             "answer" if line.value.get("attempt").is_some() => {
-                let request = all.entry(uid.to_owned()).or_default();
+                let request = requests.entry(uid.to_owned()).or_default();
                 request.attempt_open = false;
                 request.may_have_run |= !proves_not_run(line.text("said"));
             }
@@ -62,7 +62,7 @@
 /// Per idempotency key of an unsafe class: no two nodes hold the task at the same time.
 fn check_holders(traffic: &Traffic, rules: &Rules, report: &mut Report) {
     // By idempotency key: the nodes that hold the task, and since when.
-    let mut held: BTreeMap<String, BTreeMap<String, f64>> = BTreeMap::new();
+    let mut holders_by_key: BTreeMap<String, BTreeMap<String, f64>> = BTreeMap::new();
     for line in &traffic.lines {
         match line.what.as_str() {
             "answer" if line.text("said") == "accepted" && line.value.get("way").is_some() => {
@@ -70,12 +70,14 @@
                     .classes
                     .get(line.text("class"))
                     .is_some_and(|class| class.effect == "unsafe");
-                let holders = held.entry(line.text("key").to_owned()).or_default();
+                let holders = holders_by_key
+                    .entry(line.text("key").to_owned())
+                    .or_default();
                 if is_unsafe
                     && let Some((node, at)) = holders.iter().find(|(node, _)| **node != line.who)
                 {
                     report.duplicated += 1;
-                    let what = format!(
+                    let description = format!(
                         "{} runs at {} while {node} holds it since {at:.3}",
                         line.text("key"),
                         line.who
@@ -83,13 +85,13 @@
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
-                        what,
+                        what: description,
                     });
                 }
                 holders.insert(line.who.clone(), line.t);
             }
             "pod" if line.who != "rig" && ["Succeeded", "Failed"].contains(&line.text("phase")) => {
-                if let Some(holders) = held.get_mut(line.text("key")) {
+                if let Some(holders) = holders_by_key.get_mut(line.text("key")) {
                     holders.remove(&line.who);
                 }
             }
@@ -100,7 +102,7 @@
                 } else {
                     line.text("node")
                 };
-                for holders in held.values_mut() {
+                for holders in holders_by_key.values_mut() {
                     holders.remove(node);
                 }
             }
--- a/crates/testbed/src/checker/outcomes.rs
+++ b/crates/testbed/src/checker/outcomes.rs
@@ -16,7 +16,7 @@
 }
 
 pub(super) fn check(traffic: &Traffic, rules: &Rules, report: &mut Report) {
-    let mut all: BTreeMap<String, Request> = BTreeMap::new();
+    let mut requests: BTreeMap<String, Request> = BTreeMap::new();
     let mut killed: Vec<(i64, f64)> = Vec::new();
     let last = traffic.lines.last().map_or(0.0, |line| line.t);
     for line in &traffic.lines {
@@ -29,7 +29,7 @@
                     .classes
                     .get(line.text("class"))
                     .map_or(0.0, |class| class.deadline);
-                let request = all
+                let request = requests
                     .entry(line.text("uid").to_owned())
                     .or_insert_with(|| Request {
                         first_seen: line.t,
@@ -56,29 +56,29 @@
             _ => {}
         }
     }
-    let mut violation = |at: f64, what: String| {
+    let mut violation = |at: f64, description: String| {
         report.violations.push(Violation {
             rule: RULE,
             at,
-            what,
+            what: description,
         })
     };
-    report.submitted = all.len();
-    for (uid, request) in &all {
+    report.submitted = requests.len();
+    for (uid, request) in &requests {
         let edge_killed = killed.iter().any(|(edge, at)| {
             *edge == request.edge
                 && *at >= request.first_seen
                 && *at <= request.first_seen + request.give_up
         });
-        let due = request.first_seen + request.give_up + rules.slack;
+        let latest_outcome = request.first_seen + request.give_up + rules.slack;
         match request.outcomes.as_slice() {
             [] if request.deleted => report.withdrawn += 1,
             [] if edge_killed => report.lost_with_edge += 1,
             // The recording ended before the deadline of the request.
-            [] if last < due => report.withdrawn += 1,
+            [] if last < latest_outcome => report.withdrawn += 1,
             [] => {
                 report.unanswered += 1;
-                violation(due, format!("{uid} had no answer"));
+                violation(latest_outcome, format!("{uid} had no answer"));
             }
             [(outcome, at)] => {
                 match *outcome {
@@ -86,11 +86,11 @@
                     "refused" => report.refused += 1,
                     _ => report.failed += 1,
                 }
-                if *at > due && !edge_killed {
+                if *at > latest_outcome && !edge_killed {
                     report.unanswered += 1;
                     violation(
                         *at,
-                        format!("{uid} was {outcome} {:.2} s too late", at - due),
+                        format!("{uid} was {outcome} {:.2} s too late", at - latest_outcome),
                     );
                 }
             }
@@ -121,11 +121,11 @@
                 let key = (line.who.clone(), line.text("uid").to_owned());
                 // Offers and messages are recorded by different tasks of one program, at most this many seconds apart.
                 if ended.get(&key).is_some_and(|at| *at + 0.05 < line.t) {
-                    let what = format!("{} sent {} after its answer", key.0, key.1);
+                    let description = format!("{} sent {} after its answer", key.0, key.1);
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
-                        what,
+                        what: description,
                     });
                 }
             }
--- a/crates/testbed/src/checker/overload.rs
+++ b/crates/testbed/src/checker/overload.rs
@@ -46,7 +46,7 @@
             .filter(|line| informed(line.text("from"), line.t))
             .count();
         if 3 * from_informed >= 2 * recent_offers.len() {
-            let what = format!(
+            let description = format!(
                 "{node} fell {:.1} s after its start, under {} offers",
                 fall.t - up,
                 recent_offers.len()
@@ -54,7 +54,7 @@
             report.violations.push(Violation {
                 rule: RULE,
                 at: fall.t,
-                what,
+                what: description,
             });
         }
     }
--- a/crates/testbed/src/checker/spread.rs
+++ b/crates/testbed/src/checker/spread.rs
@@ -28,7 +28,7 @@
         }
     };
     // By planner and request uid: the placed tasks and open attempts.
-    let mut held: BTreeMap<(String, String), HeldTask> = BTreeMap::new();
+    let mut held_tasks: BTreeMap<(String, String), HeldTask> = BTreeMap::new();
     for line in &traffic.lines {
         let key = (line.who.clone(), line.text("uid").to_owned());
         match line.what.as_str() {
@@ -37,7 +37,7 @@
                     line.text("service").to_owned(),
                     line.text("node").to_owned(),
                 );
-                held.insert(
+                held_tasks.insert(
                     key,
                     HeldTask {
                         service: service.clone(),
@@ -52,48 +52,49 @@
                 else {
                     continue;
                 };
-                let here = domain(&class.spread, &node);
-                let same =
-                    |h: &HeldTask| h.service == service && domain(&class.spread, &h.node) == here;
-                let count = held
+                let target_domain = domain(&class.spread, &node);
+                let same = |h: &HeldTask| {
+                    h.service == service && domain(&class.spread, &h.node) == target_domain
+                };
+                let count = held_tasks
                     .iter()
                     .filter(|((who, _), h)| *who == line.who && same(h))
                     .count();
                 if count > class.most {
-                    let what = format!(
-                        "{} has {count} of {service} in {here}, {} are allowed",
+                    let description = format!(
+                        "{} has {count} of {service} in {target_domain}, {} are allowed",
                         line.who, class.most
                     );
                     report.violations.push(Violation {
                         rule: RULE,
                         at: line.t,
-                        what,
+                        what: description,
                     });
                 }
             }
             "answer" if line.value.get("attempt").is_some() && line.text("said") != "accepted" => {
-                held.retain(|k, h| *k != key || h.placed);
+                held_tasks.retain(|k, h| *k != key || h.placed);
             }
             "tell" => {
                 if let Some(uid) = line.value["message"]["Placed"]["uid"].as_str()
-                    && let Some(h) = held.get_mut(&(line.who.clone(), uid.to_owned()))
+                    && let Some(h) = held_tasks.get_mut(&(line.who.clone(), uid.to_owned()))
                 {
                     h.placed = true;
                 }
                 if let Some(uid) = line.value["message"]["Ended"]["uid"].as_str() {
-                    held.remove(&(line.who.clone(), uid.to_owned()));
+                    held_tasks.remove(&(line.who.clone(), uid.to_owned()));
                 }
             }
             "heard" => {
                 let message = &line.value["message"];
                 if let Some(uid) = message["Stop"]["uid"].as_str() {
-                    held.remove(&(line.who.clone(), uid.to_owned()));
+                    held_tasks.remove(&(line.who.clone(), uid.to_owned()));
                 }
                 if let Some(uid) = message["InPlace"]["ask"]["uid"].as_str() {
                     let text = |v: &serde_json::Value| v.as_str().unwrap_or("").to_owned();
                     let service = text(&message["InPlace"]["ask"]["service"]);
                     let node = text(&message["InPlace"]["node"]);
-                    held.insert(
+                    held_tasks.insert(
                         (line.who.clone(), uid.to_owned()),
                         HeldTask {
                             service,
@@ -104,7 +105,7 @@
                 }
             }
             // A restarted planner holds no tasks.
-            "started" => held.retain(|(who, _), _| *who != line.who),
+            "started" => held_tasks.retain(|(who, _), _| *who != line.who),
             _ => {}
         }
     }
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -172,8 +172,10 @@
                     .send(Method::GET, "/api/v1/nodes", "", Bytes::new(), 2.0)
                     .await;
                 let listed = nodes.map_or(0, |n| n.json()["items"].as_array().map_or(0, Vec::len));
-                let all = format!("ok, planners: {}", self.layout.planners);
-                if ready.is_ok_and(|r| r.body == all.as_bytes()) && listed >= self.layout.nodes {
+                let ready_body = format!("ok, planners: {}", self.layout.planners);
+                if ready.is_ok_and(|r| r.body == ready_body.as_bytes())
+                    && listed >= self.layout.nodes
+                {
                     break;
                 }
                 if clock::now() > until {
@@ -192,12 +194,13 @@
 
     /// The process of this name; `None` if there is none.
     pub fn process(&mut self, name: &str) -> Option<&mut Process> {
-        let all = self
+        let processes = self
             .nodes
             .iter_mut()
             .chain(&mut self.edges)
             .chain(&mut self.planners);
-        all.chain([&mut self.registry])
+        processes
+            .chain([&mut self.registry])
             .find(|process| process.name == name)
     }
 
@@ -268,25 +271,27 @@
 
     /// Names of the processes that do not run, with the exit status or another reason.
     pub fn exited(&mut self) -> Vec<(String, String)> {
-        let all = self
+        let processes = self
             .nodes
             .iter_mut()
             .chain(&mut self.edges)
             .chain(&mut self.planners);
-        let all = all.chain([&mut self.registry]);
-        all.filter_map(|process| Some((process.name.clone(), process.exit_reason()?)))
+        let processes = processes.chain([&mut self.registry]);
+        processes
+            .filter_map(|process| Some((process.name.clone(), process.exit_reason()?)))
             .collect()
     }
 
     /// Name and process id of each running process.
     pub fn process_ids(&self) -> Vec<(String, u32)> {
-        let all = self
+        let processes = self
             .nodes
             .iter()
             .chain(&self.edges)
             .chain(&self.planners)
             .chain([&self.registry]);
-        all.filter_map(|process| Some((process.name.clone(), process.id()?)))
+        processes
+            .filter_map(|process| Some((process.name.clone(), process.id()?)))
             .collect()
     }
 
--- a/crates/testbed/src/layout.rs
+++ b/crates/testbed/src/layout.rs
@@ -67,7 +67,7 @@
     pub zone: String,
     /// Rack, unique within its zone.
     pub rack: String,
-    /// Machine type.
+    /// Machine type of the node: `std-24` or `gross-48`.
     pub kind: &'static str,
 }
 
--- a/crates/testbed/src/oracle.rs
+++ b/crates/testbed/src/oracle.rs
@@ -137,16 +137,16 @@
         let (mut min_full, mut max_full, mut min_unavailable) = (0, 0, 0);
         for name in &names {
             let states = seen(name);
-            let all =
+            let certainly =
                 |holds: &dyn Fn(&Node) -> bool| states.iter().all(|node| node.is_some_and(holds));
-            let any =
+            let possibly =
                 |holds: &dyn Fn(&Node) -> bool| states.iter().any(|node| node.is_none_or(holds));
-            min_draining += usize::from(all(&|node| node.drains));
-            max_draining += usize::from(any(&|node| node.drains));
-            let always_full = all(&|node| !node.drains && full(node, 1.0));
+            min_draining += usize::from(certainly(&|node| node.drains));
+            max_draining += usize::from(possibly(&|node| node.drains));
+            let always_full = certainly(&|node| !node.drains && full(node, 1.0));
             min_full += usize::from(always_full);
-            min_unavailable += usize::from(always_full || all(&|node| node.drains));
-            max_full += usize::from(any(&|node| full(node, ROOM_SHARE)));
+            min_unavailable += usize::from(always_full || certainly(&|node| node.drains));
+            max_full += usize::from(possibly(&|node| full(node, ROOM_SHARE)));
         }
         let diagnosis = &report["diagnosis"];
         let count = |code: &str| diagnosis["bars"][code].as_u64().unwrap_or(0) as usize;
--- a/crates/testbed/src/sample.rs
+++ b/crates/testbed/src/sample.rs
@@ -48,7 +48,7 @@
 
     /// Takes one sample; `None` if the edge or the registry does not answer. A node that does not answer is left out,
     /// because its state is unknown.
-    pub(crate) async fn take(&mut self) -> Option<Value> {
+    pub(crate) async fn take_sample(&mut self) -> Option<Value> {
         let records = read(&self.edge, "/debug/waits/default").await?;
         let pods = read(&self.edge, "/api/v1/namespaces/default/pods").await?;
         let listed = read(&self.registry, "/api/v1/nodes").await?;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -119,11 +119,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// Type of fault.
+    /// What the fault does to its targets.
     pub kind: FaultKind,
     /// Start, counted from the start of the run.
     pub at: f64,
-    /// Duration.
+    /// Duration of the fault in seconds.
     #[serde(default = "default_fault_seconds")]
     pub seconds: f64,
     /// Share of the nodes or Jobs that are affected, from 0 to 1.
--- a/crates/testbed/src/scenario_run.rs
+++ b/crates/testbed/src/scenario_run.rs
@@ -58,17 +58,17 @@
 
 fn draw_submissions(scenario: &Scenario, seed: u64) -> Vec<Submission> {
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut all = Vec::new();
+    let mut submissions = Vec::new();
     for (sort, work) in &scenario.workloads {
         for i in 0..work.jobs {
             let at = rng.random_range(0.0..=work.within.unwrap_or(scenario.seconds).max(1e-6));
             let name = format!("{sort}-{i:03}");
             let body = job(&name, work, &mut rng);
-            all.push(Submission { at, name, body });
+            submissions.push(Submission { at, name, body });
         }
     }
-    all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    all
+    submissions.sort_by(|a, b| a.at.total_cmp(&b.at));
+    submissions
 }
 
 /// State that all tasks of a run share. Times are Unix times in seconds.
@@ -210,9 +210,9 @@
 
 async fn submit(run: Arc<Run>, edge: usize, part: Vec<Submission>) {
     let client = Client::new(&run.apis[edge], 1, vec![]);
-    for one in part {
-        clock::sleep(run.start + one.at - clock::now()).await;
-        let body: Bytes = one.body.to_string().into_bytes().into();
+    for submission in part {
+        clock::sleep(run.start + submission.at - clock::now()).await;
+        let body: Bytes = submission.body.to_string().into_bytes().into();
         let path = "/apis/batch/v1/namespaces/default/jobs";
         // Retries until the end of the run if the edge is down or asks to retry later.
         while clock::now() < run.ends {
@@ -220,8 +220,10 @@
                 .send(Method::POST, path, "application/json", body.clone(), 5.0)
                 .await;
             let status = sent.as_ref().map_or(0, |reply| reply.status.as_u16());
-            run.recorder
-                .record("submitted", || json!({"job": one.name, "status": status}));
+            run.recorder.record(
+                "submitted",
+                || json!({"job": submission.name, "status": status}),
+            );
             match status {
                 201 | 409 => {
                     run.progress.submitted.fetch_add(1, Ordering::Relaxed);
@@ -309,7 +311,7 @@
     let mut sampler = crate::sample::Sampler::new(&run.apis[0], &register, nodes, overcommit);
     while clock::now() < run.ends + 10.0 {
         clock::sleep(rng.random_range(0.3..0.9)).await;
-        if let Some(sample) = sampler.take().await {
+        if let Some(sample) = sampler.take_sample().await {
             run.recorder.record("why", || sample);
         }
     }
@@ -329,8 +331,8 @@
         && let Some(first) = order.first().copied()
     {
         let rack = |i: &usize| (&locations[*i].zone, &locations[*i].rack);
-        let here = (locations[first].zone.clone(), locations[first].rack.clone());
-        order.retain(|i| rack(i) == (&here.0, &here.1));
+        let first_rack = (locations[first].zone.clone(), locations[first].rack.clone());
+        order.retain(|i| rack(i) == (&first_rack.0, &first_rack.1));
     }
     let targets: Vec<String> = order
         .into_iter()
@@ -372,9 +374,9 @@
             clock::sleep(until - clock::now()).await;
             for node in targets {
                 let run = run.clone();
-                let back =
+                let restarted =
                     smol::unblock(move || run.with(|cluster| cluster.restart_node(&node))).await;
-                if let Some(Err(error)) = back {
+                if let Some(Err(error)) = restarted {
                     tracing::error!(error);
                 }
             }
@@ -555,14 +557,16 @@
             if !rng.random_bool(share) {
                 continue;
             }
-            let one = format!("{path}/{}", meta::name(job));
+            let job_path = format!("{path}/{}", meta::name(job));
             for suspend in [true, false] {
                 let body = json!({"spec": {"suspend": suspend}})
                     .to_string()
                     .into_bytes()
                     .into();
                 let media = "application/merge-patch+json";
-                let _ = client.send(Method::PATCH, &one, media, body, 5.0).await;
+                let _ = client
+                    .send(Method::PATCH, &job_path, media, body, 5.0)
+                    .await;
             }
         }
     }
--- a/crates/testbed/src/simnet.rs
+++ b/crates/testbed/src/simnet.rs
@@ -171,8 +171,8 @@
             observations: Observations::default(),
             script,
         };
-        for who in 0..net.script.members {
-            net.start(who);
+        for index in 0..net.script.members {
+            net.start(index);
         }
         net
     }
@@ -257,12 +257,12 @@
     }
 
     fn step(&mut self, who: usize, inputs: Vec<Input>) {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let Some(fleet) = self.members[who].fleet.as_mut() else {
             return;
         };
-        fleet.step(self.now, inputs, &mut out);
-        for output in out {
+        fleet.step(self.now, inputs, &mut outputs);
+        for output in outputs {
             match output {
                 Output::SendDatagram(to, bytes) => self.send(who, to, bytes),
                 Output::MemberFailed(lost) => {
@@ -397,16 +397,16 @@
     /// Describes the first member whose view has not converged; `None` if the view of each running member lists exactly
     /// the running members, has their metadata, and is marked as settled.
     pub fn describe_unconverged(&self) -> Option<String> {
-        let all = || self.members.iter().enumerate();
+        let members = || self.members.iter().enumerate();
         if let Some((who, _)) =
-            all().find(|(_, member)| member.should_run != member.fleet.is_some())
+            members().find(|(_, member)| member.should_run != member.fleet.is_some())
         {
             return Some(format!(
                 "{}: running state differs from the script",
                 name(who)
             ));
         }
-        let run: Vec<String> = all()
+        let run: Vec<String> = members()
             .filter(|(_, member)| member.fleet.is_some())
             .map(|(who, _)| name(who))
             .collect();
@@ -453,10 +453,10 @@
     pub fn random(seed: u64, members: usize) -> Self {
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed.wrapping_mul(0x9e37_79b9));
         let (mut faults, mut joined) = (Vec::new(), 0);
-        let mut gone = std::collections::BTreeSet::new();
+        let mut departed = std::collections::BTreeSet::new();
         let mut at = rng.random_range(2.0..4.0);
         for _ in 0..rng.random_range(2..6) {
-            let who = rng.random_range(0..members);
+            let target = rng.random_range(0..members);
             let some = |rng: &mut rand_pcg::Pcg32| -> Vec<usize> {
                 let share = rng.random_range(0.1..0.6);
                 (0..members).filter(|_| rng.random_bool(share)).collect()
@@ -506,16 +506,18 @@
                     },
                 )),
                 4 => faults.push((at, Fault::Twice { share: 0.5, lasts })),
-                5 if !gone.contains(&who) => faults.push((at, Fault::Stop { who, lasts })),
+                5 if !departed.contains(&target) => {
+                    faults.push((at, Fault::Stop { who: target, lasts }))
+                }
                 6 => {
                     let share = rng.random_range(0.05..0.3);
-                    for who in (0..members)
-                        .filter(|who| !gone.contains(who))
+                    for member in (0..members)
+                        .filter(|member| !departed.contains(member))
                         .collect::<Vec<_>>()
                     {
                         if rng.random_bool(share) {
                             let lasts = rng.random_range(0.2..6.0);
-                            faults.push((at, Fault::Kill { who, lasts }));
+                            faults.push((at, Fault::Kill { who: member, lasts }));
                         }
                     }
                 }
@@ -528,9 +530,9 @@
                     ));
                     joined += 1;
                 }
-                8 if who > 1 && !gone.contains(&who) => {
-                    gone.insert(who);
-                    faults.push((at, Fault::Leave { who }));
+                8 if target > 1 && !departed.contains(&target) => {
+                    departed.insert(target);
+                    faults.push((at, Fault::Leave { who: target }));
                 }
                 _ => {}
             }
--- a/crates/testbed/src/supervisor.rs
+++ b/crates/testbed/src/supervisor.rs
@@ -71,7 +71,7 @@
 
     /// Takes the names of all children that do not run at `now`, and returns what to do.
     pub fn step(&mut self, now: f64, exited: &[String]) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         for name in exited {
             let Some(child) = self.children.get_mut(name) else {
                 continue;
@@ -79,7 +79,7 @@
             match child.restart_at {
                 Some(at) if now >= at => {
                     (child.restart_at, child.started_at) = (None, now);
-                    out.push(Action::Start(name.clone()));
+                    actions.push(Action::Start(name.clone()));
                 }
                 Some(_) => {}
                 None => {
@@ -88,16 +88,16 @@
                     }
                     child.exits += 1;
                     if child.exits >= self.settings.max_consecutive_exits {
-                        out.push(Action::GiveUp(name.clone()));
+                        actions.push(Action::GiveUp(name.clone()));
                         continue;
                     }
                     let delay = self.settings.initial_backoff * 2f64.powi(child.exits as i32 - 1);
                     let delay = delay.min(self.settings.max_backoff);
                     child.restart_at = Some(now + delay);
-                    out.push(Action::Backoff(name.clone(), delay));
+                    actions.push(Action::Backoff(name.clone(), delay));
                 }
             }
         }
-        out
+        actions
     }
 }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -34,7 +34,7 @@
 fn accepted(t: f64, node: &str, key: &str, class: &str) -> Value {
     json!({"t": t, "who": node, "what": "answer", "key": key, "class": class, "said": "accepted", "way": "Sent"})
 }
-fn told(t: f64, node: &str, unschedulable: bool, up_since: f64) -> Value {
+fn node_state(t: f64, node: &str, unschedulable: bool, up_since: f64) -> Value {
     json!({"t": t, "who": "planner-0", "what": "told", "node": node, "unschedulable": unschedulable,
         "up_since": format!("{up_since:.3}"), "deleted": false})
 }
@@ -47,7 +47,7 @@
     vec![
         up(0.0, "n1"),
         up(0.0, "n2"),
-        told(0.5, "n1", false, 0.0),
+        node_state(0.5, "n1", false, 0.0),
         pod(1.0, "u1", "web", "", ""),
         send(1.1, "u1", "web", "s", "n1", 0),
         accepted(1.15, "n1", "u1", "web"),
@@ -157,7 +157,7 @@
 #[test]
 fn an_offer_to_a_draining_node_is_reported_only_after_the_grace_period() {
     let late = vec![
-        told(2.0, "n2", true, 0.0),
+        node_state(2.0, "n2", true, 0.0),
         send(3.5, "u9", "web", "t", "n2", 0),
         answer(3.6, "u9", "n2", 0, "accepted"),
     ];
@@ -175,7 +175,7 @@
             json!({"t": 4.9, "who": "n2", "what": "fell"}),
         ];
         if informed {
-            lines.push(told(4.2, "n2", false, 4.0));
+            lines.push(node_state(4.2, "n2", false, 4.0));
         }
         lines.extend((0..9).map(
             |i| json!({"t": 4.5 + 0.01 * f64::from(i), "who": "n2", "what": "offer", "from": "planner-0"}),
--- a/crates/testbed/tests/simnet.rs
+++ b/crates/testbed/tests/simnet.rs
@@ -228,13 +228,13 @@
         "{:?}",
         net.describe_unconverged()
     );
-    let back = net.views().iter().all(|(_, view)| {
+    let all_restarted = net.views().iter().all(|(_, view)| {
         view.live_members()
             .filter(|seen| seen.id.incarnation == 2)
             .count()
             == 6
     });
-    assert!(back);
+    assert!(all_restarted);
 }
 
 /// With the first seed gone for good, a later member joins through the second.
@@ -275,14 +275,14 @@
     let mut since = std::collections::BTreeMap::new();
     while net.now < 65.0 {
         net.run_until(net.now + 0.1);
-        let mut gone = std::collections::BTreeSet::new();
+        let mut unavailable = std::collections::BTreeSet::new();
         for (who, view) in net.views() {
             for seen in view.members.iter().filter(|seen| !seen.status.is_alive()) {
-                gone.insert((who, seen.id.name.clone()));
+                unavailable.insert((who, seen.id.name.clone()));
             }
         }
-        since.retain(|pair, _| gone.contains(pair));
-        for pair in gone {
+        since.retain(|pair, _| unavailable.contains(pair));
+        for pair in unavailable {
             let at = *since.entry(pair.clone()).or_insert(net.now);
             assert!(net.now - at < 5.0, "{pair:?} since {at}");
         }
